--- a/internal/decide/membership/core.go
+++ b/internal/decide/membership/core.go
@@ -6,169 +6,177 @@
 	"time"
 )
 
-// Core is the state of one process's view. It is not safe for concurrent use.
+// Core is the membership state machine of one process. It is not safe for
+// concurrent use.
 type Core struct {
 	cfg  Config
 	self Member
 	rng  *rand.Rand
 
 	records map[string]*record
-	// digest sums the hashes of the members that are not gone, so that two
-	// cores can compare their lists in eight bytes.
-	digest uint64
-	news   map[string]*news
+	// digest is the sum of the hashes of the confirmed members that are alive
+	// or suspect, so that two processes can compare their member lists in eight
+	// bytes.
+	digest     uint64
+	broadcasts map[string]*broadcast
 
-	probes    map[uint64]*probe
-	nextProbe uint64
-	probeAt   time.Duration
-	round     int
-	lastTick  time.Duration
-	sweepAt   time.Duration
+	probes       map[uint64]*probe
+	lastProbeID  uint64
+	nextProbeAt  time.Duration
+	probeRound   int
+	lastTick     time.Duration
+	nextExpiryAt time.Duration
 
 	selfLeaving bool
 	neighbours  []string
-	dirty       bool
-	version     uint64
+	viewStale   bool
+	viewVersion uint64
 	view        *View
 
 	peerDigests map[string]digestPair
-	syncedAt    time.Duration
-	synced      bool
-	urgent      bool
-	pushAt      time.Duration
-	out         []Action
+	lastSyncAt  time.Duration
+	everSynced  bool
+	pushPending bool
+	nextPushAt  time.Duration
+	actions     []Action
 }
 
-// record is one other member.
+// record is what this process knows of one other member.
 type record struct {
 	Member
-	// heard is set once it or a peer vouched for it; before that it is only a
-	// name on the published list.
-	heard     bool
+	// confirmed is set once the member itself or a peer has reported it as
+	// alive or suspect. Until then it is only an address on the published list.
+	confirmed bool
 	published bool
 	leaving   bool
-	// until is when a suspect is taken for dead, or a dead one forgotten.
-	until time.Duration
-	rings []uint64
+	// expiresAt is when a suspect is declared dead, or the record of a member
+	// that is dead or has left is removed.
+	expiresAt  time.Duration
+	ringHashes []uint64
 }
 
-// news is one member's state that is still being passed on.
-type news struct {
+// broadcast is a member's state that is still being sent to peers.
+type broadcast struct {
 	Member
-	sent int
+	transmits int
 }
 
 type probe struct {
 	target   string
 	deadline time.Duration
-	// indirect is set once relays were asked.
+	// indirect is set once relays have been asked to probe the target.
 	indirect bool
 }
 
-// digestPair is what two cores' lists looked like at their last exchange.
-type digestPair struct{ ours, theirs uint64 }
+// digestPair holds the digests of two processes' member lists at their last
+// probe.
+type digestPair struct{ local, remote uint64 }
 
-// New returns a core that knows only itself.
+// New returns a state machine that knows only its own process.
 func New(cfg Config) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
 		cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, hash("seed", cfg.Self.Address))),
-		records: map[string]*record{}, news: map[string]*news{},
-		probes: map[uint64]*probe{}, peerDigests: map[string]digestPair{}, dirty: true,
+		records: map[string]*record{}, broadcasts: map[string]*broadcast{},
+		probes: map[uint64]*probe{}, peerDigests: map[string]digestPair{}, viewStale: true,
 	}
 	c.self.State = Alive
 	c.digest = hashMember(c.self)
-	c.tell(c.self)
+	c.queueBroadcast(c.self)
 	return c
 }
 
-// Self gives this process as it presents itself to others.
+// Self returns this process's own entry, as sent to peers.
 func (c *Core) Self() Member { return c.self }
 
-// Digest sums up the members that are not gone.
+// Digest returns the digest of the confirmed members that are alive or suspect.
 func (c *Core) Digest() uint64 { return c.digest }
 
-// View gives the picture as of the last tick.
+// View returns the member list as of the last tick.
 func (c *Core) View() *View {
 	if c.view == nil {
-		c.refresh()
+		c.refreshView()
 	}
 	return c.view
 }
 
-// Published takes the platform's list of hosts, or the addresses from the
-// settings at the start. It makes members known; it neither makes one alive
-// nor takes one away.
+// Published takes the platform's list of hosts, or the seed addresses from the
+// settings at startup. It adds a record for each listed peer, which is then
+// probed. The list alone neither makes a member alive nor removes a confirmed
+// one.
 func (c *Core) Published(now time.Duration, peers []Peer) {
-	named := make(map[string]Peer, len(peers))
+	listed := make(map[string]Peer, len(peers))
 	for _, p := range peers {
 		if p.Address == c.self.Address {
 			c.selfLeaving = p.Leaving
 			continue
 		}
-		named[p.Address] = p
+		listed[p.Address] = p
 		if c.records[p.Address] == nil {
-			c.newRecord(Member{Address: p.Address, DataCentre: p.DataCentre})
+			c.addRecord(Member{Address: p.Address, DataCentre: p.DataCentre})
 		}
 	}
 	for address, r := range c.records {
-		p, published := named[address]
-		if !published && !r.heard {
-			c.forget(address)
+		p, published := listed[address]
+		if !published && !r.confirmed {
+			c.removeRecord(address)
 			continue
 		}
 		if r.published && !published {
-			r.until = max(r.until, now+c.cfg.ForgetAfter)
+			r.expiresAt = max(r.expiresAt, now+c.cfg.DeadRetention)
 		}
 		r.published, r.leaving = published, p.Leaving
 	}
-	c.dirty = true
+	c.viewStale = true
 }
 
-// Leave marks this process as stopping by plan and returns who to tell.
+// Leave marks this process as stopped by plan and returns the messages that
+// announce it to the neighbours.
 func (c *Core) Leave() []Action {
 	c.digest -= hashMember(c.self)
 	c.self.State = Left
-	c.tell(c.self)
-	c.dirty = true
+	c.queueBroadcast(c.self)
+	c.viewStale = true
 	c.pushAll()
-	out := c.out
-	c.out = nil
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
-// Merge takes the news that came with a message, and passes on what is new.
+// Merge applies the member updates that came with a message, and queues those
+// that are new for broadcast.
 func (c *Core) Merge(now time.Duration, members []Member) {
 	for _, m := range members {
-		c.learn(now, m, true)
+		c.applyUpdate(now, m, true)
 	}
 }
 
-// Sync takes a peer's whole list. What it brings is not passed on as news:
-// this process lacked it, the fleet need not. A process that joins 3,300
-// others would otherwise fill its messages with them for half an hour. Where
-// a whole side lacks it, after a partition, the others' own comparison of
-// digests finds it.
+// Sync applies a peer's full member list. Its updates are not queued for
+// broadcast: this process lacked them, but the rest of the fleet need not.
+// Otherwise a process that joins 3,300 others would fill its messages with them
+// for half an hour. If a whole side of a partition lacks them, the other
+// processes on that side find the difference by comparing digests.
 func (c *Core) Sync(now time.Duration, members []Member) {
 	for _, m := range members {
-		c.learn(now, m, false)
+		c.applyUpdate(now, m, false)
 	}
 }
 
-// All gives every member that is not gone, and the recently dead, for an
-// exchange of whole lists.
+// All returns this process and all confirmed members, the recently dead
+// included, for an exchange of full lists.
 func (c *Core) All() []Member {
 	out := []Member{c.self}
 	for _, r := range c.records {
-		if r.heard {
+		if r.confirmed {
 			out = append(out, r.Member)
 		}
 	}
 	return out
 }
 
-// learn takes one piece of knowledge and, if asked to, passes on what is new.
-func (c *Core) learn(now time.Duration, m Member, tell bool) {
+// applyUpdate applies a member's state and, if propagate is set, queues a
+// change for broadcast.
+func (c *Core) applyUpdate(now time.Duration, m Member, propagate bool) {
 	if m.Address == "" || m.Incarnation == 0 || m.Incarnation >= maxIncarnation || m.State < Alive || m.State > Left {
 		return
 	}
@@ -179,100 +187,102 @@
 	r := c.records[m.Address]
 	if r == nil {
 		if m.State >= Dead {
-			// Nothing is lost by not knowing of someone who is gone.
+			// A member that is dead or has left needs no record.
 			return
 		}
-		r = c.newRecord(m)
-		r.heard = true
+		r = c.addRecord(m)
+		r.confirmed = true
 		c.digest += hashMember(r.Member)
-		c.changed(now, r, tell)
+		c.recordChanged(now, r, propagate)
 		return
 	}
-	if r.heard && !m.overrules(r.Member) {
+	if r.confirmed && !m.supersedes(r.Member) {
 		return
 	}
-	if !r.heard && m.State >= Dead {
+	if !r.confirmed && m.State >= Dead {
 		return
 	}
-	c.set(now, r, m, tell)
+	c.replaceMember(now, r, m, propagate)
 }
 
-// set gives a record its new state.
-func (c *Core) set(now time.Duration, r *record, m Member, tell bool) {
-	// Who is gone, or back, changes who owns what: that is worth a message of
-	// its own. A member that merely joins is not missed yet.
-	c.urgent = c.urgent || tell && r.heard && r.gone() != (m.State >= Dead)
-	if r.counts() {
+// replaceMember replaces the state that a record holds.
+func (c *Core) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
+	// A member that goes or comes back changes ownership, so its update is
+	// pushed at once. A member that joins owns nothing yet, so its update can
+	// wait for the next probe.
+	c.pushPending = c.pushPending || propagate && r.confirmed && r.isGone() != (m.State >= Dead)
+	if r.inDigest() {
 		c.digest -= hashMember(r.Member)
 	}
 	if m.DataCentre == "" {
 		m.DataCentre = r.DataCentre
 	}
-	r.Member, r.heard = m, true
-	if r.counts() {
+	r.Member, r.confirmed = m, true
+	if r.inDigest() {
 		c.digest += hashMember(r.Member)
 	}
-	c.changed(now, r, tell)
+	c.recordChanged(now, r, propagate)
 }
 
-func (c *Core) changed(now time.Duration, r *record, tell bool) {
+func (c *Core) recordChanged(now time.Duration, r *record, propagate bool) {
 	switch r.State {
 	case Suspect:
-		r.until = now + c.suspectFor()
+		r.expiresAt = now + c.suspicionTimeout()
 	case Dead, Left:
-		r.until = now + c.cfg.ForgetAfter
+		r.expiresAt = now + c.cfg.DeadRetention
 	}
-	if tell {
-		c.tell(r.Member)
+	if propagate {
+		c.queueBroadcast(r.Member)
 	}
-	c.dirty = true
+	c.viewStale = true
 }
 
-// refute answers news of this process itself. A process that was paused, or
-// that replaced another at this address, hears what is believed of it and
-// overrules it; without this it would stay dead to the fleet while it runs.
+// refute raises this process's incarnation above that of a peer's newer entry
+// for it. A process that was paused, or that replaced another at the same
+// address, would otherwise stay dead to the fleet while it runs.
 func (c *Core) refute(m Member) {
-	if c.self.State == Left || !m.overrules(c.self) {
+	if c.self.State == Left || !m.supersedes(c.self) {
 		return
 	}
 	c.digest -= hashMember(c.self)
 	c.self.Incarnation = m.Incarnation + 1
 	c.digest += hashMember(c.self)
-	c.tell(c.self)
-	c.dirty = true
+	c.queueBroadcast(c.self)
+	c.viewStale = true
 }
 
-// suspectFor grows with the logarithm of the fleet.
-func (c *Core) suspectFor() time.Duration {
+// suspicionTimeout is the time in which a suspect may refute. It grows with the
+// logarithm of the fleet size.
+func (c *Core) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(c.records)+1)))
-	return time.Duration(scale * float64(c.cfg.SuspectFor))
+	return time.Duration(scale * float64(c.cfg.SuspicionTimeout))
 }
 
-func (c *Core) newRecord(m Member) *record {
-	r := &record{Member: m, rings: ringHashes(m.Address, c.cfg.Rings)}
+func (c *Core) addRecord(m Member) *record {
+	r := &record{Member: m, ringHashes: ringHashes(m.Address, c.cfg.Rings)}
 	c.records[m.Address] = r
-	c.dirty = true
+	c.viewStale = true
 	return r
 }
 
-func (c *Core) forget(address string) {
-	if r := c.records[address]; r != nil && r.counts() {
+func (c *Core) removeRecord(address string) {
+	if r := c.records[address]; r != nil && r.inDigest() {
 		c.digest -= hashMember(r.Member)
 	}
 	delete(c.records, address)
-	delete(c.news, address)
+	delete(c.broadcasts, address)
 	delete(c.peerDigests, address)
-	c.dirty = true
+	c.viewStale = true
 }
 
-// gone tells whether the member takes no part any more.
-func (r *record) gone() bool { return r.State >= Dead }
+// isGone reports whether the member is dead or has left.
+func (r *record) isGone() bool { return r.State >= Dead }
 
-// counts tells whether the member is part of the digest.
-func (r *record) counts() bool { return r.heard && !r.gone() }
+// inDigest reports whether the member is included in the digest.
+func (r *record) inDigest() bool { return r.confirmed && !r.isGone() }
 
-// hashMember covers address and incarnation, not the difference between alive
-// and suspect, which passes by itself.
+// hashMember covers the address and the incarnation, but not the difference
+// between alive and suspect, which resolves by itself.
 func hashMember(m Member) uint64 {
 	return hash("member", m.Address) * (2*m.Incarnation + 1)
 }
--- a/internal/decide/membership/export_test.go
+++ b/internal/decide/membership/export_test.go
@@ -1,4 +1,5 @@
 package membership
 
-// RingHashes gives a member's place on each ring.
+// RingHashes exposes ringHashes, a member's position on each ring, to the
+// tests.
 var RingHashes = ringHashes
--- a/internal/decide/membership/graph_test.go
+++ b/internal/decide/membership/graph_test.go
@@ -15,9 +15,9 @@
 	"filbertdeck/internal/decide/membership"
 )
 
-// graph gives the neighbours of n members both ways: an exchange carries news
-// in both directions.
-func graph(n, rings int) [][]int {
+// undirectedGraph returns the links of n members in both directions, because a
+// probe carries updates both ways.
+func undirectedGraph(n, rings int) [][]int {
 	out := make([][]int, n)
 	for i, next := range successors(n, rings) {
 		for _, j := range next {
@@ -28,7 +28,8 @@
 	return out
 }
 
-// successors gives each member's neighbours as the cores pick them.
+// successors returns the neighbours that the state machine of each member
+// selects.
 func successors(n, rings int) [][]int {
 	hashes := make([][]uint64, n)
 	for i := range n {
@@ -50,16 +51,16 @@
 	return out
 }
 
-// reached counts the members that news from one gets to over those that are
-// not gone, and the hops to the last.
-func reached(g [][]int, from int, gone []bool) (count, hops int) {
+// broadcastReach counts the members that an update from origin reaches without
+// passing through those that are gone, and the hops to the last one.
+func broadcastReach(graph [][]int, origin int, gone []bool) (count, hops int) {
 	seen := slices.Clone(gone)
-	seen[from] = true
-	front := []int{from}
+	seen[origin] = true
+	frontier := []int{origin}
 	for count = 1; ; hops++ {
 		var next []int
-		for _, i := range front {
-			for _, j := range g[i] {
+		for _, i := range frontier {
+			for _, j := range graph[i] {
 				if !seen[j] {
 					seen[j] = true
 					next = append(next, j)
@@ -70,71 +71,73 @@
 			return count, hops
 		}
 		count += len(next)
-		front = next
+		frontier = next
 	}
 }
 
 var _ = Describe("the graph of neighbours", func() {
-	const target = 3300
+	const targetSize = 3300
 
-	It("is a ring's successor for each ring, as the core picks it", func() {
-		f := newNet(40)
+	It("contains all neighbours that the state machine selects", func() {
+		f := newFleet(40)
 		f.run(20 * time.Second)
-		g := graph(40, 6)
+		links := undirectedGraph(40, 6)
 		for i, n := range f.nodes {
 			for _, a := range n.View().Neighbours {
-				Expect(g[i]).To(ContainElement(slices.IndexFunc(f.nodes, func(m *membership.Core) bool { return m.Self().Address == a })))
+				Expect(links[i]).To(ContainElement(slices.IndexFunc(f.nodes, func(m *membership.Core) bool { return m.Self().Address == a })))
 			}
 		}
 	})
 
-	It("carries news through the target size in a few hops", func() {
-		for _, n := range []int{8, 32, 100, 300, 1000, target} {
-			count, hops := reached(successors(n, 6), 0, make([]bool, n))
+	It("spreads an update through a fleet of the target size in at most six hops", func() {
+		for _, n := range []int{8, 32, 100, 300, 1000, targetSize} {
+			count, hops := broadcastReach(successors(n, 6), 0, make([]bool, n))
 			Expect(count).To(Equal(n))
 			Expect(hops).To(BeNumerically("<=", 6))
 			AddReportEntry(fmt.Sprintf("hops among %d members", n), hops)
 		}
 	})
 
-	// A data centre and a good deal more go at once, before any process has
-	// picked new neighbours. News that could not reach the others would leave
-	// them with an old table. With a third gone a process loses all twelve of
-	// its links once in 500,000, that is one process in some 240 such events;
-	// it has new neighbours once it has found its old ones dead.
-	It("holds together when a third of the fleet goes at once", func() {
-		g, missed := graph(target, 6), 0
+	// A data centre and many more hosts fail at once, before any process has
+	// selected new neighbours. Processes that an update does not reach would
+	// keep an old table. With a third of the fleet gone, a process loses all
+	// twelve of its links once in 500,000 cases, that is one process in some
+	// 240 such events; it selects new neighbours once it has found its old ones
+	// dead.
+	It("stays connected when a third of the fleet fails at once", func() {
+		links, unreached := undirectedGraph(targetSize, 6), 0
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			gone := make([]bool, target)
-			for _, i := range rng.Perm(target)[:target/3] {
+			gone := make([]bool, targetSize)
+			for _, i := range rng.Perm(targetSize)[:targetSize/3] {
 				gone[i] = true
 			}
 			from := slices.Index(gone, false)
-			count, _ := reached(g, from, gone)
-			Expect(count).To(BeNumerically(">=", target-target/3-1), "seed %d", seed)
-			missed += target - target/3 - count
+			count, _ := broadcastReach(links, from, gone)
+			Expect(count).To(BeNumerically(">=", targetSize-targetSize/3-1), "seed %d", seed)
+			unreached += targetSize - targetSize/3 - count
 		}
-		Expect(missed).To(BeNumerically("<=", 1))
+		Expect(unreached).To(BeNumerically("<=", 1))
 	})
 
-	It("would fall apart on a single ring", func() {
-		gone := make([]bool, target)
+	It("would be partitioned by three failures on a single ring", func() {
+		gone := make([]bool, targetSize)
 		gone[1], gone[100], gone[1000] = true, true, true
-		count, _ := reached(graph(target, 1), 0, gone)
-		Expect(count).To(BeNumerically("<", target-3))
+		count, _ := broadcastReach(undirectedGraph(targetSize, 1), 0, gone)
+		Expect(count).To(BeNumerically("<", targetSize-3))
 	})
 })
 
-// BenchmarkCore reports, for one core that knows a fleet, the time to take in
-// and show one member's change, and the memory of its list.
+// BenchmarkCore reports, for a process that knows a whole fleet, the time to
+// apply one member's change and rebuild the view, and the heap size of the
+// member list.
 func BenchmarkCore(b *testing.B) {
 	for _, n := range []int{8, 100, 1000, 3300} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := core(0, 1)
+			c := newCore(0, 1)
 			c.Published(0, peers(n))
 			for i := range n {
 				c.Merge(0, []membership.Member{{Address: address(i), Incarnation: 1, DataCentre: dataCentre(i)}})
@@ -144,7 +147,7 @@
 			runtime.ReadMemStats(&after)
 			now := time.Duration(0)
 			for i := 0; b.Loop(); i++ {
-				now += tick
+				now += tickInterval
 				k := 1 + i%(n-1)
 				c.Receive(now, membership.Member{Address: address(k), Incarnation: uint64(2 + i), DataCentre: dataCentre(k)}, nil)
 				c.Tick(now)
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -6,113 +6,118 @@
 	"time"
 )
 
-// Tick moves time on and returns the actions that are due. Call it several
-// times within ProbeTimeout.
+// Tick advances the state machine to now and returns the actions that are due.
+// Call it several times within a probe timeout.
 func (c *Core) Tick(now time.Duration) []Action {
-	c.forgive(now)
+	c.extendDeadlines(now)
 	c.expireProbes(now)
 	c.expireMembers(now)
-	c.refresh()
-	if now >= c.probeAt && c.self.State != Left {
-		c.probeAt = now + c.cfg.ProbeEvery
+	c.refreshView()
+	if now >= c.nextProbeAt && c.self.State != Left {
+		c.nextProbeAt = now + c.cfg.ProbeEvery
 		c.startProbe(now)
 	}
-	if c.urgent && now >= c.pushAt {
-		c.urgent, c.pushAt = false, now+pushEvery
+	if c.pushPending && now >= c.nextPushAt {
+		c.pushPending, c.nextPushAt = false, now+minPushInterval
 		c.pushAll()
 	}
-	out := c.out
-	c.out = nil
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
-// forgive moves all deadlines by the time during which this process did not
-// run. A process that was paused finds every probe unanswered and every
-// suspicion run out; without this it would declare its peers dead on waking,
-// while it was itself the one that was away.
-func (c *Core) forgive(now time.Duration) {
+// extendDeadlines moves all deadlines by the time during which this process did
+// not run. A process that was paused finds every probe unanswered and every
+// suspicion expired; without this it would declare its peers dead on resuming,
+// although only it was away.
+func (c *Core) extendDeadlines(now time.Duration) {
 	gap := now - c.lastTick
 	c.lastTick = now
-	if gap < pausedAfter {
+	if gap < pauseThreshold {
 		return
 	}
 	for _, p := range c.probes {
 		p.deadline += gap
 	}
 	for _, r := range c.records {
-		r.until += gap
+		r.expiresAt += gap
 	}
 }
 
-// pushAll sends news to every neighbour without waiting for its turn.
+// pushAll sends the queued updates to every neighbour without waiting for the
+// next probe.
 func (c *Core) pushAll() {
 	for _, n := range c.neighbours {
-		c.out = append(c.out, Action{Kind: ActionProbe, To: n, Updates: c.updates(n), Timeout: c.cfg.ProbeTimeout})
+		c.actions = append(c.actions, Action{Kind: ActionProbe, To: n, Updates: c.selectUpdates(n), Timeout: c.cfg.ProbeTimeout})
 	}
 }
 
-// startProbe probes the next neighbour, or now and then a lost member.
+// startProbe probes the next neighbour or, once in deadProbeCycle probes, a
+// member that is believed dead.
 func (c *Core) startProbe(now time.Duration) {
-	c.round++
+	c.probeRound++
 	target := ""
-	if c.round%lostEvery == 0 || len(c.neighbours) == 0 {
-		target = c.lost()
+	if c.probeRound%deadProbeCycle == 0 || len(c.neighbours) == 0 {
+		target = c.randomDeadMember()
 	}
 	if target == "" && len(c.neighbours) > 0 {
-		target = c.neighbours[c.round%len(c.neighbours)]
+		target = c.neighbours[c.probeRound%len(c.neighbours)]
 	}
 	if target == "" {
 		return
 	}
-	c.nextProbe++
-	c.probes[c.nextProbe] = &probe{target: target, deadline: now + c.cfg.ProbeTimeout}
-	c.out = append(c.out, Action{
-		Kind: ActionProbe, Probe: c.nextProbe, To: target, Updates: c.updates(target), Timeout: c.cfg.ProbeTimeout,
+	c.lastProbeID++
+	c.probes[c.lastProbeID] = &probe{target: target, deadline: now + c.cfg.ProbeTimeout}
+	c.actions = append(c.actions, Action{
+		Kind: ActionProbe, Probe: c.lastProbeID, To: target, Updates: c.selectUpdates(target), Timeout: c.cfg.ProbeTimeout,
 	})
 }
 
-// lost draws a member that is believed dead, or that never answered.
-func (c *Core) lost() string {
-	var all []string
+// randomDeadMember returns a random member that is believed dead or that never
+// answered.
+func (c *Core) randomDeadMember() string {
+	var dead []string
 	for address, r := range c.records {
 		if r.State == Dead && !r.leaving {
-			all = append(all, address)
+			dead = append(dead, address)
 		}
 	}
-	if len(all) == 0 {
+	if len(dead) == 0 {
 		return ""
 	}
-	slices.Sort(all)
-	return all[c.rng.IntN(len(all))]
+	slices.Sort(dead)
+	return dead[c.rng.IntN(len(dead))]
 }
 
-// Acked takes the answer to a probe: who answered, what it tells, and the
-// digest of its list.
+// Acked handles the answer to a probe: the member that answered, its updates,
+// and the digest of its member list.
 func (c *Core) Acked(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
 	p := c.probes[id]
 	delete(c.probes, id)
-	c.learn(now, from, true)
+	c.applyUpdate(now, from, true)
 	c.Merge(now, updates)
 	if p != nil {
-		c.compare(now, p.target, digest)
+		c.compareDigests(now, p.target, digest)
 	}
 }
 
-// Failed tells that a probe got no answer, before its deadline has passed.
+// Failed handles a probe that failed before its deadline, and starts the
+// indirect probe at once.
 func (c *Core) Failed(now time.Duration, id uint64) {
 	if p := c.probes[id]; p != nil && !p.indirect {
-		c.askRelays(now, id, p)
+		c.startIndirectProbe(now, id, p)
 	}
 }
 
-// ViaReached tells that a relay reached the target of a probe.
+// ViaReached handles the answer of a relay that reached the target of a probe.
 func (c *Core) ViaReached(id uint64) { delete(c.probes, id) }
 
-// Receive takes another process's probe and returns what to answer.
+// Receive handles another process's probe and returns the updates to answer
+// with.
 func (c *Core) Receive(now time.Duration, from Member, updates []Member) []Member {
-	c.learn(now, from, true)
+	c.applyUpdate(now, from, true)
 	c.Merge(now, updates)
-	return c.updates(from.Address)
+	return c.selectUpdates(from.Address)
 }
 
 func (c *Core) expireProbes(now time.Duration) {
@@ -122,93 +127,95 @@
 			continue
 		}
 		if !p.indirect {
-			c.askRelays(now, id, p)
+			c.startIndirectProbe(now, id, p)
 			continue
 		}
 		delete(c.probes, id)
-		c.suspect(now, p.target)
+		c.markSuspect(now, p.target)
 	}
 }
 
-// askRelays lets others try. A link that is broken only between this process
-// and the target must not make the target a suspect.
-func (c *Core) askRelays(now time.Duration, id uint64, p *probe) {
+// startIndirectProbe asks relays to probe the target. A link that is broken
+// only between this process and the target must not make the target a suspect.
+func (c *Core) startIndirectProbe(now time.Duration, id uint64, p *probe) {
 	p.indirect = true
 	p.deadline = now + c.cfg.ProbeTimeout
-	if r := c.records[p.target]; r == nil || r.gone() || !r.heard {
-		// Nothing is at stake for one that does not count as alive.
+	if r := c.records[p.target]; r == nil || r.isGone() || !r.confirmed {
+		// A relay's answer would change nothing for a member that does not
+		// count as alive.
 		delete(c.probes, id)
-		c.suspect(now, p.target)
+		c.markSuspect(now, p.target)
 		return
 	}
-	for _, relay := range c.relaysFor(p.target) {
-		c.out = append(c.out, Action{
+	for _, relay := range c.relaysTo(p.target) {
+		c.actions = append(c.actions, Action{
 			Kind: ActionProbeVia, Probe: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
 		})
 	}
 }
 
-// suspect notes that a member was not reached.
-func (c *Core) suspect(now time.Duration, address string) {
+// markSuspect records that a member was not reached.
+func (c *Core) markSuspect(now time.Duration, address string) {
 	r := c.records[address]
-	if r == nil || r.gone() {
+	if r == nil || r.isGone() {
 		return
 	}
-	if !r.heard {
-		// Only a name on the list: keep trying at the pace of the lost.
+	if !r.confirmed {
+		// The member is known only from the published list: probe it as often
+		// as dead members.
 		r.State = Dead
-		c.dirty = true
+		c.viewStale = true
 		return
 	}
 	if r.State == Alive {
 		m := r.Member
 		m.State = Suspect
-		c.set(now, r, m, true)
+		c.replaceMember(now, r, m, true)
 	}
 }
 
 func (c *Core) expireMembers(now time.Duration) {
-	if now < c.sweepAt {
+	if now < c.nextExpiryAt {
 		return
 	}
-	c.sweepAt = now + c.cfg.ProbeTimeout
+	c.nextExpiryAt = now + c.cfg.ProbeTimeout
 	for address, r := range c.records {
 		switch {
-		case r.until > now || !r.heard:
+		case r.expiresAt > now || !r.confirmed:
 		case r.State == Suspect:
 			m := r.Member
 			m.State = Dead
-			c.set(now, r, m, true)
+			c.replaceMember(now, r, m, true)
 		case r.State == Left || (r.State == Dead && !r.published):
-			c.forget(address)
+			c.removeRecord(address)
 		}
 	}
 }
 
-// compare asks for an exchange of whole lists when two lists differ and have
-// stayed as they are since the last exchange between the two: news that were
-// still on their way would have changed them. The first answer of all always
-// brings the whole list.
+// compareDigests requests an exchange of full lists when two lists differ and
+// neither has changed since the last probe between the two: updates still in
+// flight would have changed them. The first comparison of all requests it at
+// once.
 //
 // A process that has just started does not wait for that. When a whole fleet
-// starts, lists change all the time, and news of hundreds of members at a dozen
-// a message take a minute to get around: hosts that each know another part of
-// the fleet choose other relays and owners.
-func (c *Core) compare(now time.Duration, peer string, theirs uint64) {
-	pair := digestPair{c.digest, theirs}
+// starts, lists change all the time, and updates of hundreds of members at a
+// dozen a message take a minute to spread: hosts that each know a different
+// part of the fleet select different relays and owners.
+func (c *Core) compareDigests(now time.Duration, peer string, remoteDigest uint64) {
+	pair := digestPair{c.digest, remoteDigest}
 	settled := c.peerDigests[peer] == pair
 	c.peerDigests[peer] = pair
-	if pair.ours == pair.theirs {
-		c.synced = true
+	if pair.local == pair.remote {
+		c.everSynced = true
 		return
 	}
-	every := syncEvery
-	if now < joinFor {
-		settled, every = true, joinSyncEvery
+	interval := minSyncInterval
+	if now < joinPeriod {
+		settled, interval = true, minJoinSyncInterval
 	}
-	if c.synced && (!settled || now-c.syncedAt < every) {
+	if c.everSynced && (!settled || now-c.lastSyncAt < interval) {
 		return
 	}
-	c.synced, c.syncedAt = true, now
-	c.out = append(c.out, Action{Kind: ActionSync, To: peer, Timeout: c.cfg.ProbeTimeout})
+	c.everSynced, c.lastSyncAt = true, now
+	c.actions = append(c.actions, Action{Kind: ActionSync, To: peer, Timeout: c.cfg.ProbeTimeout})
 }
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -8,38 +8,38 @@
 )
 
 // Rank orders members by rendezvous hashing: all processes with the same list
-// agree on the order for a key, and one member's coming or going moves only
-// what it takes over or held.
+// agree on the order for a key, and a member that joins or goes moves only the
+// keys that it takes over or held.
 func Rank(key string, members []string) []string {
-	type ranked struct {
+	type scored struct {
 		address string
 		hash    uint64
 	}
-	all := make([]ranked, len(members))
+	scores := make([]scored, len(members))
 	for i, m := range members {
-		all[i] = ranked{m, hash(key, m)}
+		scores[i] = scored{m, hash(key, m)}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(scores, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.address, b.address))
 	})
-	out := make([]string, len(all))
-	for i, r := range all {
-		out[i] = r.address
+	out := make([]string, len(scores))
+	for i, s := range scores {
+		out[i] = s.address
 	}
 	return out
 }
 
-// Readers is how many processes of a data centre watch the configuration
-// service. Three outlast two failures at once; more would spend calls of a
-// rate that grows more slowly than the fleet.
+// Readers is the number of processes in a data centre that watch the
+// configuration service. Three survive two failures at once; more would use up
+// calls of a rate limit that grows more slowly than the fleet.
 const Readers = 3
 
-// readerKey is the rendezvous key of the role.
+// readerKey is the rendezvous key of the reader role.
 const readerKey = "configuration-reader"
 
-// IsReader tells whether this view's own process is to watch the service. A
-// process that is cut off from its data centre finds itself alone and reads,
-// which costs a call a second and harms nothing.
+// IsReader reports whether this process is to watch the configuration service.
+// A process that is cut off from its data centre sees only itself and reads,
+// which costs a call a second and does no harm.
 func (v *View) IsReader() bool {
 	ranked := Rank(readerKey, v.Live(v.Self.DataCentre))
 	return slices.Contains(ranked[:min(Readers, len(ranked))], v.Self.Address)
--- a/internal/decide/membership/types.go
+++ b/internal/decide/membership/types.go
@@ -2,129 +2,135 @@
 
 import "time"
 
-// State is what is believed of a member.
+// State is the believed state of a member.
 type State int
 
-// The states of a member, in the order in which one overrules the other at
-// the same incarnation.
+// The states of a member. At the same incarnation a later one supersedes an
+// earlier one.
 const (
 	Alive State = iota
 	Suspect
 	Dead
-	// Left members stopped by plan.
+	// Left is the state of a member that stopped by plan.
 	Left
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Member is what is known of one control process.
+// Member is the known state of one control process.
 type Member struct {
-	// Address (ip:port) names the member.
+	// Address (ip:port) identifies the member.
 	Address string
 	// Incarnation starts at the wall clock's milliseconds when the process
-	// starts, so that a replaced process at the same address overrules what is
-	// known of its predecessor. Should the clock have gone back, the process
-	// hears of the higher incarnation and goes above it.
+	// starts, so that a process that replaces another at the same address
+	// supersedes it. If the clock went back, the process hears of the higher
+	// incarnation and raises its own above it.
 	Incarnation uint64
 	State       State
 	DataCentre  string
 }
 
-// maxIncarnation keeps an incarnation that makes no sense (a broken peer's)
-// from being raised to where it wraps around.
+// maxIncarnation keeps the implausible incarnation of a broken peer from being
+// raised until it wraps around.
 const maxIncarnation = 1 << 62
 
-// overrules tells whether m is newer knowledge than old of one member.
-func (m Member) overrules(old Member) bool {
+// supersedes reports whether m is newer than old, another state of the same
+// member.
+func (m Member) supersedes(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
 	}
 	return m.State > old.State
 }
 
-// Peer is a process that the published list names.
+// Peer is a process named by the published list.
 type Peer struct {
 	Address    string
 	DataCentre string
-	// Leaving peers are still members, but take no new roles.
+	// Leaving is set for a peer that is still a member but takes no new roles.
 	Leaving bool
 }
 
-// Config holds a core's figures; the zero value of a field means its default.
+// Config holds the settings of the protocol; a field that is zero takes its
+// default.
 type Config struct {
 	Self Member
 	// ProbeEvery is the time between two probes. One a second, sent and
-	// received, costs about 1 KB/s with framing and names a dead process
+	// received, costs about 1 KB/s with framing and detects a dead process
 	// within some six seconds.
 	ProbeEvery time.Duration
-	// ProbeTimeout bounds a probe, and the indirect probes after it. Links
-	// take 1.5 ms one way; 500 ms leaves room for a busy host and a new TLS
+	// ProbeTimeout bounds a probe, and the indirect probes after it. Links take
+	// 1.5 ms one way; 500 ms leaves room for a busy host and a new TLS
 	// connection.
 	ProbeTimeout time.Duration
-	// SuspectFor is how long a suspect may refute. It covers a probe of each
-	// of the suspect's neighbours and grows with the logarithm of the fleet,
-	// as the way of a refutation does.
-	SuspectFor time.Duration
-	// Rings is the number of neighbours. With six, news gets through 3,300
-	// members in at most six hops, and with a third of them gone at once it
-	// still reaches all but one in the worst of 20 random draws (graph_test.go).
+	// SuspicionTimeout is the time in which a suspect may refute. It covers a
+	// probe by each of the suspect's neighbours and is multiplied by the
+	// logarithm of the fleet size, since the path of a refutation grows with
+	// it.
+	SuspicionTimeout time.Duration
+	// Rings is the number of hash rings, and so of neighbours. With six, an
+	// update reaches 3,300 members in at most six hops, and with a third of
+	// them gone at once it still reaches all but one in the worst of 20 random
+	// draws (graph_test.go).
 	Rings int
-	// MaxUpdates bounds the news of members in one message.
+	// MaxUpdates bounds the member updates in one message.
 	MaxUpdates int
-	// ForgetAfter is how long a dead member is remembered that the published
-	// list does not name.
-	ForgetAfter time.Duration
+	// DeadRetention is how long a dead member that the published list does not
+	// name is remembered.
+	DeadRetention time.Duration
 	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// DefaultProbeTimeout is Config.ProbeTimeout's default.
+// DefaultProbeTimeout is the default of Config.ProbeTimeout.
 const DefaultProbeTimeout = 500 * time.Millisecond
 
-// Defaults of Config.
+// Defaults of Config, and fixed limits of the protocol.
 const (
-	defaultProbeEvery  = time.Second
-	defaultSuspectFor  = 2 * time.Second
-	defaultRings       = 6
-	defaultMaxUpdates  = 12
-	defaultForgetAfter = 5 * time.Minute
-	// relays is the number of peers asked for an indirect probe, thirdRelays that
-	// of them in data centres of neither side.
-	relays, thirdRelays = 3, 2
-	// resend times the logarithm of the fleet is how often news of a member is
-	// passed on. With answers carrying news too, one round reaches three times
-	// as many nodes; four times the logarithm leaves a wide margin.
-	resend = 4
-	// lostEvery: each so many probes one goes to a member that is believed
-	// dead, so that the sides of a healed partition find each other.
-	lostEvery = 4
-	// pausedAfter is the gap between two ticks that shows that this process
-	// itself was not running.
-	pausedAfter = time.Second
-	// pushEvery bounds how often urgent news is sent out of turn. When a data
-	// centre dies, hundreds of members go within seconds; two messages a second
-	// to each neighbour carry them in batches.
-	pushEvery = 500 * time.Millisecond
-	// syncEvery bounds how often whole member lists are exchanged.
-	syncEvery = 10 * time.Second
-	// A process that started within joinFor exchanges them up to once in
-	// joinSyncEvery.
-	joinFor, joinSyncEvery = 10 * time.Second, time.Second
+	defaultProbeInterval    = time.Second
+	defaultSuspicionTimeout = 2 * time.Second
+	defaultRings            = 6
+	defaultMaxUpdates       = 12
+	defaultDeadRetention    = 5 * time.Minute
+	// relayCount is the number of peers asked for an indirect probe. The first
+	// thirdPartyRelayCount of them are chosen from data centres of neither
+	// side, if there are any.
+	relayCount, thirdPartyRelayCount = 3, 2
+	// transmitMultiplier times the logarithm of the fleet size is how often a
+	// member's update is sent. With answers carrying updates too, one round
+	// reaches three times as many nodes; four times the logarithm leaves a wide
+	// margin.
+	transmitMultiplier = 4
+	// One in deadProbeCycle probes goes to a member that is believed dead, so
+	// that the sides of a healed partition find each other.
+	deadProbeCycle = 4
+	// pauseThreshold is the gap between two ticks from which this process is
+	// taken to have been paused.
+	pauseThreshold = time.Second
+	// minPushInterval bounds how often urgent updates are sent between probes.
+	// When a data centre fails, hundreds of members go within seconds; two
+	// messages a second to each neighbour carry them in batches.
+	minPushInterval = 500 * time.Millisecond
+	// minSyncInterval bounds how often full member lists are exchanged.
+	minSyncInterval = 10 * time.Second
+	// During joinPeriod after its start, a process exchanges them up to once in
+	// minJoinSyncInterval.
+	joinPeriod, minJoinSyncInterval = 10 * time.Second, time.Second
 )
 
 func (c Config) withDefaults() Config {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&c.ProbeEvery, defaultProbeEvery)
-	def(&c.ProbeTimeout, DefaultProbeTimeout)
-	def(&c.SuspectFor, defaultSuspectFor)
-	def(&c.ForgetAfter, defaultForgetAfter)
+	setDefault(&c.ProbeEvery, defaultProbeInterval)
+	setDefault(&c.ProbeTimeout, DefaultProbeTimeout)
+	setDefault(&c.SuspicionTimeout, defaultSuspicionTimeout)
+	setDefault(&c.DeadRetention, defaultDeadRetention)
 	if c.Rings == 0 {
 		c.Rings = defaultRings
 	}
@@ -134,22 +140,24 @@
 	return c
 }
 
-// ActionKind says what the network is asked to do.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// ActionProbe: send Updates to To, report Acked or Failed. Probe 0 only
-	// carries news; its failure means nothing.
+	// ActionProbe sends Updates to To, which answers with its own. The caller
+	// reports the answer or the failure back. The probe with the number 0 only
+	// carries updates; its failure is ignored.
 	ActionProbe ActionKind = iota + 1
-	// ActionProbeVia: ask To to probe Target, report ViaReached when it did.
+	// ActionProbeVia asks To to probe Target. The caller reports back if Target
+	// was reached.
 	ActionProbeVia
-	// ActionSync: exchange whole member lists with To, hand the answer to
-	// Sync on both sides.
+	// ActionSync exchanges full member lists with To; both sides apply what
+	// they receive.
 	ActionSync
 )
 
-// Action is one thing for the network to do.
+// Action is an operation that the caller is to perform on the network.
 type Action struct {
 	Kind    ActionKind
 	Probe   uint64
@@ -160,22 +168,22 @@
 	Timeout time.Duration
 }
 
-// View is an immutable picture of the members.
+// View is an immutable snapshot of the member list.
 type View struct {
-	// Version rises with each change.
+	// Version increases with each change.
 	Version uint64
 	Self    Member
-	// Members are all that were ever heard of and not forgotten, self
-	// included, in the order of their addresses.
+	// Members holds this process and all confirmed members that have not been
+	// removed, ordered by address.
 	Members []Member
-	// Leaving holds the addresses that the published list takes away.
+	// Leaving holds the addresses that the published list marks as leaving.
 	Leaving map[string]bool
-	// Neighbours are the members that this process talks to.
+	// Neighbours holds the addresses of the members that this process probes.
 	Neighbours []string
 }
 
-// Live gives the members that may take roles in a data centre: alive or only
-// suspect, and not leaving. An empty name means all data centres.
+// Live returns the members that may take roles in a data centre: those that are
+// alive or suspect and not leaving. An empty name selects all data centres.
 func (v *View) Live(dataCentre string) []string {
 	var out []string
 	for _, m := range v.Members {
