--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -1,21 +1,20 @@
-// Package ownership says how far a process may trust that it is the only owner
-// of something: a pool's cold targets, an account's quota, the orders to an
+// Package ownership decides whether a process may act as the only owner of
+// something: a pool's cold targets, an account's quota, the orders to an
 // engine.
 //
-// Load pattern: hosts are replaced all day (3,200 at the target size), so the
-// published host list changes every half minute, and with it the owners. The
-// list reaches processes late, some during an outage not at all.
+// Hosts are replaced all day (3,200 at the target size), so the published host
+// list changes every half minute, and the owners with it. Processes receive the
+// list late, and during an outage some of them not at all. Without further
+// rules an earlier owner would keep acting while the next one begins: both
+// would fill the same cold target, lease the same quota or send orders to the
+// same engine.
 //
-// What happens without it: the process that was the owner goes on as one while
-// the next begins. Both fill the same cold target, lease the same quota or
-// send orders to the same engine.
-//
-// How it works: an owner acts only for ConfirmFor after the list that names it
-// was last known to be the newest, and a new owner waits until the last act of
-// an earlier one has had its effect. Nobody writes anything and nobody votes.
-// The confirmation has to be true: a configuration service that serves an old
-// state to one side of a split fleet, and calls it current, breaks it. Users
-// of this package say what they do about that.
+// Therefore an owner acts only for a fixed time after the list that names it
+// was last known to be the newest, and a new owner waits until the last action
+// of an earlier one has taken effect. This needs no writes and no votes. It
+// does rely on true confirmations: a configuration service that serves an old
+// state to one side of a partitioned fleet as the current one breaks it. The
+// users of this package document how they handle that.
 package ownership
 
 import (
@@ -23,81 +22,85 @@
 	"time"
 )
 
-// Config holds the figures of a tenure; the zero value of a field means its
+// Config holds the settings of a tenure; a field that is zero takes its
 // default.
 type Config struct {
-	// ConfirmFor is how long one confirmation of the host list counts. Default
-	// 4 s: a watch that waits for one second and is counted from its beginning
-	// is up to two seconds old when the next one is answered; twice that rides
-	// out one lost answer. A longer time keeps an owner through more, and lets
-	// its successor wait longer.
+	// ConfirmFor is how long a confirmation of the host list is valid. The
+	// default is 4 s: a watch call waits for one second and counts from its
+	// start, so it is up to two seconds old when the next one is answered;
+	// twice that tolerates one lost answer. A longer time keeps an owner
+	// through longer outages, and makes its successor wait longer.
 	ConfirmFor time.Duration
-	// ActFor is how long an owner's act may take effect after it was decided:
-	// the life of a lease. Default 3 s.
+	// ActFor is the longest time from an owner's decision to act until the
+	// action takes effect: the lifetime of a lease. The default is 3 s.
 	ActFor time.Duration
 }
 
 const (
-	defaultConfirmFor = 4 * time.Second
-	defaultActFor     = 3 * time.Second
-	// maxGap has to be less than ConfirmFor and ActFor together.
-	maxGap = defaultConfirmFor
+	defaultConfirmationTTL = 4 * time.Second
+	defaultActionTTL       = 3 * time.Second
+	// maxConfirmationGap must be less than the sum of the validity of a
+	// confirmation and the delay of an action.
+	maxConfirmationGap = defaultConfirmationTTL
 )
 
-// Tenure is what the published list says of this process. The zero value is
-// that of a process that owns nothing. Times count from any fixed start.
+// Tenure is this process's state of ownership by the published list. The zero
+// value is that of a process that owns nothing. Times count from any fixed
+// start.
 type Tenure struct {
-	owner     bool
-	revision  uint64
-	began     time.Duration
-	confirmed time.Duration
-	ever      bool
+	owner         bool
+	revision      uint64
+	startedAt     time.Duration
+	confirmedAt   time.Duration
+	everConfirmed bool
 }
 
-// Set says whether the list of the given revision names this process. Call it
-// for each list that is read, also when the answer stays the same, and before
-// that list is confirmed.
+// Set records whether the list of the given revision names this process. It is
+// called for each list that is read, even if the answer stays the same, and
+// before that list is confirmed.
 //
-// A tenure starts anew when the list changed and the one before was not
-// confirmed lately: a list in between, that was never read here, may have named
-// another process, with an act still on its way. One would notice by a cold
-// target that has one request too many after two changes of the list. A gap
-// of less than maxGap can't hide such an owner, since it had no time to become
-// sole. Revisions can't tell: other values of the service raise them too.
+// The tenure starts again if the list changed and the previous one was not
+// confirmed recently: a list in between that this process never read may have
+// named another process, whose action may still be in flight. The effect would
+// be a cold target with one request too many after two changes of the list. A
+// gap of less than maxConfirmationGap can't hide such an owner, since it had no
+// time to become the only one. Revisions can't show a missed list, because
+// changes of the service's other values raise them too.
 func (t *Tenure) Set(now time.Duration, revision uint64, owner bool) {
-	unseen := revision != t.revision && (!t.ever || now-t.confirmed > maxGap)
-	if owner && (!t.owner || unseen) {
-		t.began = now
+	mayHaveMissedList := revision != t.revision && (!t.everConfirmed || now-t.confirmedAt > maxConfirmationGap)
+	if owner && (!t.owner || mayHaveMissedList) {
+		t.startedAt = now
 	}
 	t.owner, t.revision = owner, revision
 }
 
-// Confirm says that the list in force here was the newest at the moment at: a
-// read of the configuration service that was begun then, or gossip, sent then,
-// of peers that know no newer one.
+// Confirm records that the list in force here was the newest at the time at: a
+// read of the configuration service was begun then, or peers that know no newer
+// list sent gossip then.
 func (t *Tenure) Confirm(at time.Duration) {
-	t.confirmed = max(t.confirmed, at)
-	t.ever = true
+	t.confirmedAt = max(t.confirmedAt, at)
+	t.everConfirmed = true
 }
 
-// Owner tells whether the list names this process.
+// Owner reports whether the list names this process.
 func (t *Tenure) Owner() bool { return t.owner }
 
-// Revision is the list's revision.
+// Revision returns the revision of the list.
 func (t *Tenure) Revision() uint64 { return t.revision }
 
-// Began is when the list was first seen to name this process.
-func (t *Tenure) Began() time.Duration { return t.began }
+// Began returns the time at which the list was first seen to name this process.
+func (t *Tenure) Began() time.Duration { return t.startedAt }
 
-// SoleFrom is the moment from which no act of an earlier owner takes effect.
-// An earlier owner acts for ConfirmFor after its last confirmation, which came
-// before this tenure began, and its last act takes effect within ActFor.
+// SoleFrom returns the time from which no action of an earlier owner takes
+// effect. An earlier owner acts for at most the validity of its last
+// confirmation, which came before this tenure began, and its last action takes
+// effect within the delay of an action.
 func (t *Tenure) SoleFrom(cfg Config) time.Duration {
-	return t.began + cmp.Or(cfg.ConfirmFor, defaultConfirmFor) + cmp.Or(cfg.ActFor, defaultActFor)
+	return t.startedAt + cmp.Or(cfg.ConfirmFor, defaultConfirmationTTL) + cmp.Or(cfg.ActFor, defaultActionTTL)
 }
 
-// Sole tells whether this process is the only one that acts as owner now.
+// Sole reports whether this process is the only one that acts as owner now.
 func (t *Tenure) Sole(now time.Duration, cfg Config) bool {
-	confirmed := t.ever && now-t.confirmed <= cmp.Or(cfg.ConfirmFor, defaultConfirmFor)
-	return t.owner && confirmed && now > t.SoleFrom(cfg)
+	recentlyConfirmed := t.everConfirmed && now-t.confirmedAt <= cmp.Or(cfg.ConfirmFor, defaultConfirmationTTL)
+	return t.owner && recentlyConfirmed && now > t.SoleFrom(cfg)
 }
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -15,23 +15,24 @@
 	RunSpecs(t, "ownership")
 }
 
-// The list names this process, then another, then this one again, and it never
-// reads the list in between. The other's last act may still be under way, and
-// one that relies on the list alone would act beside it.
-var _ = DescribeTable("a tenure is sole only while confirmed, after its predecessor's acts",
-	func(now, before time.Duration, revision uint64, owner bool, confirmed time.Duration, want bool) {
+// The list names this process, then another, then this one again, and this
+// process never reads the list in between. The other's last action may still be
+// in flight, and a process that relied on the list alone would act at the same
+// time.
+var _ = DescribeTable("a tenure is exclusive only while confirmed, and after its predecessor's actions have taken effect",
+	func(now, confirmedBefore time.Duration, revision uint64, owner bool, confirmedAfter time.Duration, expected bool) {
 		var t ownership.Tenure
 		t.Set(0, 1, true)
-		t.Confirm(before)
+		t.Confirm(confirmedBefore)
 		t.Set(5*time.Second, revision, owner)
-		t.Confirm(confirmed)
-		Expect(t.Sole(now, ownership.Config{})).To(Equal(want))
+		t.Confirm(confirmedAfter)
+		Expect(t.Sole(now, ownership.Config{})).To(Equal(expected))
 	},
-	Entry("waited and confirmed", 8*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, true),
-	Entry("too early", 7*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, false),
+	Entry("wait over and list confirmed", 8*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, true),
+	Entry("wait not over", 7*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, false),
 	Entry("confirmation too old", 12*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, false),
-	Entry("not named any more", 8*time.Second, 3*time.Second, uint64(9), false, 7*time.Second, false),
-	Entry("may have missed a list", 8*time.Second, 0*time.Second, uint64(9), true, 7*time.Second, false),
-	Entry("may have missed a list, waited", 13*time.Second, 0*time.Second, uint64(9), true, 12*time.Second, true),
-	Entry("unconfirmed for a while, the same list", 8*time.Second, 0*time.Second, uint64(1), true, 7*time.Second, true),
+	Entry("no longer named by the list", 8*time.Second, 3*time.Second, uint64(9), false, 7*time.Second, false),
+	Entry("a list may have been missed", 8*time.Second, 0*time.Second, uint64(9), true, 7*time.Second, false),
+	Entry("a list may have been missed, but the wait is over", 13*time.Second, 0*time.Second, uint64(9), true, 12*time.Second, true),
+	Entry("unconfirmed for a while, but the list is the same", 8*time.Second, 0*time.Second, uint64(1), true, 7*time.Second, true),
 )
