--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -1,18 +1,17 @@
 // Package readers decides which hosts read the store.
 //
-// Load pattern: every host needs what is published within a second, and the
-// store answers a limited number of calls a second for all of them together.
+// Every host needs what is published within a second, and the store answers a
+// limited number of calls a second for all of them together. If each host
+// watched the store itself, the calls would grow with the fleet. With a fixed
+// set of readers, the fleet would get no updates when just these are cut off.
 //
-// What happens without it: each host watches for itself, and the calls grow
-// with the fleet. With readers that are fixed, the fleet is blind when just
-// these are cut off.
+// All hosts rank the hosts in the same order, and a host reads while fewer
+// hosts than the configured number rank above it and are known to read
+// successfully. A host that can't reach the store reports it and no longer
+// counts; neither does a host that has not been heard from for a while. Two
+// hosts that disagree for a moment cost only a few extra calls.
 //
-// How it works: hosts are ranked, the same everywhere, and a host reads while
-// fewer than Want better ones are known to read with success. Who can't reach
-// the store says so and counts no more; who isn't heard of for HeardFor counts
-// no more. Two hosts that disagree for a moment cost a few calls, no more.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// The package is not safe for concurrent use; times are on the monotonic clock.
 package readers
 
 import (
@@ -20,84 +19,85 @@
 	"time"
 )
 
-// Config holds the figures.
+// Config holds the settings of the selection.
 type Config struct {
-	// Want is the number of readers of the hosts that share them. With two, the
-	// loss of one costs nothing.
+	// Want is the number of readers for the hosts that share them. With two,
+	// the loss of one has no effect.
 	Want int
-	// HeardFor is how long a host's word holds. Hosts ask readers every 200 ms
-	// in turn; two questions to each may fail.
-	HeardFor time.Duration
-	// SettleFor is the time from a process's start in which it finds the other
-	// hosts. Its rank among those it knows says little until then.
-	SettleFor time.Duration
+	// ReportTTL is how long a host's report is valid. Hosts ask the readers in
+	// turn, every 200 ms; two requests to each may fail.
+	ReportTTL time.Duration
+	// StartupPeriod is the time after a process's start in which it discovers
+	// the other hosts. Until then its rank among the hosts that it knows means
+	// little.
+	StartupPeriod time.Duration
 }
 
-// Default gives the figures in use.
+// Default returns the settings in use.
 func Default() Config {
-	return Config{Want: 2, HeardFor: 1200 * time.Millisecond, SettleFor: 5 * time.Second}
+	return Config{Want: 2, ReportTTL: 1200 * time.Millisecond, StartupPeriod: 5 * time.Second}
 }
 
-// Readers holds what one host knows of the others.
+// Readers holds one host's knowledge of the others.
 type Readers struct {
-	cfg   Config
-	heard map[string]word
+	cfg     Config
+	reports map[string]report
 }
 
-type word struct {
-	at      time.Duration
-	reading bool
+type report struct {
+	receivedAt time.Duration
+	reading    bool
 }
 
-// New returns a Readers that has heard of nobody: its host reads.
-func New(cfg Config) *Readers { return &Readers{cfg: cfg, heard: map[string]word{}} }
+// New returns the state of a host that has heard from no other: it reads.
+func New(cfg Config) *Readers { return &Readers{cfg: cfg, reports: map[string]report{}} }
 
-// Heard notes whether a host said that it reads the store with success.
+// Heard records whether a host reported that it reads the store successfully.
 func (r *Readers) Heard(now time.Duration, host string, reading bool) {
-	r.heard[host] = word{now, reading}
+	r.reports[host] = report{now, reading}
 }
 
-// Read tells whether self is to read, given the live hosts in the order of
-// their rank; fresh tells whether what self knows is new enough. While a fleet
-// starts, hosts know few others and hear of no better reader, and most would take
-// the role in turn. So a host that has just started and is not among the best by
-// its own rank reads only while it lacks news.
+// Read reports whether self is to read, given the live hosts in the order of
+// their rank; fresh is set when self's data is recent enough. While a fleet
+// starts, hosts know few others and hear of no higher-ranked reader, so most of
+// them would take the role in turn. Therefore a host that has just started and
+// does not rank among the first reads only while its data is out of date.
 func (r *Readers) Read(now time.Duration, self string, ranked []string, fresh bool) bool {
-	if now < r.cfg.SettleFor && fresh && !r.Among(self, ranked) {
+	if now < r.cfg.StartupPeriod && fresh && !r.Among(self, ranked) {
 		return false
 	}
-	better := 0
+	higherRanked := 0
 	for _, host := range ranked {
 		if host == self {
 			break
 		}
-		if r.reads(now, host) {
-			better++
+		if r.isReading(now, host) {
+			higherRanked++
 		}
 	}
-	return better < r.Wanted()
+	return higherRanked < r.Wanted()
 }
 
-// Wanted is the number of readers that there should be.
+// Wanted returns the configured number of readers.
 func (r *Readers) Wanted() int { return r.cfg.Want }
 
-// Among tells whether self is among those that read when all is well.
+// Among reports whether self is one of the hosts that read in normal operation.
 func (r *Readers) Among(self string, ranked []string) bool {
 	return slices.Contains(ranked[:min(len(ranked), r.Wanted())], self)
 }
 
-// Known gives the hosts that are known to read, in the order of ranked.
+// Known returns the other hosts that are known to read, in the order of ranked.
 func (r *Readers) Known(now time.Duration, self string, ranked []string) []string {
 	var out []string
 	for _, host := range ranked {
-		if host != self && r.reads(now, host) {
+		if host != self && r.isReading(now, host) {
 			out = append(out, host)
 		}
 	}
 	return out
 }
 
-func (r *Readers) reads(now time.Duration, host string) bool {
-	w, known := r.heard[host]
-	return known && w.reading && now-w.at < r.cfg.HeardFor
+func (r *Readers) isReading(now time.Duration, host string) bool {
+	last, known := r.reports[host]
+	return known && last.reading && now-last.receivedAt < r.cfg.ReportTTL
 }
--- a/internal/decide/readers/readers_test.go
+++ b/internal/decide/readers/readers_test.go
@@ -15,10 +15,10 @@
 	RunSpecs(t, "readers")
 }
 
-var _ = Describe("the readers of the store", func() {
+var _ = Describe("the selection of the store's readers", func() {
 	ranked := []string{"a", "b", "c", "d"}
 
-	It("are the best two that say that they read", func() {
+	It("takes the two highest-ranked hosts that report that they read", func() {
 		r := readers.New(readers.Default())
 		Expect(r.Read(0, "c", ranked, false)).To(BeTrue())
 		r.Heard(0, "a", true)
@@ -31,10 +31,10 @@
 		Expect(r.Among("c", ranked)).To(BeFalse())
 	})
 
-	// The store turns away just the hosts that read it. If they kept the role,
-	// the whole fleet would act on old news while the store answers everyone
-	// else.
-	It("are replaced when they can't read or aren't heard of", func() {
+	// The store refuses just the hosts that read it. If they kept the role, the
+	// whole fleet would act on old data while the store answers all other
+	// hosts.
+	It("replaces readers that can't read or have not been heard from", func() {
 		r := readers.New(readers.Default())
 		r.Heard(0, "a", true)
 		r.Heard(0, "b", true)
@@ -46,9 +46,9 @@
 	})
 
 	// A fleet of 84 hosts starts at once. Each knows only some others and hears
-	// of no better reader, so that nearly all of them read for seconds, and the
-	// store's calls are used up just when callers arrive.
-	It("are only the best by rank, or those without news, while the fleet finds itself", func() {
+	// of no higher-ranked reader, so that nearly all of them read for seconds,
+	// and the store's calls are used up just when callers arrive.
+	It("takes only the highest-ranked hosts, or those with old data, while the fleet starts", func() {
 		r := readers.New(readers.Default())
 		Expect(r.Read(0, "c", ranked, false)).To(BeTrue())
 		Expect(r.Read(0, "c", ranked, true)).To(BeFalse())
@@ -56,10 +56,10 @@
 		Expect(r.Read(5*time.Second, "c", ranked, true)).To(BeTrue())
 	})
 
-	It("are as many as are wanted", func() {
-		one := readers.Default()
-		one.Want = 1
-		r := readers.New(one)
+	It("takes the configured number of readers", func() {
+		cfg := readers.Default()
+		cfg.Want = 1
+		r := readers.New(cfg)
 		Expect(r.Read(0, "b", ranked, false)).To(BeTrue())
 		r.Heard(0, "a", true)
 		Expect(r.Read(0, "b", ranked, false)).To(BeFalse())
