--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -1,21 +1,18 @@
-// Package mirror keeps what is published as this process believes it: the
-// newest record of each key, put together from the store and from other
-// processes.
+// Package mirror holds this process's copy of the published records: the newest
+// record of each key, merged from the store and from other processes.
 //
-// Load pattern: the store turns some hosts away, or is down, while keys of
-// client accounts are taken back and targets leave; every host reads the same
-// records at the same time.
+// All hosts read the same records at the same time, and the store refuses some
+// hosts or is down while keys of client accounts are revoked and targets leave.
+// A host that relied on the store alone would act on an old version while its
+// neighbours have the new one: requests would be refused or served against an
+// edit that has been in force elsewhere for seconds.
 //
-// What happens without it: a host that the store refuses acts on an old
-// version while its neighbours hold the new one. One sees requests refused or
-// served against an edit that has been in force elsewhere for seconds.
-//
-// How it works: the store numbers all its changes with one counter, so the
-// record with the higher revision is the newer one wherever it was heard. A
-// removal is a record as well. Merging is then the same in any order and any
+// The store numbers all its changes with one counter, so the record with the
+// higher revision is the newer one, wherever it came from. A removal is a
+// record as well. Merging therefore gives the same result in any order and any
 // number of times, and needs neither clocks nor agreement.
 //
-// It is not safe for concurrent use.
+// The package is not safe for concurrent use.
 package mirror
 
 import (
@@ -26,61 +23,65 @@
 	"filbertdeck/internal/directory"
 )
 
-// Config holds the figures; both are times on the steady clock.
+// Config holds the settings, which are durations on the monotonic clock; a
+// field that is zero takes its default.
 type Config struct {
-	// ReturnGrace is how long after the store's return a target whose entry is
-	// gone is still taken for alive: entries lapse with the store and come
-	// back within about two seconds.
+	// ReturnGrace is how long after the store's recovery a target whose entry
+	// is gone is still taken for alive: entries lapse while the store is down
+	// and come back within about two seconds.
 	ReturnGrace time.Duration
-	// LapseAfter is how long the store must have been away for entries of live
-	// targets to lapse.
-	LapseAfter time.Duration
-	// KeepGone is how long a removal is remembered. It must be longer than a
-	// process can go on telling the removed record to others.
-	KeepGone time.Duration
+	// MinLapseOutage is how long the store must have been down for the entries
+	// of live targets to lapse.
+	MinLapseOutage time.Duration
+	// RemovalRetention is how long a removal is kept. It must be longer than a
+	// process can continue to send the removed record to others.
+	RemovalRetention time.Duration
 }
 
 // Defaults of Config.
 const (
-	// DefaultReturnGrace: entries are back within about two seconds.
+	// DefaultReturnGrace allows for entries to be back within about two
+	// seconds.
 	DefaultReturnGrace = 2200 * time.Millisecond
-	// DefaultLapseAfter: an entry lapses after three heartbeats, of 1.2 s, without
-	// one; the last may have come just before the store went away.
-	DefaultLapseAfter = 2400 * time.Millisecond
-	// DefaultKeepGone covers any partition after which hosts rejoin by gossip
-	// alone; the reader's whole readings cover the rest.
-	DefaultKeepGone = 5 * time.Minute
+	// DefaultMinLapseOutage: an entry lapses after three heartbeats, of 1.2 s,
+	// without one; the last may have come just before the store went down.
+	DefaultMinLapseOutage = 2400 * time.Millisecond
+	// DefaultRemovalRetention covers any partition after which hosts rejoin by
+	// gossip alone; the full snapshots of a reader cover longer ones.
+	DefaultRemovalRetention = 5 * time.Minute
 )
 
-// Mirror holds the newest records.
+// Mirror holds the newest record of each key.
 type Mirror struct {
 	cfg     Config
 	records map[string]entry
-	// revision is the newest revision up to which everything is known.
+	// revision is the newest revision up to which all changes are known.
 	revision uint64
-	// floor is the revision after which every removal is known. What was removed
-	// before is not: a whole reading only lacks it, and old removals are forgotten.
-	floor  uint64
-	config *directory.Config
-	index  *directory.Index
-	seen   map[string]*directory.Seen
-	// left are the targets that were heard to leave since Left was last called.
-	left []string
-	// returned is when the store last answered after it had been away for longer
-	// than entries need to lapse.
-	returned time.Duration
-	away     bool
-	// current is the latest moment of which it is known that nothing newer had
-	// been published.
-	current time.Duration
+	// removalFloor is the revision after which every removal is known. Earlier
+	// removals may be unknown: a snapshot only lacks the removed record, and
+	// old removals are discarded.
+	removalFloor uint64
+	config       *directory.Config
+	index        *directory.Index
+	targets      map[string]*directory.Seen
+	// departed holds the targets that were reported to leave, or were removed,
+	// and not yet collected by the caller.
+	departed []string
+	// recoveredAt is when the store last answered after having been down for
+	// long enough for entries to lapse.
+	recoveredAt time.Duration
+	storeDown   bool
+	// upToDateAt is the latest time at which nothing newer than the known
+	// records is known to have been published.
+	upToDateAt time.Duration
 }
 
 type entry struct {
 	directory.Record
-	heard time.Duration
-	// matters is the revision of the record's last change that matters to
-	// requests; a heartbeat that only counts up does not.
-	matters uint64
+	receivedAt time.Duration
+	// routingRevision is the revision of the record's last change that matters
+	// to requests; a heartbeat that only increments a counter does not.
+	routingRevision uint64
 }
 
 // New returns an empty mirror.
@@ -88,56 +89,58 @@
 	if cfg.ReturnGrace == 0 {
 		cfg.ReturnGrace = DefaultReturnGrace
 	}
-	if cfg.LapseAfter == 0 {
-		cfg.LapseAfter = DefaultLapseAfter
+	if cfg.MinLapseOutage == 0 {
+		cfg.MinLapseOutage = DefaultMinLapseOutage
 	}
-	if cfg.KeepGone == 0 {
-		cfg.KeepGone = DefaultKeepGone
+	if cfg.RemovalRetention == 0 {
+		cfg.RemovalRetention = DefaultRemovalRetention
 	}
-	return &Mirror{cfg: cfg, records: map[string]entry{}, seen: map[string]*directory.Seen{}, returned: -cfg.ReturnGrace, index: directory.NewIndex(nil)}
+	return &Mirror{cfg: cfg, records: map[string]entry{}, targets: map[string]*directory.Seen{}, recoveredAt: -cfg.ReturnGrace, index: directory.NewIndex(nil)}
 }
 
-// Revision is the store's revision up to which all changes are known here.
+// Revision returns the store's revision up to which all changes are known here.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// StoreLost notes that the store did not answer.
-func (m *Mirror) StoreLost() { m.away = true }
+// StoreLost records that the store did not answer.
+func (m *Mirror) StoreLost() { m.storeDown = true }
 
-// StoreAnswered notes that the store answered; it starts the grace for lapsed
-// entries when the store had been away for long enough.
+// StoreAnswered records that the store answered. If the store had been down for
+// long enough, it starts the grace period for lapsed entries.
 func (m *Mirror) StoreAnswered(now time.Duration) {
-	if m.away && now-m.current >= m.cfg.LapseAfter {
-		m.returned = now
+	if m.storeDown && now-m.upToDateAt >= m.cfg.MinLapseOutage {
+		m.recoveredAt = now
 	}
-	m.away = false
+	m.storeDown = false
 }
 
-// Confirm notes that nothing newer than what is known here was published at a
-// time: the store had answered somebody.
-func (m *Mirror) Confirm(at time.Duration) { m.current = max(m.current, at) }
+// Confirm records that nothing newer than the known records had been published
+// at the time at, because the store had answered some host.
+func (m *Mirror) Confirm(at time.Duration) { m.upToDateAt = max(m.upToDateAt, at) }
 
-// Whole takes a complete reading that was begun at a revision: what it lacks
-// was removed by then, but for the configuration, which peers pass on apart. It
-// tells whether anything changed that matters to requests.
+// Whole applies a full snapshot whose read began at the revision at. A record
+// that it lacks was removed by then; the exception is the configuration, which
+// peers send separately. It reports whether anything changed that matters to
+// requests.
 func (m *Mirror) Whole(now time.Duration, records []directory.Record, at uint64) bool {
 	if at > m.revision {
-		m.floor = at
+		m.removalFloor = at
 	}
-	named := make(map[string]bool, len(records))
+	present := make(map[string]bool, len(records))
 	for _, r := range records {
-		named[r.Key] = true
+		present[r.Key] = true
 	}
 	changed := false
 	for key, e := range m.records {
-		if key != directory.ConfigKey && !named[key] && !e.Gone && e.Revision <= at {
+		if key != directory.ConfigKey && !present[key] && !e.Gone && e.Revision <= at {
 			changed = m.put(now, directory.Record{Key: key, Revision: at, Gone: true}) || changed
 		}
 	}
 	return m.Changes(now, records, at) || changed
 }
 
-// Changes takes records; at is the revision up to which they complete what was
-// known, 0 when they don't say.
+// Changes applies records; at is the revision up to which they complete the
+// known records, or 0 if that is unknown. It reports whether anything changed
+// that matters to requests.
 func (m *Mirror) Changes(now time.Duration, records []directory.Record, at uint64) bool {
 	changed := false
 	for _, r := range records {
@@ -147,58 +150,62 @@
 	return changed
 }
 
-// Merge takes records that another process passed on, as Changes does, and passes
-// them on in turn even if they change nothing here: that process may have known
-// states in between that this one never did, such as a target that came and went.
+// Merge applies records that another process passed on. It also marks them for
+// passing on in turn, even those that change nothing here: that process may
+// have known states in between that this one never did, such as a target that
+// came and went.
 func (m *Mirror) Merge(now time.Duration, records []directory.Record, at uint64) bool {
 	changed := m.Changes(now, records, at)
 	for _, r := range records {
 		if e := m.records[r.Key]; e.Revision == r.Revision {
-			e.matters = r.Revision
+			e.routingRevision = r.Revision
 			m.records[r.Key] = e
 		}
 	}
 	return changed
 }
 
-// put keeps a record that is newer than the one known and tells whether it
-// matters to requests: a heartbeat that only counts up does not.
+// put stores a record that is newer than the known one and reports whether the
+// change matters to requests; a heartbeat that only increments a counter does
+// not.
 func (m *Mirror) put(now time.Duration, r directory.Record) bool {
 	old, known := m.records[r.Key]
-	if known && old.Revision >= r.Revision || (!known || old.Gone) && m.removed(r) {
+	if known && old.Revision >= r.Revision || (!known || old.Gone) && m.knownRemoved(r) {
 		return false
 	}
 	if r.Fault != "" && old.Config != nil {
-		// An unreadable configuration takes nothing away: the last one holds.
+		// An unreadable configuration revokes nothing: the last readable one
+		// stays in force.
 		r.Config = old.Config
 	}
-	r.Target = m.stillLeaving(r.Target)
-	e := entry{r, now, old.matters}
-	matters := m.work(now, r, old.Record)
-	// A removal is passed on even if it changes nothing here: peers may know what
-	// this process never did.
-	if matters || r.Gone {
-		e.matters = r.Revision
+	r.Target = m.keepLeaving(r.Target)
+	e := entry{r, now, old.routingRevision}
+	changed := m.apply(now, r, old.Record)
+	// A removal is passed on even if it changes nothing here, because peers may
+	// hold the record that this process never had.
+	if changed || r.Gone {
+		e.routingRevision = r.Revision
 	}
 	m.records[r.Key] = e
-	return matters
+	return changed
 }
 
-func (m *Mirror) work(now time.Duration, r, old directory.Record) bool {
+func (m *Mirror) apply(now time.Duration, r, old directory.Record) bool {
 	switch {
 	case r.Config != nil:
-		return m.takeConfig(r.Config)
+		return m.applyConfig(r.Config)
 	case r.Target != nil:
-		return m.takeTarget(now, r.Target) || old.Target == nil
+		return m.applyTarget(now, r.Target) || old.Target == nil
 	case old.Target != nil:
-		m.left = append(m.left, old.Target.ID)
+		m.departed = append(m.departed, old.Target.ID)
 		return true
 	}
 	return r.DrainedOut != "" || old.DrainedOut != ""
 }
 
-// takeConfig never goes back: versions only rise.
-func (m *Mirror) takeConfig(c *directory.Config) bool {
+// applyConfig ignores a configuration that is not newer: versions only
+// increase.
+func (m *Mirror) applyConfig(c *directory.Config) bool {
 	if m.config != nil && m.config.Version >= c.Version {
 		return false
 	}
@@ -206,21 +213,21 @@
 	return true
 }
 
-// removed tells whether a record of something that does not exist here was removed
-// by the revision up to which everything is known. The configuration may come
-// later than the records around it.
-func (m *Mirror) removed(r directory.Record) bool {
+// knownRemoved reports whether a record that does not exist here must have been
+// removed by the revision up to which all changes are known. The configuration
+// is exempt, since it may arrive later than the records around it.
+func (m *Mirror) knownRemoved(r directory.Record) bool {
 	return r.Key != directory.ConfigKey && !r.Gone && r.Revision <= m.revision
 }
 
-// stillLeaving gives a target's record as one of a leaving target where it is
-// known to leave in its present life. The store may carry out a write of an
-// earlier state after that of a later one.
-func (m *Mirror) stillLeaving(t *directory.Target) *directory.Target {
+// keepLeaving returns t, marked as leaving if the target is known to leave
+// since its last start. The store may carry out a write of an earlier state
+// after that of a later one.
+func (m *Mirror) keepLeaving(t *directory.Target) *directory.Target {
 	if t == nil || t.Leaving {
 		return t
 	}
-	if old := m.seen[t.ID]; old == nil || old.Started != t.Started || !old.Leaving {
+	if old := m.targets[t.ID]; old == nil || old.Started != t.Started || !old.Leaving {
 		return t
 	}
 	leaving := *t
@@ -228,10 +235,10 @@
 	return &leaving
 }
 
-// takeTarget follows a target's lives: one that started anew is another one,
-// also under the same id.
-func (m *Mirror) takeTarget(now time.Duration, t *directory.Target) bool {
-	old := m.seen[t.ID]
+// applyTarget records a target's state. A target that was restarted is a
+// different one, even under the same id.
+func (m *Mirror) applyTarget(now time.Duration, t *directory.Target) bool {
+	old := m.targets[t.ID]
 	next := &directory.Seen{Target: *t, Since: now, Listed: true}
 	if t.ColdFor > 0 {
 		next.ColdUntil = now + t.ColdFor
@@ -242,37 +249,37 @@
 			next.ColdUntil = min(old.ColdUntil, next.ColdUntil)
 		}
 	}
-	m.seen[t.ID] = next
+	m.targets[t.ID] = next
 	if t.Leaving && (old == nil || !old.Leaving || old.Started != t.Started) {
-		m.left = append(m.left, t.ID)
+		m.departed = append(m.departed, t.ID)
 	}
-	return old == nil || old.Target != *t && !sameStanding(old, next) || !old.Listed
+	return old == nil || old.Target != *t && !sameForRouting(old, next) || !old.Listed
 }
 
-// sameStanding tells whether two records of a target mean the same to
+// sameForRouting reports whether two records of a target are equivalent for
 // requests.
-func sameStanding(a, b *directory.Seen) bool {
-	x, y := a.Target, b.Target
-	x.ColdFor, y.ColdFor = 0, 0
-	return x == y && (a.ColdUntil > 0) == (b.ColdUntil > 0)
+func sameForRouting(old, updated *directory.Seen) bool {
+	oldTarget, newTarget := old.Target, updated.Target
+	oldTarget.ColdFor, newTarget.ColdFor = 0, 0
+	return oldTarget == newTarget && (old.ColdUntil > 0) == (updated.ColdUntil > 0)
 }
 
-// Left gives the targets that were heard to leave, or whose entries went, since
-// it was last called.
+// Left returns the targets that were reported to leave, or whose entries were
+// removed, since it was last called.
 func (m *Mirror) Left() []string {
-	left := m.left
-	m.left = nil
-	return left
+	departed := m.departed
+	m.departed = nil
+	return departed
 }
 
-// Since gives the records that changed after a revision in what matters to
-// requests, removals included, in the order of their revisions. The
+// ChangedSince returns the records, removals included, that had a change that
+// matters to requests after a revision, in the order of their revisions. The
 // configuration is not among them: it may be hundreds of times as long as all
-// others, and goes by its own way.
-func (m *Mirror) Since(revision uint64) []directory.Record {
+// others together, and is sent separately.
+func (m *Mirror) ChangedSince(revision uint64) []directory.Record {
 	var out []directory.Record
 	for _, e := range m.records {
-		if e.matters > revision && e.Key != directory.ConfigKey {
+		if e.routingRevision > revision && e.Key != directory.ConfigKey {
 			out = append(out, e.Record)
 		}
 	}
@@ -280,28 +287,29 @@
 	return out
 }
 
-// Delta gives what leads a process that knows everything up to a revision to
-// what is known here: the changes since Base.
+// Delta returns the changes that bring a process that knows everything up to a
+// revision to the state known here. If removals since that revision may be
+// unknown here, it returns all existing records.
 func (m *Mirror) Delta(after uint64) []directory.Record {
-	if after >= m.floor {
-		return m.Since(after)
+	if after >= m.removalFloor {
+		return m.ChangedSince(after)
 	}
-	return slices.DeleteFunc(m.Since(0), func(r directory.Record) bool { return r.Gone })
+	return slices.DeleteFunc(m.ChangedSince(0), func(r directory.Record) bool { return r.Gone })
 }
 
-// Base gives the revision from which Delta leads: the one that it is asked for
-// or, where removals since then may be unknown here, 0, which stands for all that
-// exists.
+// Base returns the revision at which a delta starts: the requested one or,
+// where removals since then may be unknown here, 0, which stands for all
+// existing records.
 func (m *Mirror) Base(after uint64) uint64 {
-	if after >= m.floor {
+	if after >= m.removalFloor {
 		return after
 	}
 	return 0
 }
 
-// View builds the picture that requests are decided with.
+// View builds the snapshot on which decisions about requests are based.
 func (m *Mirror) View(now time.Duration) *directory.View {
-	m.forget(now)
+	m.expireRemovals(now)
 	targets := map[string]*directory.Seen{}
 	var drained []string
 	for _, e := range m.records {
@@ -311,42 +319,44 @@
 			drained = append(drained, e.DrainedOut)
 		}
 	}
-	for id, s := range m.seen {
-		targets[id] = m.standing(now, s)
+	for id, s := range m.targets {
+		targets[id] = m.withListed(now, s)
 	}
 	slices.SortFunc(drained, strings.Compare)
 	return directory.NewIndexedView(m.revision, m.index, targets, drained)
 }
 
-// standing gives a target with whether its entry stands. An entry that went
-// while the store was away counts as standing for the grace after its return.
-func (m *Mirror) standing(now time.Duration, s *directory.Seen) *directory.Seen {
+// withListed returns a target with Listed set if its entry exists. An entry
+// that was removed while the store was down counts as existing for the grace
+// period after the recovery.
+func (m *Mirror) withListed(now time.Duration, s *directory.Seen) *directory.Seen {
 	e := m.records[directory.TargetKey(s.ID)]
 	if e.Target != nil && !e.Gone {
 		return s
 	}
 	out := *s
-	lapsed := e.Gone && e.heard >= m.returned && e.heard < m.returned+m.cfg.ReturnGrace
-	out.Listed = lapsed && now < m.returned+m.cfg.ReturnGrace
+	lapsedWithStore := e.Gone && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.ReturnGrace
+	out.Listed = lapsedWithStore && now < m.recoveredAt+m.cfg.ReturnGrace
 	return &out
 }
 
-// NextChange is the time at which the view changes by itself, 0 when it does
-// not.
+// NextChange returns the time at which the view changes without a new record,
+// or 0 if it does not.
 func (m *Mirror) NextChange(now time.Duration) time.Duration {
-	if end := m.returned + m.cfg.ReturnGrace; now < end {
+	if end := m.recoveredAt + m.cfg.ReturnGrace; now < end {
 		return end
 	}
 	return 0
 }
 
-// forget drops removals and targets that nobody can bring back any more.
-func (m *Mirror) forget(now time.Duration) {
+// expireRemovals discards removals, and their targets, once no process can send
+// the removed records any more.
+func (m *Mirror) expireRemovals(now time.Duration) {
 	for key, e := range m.records {
-		if e.Gone && now-e.heard > m.cfg.KeepGone {
-			m.floor = max(m.floor, e.Revision)
+		if e.Gone && now-e.receivedAt > m.cfg.RemovalRetention {
+			m.removalFloor = max(m.removalFloor, e.Revision)
 			delete(m.records, key)
-			delete(m.seen, directory.TargetOf(key))
+			delete(m.targets, directory.TargetOf(key))
 		}
 	}
 }
--- a/internal/decide/mirror/mirror_test.go
+++ b/internal/decide/mirror/mirror_test.go
@@ -17,121 +17,123 @@
 	RunSpecs(t, "mirror")
 }
 
-func target(id string, revision uint64, change func(*directory.Target)) directory.Record {
+func targetRecord(id string, revision uint64, modify func(*directory.Target)) directory.Record {
 	t := &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
-	if change != nil {
-		change(t)
+	if modify != nil {
+		modify(t)
 	}
 	return directory.Record{Key: directory.TargetKey(id), Revision: revision, Target: t}
 }
 
-func gone(key string, revision uint64) directory.Record {
+func removalRecord(key string, revision uint64) directory.Record {
 	return directory.Record{Key: key, Revision: revision, Gone: true}
 }
 
-func config(version, revision uint64) directory.Record {
+func configRecord(version, revision uint64) directory.Record {
 	return directory.Record{Key: "config", Revision: revision, Config: &directory.Config{Version: version}}
 }
 
-func takesNew(m *mirror.Mirror, now time.Duration, id string) bool {
+func acceptsRequests(m *mirror.Mirror, now time.Duration, id string) bool {
 	v := m.View(now)
 	t, ok := v.Target(id)
 	return ok && v.TakesNew(t)
 }
 
 var _ = Describe("the mirror", func() {
-	It("holds the newest of each record whatever the order in which they come", func() {
-		all := []directory.Record{
-			config(3, 2), config(9, 8), target("i-1", 3, nil), target("i-2", 4, nil),
-			target("i-1", 6, func(t *directory.Target) { t.Leaving = true }), gone(directory.TargetKey("i-2"), 7),
+	It("keeps the newest record of each key whatever the order of arrival", func() {
+		records := []directory.Record{
+			configRecord(3, 2), configRecord(9, 8), targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil),
+			targetRecord("i-1", 6, func(t *directory.Target) { t.Leaving = true }), removalRecord(directory.TargetKey("i-2"), 7),
 		}
 		for range 50 {
 			m := mirror.New(mirror.Config{})
-			rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-			for _, r := range all {
+			rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
+			for _, r := range records {
 				m.Changes(0, []directory.Record{r}, 0)
 			}
 			Expect(m.View(0).Config.Version).To(Equal(uint64(9)))
-			Expect(takesNew(m, 0, "i-1")).To(BeFalse())
-			Expect(takesNew(m, 0, "i-2")).To(BeFalse())
+			Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
+			Expect(acceptsRequests(m, 0, "i-2")).To(BeFalse())
 		}
 	})
 
 	// A target writes every second that it is alive. If each of these writes
-	// woke every request's picture, and went to every other host, the hosts
-	// would do nothing else.
-	It("takes no heartbeat for news", func() {
+	// rebuilt the view of every request and were sent to all other hosts, the
+	// hosts would do nothing else.
+	It("does not report a heartbeat as a change", func() {
 		m := mirror.New(mirror.Config{})
-		Expect(m.Changes(0, []directory.Record{target("i-1", 3, nil)}, 3)).To(BeTrue())
-		Expect(m.Changes(0, []directory.Record{target("i-1", 5, nil)}, 5)).To(BeFalse())
-		Expect(m.Since(3)).To(BeEmpty())
-		Expect(m.Since(2)).To(HaveLen(1))
+		Expect(m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil)}, 3)).To(BeTrue())
+		Expect(m.Changes(0, []directory.Record{targetRecord("i-1", 5, nil)}, 5)).To(BeFalse())
+		Expect(m.ChangedSince(3)).To(BeEmpty())
+		Expect(m.ChangedSince(2)).To(HaveLen(1))
 	})
 
-	It("drops what a whole reading lacks, but not what came after it", func() {
+	It("removes what a full snapshot lacks, but not what was published after it", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{target("i-1", 3, nil), target("i-2", 9, nil)}, 9)
+		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 9, nil)}, 9)
 		m.Whole(0, nil, 5)
-		Expect(takesNew(m, 0, "i-1")).To(BeFalse())
-		Expect(takesNew(m, 0, "i-2")).To(BeTrue())
+		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
+		Expect(acceptsRequests(m, 0, "i-2")).To(BeTrue())
 	})
 
-	// The store was down and the entries of live targets lapsed with it. Taken
-	// for gone at once, every target would be lost to callers for two seconds.
-	It("takes entries that lapsed with the store for alive until they are back", func() {
+	// The store was down and the entries of live targets lapsed with it. If
+	// they counted as removed at once, callers would lose every target for two
+	// seconds.
+	It("takes targets whose entries lapsed with the store for alive during the grace period", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{target("i-1", 3, nil), target("i-2", 4, nil)}, 4)
+		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil)}, 4)
 		m.StoreLost()
 		m.StoreAnswered(10 * time.Second)
 		m.Whole(10*time.Second, nil, 9)
-		Expect(takesNew(m, 11*time.Second, "i-1")).To(BeTrue())
-		m.Changes(11*time.Second, []directory.Record{target("i-1", 12, nil)}, 12)
-		Expect(takesNew(m, 13*time.Second, "i-1")).To(BeTrue())
-		Expect(takesNew(m, 13*time.Second, "i-2")).To(BeFalse())
+		Expect(acceptsRequests(m, 11*time.Second, "i-1")).To(BeTrue())
+		m.Changes(11*time.Second, []directory.Record{targetRecord("i-1", 12, nil)}, 12)
+		Expect(acceptsRequests(m, 13*time.Second, "i-1")).To(BeTrue())
+		Expect(acceptsRequests(m, 13*time.Second, "i-2")).To(BeFalse())
 	})
 
-	// Guards against a removal that stops at a process which never knew the target.
+	// Guards against a removal that is not passed on by a process that never
+	// knew the target.
 	It("passes on the removal of a target that it never knew", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{target("i-1", 3, nil)}, 10)
-		m.Merge(0, []directory.Record{gone(directory.TargetKey("i-2"), 15)}, 15)
-		Expect(m.Since(13)).To(HaveLen(1))
+		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil)}, 10)
+		m.Merge(0, []directory.Record{removalRecord(directory.TargetKey("i-2"), 15)}, 15)
+		Expect(m.ChangedSince(13)).To(HaveLen(1))
 	})
 
 	// Guards against a removed target that comes back with a peer's old list.
-	DescribeTable("takes nothing back that was removed by the revision it knows", func(before ...directory.Record) {
+	DescribeTable("does not restore what was removed by the known revision", func(before ...directory.Record) {
 		m := mirror.New(mirror.Config{})
 		m.Changes(0, before, 3)
 		m.Whole(0, nil, 11)
-		m.Merge(0, []directory.Record{target("i-1", 7, nil)}, 0)
-		Expect(takesNew(m, 0, "i-1")).To(BeFalse())
+		m.Merge(0, []directory.Record{targetRecord("i-1", 7, nil)}, 0)
+		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
 	}, Entry("a target that it never knew"),
-		Entry("one that it knew to be gone before", target("i-1", 2, nil), gone(directory.TargetKey("i-1"), 3)))
+		Entry("a target whose removal it knew", targetRecord("i-1", 2, nil), removalRecord(directory.TargetKey("i-1"), 3)))
 
 	// Guards against a delayed write of a target's earlier state that makes a
 	// leaving target ready again, here and at peers.
-	It("takes a target that leaves for leaving until it starts anew", func() {
+	It("takes a leaving target for leaving until it restarts", func() {
 		m, peer := mirror.New(mirror.Config{}), mirror.New(mirror.Config{})
-		leaving := target("i-1", 5, func(t *directory.Target) { t.Leaving = true })
-		m.Changes(0, []directory.Record{target("i-1", 3, nil), leaving}, 5)
-		m.Changes(0, []directory.Record{target("i-1", 7, nil)}, 7)
-		Expect(takesNew(m, 0, "i-1")).To(BeFalse())
+		leaving := targetRecord("i-1", 5, func(t *directory.Target) { t.Leaving = true })
+		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), leaving}, 5)
+		m.Changes(0, []directory.Record{targetRecord("i-1", 7, nil)}, 7)
+		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
 		peer.Whole(0, m.Delta(0), m.Revision())
-		Expect(takesNew(peer, 0, "i-1")).To(BeFalse())
+		Expect(acceptsRequests(peer, 0, "i-1")).To(BeFalse())
 
-		m.Changes(0, []directory.Record{target("i-1", 9, func(t *directory.Target) { t.Started = 2 })}, 9)
-		Expect(takesNew(m, 0, "i-1")).To(BeTrue())
+		m.Changes(0, []directory.Record{targetRecord("i-1", 9, func(t *directory.Target) { t.Started = 2 })}, 9)
+		Expect(acceptsRequests(m, 0, "i-1")).To(BeTrue())
 	})
 
-	// Another writer leaves an entry that can't be read. It names no target to
-	// use; an unreadable configuration takes nothing away from the last one.
+	// Another writer leaves an entry that can't be read. An unreadable target
+	// is not used; an unreadable configuration does not revoke the last one.
 	It("keeps the last readable configuration and uses no unreadable target", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{config(3, 2), target("i-1", 3, nil)}, 3)
+		m.Changes(0, []directory.Record{configRecord(3, 2), targetRecord("i-1", 3, nil)}, 3)
 		m.Changes(0, []directory.Record{
 			{Key: "config", Revision: 4, Fault: "no JSON"}, {Key: directory.TargetKey("i-1"), Revision: 5, Fault: "no JSON"},
 		}, 5)
 		Expect(m.View(0).Config.Version).To(Equal(uint64(3)))
-		Expect(takesNew(m, 0, "i-1")).To(BeFalse())
+		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
 	})
 })
