--- a/internal/decide/accusers/accusers.go
+++ b/internal/decide/accusers/accusers.go
@@ -1,81 +1,81 @@
-// Package accusers weighs what other hosts tell of failing targets.
+// Package accusers evaluates other hosts' reports of failing targets.
 //
-// Load pattern: one target of a plain service breaks each connection while its
-// health answers say that it is well, and many hosts send it a few requests a
-// second between them.
+// One target of a plain service breaks each connection while its health answers
+// say that it is well, and many hosts send it a few requests a second between
+// them. If each host had to find out by a request of its own, which may not be
+// sent again, a few requests would be lost per host, hundreds together.
 //
-// What happens without it: each host finds out by a request of its own, which
-// may not be sent again: a few for each host, hundreds together.
+// Therefore hosts tell each other which targets broke a request of theirs. The
+// report of a single host proves nothing: that host may be cut off from healthy
+// targets, and all others would overload the rest. A target that two other
+// hosts report within a few seconds is avoided while there are better ones.
 //
-// How it works: hosts tell each other which targets broke a request of theirs.
-// One host alone proves nothing: it may be cut off from targets that are well,
-// and all others would crowd the rest. A target that two others accuse within a
-// few seconds is passed over while there are better ones.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// The package is not safe for concurrent use; times are on the monotonic clock.
 package accusers
 
 import "time"
 
 const (
-	// holdsFor is how long an accusation holds: as long as a host's own failure
+	// reportTTL is how long a report is valid: as long as a host's own failure
 	// counts against a target.
-	holdsFor = 4 * time.Second
-	// leastHosts must accuse a target before it counts.
-	leastHosts = 2
-	// each is added to a target's fullness for each accuser, up to most: enough
-	// to take a target at half of its load in its place.
-	each, most = 0.25, 0.75
+	reportTTL = 4 * time.Second
+	// minReportingHosts is the number of hosts that must report a target before
+	// it is penalised.
+	minReportingHosts = 2
+	// penaltyPerHost is added to a target's load fraction for each reporting
+	// host, up to maxPenalty: enough for a target at half of its load to be
+	// chosen instead.
+	penaltyPerHost, maxPenalty = 0.25, 0.75
 )
 
-// Board holds the accusations known to one host.
+// Board holds the failure reports known to one host.
 type Board struct {
-	of map[string]map[string]accusation
+	byTarget map[string]map[string]failureReport
 }
 
-type accusation struct {
-	failures uint32
-	at       time.Duration
+type failureReport struct {
+	failures   uint32
+	receivedAt time.Duration
 }
 
-// New returns a board without accusations.
-func New() *Board { return &Board{of: map[string]map[string]accusation{}} }
+// New returns a board without reports.
+func New() *Board { return &Board{byTarget: map[string]map[string]failureReport{}} }
 
-// Heard takes what a host tells of its failures at a target: a number that is
-// another one after each failure, 0 for none.
+// Heard records a host's report of its failures at a target: a number that
+// changes with each failure, or 0 for none.
 func (b *Board) Heard(now time.Duration, host, target string, failures uint32) {
 	if failures == 0 {
 		return
 	}
-	hosts := b.of[target]
+	hosts := b.byTarget[target]
 	if hosts == nil {
-		hosts = map[string]accusation{}
-		b.of[target] = hosts
+		hosts = map[string]failureReport{}
+		b.byTarget[target] = hosts
 	}
 	if hosts[host].failures != failures {
-		hosts[host] = accusation{failures, now}
+		hosts[host] = failureReport{failures, now}
 	}
 }
 
-// Penalty is what the accusations add to a target's fullness.
+// Penalty returns what the reports add to a target's load fraction.
 func (b *Board) Penalty(now time.Duration, target string) float64 {
 	hosts := 0
-	for _, a := range b.of[target] {
-		if now-a.at < holdsFor {
+	for _, report := range b.byTarget[target] {
+		if now-report.receivedAt < reportTTL {
 			hosts++
 		}
 	}
-	if hosts < leastHosts {
+	if hosts < minReportingHosts {
 		return 0
 	}
-	return min(float64(hosts)*each, most)
+	return min(float64(hosts)*penaltyPerHost, maxPenalty)
 }
 
-// Retain drops the targets that are not known any more.
+// Retain removes the targets that are no longer known.
 func (b *Board) Retain(known func(target string) bool) {
-	for target := range b.of {
+	for target := range b.byTarget {
 		if !known(target) {
-			delete(b.of, target)
+			delete(b.byTarget, target)
 		}
 	}
 }
--- a/internal/decide/accusers/accusers_test.go
+++ b/internal/decide/accusers/accusers_test.go
@@ -17,10 +17,11 @@
 	RunSpecs(t, "accusers")
 }
 
-var _ = Describe("accusations of a target", func() {
-	// A host is cut off from some targets that are well, and tells everyone of
-	// its failures. If it were believed alone, all would crowd the other targets.
-	It("by one host count for nothing, by two they do", func() {
+var _ = Describe("failure reports of a target", func() {
+	// A host is cut off from some healthy targets and reports its failures to
+	// all others. If its report alone were believed, all would overload the
+	// other targets.
+	It("count only when two hosts send them", func() {
 		b := accusers.New()
 		for n := range uint32(9) {
 			b.Heard(0, "host-1", "app-1", n+1)
@@ -30,7 +31,7 @@
 		Expect(b.Penalty(0, "app-1")).To(BeNumerically(">", 0.4))
 	})
 
-	It("end some seconds after the last failure, also when the count is told again", func() {
+	It("expire some seconds after the last failure, even if the same count is reported again", func() {
 		b := accusers.New()
 		for now := time.Duration(0); now < 5*time.Second; now += time.Second {
 			b.Heard(now, "host-1", "app-1", 3)
@@ -40,7 +41,7 @@
 		Expect(b.Penalty(5*time.Second, "app-1")).To(BeZero())
 	})
 
-	It("are forgotten with the target", func() {
+	It("are removed with the target", func() {
 		b := accusers.New()
 		b.Heard(0, "host-1", "app-1", 1)
 		b.Heard(0, "host-2", "app-1", 1)
@@ -48,47 +49,48 @@
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
 	})
 
-	// One of four targets breaks each connection for six seconds, and its health
-	// is good. Captains whose bookings go there must start anew; a fleet in which
-	// each host finds out by itself loses one booking or more for each host.
-	It("keep a fleet from failing at the same target one host after the other", func() {
-		const hosts, targets, perSecond, tellAfter = 84, 4, 150, 200 * time.Millisecond
-		lost := func(told bool) int {
-			draw := rand.New(rand.NewPCG(3, 4))
+	// One of four targets breaks each connection for six seconds, and its
+	// health is good. Callers whose bookings go there must start again; in a
+	// fleet in which each host finds out by itself, each host loses one booking
+	// or more.
+	It("keep the hosts of a fleet from failing at the same target one after the other", func() {
+		const hosts, targets, requestsPerSecond, reportDelay = 84, 4, 150, 200 * time.Millisecond
+		countLost := func(shareReports bool) int {
+			rng := rand.New(rand.NewPCG(3, 4))
 			boards := make([]*accusers.Board, hosts)
-			own := make([]time.Duration, hosts)
+			ownFailureAt := make([]time.Duration, hosts)
 			for i := range boards {
-				boards[i], own[i] = accusers.New(), -time.Hour
+				boards[i], ownFailureAt[i] = accusers.New(), -time.Hour
 			}
-			type news struct {
-				at       time.Duration
-				host     string
-				failures uint32
+			type report struct {
+				deliverAt time.Duration
+				host      string
+				failures  uint32
 			}
-			var waiting []news
+			var undelivered []report
 			failures, lost := make([]uint32, hosts), 0
-			for n := range 6 * perSecond {
-				now := time.Duration(n) * time.Second / perSecond
-				for told && len(waiting) > 0 && waiting[0].at <= now {
+			for n := range 6 * requestsPerSecond {
+				now := time.Duration(n) * time.Second / requestsPerSecond
+				for shareReports && len(undelivered) > 0 && undelivered[0].deliverAt <= now {
 					for _, b := range boards {
-						b.Heard(now, waiting[0].host, "bad", waiting[0].failures)
+						b.Heard(now, undelivered[0].host, "bad", undelivered[0].failures)
 					}
-					waiting = waiting[1:]
+					undelivered = undelivered[1:]
 				}
-				h := draw.IntN(hosts)
-				avoids := now-own[h] < 4*time.Second || boards[h].Penalty(now, "bad") > 0
-				if avoids || draw.IntN(targets) > 0 {
+				h := rng.IntN(hosts)
+				avoids := now-ownFailureAt[h] < 4*time.Second || boards[h].Penalty(now, "bad") > 0
+				if avoids || rng.IntN(targets) > 0 {
 					continue
 				}
 				lost++
-				own[h] = now
+				ownFailureAt[h] = now
 				failures[h]++
-				waiting = append(waiting, news{now + tellAfter, fmt.Sprint("host-", h), failures[h]})
+				undelivered = append(undelivered, report{now + reportDelay, fmt.Sprint("host-", h), failures[h]})
 			}
 			return lost
 		}
-		alone, together := lost(false), lost(true)
-		AddReportEntry("bookings lost", fmt.Sprintf("alone %d, together %d", alone, together))
-		Expect(together).To(BeNumerically("<", alone/3))
+		isolated, shared := countLost(false), countLost(true)
+		AddReportEntry("bookings lost", fmt.Sprintf("without reports %d, with reports %d", isolated, shared))
+		Expect(shared).To(BeNumerically("<", isolated/3))
 	})
 })
