--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -1,98 +1,99 @@
-// Package silence notices early that the store has stopped answering, and
-// spreads the questions that hosts ask targets meanwhile.
+// Package silence detects early that the store has stopped answering, and
+// limits the requests that hosts send to targets meanwhile.
 //
-// Load pattern: engines are reclaimed with one and a half seconds' notice every
-// few seconds, and the notice is published in the store. The store may fall
-// silent in the same instant.
+// Engines are reclaimed every few seconds with one and a half seconds' notice,
+// and the notice is published in the store. The store may stop answering at the
+// same moment. If hosts detected that only by the age of their data, after a
+// second or more, they would ask the engines only then, and generations whose
+// copies take longer than the rest of the notice would be cut off.
 //
-// What happens without it: hosts learn of the silence by the age of what they
-// know, after a second or more. They ask engines only then, and generations
-// whose copies take longer than what is left of the notice are cut.
+// Readers of the store keep a call waiting there. An answer that is later than
+// usual by a few mean deviations makes the store suspect, and the readers tell
+// the other hosts. A suspicion costs a few requests to targets; any answer to a
+// later call ends it.
 //
-// How it works: readers of the store keep a call waiting there. An answer that
-// is later than usual by a few mean deviations makes the store suspect, and the
-// readers tell the other hosts. A suspicion costs a few questions; any answer
-// to a later call ends it.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// The package is not safe for concurrent use; times are on the monotonic clock.
 package silence
 
 import "time"
 
 const (
-	// Weights of a new sample in the mean and in the mean deviation, and the
-	// deviations that make an answer late, as for retransmission timeouts
-	// (RFC 6298).
-	meanWeight      = 0.125
-	deviationWeight = 0.25
-	lateDeviations  = 4
-	// startPatience holds until an answer was timed.
-	startPatience = 150 * time.Millisecond
-	// leastPatience covers a lost packet's fast retransmission and a pause of
-	// this process.
-	leastPatience = 50 * time.Millisecond
-	// sameSilence is the difference up to which two hosts speak of one silence:
-	// each adds the time that a message was on its way.
-	sameSilence = 300 * time.Millisecond
+	// The weights of a new sample in the mean and in the mean deviation, and
+	// the number of deviations after which an answer is late, as for
+	// retransmission timeouts (RFC 6298).
+	meanGain            = 0.125
+	deviationGain       = 0.25
+	deviationMultiplier = 4
+	// initialTimeout applies until an answer has been measured.
+	initialTimeout = 150 * time.Millisecond
+	// minTimeout covers a lost packet's fast retransmission and a pause of this
+	// process.
+	minTimeout = 50 * time.Millisecond
+	// sameOutageTolerance is the difference of due times up to which two hosts
+	// report the same outage: each report adds the time that its message took.
+	sameOutageTolerance = 300 * time.Millisecond
 )
 
-// Detector follows the answers of the store to one host's calls and what other
-// hosts say of theirs.
+// Detector tracks the store's answers to one host's calls, and other hosts'
+// reports of theirs.
 type Detector struct {
 	mean, deviation time.Duration
-	timed           bool
-	// due is when the last overdue answer should have come; ever is set when
-	// there was one.
-	due  time.Duration
-	ever bool
+	measured        bool
+	// overdueSince is when the last overdue answer should have come; hasOverdue
+	// is set when there was one.
+	overdueSince time.Duration
+	hasOverdue   bool
 }
 
-// Answered takes the time that an answer took beyond the wait that was asked
-// for.
+// Answered records the time that an answer took beyond the requested wait.
 func (d *Detector) Answered(took time.Duration) {
 	took = max(took, 0)
-	if !d.timed {
-		d.mean, d.deviation, d.timed = took, took/2, true
+	if !d.measured {
+		d.mean, d.deviation, d.measured = took, took/2, true
 		return
 	}
-	d.deviation += time.Duration(deviationWeight * float64((took-d.mean).Abs()-d.deviation))
-	d.mean += time.Duration(meanWeight * float64(took-d.mean))
+	d.deviation += time.Duration(deviationGain * float64((took-d.mean).Abs()-d.deviation))
+	d.mean += time.Duration(meanGain * float64(took-d.mean))
 }
 
-// Patience is the time beyond the wait after which an answer is overdue.
+// Patience returns the time beyond the requested wait after which an answer is
+// overdue.
 func (d *Detector) Patience() time.Duration {
-	if !d.timed {
-		return startPatience
+	if !d.measured {
+		return initialTimeout
 	}
-	return max(d.mean+lateDeviations*d.deviation, leastPatience)
+	return max(d.mean+deviationMultiplier*d.deviation, minTimeout)
 }
 
-// Overdue notes that an answer that was due at a time has not come, here or at
-// another host. It tells whether that is a silence not known of before.
+// Overdue records that an answer that was due at a time has not come, here or
+// at another host. It reports whether that is an outage that was not known
+// before.
 func (d *Detector) Overdue(due time.Duration) bool {
-	if d.ever && due < d.due+sameSilence {
+	if d.hasOverdue && due < d.overdueSince+sameOutageTolerance {
 		return false
 	}
-	d.due, d.ever = due, true
+	d.overdueSince, d.hasOverdue = due, true
 	return true
 }
 
-// Due gives when the last overdue answer should have come; false when all came
-// in time.
-func (d *Detector) Due() (time.Duration, bool) { return d.due, d.ever }
+// Due returns when the last overdue answer should have come, and false if none
+// was ever overdue.
+func (d *Detector) Due() (time.Duration, bool) { return d.overdueSince, d.hasOverdue }
 
-// Suspect tells whether the store may be silent, given the start of the last
-// call that it is known to have answered, at any host.
-func (d *Detector) Suspect(answered time.Duration) bool { return d.ever && answered < d.due }
+// Suspect reports whether the store may have stopped answering, given the start
+// of the last call that it is known to have answered at any host.
+func (d *Detector) Suspect(answered time.Duration) bool {
+	return d.hasOverdue && answered < d.overdueSince
+}
 
-// laterAskers is the number of hosts that ask a target in each round but the
-// first, on the mean.
-const laterAskers = 2
+// askersPerLaterRound is the mean number of hosts that ask a target in each
+// round but the first.
+const askersPerLaterRound = 2
 
-// Asks tells whether a host asks a target in a round, where so many hosts have
-// something running there. All ask in the first round: with turns drawn at
-// random a third of the targets would not be asked, and the notice may already
-// run. draw is in [0, 1).
-func Asks(first bool, hosts int, draw float64) bool {
-	return first || draw*float64(hosts) < laterAskers
+// Asks reports whether a host asks a target in a round, given the number of
+// hosts that have something running there; sample is a random number in [0, 1).
+// All hosts ask in the first round: with a random choice there, a third of the
+// targets would not be asked, and their notice may already be running.
+func Asks(first bool, hosts int, sample float64) bool {
+	return first || sample*float64(hosts) < askersPerLaterRound
 }
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/silence/silence_test.go
@@ -16,9 +16,10 @@
 	RunSpecs(t, "silence")
 }
 
-var _ = Describe("the silence of the store", func() {
-	// Guards against a fixed timeout that is too long for a store of milliseconds.
-	It("is noticed within tenths of a second where answers come in milliseconds", func() {
+var _ = Describe("the detection of a store that stopped answering", func() {
+	// Guards against a fixed timeout that is too long for a store that answers
+	// within milliseconds.
+	It("takes tenths of a second where answers come in milliseconds", func() {
 		var d silence.Detector
 		for range 20 {
 			d.Answered(8 * time.Millisecond)
@@ -26,22 +27,22 @@
 		Expect(d.Patience()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
-	// Guards against a slow store that is taken for a silent one at each call.
-	It("is not seen in answers of a store that is always slow", func() {
+	// Guards against a slow store that is taken for a failed one at each call.
+	It("does not suspect a store that is always slow", func() {
 		var d silence.Detector
-		draw := rand.New(rand.NewPCG(1, 2))
-		early := 0
+		rng := rand.New(rand.NewPCG(1, 2))
+		falseTimeouts := 0
 		for i := range 200 {
-			took := time.Duration(200+draw.IntN(80)) * time.Millisecond
+			took := time.Duration(200+rng.IntN(80)) * time.Millisecond
 			if i > 20 && took > d.Patience() {
-				early++
+				falseTimeouts++
 			}
 			d.Answered(took)
 		}
-		Expect(early).To(BeNumerically("<=", 2))
+		Expect(falseTimeouts).To(BeNumerically("<=", 2))
 	})
 
-	It("ends with the answer to a later call", func() {
+	It("ends the suspicion with the answer to a later call", func() {
 		var d silence.Detector
 		Expect(d.Suspect(0)).To(BeFalse())
 		Expect(d.Overdue(5 * time.Second)).To(BeTrue())
@@ -49,47 +50,47 @@
 		Expect(d.Suspect(5 * time.Second)).To(BeFalse())
 	})
 
-	// Guards against hosts that tell each other of one silence for ever, each time
-	// a few milliseconds later.
-	It("is one silence, however often hosts tell each other of it", func() {
-		var here, there silence.Detector
+	// Guards against hosts that report one outage to each other without end,
+	// each time a few milliseconds later.
+	It("counts one outage, however often hosts report it to each other", func() {
+		var local, peer silence.Detector
 		at := 5 * time.Second
-		Expect(here.Overdue(at)).To(BeTrue())
+		Expect(local.Overdue(at)).To(BeTrue())
 		for range 1000 {
 			at += 3 * time.Millisecond
-			there.Overdue(at)
-			at, _ = there.Due()
-			Expect(here.Overdue(at)).To(BeFalse())
+			peer.Overdue(at)
+			at, _ = peer.Due()
+			Expect(local.Overdue(at)).To(BeFalse())
 		}
-		Expect(here.Suspect(5*time.Second + time.Millisecond)).To(BeFalse())
+		Expect(local.Suspect(5*time.Second + time.Millisecond)).To(BeFalse())
 	})
 })
 
-var _ = Describe("the questions to a target", func() {
-	// Guards against a notice that nobody hears because chance passed its target
-	// over: all hosts ask in the first round.
-	It("are asked by all at first, by few afterwards", func() {
-		draw := rand.New(rand.NewPCG(3, 4))
+var _ = Describe("the requests to a target", func() {
+	// Guards against a target's notice that is missed because no host was
+	// chosen to ask: all hosts ask in the first round.
+	It("are sent by all hosts at first, by few afterwards", func() {
+		rng := rand.New(rand.NewPCG(3, 4))
 		const hosts, rounds = 8, 1000
-		asked, none := 0, 0
+		asked, roundsWithoutAsker := 0, 0
 		for range rounds {
 			n := 0
 			for range hosts {
-				Expect(silence.Asks(true, hosts, draw.Float64())).To(BeTrue())
-				if silence.Asks(false, hosts, draw.Float64()) {
+				Expect(silence.Asks(true, hosts, rng.Float64())).To(BeTrue())
+				if silence.Asks(false, hosts, rng.Float64()) {
 					n++
 				}
 			}
 			asked += n
 			if n == 0 {
-				none++
+				roundsWithoutAsker++
 			}
 		}
 		Expect(asked).To(BeNumerically("<", 3*rounds))
-		Expect(none).To(BeNumerically("<", rounds/5))
+		Expect(roundsWithoutAsker).To(BeNumerically("<", rounds/5))
 	})
 
-	It("are always asked by the only host", func() {
+	It("are always sent by the only host", func() {
 		Expect(silence.Asks(false, 1, 0.999)).To(BeTrue())
 		Expect(silence.Asks(false, 0, 0.999)).To(BeTrue())
 	})
