--- a/internal/decide/accusers/accusers.go
+++ b/internal/decide/accusers/accusers.go
@@ -38,7 +38,7 @@
 	receivedAt time.Duration
 }
 
-// New returns a board without reports.
+// New returns an empty set of reports.
 func New() *Board { return &Board{byTarget: map[string]map[string]failureReport{}} }
 
 // Heard records a host's report of its failures at a target: a number that
--- a/internal/decide/accusers/accusers_test.go
+++ b/internal/decide/accusers/accusers_test.go
@@ -57,10 +57,10 @@
 		const hosts, targets, requestsPerSecond, reportDelay = 84, 4, 150, 200 * time.Millisecond
 		countLost := func(shareReports bool) int {
 			rng := rand.New(rand.NewPCG(3, 4))
-			boards := make([]*accusers.Board, hosts)
+			trackers := make([]*accusers.Board, hosts)
 			ownFailureAt := make([]time.Duration, hosts)
-			for i := range boards {
-				boards[i], ownFailureAt[i] = accusers.New(), -time.Hour
+			for i := range trackers {
+				trackers[i], ownFailureAt[i] = accusers.New(), -time.Hour
 			}
 			type report struct {
 				deliverAt time.Duration
@@ -72,13 +72,13 @@
 			for n := range 6 * requestsPerSecond {
 				now := time.Duration(n) * time.Second / requestsPerSecond
 				for shareReports && len(undelivered) > 0 && undelivered[0].deliverAt <= now {
-					for _, b := range boards {
+					for _, b := range trackers {
 						b.Heard(now, undelivered[0].host, "bad", undelivered[0].failures)
 					}
 					undelivered = undelivered[1:]
 				}
 				h := rng.IntN(hosts)
-				avoids := now-ownFailureAt[h] < 4*time.Second || boards[h].Penalty(now, "bad") > 0
+				avoids := now-ownFailureAt[h] < 4*time.Second || trackers[h].Penalty(now, "bad") > 0
 				if avoids || rng.IntN(targets) > 0 {
 					continue
 				}
--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -98,7 +98,7 @@
 	retryAt time.Duration
 }
 
-// NewPlan returns a plan without any announcements.
+// NewPlan returns the state of a host that has received no announcements.
 func NewPlan(cfg Config, rng *rand.Rand) *Plan {
 	return &Plan{cfg: cfg, rng: rng, sources: map[string]*source{}, timeout: cfg.InitialTimeout}
 }
--- a/internal/decide/fetch/fetch_test.go
+++ b/internal/decide/fetch/fetch_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "fetch")
 }
 
-func newPlan(seed uint64) *fetch.Plan {
+func newSelector(seed uint64) *fetch.Plan {
 	return fetch.NewPlan(fetch.Default(), rand.New(rand.NewPCG(seed, 1)))
 }
 
@@ -25,7 +25,7 @@
 
 var _ = Describe("the choice of a peer to fetch from", func() {
 	It("fetches a newer revision from one peer at a time", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "a", true, 5)
 		p.Announced(0, "b", true, 5)
 		_, _, ok := p.Next(0, 4, 0)
@@ -35,7 +35,7 @@
 	})
 
 	It("asks no peer for a revision that the host holds", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "a", true, 5)
 		_, _, ok := p.Next(0, 5, 0)
 		Expect(ok).To(BeFalse())
@@ -43,7 +43,7 @@
 	})
 
 	It("does not ask other parts of the fleet while its own may have the document", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "far", false, 5)
 		_, _, ok := p.Next(0, 4, 0)
 		Expect(ok).To(BeFalse())
@@ -57,7 +57,7 @@
 	// host there has the configuration. They would deny new routes for as long
 	// as that lasts.
 	It("asks another part if no host of its own has the document", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "far", false, 5)
 		peer, _, ok := p.Next(second, 4, 0)
 		Expect(ok).To(BeTrue())
@@ -67,7 +67,7 @@
 	// Guards against hosts that get no update while newer ones keep being
 	// announced.
 	It("asks another part in time, however often newer revisions are announced", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		for now := time.Duration(0); now < second; now += second / 10 {
 			p.Announced(now, "far", false, uint64(5+now/second))
 			if _, _, ok := p.Next(now, 4, 0); ok {
@@ -83,7 +83,7 @@
 	// time for an urgent update runs out.
 	It("prefers peers with recent announcements to one that has stopped sending them", func() {
 		for seed := range uint64(50) {
-			p := newPlan(seed)
+			p := newSelector(seed)
 			p.Announced(0, "silent", true, 5)
 			p.Announced(second, "a", true, 5)
 			peer, _, ok := p.Next(second, 4, 0)
@@ -93,7 +93,7 @@
 	})
 
 	It("waits for its own part again once the host was up to date", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "far", false, 5)
 		_, _, ok := p.Next(second, 5, 0)
 		Expect(ok).To(BeFalse())
@@ -105,7 +105,7 @@
 	// A peer stops answering in the middle of a transfer. A host that stayed
 	// with it would continue to serve from an old configuration.
 	It("asks another peer after one that did not answer", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "a", true, 5)
 		first, _, _ := p.Next(0, 4, 0)
 		p.Done(second, first, fetch.Failed)
@@ -120,7 +120,7 @@
 	// On a link that carries a document in three seconds, a fixed timeout of
 	// one second would restart the transfer without end.
 	It("doubles the timeout after each failed transfer", func() {
-		p := newPlan(1)
+		p := newSelector(1)
 		p.Announced(0, "a", true, 5)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 6 {
@@ -148,7 +148,7 @@
 	name        string
 	dataCentre  int
 	rank        int
-	plan        *fetch.Plan
+	selector    *fetch.Plan
 	uploads     fetch.Giver
 	hasDocument bool
 	arrivesAt   time.Duration
@@ -167,7 +167,7 @@
 	s := &simulation{documentBytes: size, remoteTransfers: make([]int, dataCentres), rng: rand.New(rand.NewPCG(7, 7))}
 	for i := range hosts {
 		s.hosts = append(s.hosts, &simulatedHost{
-			name: fmt.Sprint("h-", i), dataCentre: i % dataCentres, rank: i / dataCentres, plan: newPlan(uint64(i)), hasDocument: holders(i), arrivesAt: -1,
+			name: fmt.Sprint("h-", i), dataCentre: i % dataCentres, rank: i / dataCentres, selector: newSelector(uint64(i)), hasDocument: holders(i), arrivesAt: -1,
 		})
 	}
 	return s
@@ -184,7 +184,7 @@
 		for i, h := range s.hosts {
 			if h.arrivesAt >= 0 && now >= h.arrivesAt {
 				h.hasDocument, h.arrivesAt = true, -1
-				h.plan.Done(now, h.source, fetch.Taken)
+				h.selector.Done(now, h.source, fetch.Taken)
 			}
 			if h.hasDocument {
 				continue
@@ -208,27 +208,27 @@
 	for _, other := range s.hosts {
 		reader := other.dataCentre == h.dataCentre && other == s.hosts[h.dataCentre]
 		if other.hasDocument && (reader || s.rng.IntN(len(s.hosts)) < 2) {
-			h.plan.Announced(now, other.name, other.dataCentre == h.dataCentre, 1)
+			h.selector.Announced(now, other.name, other.dataCentre == h.dataCentre, 1)
 		}
 	}
 }
 
 func (s *simulation) startTransfer(now time.Duration, h *simulatedHost, byName map[string]*simulatedHost) {
-	peer, _, ok := h.plan.Next(now, 0, h.rank)
+	peer, _, ok := h.selector.Next(now, 0, h.rank)
 	if !ok {
 		return
 	}
 	source := byName[peer]
 	if !source.hasDocument {
-		h.plan.Done(now, peer, fetch.Busy)
+		h.selector.Done(now, peer, fetch.Busy)
 		return
 	}
 	others, admitted := source.uploads.Give(now, h.name, s.documentBytes)
 	if !admitted {
 		for _, o := range others {
-			h.plan.Announced(now, o, byName[o].dataCentre == h.dataCentre, 1)
+			h.selector.Announced(now, o, byName[o].dataCentre == h.dataCentre, 1)
 		}
-		h.plan.Done(now, peer, fetch.Busy)
+		h.selector.Done(now, peer, fetch.Busy)
 		return
 	}
 	source.linkFreeAt = max(source.linkFreeAt, now) + time.Duration(s.documentBytes)*second/linkBytesPerSecond
--- a/internal/decide/membership/doc.go
+++ b/internal/decide/membership/doc.go
@@ -3,7 +3,7 @@
 // those that do not answer, and sends member updates along with the probes. It
 // is a pure state machine: ticks, answers and peers' updates go in, actions for
 // the network come out. It has no clock, no goroutine and no network; time is
-// an argument, counted from any fixed start.
+// an argument, counted from the start of the process.
 //
 // It tolerates processes that die, pause and resume late, are replaced at the
 // same address, or are cut off from each other while both sides keep running.
--- a/internal/decide/membership/graph_test.go
+++ b/internal/decide/membership/graph_test.go
@@ -137,7 +137,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := newCore(0, 1)
+			c := newNode(0, 1)
 			c.Published(0, peers(n))
 			for i := range n {
 				c.Merge(0, []membership.Member{{Address: address(i), Incarnation: 1, DataCentre: dataCentre(i)}})
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -50,7 +50,7 @@
 	return out
 }
 
-func newCore(i int, incarnation uint64) *membership.Core {
+func newNode(i int, incarnation uint64) *membership.Core {
 	return membership.New(membership.Config{Seed: uint64(i), Self: membership.Member{
 		Address: address(i), Incarnation: incarnation, DataCentre: dataCentre(i)}})
 }
@@ -59,7 +59,7 @@
 func newFleet(n int) *fleet {
 	f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 	for i := range n {
-		c := newCore(i, 1000)
+		c := newNode(i, 1000)
 		c.Published(0, peers(n))
 		f.nodes = append(f.nodes, c)
 	}
@@ -187,7 +187,7 @@
 	It("discovers all members from one seed address when the published list can't be read", func() {
 		f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 		for i := range 16 {
-			c := newCore(i, 1000)
+			c := newNode(i, 1000)
 			c.Published(0, peers(1))
 			f.nodes = append(f.nodes, c)
 		}
@@ -202,7 +202,7 @@
 		const hosts, timeLimit = 195, 6 * time.Second
 		f := newFleet(0)
 		for i := range hosts {
-			c := newCore(i, 1000)
+			c := newNode(i, 1000)
 			c.Published(0, []membership.Peer{{Address: address(0)}, {Address: address(70)}, {Address: address(140)}})
 			f.nodes = append(f.nodes, c)
 		}
@@ -315,7 +315,7 @@
 		f.down[address(7)] = true
 		f.run(20 * time.Second)
 		f.down = map[string]bool{}
-		f.nodes[7] = newCore(7, 10)
+		f.nodes[7] = newNode(7, 10)
 		f.nodes[7].Published(f.now, peers(16))
 		f.runUntil(30*time.Second, f.allSeeAllAlive)
 		Expect(f.nodes[7].Self().Incarnation).To(BeNumerically(">", 1000))
@@ -398,7 +398,7 @@
 				membership.Member{Address: address(2), Incarnation: 1, DataCentre: "dc0"}, membership.Member{Address: address(3), Incarnation: 1, DataCentre: "dc0"})
 			var views []string
 			for range 2 {
-				c := newCore(0, 5)
+				c := newNode(0, 5)
 				c.Merge(0, updates[40:])
 				rng.Shuffle(40, func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
 				c.Merge(0, updates[:40])
@@ -414,7 +414,7 @@
 	f.Add(uint64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		c, now, ownIncarnation := newCore(0, 7), time.Duration(0), uint64(7)
+		c, now, ownIncarnation := newNode(0, 7), time.Duration(0), uint64(7)
 		randomMember := func() membership.Member {
 			return membership.Member{Address: address(rng.IntN(8)), Incarnation: rng.Uint64() >> rng.IntN(64),
 				State: membership.State(rng.IntN(5)), DataCentre: dataCentre(rng.IntN(3))}
@@ -430,12 +430,12 @@
 				c.Acked(now, uint64(rng.IntN(20)), randomMember(), []membership.Member{randomMember()}, rng.Uint64())
 			case 3:
 				if got := c.Receive(now, randomMember(), []membership.Member{randomMember(), randomMember()}); len(got) > 12 {
-					t.Fatalf("%d members in one message", len(got))
+					t.Fatalf("%d members in one message, more than the limit of 12", len(got))
 				}
 			default:
 				for _, a := range c.Tick(now) {
 					if a.To == address(0) || len(a.Updates) > 12 {
-						t.Fatalf("action %+v", a)
+						t.Fatalf("action to this process itself or with more than 12 updates: %+v", a)
 					}
 				}
 			}
@@ -447,7 +447,7 @@
 				t.Fatalf("view has %d members, but there are only 8 addresses", len(v.Members))
 			}
 		}
-		other := newCore(0, 7)
+		other := newNode(0, 7)
 		other.Merge(0, c.All())
 		if c.Self().Incarnation == other.Self().Incarnation && c.Digest() != other.Digest() {
 			t.Fatal("the digest differs from that of another state machine with the same members")
@@ -470,7 +470,7 @@
 				f.sentMessages, f.sentMembers, f.syncs = 0, 0, 0
 				start, simulatedStart := time.Now(), f.now
 				for i := range restarts {
-					f.nodes[i%n] = newCore(i%n, uint64(2000+i))
+					f.nodes[i%n] = newNode(i%n, uint64(2000+i))
 					f.nodes[i%n].Published(f.now, peers(n))
 					f.run(25 * time.Second)
 				}
