--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -5,31 +5,32 @@
 	"filbertdeck/internal/directory"
 )
 
-// backup is a copy of a generation's memory that another engine keeps as it
-// grows.
+// backup is a copy of a generation's memory that another engine keeps up to
+// date while the generation runs.
 type backup struct {
-	*copied
-	place *Place
+	*memoryCopy
+	reservation *Reservation
 }
 
 func (b *backup) release() {
 	if b != nil {
-		b.place.Release()
+		b.reservation.Release()
 	}
 }
 
-// cover gives a sending a backup while some engine has room to keep one; nil
-// when it gets none. Generations that another run may go on with need none.
-func (gen *generation) cover(s *call.Send, target *directory.Seen) *backup {
+// placeBackup selects an engine with room to keep a backup of the generation
+// and names it in the send; nil when there is none. Generations that a new run
+// may continue need no backup.
+func (gen *generation) placeBackup(s *call.Send, target *directory.Seen) *backup {
 	if e := gen.service.Engine; e == nil || !e.Backups || gen.route.Resumable {
 		return nil
 	}
-	keeper, kept, ok := gen.g.cfg.Loads.Keep(gen.g.view(), gen.Prompt, target)
+	backupTarget, reservation, ok := gen.g.cfg.Loads.ReserveBackup(gen.g.view(), gen.Prompt, target)
 	if !ok {
 		return nil
 	}
-	s.Backup = keeper.Address
-	// A backup lies at the engine that keeps it, under the request's id.
-	copy := &copied{at: keeper, handoff: call.Handoff{From: keeper.Address, Handle: gen.ID}}
-	return &backup{copied: copy, place: kept}
+	s.Backup = backupTarget.Address
+	// The backup is stored at the engine that keeps it, under the request's id.
+	memory := &memoryCopy{target: backupTarget, handoff: call.Handoff{From: backupTarget.Address, Handle: gen.ID}}
+	return &backup{memoryCopy: memory, reservation: reservation}
 }
--- /dev/null
+++ b/internal/gateway/candidate.go
@@ -0,0 +1,192 @@
+package gateway
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/directory"
+	"filbertdeck/internal/wake"
+)
+
+// ColdBound limits the requests per second that all hosts together send to a
+// cold target: the service's cold rate times Factor, plus Extra.
+type ColdBound struct {
+	Factor, Extra float64
+	// Rank returns this host's rank for a target among the hosts, and the
+	// number of hosts.
+	Rank func(target string) (rank, hosts int)
+}
+
+// BoundCold sets the limit for cold targets. Without it cold targets are
+// treated like warm ones.
+func (l *Loads) BoundCold(b ColdBound) { l.coldBound = b }
+
+const (
+	// failurePenaltyDuration is how long a failure counts against a target: until
+	// the next failure of a target that fails only a part of its requests.
+	failurePenaltyDuration = 4 * time.Second
+	// penaltyPerFailure is added to the relative load of a target for each
+	// failure, up to maxFailurePenalty.
+	penaltyPerFailure, maxFailurePenalty = 0.25, 1.0
+	// unreachableDuration is how long an unreachable target is avoided while
+	// there are others. One that left while the configuration store was
+	// unavailable stays listed for seconds, and one that crashed is back after
+	// some seconds.
+	unreachableDuration = 2 * time.Second
+	// coldPenalty is added to the relative load of a cold target, which is slow
+	// and joins empty.
+	coldPenalty = 0.2
+	// coldAfterUnreachable is how long a target counts as cold after it could
+	// not be reached: it may have restarted without the restart being
+	// published.
+	coldAfterUnreachable = 5 * time.Second
+	// unreachablePenalty exceeds any load.
+	unreachablePenalty = 100
+)
+
+// Locality holds the penalties by which a selection prefers or avoids data
+// centres.
+type Locality struct {
+	// preferred is the data centre whose targets get no remotePenalty; empty
+	// means this host's.
+	preferred     string
+	remotePenalty float64
+	// excludedPenalty is added for targets in the data centre excluded, where a
+	// copy should not be placed; empty means none.
+	excluded        string
+	excludedPenalty float64
+}
+
+// AvoidDataCentre prefers targets outside a data centre, so that its loss does
+// not take the copy as well.
+func AvoidDataCentre(dataCentre string) Locality {
+	return Locality{remotePenalty: placement.RemoteCharge, excluded: dataCentre, excludedPenalty: placement.RemoteCopyCharge}
+}
+
+// PreferLocal prefers this host's data centre only between targets of about
+// equal load.
+var PreferLocal = Locality{remotePenalty: placement.RemoteCharge}
+
+// PreferDataCentre prefers a data centre unless its targets are much more
+// loaded: copies to another data centre take twice as long.
+func PreferDataCentre(dataCentre string) Locality {
+	return Locality{preferred: dataCentre, remotePenalty: placement.RemoteCopyCharge}
+}
+
+// coldRate returns the requests per second that a target takes while it is
+// cold, 0 when it is not.
+func (l *Loads) coldRate(view *directory.View, t *directory.Seen) float64 {
+	s, ok := view.Service(t.Service)
+	if !ok || s.ColdRate <= 0 || l.coldBound.Rank == nil {
+		return 0
+	}
+	if l.now() < t.ColdUntil || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
+		return s.ColdRate
+	}
+	return 0
+}
+
+// coldShare returns this host's share of the requests per second to a cold
+// target.
+func (l *Loads) coldShare(target string, rate float64) int {
+	rank, hosts := l.coldBound.Rank(target)
+	return coldshare.Part(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
+}
+
+// RecordFailure records that a target failed a request through its own fault.
+func (l *Loads) RecordFailure(target string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.loadOf(target)
+	if l.now()-t.failedAt > failurePenaltyDuration {
+		t.failures = 0
+	}
+	t.failures++
+	t.failedAt = l.now()
+}
+
+// RecordBrokenRequest records that a target broke off a request, and tells
+// other hosts. Well-formed failure answers are not told to them, since some
+// requests fail at every target.
+func (l *Loads) RecordBrokenRequest(target string) {
+	l.RecordFailure(target)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.alerts.AddFailure(l.now(), target)
+	wake.Signal(l.alertsChanged)
+}
+
+// RecordUnreachable records that a target could not be reached.
+func (l *Loads) RecordUnreachable(target string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.loadOf(target).unreachableAt = l.now()
+}
+
+// eligible returns the targets of a service that accept a request now.
+func (l *Loads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
+	var out targetCandidates
+	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Usual()
+	for _, t := range view.Pool(req.Service) {
+		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
+			continue
+		}
+		out = append(out, targetCandidate{l.newCandidate(view, t, req.Locality, sums[t.ID].Others, defaultStep), t})
+	}
+	return out
+}
+
+// acceptsRequest reports whether a target accepts a request according to the
+// published state.
+func acceptsRequest(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
+	return view.TakesNew(t) && !slices.Contains(req.Exclude, t.ID)
+}
+
+// acceptsIgnoringRate reports whether a target accepts a request, leaving its
+// advertised rate aside.
+func (l *Loads) acceptsIgnoringRate(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
+	return acceptsRequest(view, req, t) && !l.isLeavingLocked(t.ID) && l.withinColdShare(view, t)
+}
+
+// withinColdShare reports whether this host may send a target one more request
+// now: a cold target takes this host's share of its cold rate.
+func (l *Loads) withinColdShare(view *directory.View, t *directory.Seen) bool {
+	rate := l.coldRate(view, t)
+	return rate == 0 || l.loadOf(t.ID).coldGate.Open(l.now(), l.coldShare(t.ID, rate))
+}
+
+// newCandidate returns the placement candidate for a target. others is the load
+// that other hosts have there, defaultStep the time per token assumed for
+// engines without measurements.
+func (l *Loads) newCandidate(view *directory.View, t *directory.Seen, locality Locality, others loadshare.Load, defaultStep time.Duration) placement.Candidate {
+	own := l.loadOf(t.ID)
+	all := own.Plus(others)
+	c := placement.Candidate{
+		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.Tokens, Copies: all.Copies, Unread: all.Unread,
+		Step: cmp.Or(l.speeds.Step(t.ID), defaultStep),
+	}
+	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
+		c.Memory = s.Engine.MemoryTokens
+	}
+	if l.now()-own.failedAt < failurePenaltyDuration {
+		c.Penalty = min(float64(own.failures)*penaltyPerFailure, maxFailurePenalty)
+	}
+	c.Penalty += l.accusers.Penalty(l.now(), t.ID)
+	if l.coldRate(view, t) > 0 {
+		c.Penalty += coldPenalty
+	}
+	if l.now()-own.unreachableAt < unreachableDuration {
+		c.Penalty += unreachablePenalty
+	}
+	if t.DataCentre != cmp.Or(locality.preferred, l.dataCentre) {
+		c.Penalty += locality.remotePenalty
+	}
+	if t.DataCentre == locality.excluded {
+		c.Penalty += locality.excludedPenalty
+	}
+	return c
+}
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -23,9 +23,10 @@
 		return directory.NewView(1, cfg, targets, nil)
 	}
 
-	// An engine joins cold and empty beside one that is half full. All hosts
-	// send it what they have, it falls over and joins again.
-	It("get this host's part of what they bear in a second, however empty they are", func() {
+	// An engine joins cold and empty beside one that is half full. Guards
+	// against all hosts sending it what they have, which makes it fail and join
+	// again.
+	It("get this host's share of their cold rate, however empty they are", func() {
 		now := time.Duration(0)
 		loads := gateway.NewLoads("host-1", "dc-1", func() time.Duration { return now })
 		loads.BoundCold(gateway.ColdBound{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 4 }})
@@ -34,26 +35,26 @@
 		}
 		sent := map[string]int{}
 		for range 20 {
-			t, _, ok := loads.Acquire(view(time.Minute), gateway.Wanted{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Near: gateway.Anywhere})
+			t, _, ok := loads.Acquire(view(time.Minute), gateway.PlacementRequest{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Locality: gateway.PreferLocal})
 			Expect(ok).To(BeTrue())
 			sent[t.ID]++
 		}
 		Expect(sent["cold"]).To(Equal(2))
 		now = 2 * time.Second
-		t, _, _ := loads.Acquire(view(time.Minute), gateway.Wanted{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Near: gateway.Anywhere})
+		t, _, _ := loads.Acquire(view(time.Minute), gateway.PlacementRequest{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Locality: gateway.PreferLocal})
 		Expect(t.ID).To(Equal("cold"))
-		t, _, _ = loads.Acquire(view(time.Second), gateway.Wanted{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Near: gateway.Anywhere})
+		t, _, _ = loads.Acquire(view(time.Second), gateway.PlacementRequest{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Locality: gateway.PreferLocal})
 		Expect(t.ID).To(Equal("cold"))
 	})
 
-	It("are passed over while others are about as empty", func() {
+	It("are avoided while others are about as empty", func() {
 		loads := gateway.NewLoads("host-1", "dc-1", func() time.Duration { return 0 })
 		loads.BoundCold(gateway.ColdBound{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 4 }})
-		loads.Hold("warm", call.Prompt{Tokens: 100}).Started()
+		loads.Hold("warm", call.Prompt{Tokens: 100}).PromptRead()
 		for range 10 {
-			t, place, _ := loads.Acquire(view(time.Minute), gateway.Wanted{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Near: gateway.Anywhere})
+			t, reservation, _ := loads.Acquire(view(time.Minute), gateway.PlacementRequest{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Locality: gateway.PreferLocal})
 			Expect(t.ID).To(Equal("warm"))
-			place.Release()
+			reservation.Release()
 		}
 	})
 })
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -11,7 +11,7 @@
 	"filbertdeck/internal/directory"
 )
 
-// exchange is one caller's request on its way.
+// exchange is one caller's request and the state of relaying it.
 type exchange struct {
 	*call.Request
 	w       http.ResponseWriter
@@ -19,39 +19,43 @@
 	route   *directory.Route
 	service *directory.Service
 	account *directory.Account
-	// deadline is when the caller gets its final answer at the latest.
+	// deadline is the time by which the caller gets its final answer.
 	deadline time.Time
-	// fingerprint names the request over its attempts.
+	// fingerprint identifies the request across attempts.
 	fingerprint uint64
 }
 
-// basis is what a target was chosen by.
-type basis struct {
-	// view is what was published as far as this host knew.
+// selectionState records the state from which a target was selected, for the
+// logs.
+type selectionState struct {
+	// view is the newest published state known to this host.
 	view *directory.View
-	// age is how long before the choice it was known that nothing newer had been
-	// published; negative when it never was.
-	age time.Duration
-	at  time.Time
-	// waited is the time from the choice until the first byte was sent.
-	waited atomic.Int64
+	// viewAge is the time from the last confirmation that view was the newest
+	// published state to the selection; negative when it was never confirmed.
+	viewAge    time.Duration
+	selectedAt time.Time
+	// sendDelayNanos is the time in nanoseconds from the selection until the
+	// first byte was sent.
+	sendDelayNanos atomic.Int64
 }
 
-// basis gives what a target is chosen by now.
-func (g *Gateway) basis() *basis { return &basis{view: g.view(), age: g.cfg.Age(), at: time.Now()} }
+// selectionState returns the state from which a target is selected now.
+func (g *Gateway) selectionState() *selectionState {
+	return &selectionState{view: g.view(), viewAge: g.cfg.Age(), selectedAt: time.Now()}
+}
 
-// sent notes that the first byte is sent.
-func (b *basis) sent() { b.waited.Store(int64(time.Since(b.at))) }
+// recordSend records that the first byte is sent.
+func (s *selectionState) recordSend() { s.sendDelayNanos.Store(int64(time.Since(s.selectedAt))) }
 
-// LogValue gives what a log line says of the basis.
-func (b *basis) LogValue() slog.Value {
+// LogValue returns the attributes for a log line.
+func (s *selectionState) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Uint64("revision", b.view.Revision), slog.Duration("age", b.age), slog.Duration("waited", time.Duration(b.waited.Load())),
+		slog.Uint64("revision", s.view.Revision), slog.Duration("age", s.viewAge), slog.Duration("waited", time.Duration(s.sendDelayNanos.Load())),
 	)
 }
 
-// send makes a sending of the request to a target.
-func (x *exchange) send(target *directory.Seen) *call.Send {
+// newSend returns a send of the request to a target.
+func (x *exchange) newSend(target *directory.Seen) *call.Send {
 	s := &call.Send{Request: x.Request, Target: target.Target, Left: time.Until(x.deadline), Priority: -1}
 	if x.account != nil {
 		s.Account = x.account.Name
@@ -62,20 +66,21 @@
 	return s
 }
 
-// priority is the account's where it has one, else the route's.
+// priority returns the account's priority if it has one, else the route's.
 func (x *exchange) priority() int {
 	p := x.route.Priority
 	if x.account != nil && x.account.Priority != nil {
 		p = *x.account.Priority
 	}
-	return min(max(p, 0), mostPriority)
+	return min(max(p, 0), lowestPriority)
 }
 
-// mostPriority is the least urgent rank that targets know.
-const mostPriority = 9
+// lowestPriority is the least urgent priority that targets support; 0 is the
+// most urgent.
+const lowestPriority = 9
 
-// budgetKey names the service alone: the bound on sending again is a
-// service's.
+// budgetKey returns the key of the retry budget, which limits the retries to a
+// service.
 func (x *exchange) budgetKey() retrybudget.Key {
 	return retrybudget.Key{Account: accountName(x.account), Service: x.service.Name}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway relays callers' requests to targets as operators route them:
-// byte for byte, each at most as often as its route allows, and with one
-// honest answer.
+// Package gateway relays callers' HTTP requests to targets along the routes
+// that operators configure. It passes requests and answers on byte for byte,
+// sends each request at most as often as its route allows, and reports
+// truthfully whether a failed request was executed.
 //
-// It serves deployments whose callers speak to targets directly, through
-// routes by host and path prefix; internal/entry serves the product's own
-// completions interface.
+// It serves deployments whose callers address targets directly, with routes by
+// host and path prefix. internal/entry serves the product's own completions
+// API.
 package gateway
 
 import (
@@ -27,111 +28,119 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// Figures of the relaying.
+// Retry delays, as told to callers, and time limits of relaying.
 const (
-	// notReadyRetry is told when this host's knowledge may be out of date: the
-	// next try meets another host, and the news travel in tenths of a second.
-	notReadyRetry = 300 * time.Millisecond
-	// strangerRetry is told to callers of a process that knows no configuration
-	// although it takes callers: neither the store nor a peer could tell it one,
-	// so all hosts were replaced while the store was away. A second refusal
-	// costs callers their last try; the store is back after seconds.
-	strangerRetry = 2 * time.Second
-	// patienceShare is the part of the time that a client has left which it may
-	// be told to wait at most, so that coming back still makes sense.
-	patienceShare = 3
-	// noTargetRetry is told when no target may get the request: entries that
-	// lapsed are back within about two seconds, an engine that left is
-	// replaced within a few.
-	noTargetRetry = time.Second
-	// stoppingRetry is told when the process stops: the next try meets another
-	// host, which can serve it at once.
-	stoppingRetry = 20 * time.Millisecond
-	// unreachedRetry is told when no target could be reached: the targets'
-	// entries are replaced within a second, and the next try meets another host.
-	unreachedRetry = 500 * time.Millisecond
-	// answerMargin is kept of a client's patience for the way back.
-	answerMargin = 10 * time.Millisecond
-	// defaultPatience stands in for clients that name no time to wait on
-	// routes without a timeout.
-	defaultPatience = time.Minute
+	// notReadyRetryAfter is returned when this host's configuration may be out
+	// of date. The caller's next try reaches another host, and configuration
+	// changes spread within tenths of a second.
+	notReadyRetryAfter = 300 * time.Millisecond
+	// noConfigRetryAfter is returned by a process that has no configuration:
+	// neither the configuration store nor a peer could provide one, because all
+	// hosts were replaced while the store was unavailable. The store is back
+	// after seconds, and a second refusal would use up the caller's last try.
+	noConfigRetryAfter = 2 * time.Second
+	// maxRetryAfterDivisor divides the time that a client has left; the
+	// quotient is the longest Retry-After it is given, so that it still has
+	// time for another try.
+	maxRetryAfterDivisor = 3
+	// noTargetRetryAfter is returned when no target accepts the request.
+	// Directory entries that expired are back within about two seconds, and an
+	// engine that left is replaced within a few.
+	noTargetRetryAfter = time.Second
+	// stoppingRetryAfter is returned while the process shuts down. The caller's
+	// next try reaches another host, which can serve it at once.
+	stoppingRetryAfter = 20 * time.Millisecond
+	// unreachedRetryAfter is returned when no target could be reached. The
+	// directory entries of the targets are replaced within a second, and the
+	// next try reaches another host.
+	unreachedRetryAfter = 500 * time.Millisecond
+	// deadlineMargin is subtracted from a client's timeout to leave time for
+	// returning the answer.
+	deadlineMargin = 10 * time.Millisecond
+	// defaultTimeout applies to clients that send no timeout, on routes without
+	// one.
+	defaultTimeout = time.Minute
 )
 
-// Config holds what a gateway works with.
+// Config holds the settings and dependencies of a gateway.
 type Config struct {
 	Dialect call.Dialect
 	Engines call.Engines
 	Board   *published.Board
 	Loads   *Loads
 	Budget  *retrybudget.Budget
-	// Suspects are requests that crash targets.
+	// Suspects records the requests that crash targets.
 	Suspects *Suspects
 	Client   *targetclient.Once
-	// Migration decides how generations leave an engine.
+	// Migration decides how generations are moved off an engine that stops.
 	Migration migration.Config
 	Log       *slog.Logger
 	Metrics   gometrics.Registry
-	// Current tells whether what is on the board is new enough to say that
-	// something does not exist.
+	// Current reports whether the published state on the board is recent enough
+	// to answer that a route or key does not exist.
 	Current func() bool
-	// Age tells how long ago it was known that nothing newer had been published
-	// than is on the board; negative when it never was.
+	// Age returns the time since the state on the board was last confirmed to
+	// be the newest published one; negative when it never was.
 	Age func() time.Duration
-	// Blind tells whether this host can't know what is published by now.
+	// Blind reports whether this host has no way to learn what is currently
+	// published.
 	Blind func() bool
-	// Now is the steady clock of the process.
+	// Now returns the time of the process's monotonic clock.
 	Now func() time.Duration
 }
 
-// Gateway answers callers. It is an http.Handler, safe for concurrent use.
+// Gateway is the http.Handler that relays callers' requests. It is safe for
+// concurrent use.
 type Gateway struct {
-	cfg    Config
-	meters *meters
-	runs   *runs
-	pace   pace
-	// stop is set once the process stops.
-	stop atomic.Pointer[stopTimes]
+	cfg         Config
+	metrics     *gatewayMetrics
+	generations *generationSet
+	streamTimes streamTimes
+	// shutdown is set once the process shuts down.
+	shutdown atomic.Pointer[shutdownTimes]
 }
 
-// New returns a gateway.
+// New returns a Gateway and registers its metrics in cfg.Metrics.
 func New(cfg Config) *Gateway {
-	g := &Gateway{cfg: cfg, meters: newMeters(cfg.Metrics), runs: newRuns()}
-	running := func() int64 { return int64(g.runs.count()) }
+	g := &Gateway{cfg: cfg, metrics: newGatewayMetrics(cfg.Metrics), generations: newGenerationSet()}
+	running := func() int64 { return int64(g.generations.count()) }
 	_ = cfg.Metrics.Register("gateway.generations", gometrics.NewFunctionalGauge(running))
-	_ = cfg.Metrics.Register("gateway.targets_limited", gometrics.NewFunctionalGauge(cfg.Loads.limitedCount))
+	_ = cfg.Metrics.Register("gateway.targets_limited", gometrics.NewFunctionalGauge(cfg.Loads.rateLimitedCount))
 	return g
 }
 
-// stopTimes say how a process stops.
-type stopTimes struct{ lastRun, gone time.Time }
+// shutdownTimes holds the times of a process shutdown.
+type shutdownTimes struct{ lastStart, exit time.Time }
 
-// StopBy says that the process stops: it begins no generation after lastRun
-// and will be gone at a time.
-func (g *Gateway) StopBy(lastRun, gone time.Time) { g.stop.Store(&stopTimes{lastRun, gone}) }
+// StopBy announces that the process shuts down: it starts no generation after
+// lastStart and exits at exit.
+func (g *Gateway) StopBy(lastStart, exit time.Time) {
+	g.shutdown.Store(&shutdownTimes{lastStart, exit})
+}
 
-// stoppingBefore tells whether the process will most likely be gone before a
-// generation has ended. It would be cut, and may run only once: better that
-// its caller tries another host at once. Estimates of lengths are far off now
-// and then, so late in a stop no generation is begun at all.
-func (g *Gateway) stoppingBefore(x *exchange) bool {
-	stop := g.stop.Load()
-	if stop == nil || x.service.Engine == nil {
+// exitsBeforeEnd reports whether the process is likely to exit before a
+// generation has ended. The generation would be cut off and may run only once,
+// so its caller should try another host at once. Length estimates are sometimes
+// far off, so after lastStart no generation is started at all.
+func (g *Gateway) exitsBeforeEnd(x *exchange) bool {
+	shutdown := g.shutdown.Load()
+	if shutdown == nil || x.service.Engine == nil {
 		return false
 	}
 	now := time.Now()
-	return now.After(stop.lastRun) || now.Add(g.pace.expect(x.Prompt, x.service.Engine.TokensPerEvent)).After(stop.gone)
+	return now.After(shutdown.lastStart) || now.Add(g.streamTimes.expectedDuration(x.Prompt, x.service.Engine.TokensPerEvent)).After(shutdown.exit)
 }
 
-// view gives what is published by now. A request keeps the route and account
-// that it began with; where it is sent follows what is published at each send:
-// a second one may come seconds later, when its target has left.
+// view returns the state published most recently. A request keeps the route and
+// account that it was admitted with, but each send selects its target from the
+// current view: a retry may come seconds later, when the first target has left.
 func (g *Gateway) view() *directory.View { return g.cfg.Board.View.Get() }
 
-// ServeHTTP relays one request.
+// ServeHTTP relays one request to a target of its route.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	view := g.view()
-	limit := int64(defaultBodyLimit)
+	limit := int64(defaultBodyLimitBytes)
 	if view != nil && view.Config != nil && view.Config.Limits.BodyBytes > 0 {
 		limit = view.Config.Limits.BodyBytes
 	}
@@ -153,61 +162,62 @@
 	ctx, cancel := context.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
 	if x.route.Kind == directory.Generation {
-		g.generate(ctx, x)
+		g.relayGeneration(ctx, x)
 		return
 	}
-	g.plain(ctx, x)
+	g.relayPlain(ctx, x)
 }
 
-// readBody reads all of a body: it may have to be sent again, and a target
-// must never get less of it than the caller sent.
+// readBody reads the whole body: it may have to be sent again, and a target
+// must never receive less than the caller sent.
 func readBody(r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindBadRequest, "the request's body was cut")
+		return nil, failure.Wrap(err, failure.KindBadRequest, "reading the request body failed")
 	}
 	if int64(len(body)) > limit {
-		return nil, failure.New(failure.KindBodyTooLarge, "the request's body is longer than %d bytes", limit)
+		return nil, failure.New(failure.KindBodyTooLarge, "the request body is longer than %d bytes", limit)
 	}
 	return body, nil
 }
 
-// defaultBodyLimit holds while operators name none.
-const defaultBodyLimit = 4 << 20
+// defaultBodyLimitBytes applies when the configuration sets no limit.
+const defaultBodyLimitBytes = 4 << 20
 
-// admit finds the request's route and account.
+// admit sets the request's route, account, service and deadline, or returns the
+// reason to refuse it.
 func (g *Gateway) admit(x *exchange) error {
 	if x.view == nil || x.view.Config == nil {
-		return failure.New(failure.KindNotReady, "no configuration is known yet").After(strangerRetry)
+		return failure.New(failure.KindNotReady, "no configuration is known yet").After(noConfigRetryAfter)
 	}
 	var found bool
 	if x.route, found = x.view.Route(x.Host, x.Path); !found {
-		return g.deny(failure.New(failure.KindNotFound, "no route for this host and path"))
+		return g.denyIfCurrent(failure.New(failure.KindNotFound, "no route for this host and path"))
 	}
 	if x.view.NeedsKey(x.route) {
 		if x.account, found = x.view.Account(x.Key); !found {
-			return g.deny(failure.New(failure.KindUnauthorized, "unknown key"))
+			return g.denyIfCurrent(failure.New(failure.KindUnauthorized, "unknown key"))
 		}
 	}
-	g.meters.received(x.route.Kind)
+	g.metrics.countReceived(x.route.Kind)
 	name := x.route.Pick(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
-		return failure.New(failure.KindNoTarget, "service %q of the route is not configured", name).After(noTargetRetry)
+		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
 	}
-	patience := x.Patience
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := x.Patience
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
 	if x.route.Timeout > 0 {
-		patience = min(patience, x.route.Timeout)
+		timeout = min(timeout, x.route.Timeout)
 	}
-	x.deadline = x.Arrived.Add(patience - answerMargin)
+	x.deadline = x.Arrived.Add(timeout - deadlineMargin)
 	x.fingerprint = fingerprint(x)
-	if g.cfg.Suspects.guilty(x.fingerprint) {
-		return failure.New(failure.KindOverloaded, "the request crashed each target that ran it").After(guiltyRetry)
+	if g.cfg.Suspects.isPoison(x.fingerprint) {
+		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").After(poisonRetryAfter)
 	}
-	if x.route.Kind == directory.Generation && g.stoppingBefore(x) {
-		return failure.New(failure.KindStopping, "the process stops before the generation would end").After(stoppingRetry)
+	if x.route.Kind == directory.Generation && g.exitsBeforeEnd(x) {
+		return failure.New(failure.KindStopping, "the process is expected to exit before the generation ends").After(stoppingRetryAfter)
 	}
 	return nil
 }
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -16,290 +16,302 @@
 	"filbertdeck/internal/sse"
 )
 
-// fullRetry is told when an engine is full: a generation ends there every few
-// hundred milliseconds.
-const fullRetry = 300 * time.Millisecond
+// engineFullRetryAfter is returned when an engine is full: a generation ends
+// there every few hundred milliseconds.
+const engineFullRetryAfter = 300 * time.Millisecond
 
-// generation is one stream on its way from an engine to its caller.
+// generation is one event stream relayed from an engine to its caller.
 type generation struct {
 	*exchange
 	g   *Gateway
 	ctx context.Context
-	// begun is set once the caller has the header of the answer.
-	begun bool
-	// moves counts the engines that the generation went on at, runs those that
-	// it was sent to anew; the route bounds the latter.
-	moves, runs int
-	// failed is an engine's own failure, nil when there is none.
-	failed *whole
-	// progress is a copy of pauses for the mover.
-	progress atomic.Pointer[pauses]
+	// headerSent is set once the caller has the header of the answer.
+	headerSent bool
+	// moves counts the engines at which the generation was continued, attempts
+	// the engines that it was sent to as a new run. The route limits the
+	// latter.
+	moves, attempts int
+	// failedAnswer is an engine's own failure answer, nil when there is none.
+	failedAnswer *completeAnswer
+	// progress is a copy of gaps that is read by the goroutine moving the
+	// generation.
+	progress atomic.Pointer[eventGaps]
 	// ended is closed when the caller has its answer.
 	ended chan struct{}
 
-	// flow is held while an event is delivered, and while the generation goes
-	// over to another engine: no event of the old one may follow.
-	flow   sync.Mutex
-	pauses pauses
-	// lastID is the id of the last whole event that the caller got.
-	lastID string
-	// next is where the generation goes on once the current leg ends.
-	next *leg
-	// over is set once no leg will be relayed any more.
-	over bool
+	// deliveryMu is held while an event is delivered and while the generation
+	// switches to another engine: no event of the old engine may follow the
+	// switch.
+	deliveryMu sync.Mutex
+	gaps       eventGaps
+	// lastEventID is the id of the last whole event that the caller got.
+	lastEventID string
+	// nextStream is the stream that continues the generation once the current
+	// one ends.
+	nextStream *engineStream
+	// closed is set once no further stream will be relayed.
+	closed bool
 
 	mu sync.Mutex
-	// at is the target where the generation runs.
-	at *directory.Seen
-	// cancelLeg ends the stream from there.
-	cancelLeg context.CancelFunc
-	// backup keeps a copy of the generation's memory, nil when none does.
+	// target is the target where the generation runs.
+	target *directory.Seen
+	// cancelStream ends the stream from target.
+	cancelStream context.CancelFunc
+	// backup is the backup of the generation's memory, nil when there is none.
 	backup *backup
-	// move is the move away from there, in progress or done; nil when there is
+	// move is the move away from target, in progress or done; nil when there is
 	// none.
 	move *move
 }
 
-// leg is one engine's part of a stream.
-type leg struct {
-	target *directory.Seen
-	resp   *http.Response
-	place  *Place
-	cancel context.CancelFunc
-	backup *backup
-	// end says whether the engine's part came to its end.
-	end func(finished bool)
+// engineStream is the part of a generation's stream that one engine produces.
+type engineStream struct {
+	target      *directory.Seen
+	resp        *http.Response
+	reservation *Reservation
+	cancel      context.CancelFunc
+	backup      *backup
+	// endAttempt records whether the engine finished its part.
+	endAttempt func(finished bool)
 }
 
-func (l *leg) close(finished bool) {
-	l.end(finished)
-	l.cancel()
-	_ = l.resp.Body.Close()
-	l.place.Release()
-	l.backup.release()
+func (s *engineStream) close(finished bool) {
+	s.endAttempt(finished)
+	s.cancel()
+	_ = s.resp.Body.Close()
+	s.reservation.Release()
+	s.backup.release()
 }
 
-// The ends of a leg that are no failures.
+// Reasons for the end of an engine's stream that are not failures of the
+// stream.
 var (
-	// errEnded marks the regular end of a stream.
-	errEnded = failure.New(failure.KindInternal, "the stream has ended")
-	// errMoved marks the end of a leg whose generation goes on elsewhere.
-	errMoved = failure.New(failure.KindInternal, "the generation has moved")
-	// errAnswered says that the engine's own failure is the answer.
-	errAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").Ran()
+	// errStreamEnded marks the regular end of a stream.
+	errStreamEnded = failure.New(failure.KindInternal, "the stream has ended")
+	// errGenerationMoved marks the end of a stream whose generation continues
+	// at another engine.
+	errGenerationMoved = failure.New(failure.KindInternal, "the generation was moved")
+	// errEngineAnswered marks that the engine's own failure is the answer to
+	// the caller.
+	errEngineAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").Ran()
 )
 
-// generate relays a generation.
-func (g *Gateway) generate(ctx context.Context, x *exchange) {
+// relayGeneration relays a generation.
+func (g *Gateway) relayGeneration(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
 	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
-	g.runs.add(gen)
-	defer g.runs.remove(gen)
-	l, err := gen.start()
-	for l != nil {
-		err = gen.relay(l)
-		if err != errEnded && err != errMoved {
-			gen.g.blame(gen.ctx, l.target, err)
+	g.generations.add(gen)
+	defer g.generations.remove(gen)
+	stream, err := gen.start()
+	for stream != nil {
+		err = gen.relay(stream)
+		if err != errStreamEnded && err != errGenerationMoved {
+			gen.g.recordFailure(gen.ctx, stream.target, err)
 		}
-		l.close(err == errEnded)
-		if err == errEnded || ctx.Err() != nil {
+		stream.close(err == errStreamEnded)
+		if err == errStreamEnded || ctx.Err() != nil {
 			break
 		}
-		l, err = gen.goOn(err)
+		stream, err = gen.continueElsewhere(err)
 	}
-	gen.end()
+	gen.closeNextStream()
 	gen.finish(err)
 }
 
-// start sends the request to an engine, to another one when the first did not
-// run it and the route allows that.
-func (gen *generation) start() (*leg, error) {
-	var avoid []string
-	var last error
-	var t tries
+// start sends the request to an engine, and to another one when the first did
+// not run it and the route allows a retry.
+func (gen *generation) start() (*engineStream, error) {
+	var exclude []string
+	var lastErr error
+	var counts attemptCounts
 	for {
-		by := gen.g.basis()
-		target, place, ok := gen.g.cfg.Loads.Acquire(by.view, gen.wanted(avoid))
+		selection := gen.g.selectionState()
+		target, reservation, ok := gen.g.cfg.Loads.Acquire(selection.view, gen.placementRequest(exclude))
 		if !ok {
 			break
 		}
-		gen.enter(target, nil, nil)
+		gen.setTarget(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
-			"tokens", tokensOf(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", by, "tries", t.sent+t.unsent+1,
-			"running", place.chosen.Running, "promised", place.chosen.Tokens, "unread", place.chosen.Unread, "step", place.chosen.Step)
-		l, err := gen.open(gen.send(target), target, place, by)
+			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
+			"running", reservation.candidate.Running, "promised", reservation.candidate.Tokens, "unread", reservation.candidate.Unread, "step", reservation.candidate.Step)
+		stream, err := gen.openStream(gen.newSend(target), target, reservation, selection)
 		if err == nil {
-			gen.opened(l)
-			gen.runs++
-			return l, nil
+			gen.setStream(stream)
+			gen.attempts++
+			return stream, nil
 		}
-		last = err
-		t.add(err)
-		gen.runs = t.sent
-		if !gen.g.again(gen.ctx, gen.exchange, true, err, t) {
+		lastErr = err
+		counts.add(err)
+		gen.attempts = counts.sent
+		if !gen.g.shouldRetry(gen.ctx, gen.exchange, true, err, counts) {
 			break
 		}
-		avoid = append(avoid, target.ID)
+		exclude = append(exclude, target.ID)
 	}
-	if last == nil {
-		last = gen.g.noTarget(gen.wanted(avoid))
+	if lastErr == nil {
+		lastErr = gen.g.noTargetError(gen.placementRequest(exclude))
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// wanted is what a new run of the generation wants of an engine.
-func (gen *generation) wanted(avoid []string) Wanted {
-	return Wanted{Service: gen.service.Name, Prompt: gen.Prompt, Within: gen.route.Objective, Near: Anywhere, Avoid: avoid}
+// placementRequest returns the requirements for an engine that starts a new run
+// of the generation.
+func (gen *generation) placementRequest(exclude []string) PlacementRequest {
+	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.Objective, Locality: PreferLocal, Exclude: exclude}
 }
 
-// enter notes where the generation runs; a move away from there is not begun.
-func (gen *generation) enter(target *directory.Seen, cancel context.CancelFunc, b *backup) {
+// setTarget records where the generation runs. No move away from there has
+// begun.
+func (gen *generation) setTarget(target *directory.Seen, cancel context.CancelFunc, b *backup) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	gen.at, gen.cancelLeg, gen.backup, gen.move = target, cancel, b, nil
+	gen.target, gen.cancelStream, gen.backup, gen.move = target, cancel, b, nil
 }
 
-// opened notes the stream from where the generation runs. A move away from
-// there may have begun while the prompt was read, and stays the only one.
-func (gen *generation) opened(l *leg) {
+// setStream records the stream of the target where the generation runs. A move
+// away from there may have begun while the prompt was read; it is kept, so that
+// there is only one.
+func (gen *generation) setStream(stream *engineStream) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	gen.cancelLeg, gen.backup = l.cancel, l.backup
+	gen.cancelStream, gen.backup = stream.cancel, stream.backup
 }
 
-// runsAt tells whether the generation still runs at a target.
-func (gen *generation) runsAt(target *directory.Seen) bool {
+// isAt reports whether the generation still runs at a target.
+func (gen *generation) isAt(target *directory.Seen) bool {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
-	return gen.at == target
+	return gen.target == target
 }
 
-// open sends the request to an engine and waits for the answer's header.
-func (gen *generation) open(s *call.Send, target *directory.Seen, place *Place, by *basis) (*leg, error) {
-	return gen.openWithin(0, s, target, place, by)
+// openStream sends the request to an engine and waits for the header of the
+// answer.
+func (gen *generation) openStream(s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+	return gen.openStreamWithin(0, s, target, reservation, selection)
 }
 
-// openWithin is open that waits no longer than a limit; 0 means none.
-func (gen *generation) openWithin(limit time.Duration, s *call.Send, target *directory.Seen, place *Place, by *basis) (*leg, error) {
+// openStreamWithin is openStream with a time limit; 0 means none.
+func (gen *generation) openStreamWithin(limit time.Duration, s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	ctx, cancel := context.WithCancel(gen.ctx)
 	if limit > 0 {
 		timer := time.AfterFunc(limit, cancel)
 		defer timer.Stop()
 	}
-	b := gen.cover(s, target)
-	end := gen.g.cfg.Suspects.begin(target, gen.fingerprint)
-	resp, answer, err := gen.g.open(ctx, s, by)
+	newBackup := gen.placeBackup(s, target)
+	end := gen.g.cfg.Suspects.beginRequest(target, gen.fingerprint)
+	resp, answer, err := gen.g.send(ctx, s, selection)
 	if answer.Leaving && gen.movable() {
-		gen.g.checkLeaving(target)
+		gen.g.checkClosingTarget(target)
 	}
 	if err == nil && answer.Status != http.StatusOK {
-		err = gen.failedAnswer(resp, answer)
+		err = gen.readFailedAnswer(resp, answer)
 	}
 	if err != nil {
-		gen.g.blame(ctx, target, err)
+		gen.g.recordFailure(ctx, target, err)
 		end(false)
 		cancel()
-		place.Release()
-		b.release()
+		reservation.Release()
+		newBackup.release()
 		return nil, err
 	}
-	return &leg{target: target, resp: resp, place: place, cancel: cancel, backup: b, end: end}, nil
+	return &engineStream{target: target, resp: resp, reservation: reservation, cancel: cancel, backup: newBackup, endAttempt: end}, nil
 }
 
-// failedAnswer reads an engine's own failure, to be handed to the caller when
-// no other engine makes it good. Once a caller has events, no other answer can
-// follow them.
-func (gen *generation) failedAnswer(resp *http.Response, answer call.Answer) error {
+// readFailedAnswer reads an engine's own failure answer, which is passed to the
+// caller when no other engine serves the request. Once a caller has events, no
+// other answer can follow them.
+func (gen *generation) readFailedAnswer(resp *http.Response, answer call.Answer) error {
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.KindTargetLost, "the engine's answer broke off").Unknown()
+		return failure.Wrap(err, failure.KindTargetLost, "reading the engine's answer failed").Unknown()
 	}
-	if gen.begun {
-		return failure.New(failure.KindTargetFailed, "the engine answered %d in place of going on", resp.StatusCode).Unknown()
+	if gen.headerSent {
+		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).Unknown()
 	}
-	gen.failed = &whole{Answer: answer, header: resp.Header, body: body}
-	return errAnswered
+	gen.failedAnswer = &completeAnswer{Answer: answer, header: resp.Header, body: body}
+	return errEngineAnswered
 }
 
-// relay passes events on, whole ones only, until the engine's part ends.
-func (gen *generation) relay(l *leg) error {
-	gen.begin(l.resp)
-	split := sse.NewSplitter(l.resp.Body, 0)
+// relay passes whole events on until the engine's stream ends.
+func (gen *generation) relay(stream *engineStream) error {
+	gen.writeHeader(stream.resp)
+	split := sse.NewSplitter(stream.resp.Body, 0)
 	var window enginespeed.Window
 	var block sse.Block
 	for {
 		if err := split.Next(&block); err != nil {
 			if errors.Is(err, io.EOF) {
-				return errEnded
+				return errStreamEnded
 			}
 			return err
 		}
-		l.place.Started()
+		stream.reservation.PromptRead()
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Event(gen.pauses.last); full && gen.service.Engine != nil {
-			gen.g.cfg.Loads.Stepped(l.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
+		if mean, full := window.Event(gen.gaps.last); full && gen.service.Engine != nil {
+			gen.g.cfg.Loads.RecordStep(stream.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
 }
 
-// deliver hands one event to the caller, unless the generation went over to
-// another engine, which makes the event again.
+// deliver passes one event to the caller, unless the generation has switched to
+// another engine, which produces the event again.
 func (gen *generation) deliver(block *sse.Block) error {
-	gen.flow.Lock()
-	defer gen.flow.Unlock()
-	if gen.next != nil {
-		return errMoved
+	gen.deliveryMu.Lock()
+	defer gen.deliveryMu.Unlock()
+	if gen.nextStream != nil {
+		return errGenerationMoved
 	}
 	if _, err := gen.w.Write(block.Raw); err != nil {
-		return failure.Wrap(err, failure.KindTargetLost, "the caller is gone")
+		return failure.Wrap(err, failure.KindTargetLost, "writing to the caller failed")
 	}
 	if f, ok := gen.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	gen.pauses.event(time.Since(gen.Arrived))
-	now := gen.pauses
-	gen.progress.Store(&now)
+	gen.gaps.record(time.Since(gen.Arrived))
+	gaps := gen.gaps
+	gen.progress.Store(&gaps)
 	if block.ID != nil {
-		gen.lastID = string(block.ID)
+		gen.lastEventID = string(block.ID)
 	}
 	return nil
 }
 
-// begin gives the caller the header of the first engine's answer.
-func (gen *generation) begin(resp *http.Response) {
-	if gen.begun {
+// writeHeader passes the header of the first engine's answer to the caller.
+func (gen *generation) writeHeader(resp *http.Response) {
+	if gen.headerSent {
 		return
 	}
-	gen.begun = true
+	gen.headerSent = true
 	h := gen.w.Header()
 	gen.g.cfg.Dialect.CopyHeader(h, resp.Header)
 	h.Del("Content-Length")
 	gen.w.WriteHeader(resp.StatusCode)
 }
 
-// finish ends the answer: whole, or so that it can't be taken for whole.
+// finish ends the answer: regularly when it is complete, else in a way that the
+// caller cannot take for a complete answer.
 func (gen *generation) finish(err error) {
 	switch {
-	case err == errEnded:
-		gen.g.pace.add(gen.pauses)
-		gen.g.meters.answered(gen.route.Kind, gen.pauses.last)
-		gen.g.meters.served(gen.pauses)
-		gen.g.cfg.Log.Info("generation served", "request", gen.ID, "target", gen.at.ID, "route", gen.route.Name, "account", accountName(gen.account),
-			"config", gen.view.Config.Version, "events", gen.pauses.events,
-			"moves", gen.moves, "first", gen.pauses.first, "longest_pause", gen.pauses.longest, "pause_at", gen.pauses.longestAt, "took", gen.pauses.last)
+	case err == errStreamEnded:
+		gen.g.streamTimes.add(gen.gaps)
+		gen.g.metrics.countAnswered(gen.route.Kind, gen.gaps.last)
+		gen.g.metrics.recordServed(gen.gaps)
+		gen.g.cfg.Log.Info("generation served", "request", gen.ID, "target", gen.target.ID, "route", gen.route.Name, "account", accountName(gen.account),
+			"config", gen.view.Config.Version, "events", gen.gaps.events,
+			"moves", gen.moves, "first", gen.gaps.first, "longest_pause", gen.gaps.longest, "pause_at", gen.gaps.longestEnd, "took", gen.gaps.last)
 		return
-	case !gen.begun && gen.failed != nil:
-		gen.g.answer(gen.exchange, gen.failed)
+	case !gen.headerSent && gen.failedAnswer != nil:
+		gen.g.writeAnswer(gen.exchange, gen.failedAnswer)
 		return
-	case !gen.begun:
+	case !gen.headerSent:
 		gen.g.refuse(gen.w, gen.Request, err)
 		return
 	}
-	gen.g.meters.broke(gen.ctx.Err() != nil)
-	gen.g.cfg.Log.Info("generation broke", "request", gen.ID, "target", gen.at.ID, "events", gen.pauses.events, "caller_left", gen.ctx.Err() != nil, "cause", err)
+	gen.g.metrics.countBroken(gen.ctx.Err() != nil)
+	gen.g.cfg.Log.Info("generation broke", "request", gen.ID, "target", gen.target.ID, "events", gen.gaps.events, "caller_left", gen.ctx.Err() != nil, "cause", err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -39,42 +39,43 @@
 const (
 	requestID = standin.RequestID
 	seal      = standin.Seal
-	// healthPath is where a target of the service "llm" tells its health.
+	// healthPath is the health check path of the service "llm".
 	healthPath = "/health"
 )
 
-// script is what a target does with a request that it was sent; the connection
-// is closed when it returns.
-type script func(conn net.Conn, r *http.Request)
+// connHandler answers a request that a target received; the connection is
+// closed when it returns.
+type connHandler func(conn net.Conn, r *http.Request)
 
-// target is a stand-in for one target on loopback.
-type target struct {
+// fakeTarget is a target on loopback that answers with a connHandler and
+// records its requests.
+type fakeTarget struct {
 	id, address string
 
-	mu   sync.Mutex
-	got  []*http.Request
-	body []string
+	mu       sync.Mutex
+	received []*http.Request
+	bodies   []string
 }
 
-// startTarget runs a target that follows a script.
-func startTarget(id string, do script) *target {
+// startTarget runs a target that answers with a handler.
+func startTarget(id string, handle connHandler) *fakeTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
-	t := &target{id: id, address: l.Addr().String()}
+	t := &fakeTarget{id: id, address: l.Addr().String()}
 	go func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go t.serve(conn, do)
+			go t.serve(conn, handle)
 		}
 	}()
 	return t
 }
 
-func (t *target) serve(conn net.Conn, do script) {
+func (t *fakeTarget) serve(conn net.Conn, handle connHandler) {
 	defer func() { _ = conn.Close() }()
 	r, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -85,79 +86,82 @@
 		return
 	}
 	t.mu.Lock()
-	t.got = append(t.got, r)
-	t.body = append(t.body, string(body))
+	t.received = append(t.received, r)
+	t.bodies = append(t.bodies, string(body))
 	t.mu.Unlock()
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	do(conn, r)
+	handle(conn, r)
 }
 
-func (t *target) requests() []*http.Request {
+func (t *fakeTarget) requests() []*http.Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]*http.Request(nil), t.got...)
+	return append([]*http.Request(nil), t.received...)
 }
 
-func (t *target) entry(service, dataCentre string) *directory.Seen {
+func (t *fakeTarget) directoryEntry(service, dataCentre string) *directory.Seen {
 	return &directory.Seen{Listed: true, Target: directory.Target{
 		ID: t.id, Service: service, Address: t.address, DataCentre: dataCentre, Slots: 6,
 	}}
 }
 
-// say writes an answer as it is given, with the request's id put in for ID.
-func say(text string) script {
+// respond returns a handler that writes the text as the answer, with ID
+// replaced by the request's id.
+func respond(text string) connHandler {
 	return func(conn net.Conn, r *http.Request) {
 		text := strings.ReplaceAll(text, "ID", r.Header.Get(requestID))
 		_, _ = io.WriteString(conn, strings.ReplaceAll(text, "\n", "\r\n"))
 	}
 }
 
-// deck is a gateway before some targets.
-type deck struct {
+// fixture is a running gateway with its published state and a client.
+type fixture struct {
 	url      string
-	out      *blackboard.Writer[directory.View]
+	views    *blackboard.Writer[directory.View]
 	cfg      *directory.Config
-	calls    *http.Client
+	client   *http.Client
 	loads    *gateway.Loads
 	gateway  *gateway.Gateway
 	suspects *gateway.Suspects
 	targets  []*directory.Seen
-	// blind is set while nobody can say what is published.
-	blind atomic.Bool
+	// disconnected is set while the gateway has no access to the published
+	// state.
+	disconnected atomic.Bool
 }
 
-// startDeck runs a gateway with one service "llm" or "app" and a route to each.
-func startDeck(targets ...*directory.Seen) *deck {
-	return startDeckLogging(slog.DiscardHandler, targets...)
+// startGateway runs a gateway with the services "llm" and "app" and routes to
+// them.
+func startGateway(targets ...*directory.Seen) *fixture {
+	return startGatewayWithLogs(slog.DiscardHandler, targets...)
 }
 
-// startDeckLogging is startDeck with a handler for the logs.
-func startDeckLogging(logs slog.Handler, targets ...*directory.Seen) *deck {
-	return startDeckSpeaking(platform.Dialect{}, logs, targets...)
+// startGatewayWithLogs is startGateway with a log handler.
+func startGatewayWithLogs(logs slog.Handler, targets ...*directory.Seen) *fixture {
+	return startGatewayWithDialect(platform.Dialect{}, logs, targets...)
 }
 
-// startDeckSpeaking is startDeckLogging with a dialect of the spec's own.
-func startDeckSpeaking(dialect call.Dialect, logs slog.Handler, targets ...*directory.Seen) *deck {
+// startGatewayWithDialect is startGatewayWithLogs with a given dialect.
+func startGatewayWithDialect(dialect call.Dialect, logs slog.Handler, targets ...*directory.Seen) *fixture {
 	board := &published.Board{}
-	out, err := board.View.Claim()
+	views, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	d := &deck{out: out, cfg: testConfig(), loads: gateway.NewLoads("host-1", "dc-1", now), suspects: gateway.NewSuspects(now)}
+	gw := &fixture{views: views, cfg: testConfig(), loads: gateway.NewLoads("host-1", "dc-1", now), suspects: gateway.NewSuspects(now)}
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
-		Loads: d.loads, Suspects: d.suspects, Budget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Blind: d.blind.Load, Current: func() bool { return !d.blind.Load() }, Age: func() time.Duration { return 0 },
+		Loads: gw.loads, Suspects: gw.suspects, Budget: retrybudget.New(retrybudget.Config{}),
+		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Blind: gw.disconnected.Load, Current: func() bool { return !gw.disconnected.Load() }, Age: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
-	d.gateway = g
+	gw.gateway = g
 	ctx, cancel := context.WithCancel(context.Background())
 	go g.Run(ctx)
 	server := httptest.NewServer(g)
 	DeferCleanup(func() { cancel(); server.CloseClientConnections(); server.Close() })
-	d.url, d.calls = server.URL, server.Client()
-	d.publish(targets...)
-	return d
+	gw.url, gw.client = server.URL, server.Client()
+	gw.publish(targets...)
+	return gw
 }
 
 func testConfig() *directory.Config {
@@ -182,25 +186,25 @@
 	}
 }
 
-func (d *deck) publish(targets ...*directory.Seen) {
+func (gw *fixture) publish(targets ...*directory.Seen) {
 	seen := map[string]*directory.Seen{}
 	for _, t := range targets {
 		seen[t.ID] = t
 	}
-	d.out.Publish(directory.NewView(1, d.cfg, seen, nil))
+	gw.views.Publish(directory.NewView(1, gw.cfg, seen, nil))
 }
 
-// add publishes another target beside those there are.
-func (d *deck) add(t *directory.Seen) {
-	d.targets = append(d.targets, t)
-	d.publish(d.targets...)
+// add publishes one more target beside those added before.
+func (gw *fixture) add(t *directory.Seen) {
+	gw.targets = append(gw.targets, t)
+	gw.publish(gw.targets...)
 }
 
-// crashes counts the crashes of targets that the gateway knows of.
-func (d *deck) crashes() int { return len(d.suspects.Export()) }
+// crashCount returns the number of target crashes known to the gateway.
+func (gw *fixture) crashCount() int { return len(gw.suspects.Export()) }
 
-func (d *deck) request(method, path string) *http.Request {
-	req, err := http.NewRequest(method, d.url+path, strings.NewReader("hello"))
+func (gw *fixture) request(method, path string) *http.Request {
+	req, err := http.NewRequest(method, gw.url+path, strings.NewReader("hello"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "a.example"
 	req.Header.Set("Authorization", "Bearer key-1")
@@ -208,7 +212,7 @@
 	return req
 }
 
-// result is what a caller got.
+// result is the answer that a caller received.
 type result struct {
 	status int
 	header http.Header
@@ -217,8 +221,8 @@
 	err error
 }
 
-func (d *deck) do(req *http.Request) result {
-	resp, err := d.calls.Do(req)
+func (gw *fixture) do(req *http.Request) result {
+	resp, err := gw.client.Do(req)
 	if err != nil {
 		return result{err: err}
 	}
--- /dev/null
+++ b/internal/gateway/leaving.go
@@ -0,0 +1,176 @@
+package gateway
+
+import (
+	"context"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/directory"
+)
+
+// generationSet holds the generations in progress on this host.
+type generationSet struct {
+	mu  sync.Mutex
+	all map[*generation]struct{}
+}
+
+func newGenerationSet() *generationSet { return &generationSet{all: map[*generation]struct{}{}} }
+
+func (s *generationSet) add(gen *generation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.all[gen] = struct{}{}
+}
+
+func (s *generationSet) remove(gen *generation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.all, gen)
+}
+
+func (s *generationSet) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.all)
+}
+
+func (s *generationSet) list() []*generation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]*generation, 0, len(s.all))
+	for gen := range s.all {
+		out = append(out, gen)
+	}
+	return out
+}
+
+// targets returns the engines at which movable generations of this host run.
+func (s *generationSet) targets() []*directory.Seen {
+	seen := map[string]*directory.Seen{}
+	for _, gen := range s.list() {
+		gen.mu.Lock()
+		if gen.target != nil && gen.movable() {
+			seen[gen.target.ID] = gen.target
+		}
+		gen.mu.Unlock()
+	}
+	return slices.Collect(maps.Values(seen))
+}
+
+// Run moves generations off leaving targets until ctx is done.
+func (g *Gateway) Run(ctx context.Context) {
+	ticker := time.NewTicker(disconnectedCheckInterval)
+	defer ticker.Stop()
+	var round healthCheckRound
+	for {
+		changed := g.cfg.Board.View.Changed()
+		if view := g.cfg.Board.View.Get(); view != nil {
+			g.moveFromLeavingTargets(ctx, view)
+			g.cfg.Loads.Prune(view)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed:
+		case <-g.cfg.Loads.targetLeaving:
+		case <-ticker.C:
+			round = g.checkTargets(ctx, round)
+		}
+	}
+}
+
+// healthCheckRound is this host's last round of health checks at the engines of
+// its generations.
+type healthCheckRound struct {
+	// disconnected says that the host had no access to the published state at
+	// the time at, which is of the monotonic clock.
+	disconnected bool
+	at           time.Duration
+}
+
+// checkTargets checks the health of the engines of this host's generations, to
+// learn whether they are about to stop, while the published state is out of
+// reach. An engine that is taken away while the configuration store is down is
+// gone two seconds later, with all its generations. The health answer is
+// current, while load reports are half a second old, which is a third of the
+// notice. Each check costs the engine a call, so none is made while the store
+// or a peer answers, and after the first round only some of an engine's hosts
+// check it: what one learns reaches the others a tenth of a second later.
+func (g *Gateway) checkTargets(ctx context.Context, last healthCheckRound) healthCheckRound {
+	if !g.cfg.Blind() {
+		return healthCheckRound{}
+	}
+	now := g.cfg.Now()
+	if last.disconnected && now-last.at < healthCheckInterval {
+		return last
+	}
+	for _, t := range g.generations.targets() {
+		if silence.Asks(!last.disconnected, g.cfg.Loads.HostsUsing(t.ID), rand.Float64()) {
+			go g.checkTarget(ctx, t)
+		}
+	}
+	return healthCheckRound{true, now}
+}
+
+// checkClosingTarget checks the health of a target that closes a connection. A
+// target about to stop does so, but it also closes connections at other times.
+func (g *Gateway) checkClosingTarget(t *directory.Seen) {
+	if acceptsNew(g.view(), t.Target) {
+		go g.checkTarget(context.Background(), t)
+	}
+}
+
+func (g *Gateway) checkTarget(ctx context.Context, t *directory.Seen) {
+	service, known := g.view().Service(t.Service)
+	if !known || g.cfg.Loads.Leaving(t.ID) {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
+	defer cancel()
+	health, err := g.cfg.Engines.Health(ctx, t.Address, service.HealthPath)
+	if err != nil {
+		g.cfg.Log.Debug("health check failed", "target", t.ID, "error", err)
+		return
+	}
+	if health.OK || health.Busy {
+		return
+	}
+	g.cfg.Log.Info("target says that it leaves", "target", t.ID)
+	g.cfg.Loads.SetLeaving(t.ID)
+}
+
+// moveFromLeavingTargets starts to move each generation whose target leaves.
+func (g *Gateway) moveFromLeavingTargets(ctx context.Context, view *directory.View) {
+	for _, gen := range g.generations.list() {
+		if target, m, ok := gen.beginMove(view, g.cfg.Loads); ok {
+			go gen.moveAway(ctx, target, m)
+		}
+	}
+}
+
+// movable reports whether the service's targets can copy running generations to
+// each other. Those of plain services that answer with a stream cannot.
+func (gen *generation) movable() bool {
+	e := gen.service.Engine
+	return e != nil && e.Moves
+}
+
+// beginMove begins a move if the generation's target leaves and no move was
+// begun.
+func (gen *generation) beginMove(view *directory.View, loads *Loads) (*directory.Seen, *move, bool) {
+	gen.mu.Lock()
+	defer gen.mu.Unlock()
+	if gen.target == nil || gen.move != nil || !gen.movable() {
+		return nil, nil, false
+	}
+	now, known := view.Target(gen.target.ID)
+	if known && now.Listed && !now.Leaving && !loads.Leaving(gen.target.ID) {
+		return nil, nil, false
+	}
+	gen.move = &move{done: make(chan struct{})}
+	return gen.target, gen.move, true
+}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -17,282 +17,294 @@
 	"filbertdeck/internal/wake"
 )
 
-// Loads counts what this host has running at each target and chooses targets
-// by it.
+// Loads holds the load of each target, from this host and from others, and
+// chooses targets by it.
 type Loads struct {
-	self, dataCentre string
-	now              func() time.Duration
-
-	mu    sync.Mutex
-	own   map[string]*targetLoad
-	share *loadshare.Board
-	// alerts tells which targets broke requests or are about to stop. They
-	// concern every host, loads only those that choose among the same targets.
+	address, dataCentre string
+	now                 func() time.Duration
+
+	mu        sync.Mutex
+	byTarget  map[string]*targetLoad
+	hostLoads *loadshare.Board
+	// alerts holds which targets broke requests or are about to stop. All hosts
+	// need alerts, while loads concern only the hosts that choose among the
+	// same targets.
 	alerts *loadshare.Board
-	speed  *enginespeed.Board
-	// accusers holds what other hosts tell of failing targets.
-	accusers *accusers.Board
-	cold     ColdBound
-	// rates holds what targets said of the rates they take; borrow asks other hosts
-	// for a request of their share, nil for nobody.
-	rates  *targetrate.Board
-	borrow BorrowRate
-	// askOwner asks the host that has the newest counts of a target; nil for none.
-	askOwner AskOwner
-	// hosts gives the number of hosts that choose targets.
-	hosts func() int
-	// draw breaks ties and draws the targets that are looked at.
-	draw *rand.Rand
-	// changed is signalled when there are loads to tell other hosts, alerted
-	// when there are alerts, leaving when a target was heard to leave.
-	changed, alerted, leaving chan struct{}
+	speeds *enginespeed.Board
+	// accusers holds the target failures that other hosts reported.
+	accusers  *accusers.Board
+	coldBound ColdBound
+	// rates holds the rate limits that targets advertised. borrowRate borrows
+	// one request of another host's share of a rate; nil when none can be
+	// borrowed.
+	rates      *targetrate.Board
+	borrowRate BorrowRate
+	// ownerQuery queries the host that has the newest counts of a target; nil
+	// for none.
+	ownerQuery AskOwner
+	// hostCount returns the number of hosts that choose targets.
+	hostCount func() int
+	// rng breaks ties and draws the sampled targets.
+	rng *rand.Rand
+	// changed is signalled when there are loads to send to other hosts,
+	// alertsChanged when there are alerts, targetLeaving when a target was
+	// reported to be leaving.
+	changed, alertsChanged, targetLeaving chan struct{}
 }
 
-// targetLoad is what runs at one target from this host.
+// targetLoad is the load of one target from this host.
 type targetLoad struct {
 	loadshare.Load
-	// failedAt is when a request last failed there by the target's fault.
+	// failedAt is the time of the last failure there that was the target's
+	// fault.
 	failedAt time.Duration
 	failures int
-	// unreachableAt is when it could last not be reached.
+	// unreachableAt is the last time at which it could not be reached.
 	unreachableAt time.Duration
-	// gate counts the sends while the target is cold.
-	gate coldshare.Gate
+	// coldGate limits the sends while the target is cold.
+	coldGate coldshare.Gate
 }
 
-// NewLoads returns empty counts of a host, which is named by its address for
-// other hosts.
+// NewLoads returns empty loads of a host. Other hosts identify the host by its
+// address.
 func NewLoads(host, dataCentre string, now func() time.Duration) *Loads {
 	start := uint64(time.Now().UnixMicro())
 	return &Loads{
-		self: host, dataCentre: dataCentre, now: now, own: map[string]*targetLoad{},
-		share: loadshare.New(host, start), alerts: loadshare.New(host, start), speed: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
-		draw: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hosts: func() int { return 1 },
-		changed: make(chan struct{}, 1), alerted: make(chan struct{}, 1), leaving: make(chan struct{}, 1),
+		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
+		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
+		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
+		changed: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
 }
 
-// Draw sets the source of random numbers, for plays that repeat.
-func (l *Loads) Draw(draw *rand.Rand) { l.draw = draw }
+// SetRand sets the source of random numbers, for reproducible tests and
+// simulations.
+func (l *Loads) SetRand(rng *rand.Rand) { l.rng = rng }
 
-// CountHosts sets what gives the number of hosts that choose targets; one until
-// then.
-func (l *Loads) CountHosts(hosts func() int) { l.hosts = hosts }
+// CountHosts sets the function that returns the number of hosts that choose
+// targets. The number is one until then.
+func (l *Loads) CountHosts(hosts func() int) { l.hostCount = hosts }
 
-// Changed is received from when there are loads to tell other hosts.
+// Changed returns a channel that receives when there are loads to send to other
+// hosts.
 func (l *Loads) Changed() <-chan struct{} { return l.changed }
 
-// Alerted is received from when there are alerts to tell other hosts.
-func (l *Loads) Alerted() <-chan struct{} { return l.alerted }
+// Alerted returns a channel that receives when there are alerts to send to
+// other hosts.
+func (l *Loads) Alerted() <-chan struct{} { return l.alertsChanged }
 
-// ByOwners tells whether loads are told to the owners of targets alone. In a
-// small fleet all hosts tell each other; in a large one each load would pass
-// through every host, though few choose among the same targets at that moment,
-// and the bytes of a host would grow with the fleet.
-func (l *Loads) ByOwners() bool { return !placement.Exact(l.hosts()) }
+// ByOwners reports whether loads are sent only to the owners of targets. In a
+// small fleet all hosts send their loads to each other. In a large one each
+// load would pass through every host although few choose among the same targets
+// at that moment, and the traffic of a host would grow with the fleet.
+func (l *Loads) ByOwners() bool { return !placement.Exact(l.hostCount()) }
 
-// News gives the loads that another host was not told yet; none where owners
-// are told.
+// News returns the loads that another host has not been sent yet; none when
+// loads are sent to owners.
 func (l *Loads) News(host string) []loadshare.Count {
 	if l.ByOwners() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.News(l.now(), host)
+	return l.hostLoads.News(l.now(), host)
 }
 
-// OwnNews gives this host's loads that the owners of their targets were not
-// told yet.
+// OwnNews returns this host's loads that the owners of their targets have not
+// been sent yet.
 func (l *Loads) OwnNews() []loadshare.Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.OwnNews(l.now())
+	return l.hostLoads.OwnNews(l.now())
 }
 
-// Take takes loads that another host told.
+// Take merges loads received from another host.
 func (l *Loads) Take(host string, counts []loadshare.Count) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share.Take(l.now(), host, counts)
-	l.learn(counts)
+	l.hostLoads.Take(l.now(), host, counts)
+	l.learnSpeeds(counts)
 }
 
-// learn takes what counts say of the speed of engines.
-func (l *Loads) learn(counts []loadshare.Count) {
+// learnSpeeds merges the engine speeds contained in counts.
+func (l *Loads) learnSpeeds(counts []loadshare.Count) {
 	for _, c := range counts {
-		l.speed.Heard(c.Target, c.Step)
+		l.speeds.Heard(c.Target, c.Step)
 	}
 }
 
-// Alerts gives the alerts that another host was not told yet.
+// Alerts returns the alerts that another host has not been sent yet.
 func (l *Loads) Alerts(host string) []loadshare.Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.alerts.News(l.now(), host)
 }
 
-// TakeAlerts takes alerts that another host told.
+// TakeAlerts merges alerts received from another host.
 func (l *Loads) TakeAlerts(host string, alerts []loadshare.Count) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alerts.Take(l.now(), host, alerts)
 	l.mergeRates(alerts)
 	for _, c := range alerts {
-		if c.Host != l.self {
+		if c.Host != l.address {
 			l.accusers.Heard(l.now(), c.Host, c.Target, c.Failures)
 		}
 		if c.Leaving {
-			wake.Signal(l.leaving)
+			wake.Signal(l.targetLeaving)
 		}
 	}
 }
 
-// Prune forgets targets that are gone and have nothing running from here;
-// engines come and go by the dozen an hour, each under an id of its own.
+// Prune removes targets that are gone and have no load from this host. Dozens
+// of engines an hour come and go, each under a new id.
 func (l *Loads) Prune(view *directory.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, t := range l.own {
+	for id, t := range l.byTarget {
 		if _, known := view.Target(id); !known && t.Load == (loadshare.Load{}) {
-			delete(l.own, id)
+			delete(l.byTarget, id)
 		}
 	}
 	known := func(id string) bool {
 		_, found := view.Target(id)
 		return found
 	}
-	l.speed.Retain(known)
+	l.speeds.Retain(known)
 	l.accusers.Retain(known)
 	l.rates.Retain(known)
 }
 
-// set changes the count at a target.
-func (l *Loads) set(target string, load loadshare.Load) {
-	t := l.of(target)
+// setLoad sets this host's load at a target.
+func (l *Loads) setLoad(target string, load loadshare.Load) {
+	t := l.loadOf(target)
 	plain := t.Tokens+t.Copies == 0 && load.Tokens+load.Copies == 0
 	t.Load = load
-	l.share.SetOwn(l.now(), target, load)
+	l.hostLoads.SetOwn(l.now(), target, load)
 	if plain {
-		// Requests of plain services come and go within milliseconds; what is
-		// told of them is out of date when it arrives.
+		// Requests of plain services end within milliseconds, so their loads
+		// would be out of date when other hosts receive them.
 		return
 	}
 	wake.Signal(l.changed)
 }
 
-func (l *Loads) of(target string) *targetLoad {
-	t := l.own[target]
+func (l *Loads) loadOf(target string) *targetLoad {
+	t := l.byTarget[target]
 	if t == nil {
-		t = &targetLoad{failedAt: -penaltyFor, unreachableAt: -coldAgain}
-		l.own[target] = t
+		t = &targetLoad{failedAt: -failurePenaltyDuration, unreachableAt: -coldAfterUnreachable}
+		l.byTarget[target] = t
 	}
 	return t
 }
 
-// Place is a request's place at a target.
-type Place struct {
-	loads  *Loads
-	target string
-	load   loadshare.Load
-	// at is the target, and chosen what was known of it, when it was chosen.
-	at     *directory.Seen
-	chosen placement.Candidate
+// Reservation is the load that one request adds to a target until it is
+// released.
+type Reservation struct {
+	loads    *Loads
+	targetID string
+	load     loadshare.Load
+	// entry is the target's directory entry and candidate its load, both as of
+	// the selection.
+	entry     *directory.Seen
+	candidate placement.Candidate
 }
 
 // Hold counts a request at a target that was chosen before.
-func (l *Loads) Hold(target string, p call.Prompt) *Place {
+func (l *Loads) Hold(target string, p call.Prompt) *Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.place(target, p)
+	return l.reserve(target, p)
 }
 
-func (l *Loads) place(target string, p call.Prompt) *Place {
-	return l.count(target, loadshare.Load{Running: 1, Tokens: tokensOf(p), Unread: p.Tokens})
+func (l *Loads) reserve(target string, p call.Prompt) *Reservation {
+	return l.reserveLoad(target, loadshare.Load{Running: 1, Tokens: expectedTokens(p), Unread: p.Tokens})
 }
 
-func (l *Loads) count(target string, load loadshare.Load) *Place {
+func (l *Loads) reserveLoad(target string, load loadshare.Load) *Reservation {
 	if load.Running > 0 {
-		l.of(target).gate.Send(l.now())
+		l.loadOf(target).coldGate.Send(l.now())
 		l.rates.Send(target)
 	}
-	l.set(target, l.of(target).Plus(load))
-	return &Place{loads: l, target: target, load: load}
+	l.setLoad(target, l.loadOf(target).Plus(load))
+	return &Reservation{loads: l, targetID: target, load: load}
 }
 
-// Started notes that the prompt has been read.
-func (p *Place) Started() {
-	load := p.load
+// PromptRead records that the engine has read the prompt.
+func (r *Reservation) PromptRead() {
+	load := r.load
 	load.Unread = 0
-	p.change(load)
+	r.setLoad(load)
 }
 
-// Release gives the place up; it may be called more than once, and on nil.
-func (p *Place) Release() {
-	if p != nil {
-		p.change(loadshare.Load{})
+// Release removes the load. It may be called more than once, and on nil.
+func (r *Reservation) Release() {
+	if r != nil {
+		r.setLoad(loadshare.Load{})
 	}
 }
 
-func (p *Place) change(to loadshare.Load) {
-	p.loads.mu.Lock()
-	defer p.loads.mu.Unlock()
-	if p.load == to {
+func (r *Reservation) setLoad(to loadshare.Load) {
+	r.loads.mu.Lock()
+	defer r.loads.mu.Unlock()
+	if r.load == to {
 		return
 	}
-	p.loads.set(p.target, p.loads.of(p.target).Minus(p.load).Plus(to))
-	p.load = to
+	r.loads.setLoad(r.targetID, r.loads.loadOf(r.targetID).Minus(r.load).Plus(to))
+	r.load = to
 }
 
-// SetLeaving notes that a target told this host that it is about to stop.
+// SetLeaving records that a target told this host that it is about to stop.
 func (l *Loads) SetLeaving(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alerts.SetLeaving(l.now(), target)
-	wake.Signal(l.alerted)
-	wake.Signal(l.leaving)
+	wake.Signal(l.alertsChanged)
+	wake.Signal(l.targetLeaving)
 }
 
-// Leaving tells whether a target told any host that it is about to stop.
+// Leaving reports whether a target told any host that it is about to stop.
 func (l *Loads) Leaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.isLeaving(target)
+	return l.isLeavingLocked(target)
 }
 
-// isLeaving is Leaving with the lock held.
-func (l *Loads) isLeaving(target string) bool { return l.alerts.Sums(l.now())[target].Leaving }
+// isLeavingLocked is Leaving for callers that hold mu.
+func (l *Loads) isLeavingLocked(target string) bool { return l.alerts.Sums(l.now())[target].Leaving }
 
-// Hosts counts the hosts that have something running at a target.
-func (l *Loads) Hosts(target string) int {
+// HostsUsing returns the number of hosts that have load at a target.
+func (l *Loads) HostsUsing(target string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.Sums(l.now())[target].Hosts
+	return l.hostLoads.Sums(l.now())[target].Hosts
 }
 
-// Figures of the expected output.
+// Parameters of the expected output.
 const (
-	// outputShare is the part of a generation's possible output that is expected
-	// when nothing else is known.
-	outputShare = 0.4
-	// hintTrust is the weight of a client's estimate, in the logarithm, against
-	// what is expected without one. Estimates vary more than lengths do.
-	hintTrust = 0.3
+	// defaultOutputShare is the fraction of a generation's maximum output that
+	// is expected when nothing else is known.
+	defaultOutputShare = 0.4
+	// hintWeight is the weight of a client's estimate in the geometric mean
+	// with the default estimate. Clients' estimates vary more than actual
+	// lengths do.
+	hintWeight = 0.3
 )
 
-// expectedOutput is the number of tokens that a generation is expected to make;
-// 0 when the request says nothing of it.
-func expectedOutput(p call.Prompt) int {
-	usual := outputShare * float64(p.MaxOutput)
+// expectedOutputTokens returns the number of tokens that a generation is
+// expected to produce; 0 when the request gives no indication of it.
+func expectedOutputTokens(p call.Prompt) int {
+	defaultOutput := defaultOutputShare * float64(p.MaxOutput)
 	switch {
 	case p.LengthHint == 0:
-		return int(usual)
+		return int(defaultOutput)
 	case p.MaxOutput == 0:
 		return p.LengthHint
 	}
-	mixed := math.Pow(float64(p.LengthHint), hintTrust) * math.Pow(usual, 1-hintTrust)
-	return min(int(mixed), p.MaxOutput)
+	combined := math.Pow(float64(p.LengthHint), hintWeight) * math.Pow(defaultOutput, 1-hintWeight)
+	return min(int(combined), p.MaxOutput)
 }
 
-// tokensOf is the memory that a request is expected to take at its largest.
-func tokensOf(p call.Prompt) int { return p.Tokens + expectedOutput(p) }
+// expectedTokens returns the memory, in tokens, that a request is expected to
+// take at its largest.
+func expectedTokens(p call.Prompt) int { return p.Tokens + expectedOutputTokens(p) }
--- /dev/null
+++ b/internal/gateway/metrics.go
@@ -0,0 +1,104 @@
+package gateway
+
+import (
+	"time"
+
+	gometrics "github.com/rcrowley/go-metrics"
+
+	"filbertdeck/internal/directory"
+	"filbertdeck/internal/failure"
+)
+
+// Size and decay of the histograms' samples. 512 values, weighted towards the
+// last minutes, leave about five above the 99th percentile and take 8 KB for
+// each histogram.
+const (
+	histogramSampleSize  = 512
+	histogramSampleAlpha = 0.015
+)
+
+// gatewayMetrics are the gateway's metrics for operators. Their names are
+// listed in docs/operators/gateway-counters.md.
+type gatewayMetrics struct {
+	registry gometrics.Registry
+	byKind   map[directory.RequestKind]*kindMetrics
+	// firstEvent and longestPause cover generations that were served
+	// completely.
+	firstEvent, longestPause gometrics.Histogram
+	// broken counts generations that broke off while their caller waited,
+	// callerLeft those whose caller disconnected first.
+	broken, callerLeft gometrics.Counter
+	// retries counts sends beyond the first of a request.
+	retries gometrics.Counter
+	// movedByCopy and movedToBackup count generations moved off a leaving
+	// engine, resumedAfterLoss those continued from a copy or backup after
+	// their engine was lost, newRuns those continued by a new run.
+	movedByCopy, movedToBackup, resumedAfterLoss, newRuns gometrics.Counter
+	copiesFailed                                          gometrics.Counter
+}
+
+// kindMetrics are the metrics of one request kind.
+type kindMetrics struct {
+	received, answered gometrics.Counter
+	// duration is the time from the arrival of a request to the end of its
+	// answer.
+	duration gometrics.Histogram
+}
+
+func newGatewayMetrics(r gometrics.Registry) *gatewayMetrics {
+	counter := func(name string) gometrics.Counter { return gometrics.GetOrRegisterCounter("gateway."+name, r) }
+	m := &gatewayMetrics{
+		registry: r, byKind: map[directory.RequestKind]*kindMetrics{},
+		firstEvent: newHistogram("first_event_us", r), longestPause: newHistogram("longest_pause_us", r),
+		broken: counter("generations_broken"), callerLeft: counter("generations_left"), retries: counter("sent_again"),
+		movedByCopy: counter("moved.copy"), movedToBackup: counter("moved.backup"), resumedAfterLoss: counter("moved.after_loss"), newRuns: counter("moved.anew"),
+		copiesFailed: counter("copies_failed"),
+	}
+	for _, kind := range []directory.RequestKind{directory.Once, directory.Repeatable, directory.Generation} {
+		m.byKind[kind] = &kindMetrics{
+			received: counter("received." + kind.String()), answered: counter("answered." + kind.String()),
+			duration: newHistogram("took_us."+kind.String(), r),
+		}
+	}
+	return m
+}
+
+func newHistogram(name string, r gometrics.Registry) gometrics.Histogram {
+	return gometrics.GetOrRegisterHistogram("gateway."+name, r, gometrics.NewExpDecaySample(histogramSampleSize, histogramSampleAlpha))
+}
+
+// countReceived counts a request whose route is known.
+func (m *gatewayMetrics) countReceived(kind directory.RequestKind) {
+	if k := m.byKind[kind]; k != nil {
+		k.received.Inc(1)
+	}
+}
+
+// countAnswered counts a complete target answer that was passed on.
+func (m *gatewayMetrics) countAnswered(kind directory.RequestKind, took time.Duration) {
+	if k := m.byKind[kind]; k != nil {
+		k.answered.Inc(1)
+		k.duration.Update(took.Microseconds())
+	}
+}
+
+// recordServed records the event times of a generation that was passed on
+// completely.
+func (m *gatewayMetrics) recordServed(gaps eventGaps) {
+	m.firstEvent.Update(gaps.first.Microseconds())
+	m.longestPause.Update(gaps.longest.Microseconds())
+}
+
+// countRefused counts a failure answer made by the gateway itself.
+func (m *gatewayMetrics) countRefused(kind failure.Kind) {
+	gometrics.GetOrRegisterCounter("gateway.refused."+string(kind), m.registry).Inc(1)
+}
+
+// countBroken counts a generation that was cut off.
+func (m *gatewayMetrics) countBroken(callerLeft bool) {
+	if callerLeft {
+		m.callerLeft.Inc(1)
+		return
+	}
+	m.broken.Inc(1)
+}
--- a/internal/gateway/meters_internal_test.go
+++ b/internal/gateway/metrics_internal_test.go
@@ -12,9 +12,9 @@
 	"filbertdeck/internal/failure"
 )
 
-// An engineer on call meets a name on the metrics address that no page
-// explains, or looks for one that the code no longer has.
-func TestMetersAreOnTheOperatorsPage(t *testing.T) {
+// Guards against metrics that the operators' page does not explain, and against
+// names on the page that the code no longer has.
+func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/gateway-counters.md")
 	if err != nil {
 		t.Fatal(err)
@@ -23,25 +23,25 @@
 	New(Config{Metrics: registry})
 	registry.Each(func(name string, _ any) {
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("%s is missing from the operators' page", name)
 		}
 	})
 	for _, text := range strings.Split(string(page), "`") {
 		if strings.HasPrefix(text, "gateway.") && !strings.Contains(text, "KIND") && registry.Get(text) == nil {
-			t.Errorf("%s is on the page and not in the code", text)
+			t.Errorf("%s is on the operators' page but not registered", text)
 		}
 	}
 }
 
-func TestMetersTellHowRequestsEnded(t *testing.T) {
+func TestMetricsByOutcome(t *testing.T) {
 	registry := gometrics.NewRegistry()
-	m := newMeters(registry)
-	m.received(directory.Generation)
-	m.answered(directory.Generation, 3*time.Second)
-	m.served(pauses{events: 9, first: 400 * time.Millisecond, longest: 60 * time.Millisecond})
-	m.refused(failure.KindStopping)
-	m.broke(false)
-	m.broke(true)
+	m := newGatewayMetrics(registry)
+	m.countReceived(directory.Generation)
+	m.countAnswered(directory.Generation, 3*time.Second)
+	m.recordServed(eventGaps{events: 9, first: 400 * time.Millisecond, longest: 60 * time.Millisecond})
+	m.countRefused(failure.KindStopping)
+	m.countBroken(false)
+	m.countBroken(true)
 	for name, want := range map[string]int64{
 		"gateway.received.generation": 1, "gateway.answered.generation": 1, "gateway.refused.stopping": 1,
 		"gateway.generations_broken": 1, "gateway.generations_left": 1,
--- /dev/null
+++ b/internal/gateway/move.go
@@ -0,0 +1,221 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"filbertdeck/internal/call"
+	"filbertdeck/internal/decide/migration"
+	"filbertdeck/internal/directory"
+	"filbertdeck/internal/failure"
+	"filbertdeck/internal/wake"
+)
+
+// Limits of moving generations between engines.
+const (
+	// copyTimeout limits one copy. The largest prompts take half a second on an
+	// idle link, twice that across data centres, and wait behind the copies of
+	// other generations.
+	copyTimeout = 3 * time.Second
+	// firstEventPollInterval is the time between two checks whether a run has
+	// produced its first event; reading a prompt takes some hundred
+	// milliseconds.
+	firstEventPollInterval = 20 * time.Millisecond
+	// reportTimeout limits the request for the time at which an engine stops,
+	// and the request to drop a copy.
+	reportTimeout = 100 * time.Millisecond
+	// healthTimeout limits a health check, which waits for a free slot at the
+	// engine.
+	healthTimeout = 300 * time.Millisecond
+	// healthCheckInterval is the time between two rounds of health checks:
+	// copies need most of an engine's stop notice.
+	healthCheckInterval = 200 * time.Millisecond
+	// disconnectedCheckInterval is the time between two checks whether this
+	// host has lost access to the published state.
+	disconnectedCheckInterval = 50 * time.Millisecond
+	// switchTimeout limits the wait for the engine that a generation switches
+	// to. A few hops and reading some ten tokens take a few hundredths of a
+	// second. The two engines must not both work on the generation for 0.4 s.
+	switchTimeout = 300 * time.Millisecond
+	// destinationsPerRound limits the destinations that a move tries in a row,
+	// roundInterval is the time between two such rounds: a generation ends at
+	// an engine every few hundred milliseconds.
+	destinationsPerRound = 3
+	roundInterval        = 50 * time.Millisecond
+)
+
+// move is one move of a generation away from a target.
+type move struct {
+	// done is closed when the move has ended, successfully or not.
+	done chan struct{}
+	// copy is the last copy that was made, nil when there is none. It is set
+	// before done is closed.
+	copy *memoryCopy
+}
+
+// moveAway continues the generation at another engine: at its backup, or from a
+// copy of its memory that is made while it runs on.
+func (gen *generation) moveAway(ctx context.Context, from *directory.Seen, m *move) {
+	defer close(m.done)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
+	defer cancel()
+	if !gen.waitForFirstEvent(ctx) || !gen.isAt(from) || gen.switchToBackup() {
+		return
+	}
+	stopTime := time.Now().Add(gen.timeUntilStop(ctx, from))
+	if gen.endsWithin(time.Until(stopTime)) {
+		gen.g.cfg.Log.Info("generation stays", "request", gen.ID, "target", from.ID, "leaves_in", time.Until(stopTime))
+		return
+	}
+	e := gen.service.Engine
+	wake.Sleep(ctx, gen.g.cfg.Migration.Wait(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
+	exclude := []string{from.ID}
+	for gen.waitForFirstEvent(ctx) && gen.isAt(from) {
+		var done bool
+		if exclude, done = gen.copyToSomeTarget(ctx, from, m, stopTime, exclude); done {
+			return
+		}
+		wake.Sleep(ctx, roundInterval)
+	}
+}
+
+// copyOutcome is the result of copying a generation to one engine.
+type copyOutcome int
+
+const (
+	// copySucceeded means that the generation continues at the other engine.
+	copySucceeded copyOutcome = iota
+	// copyRefused means that the other engine refused it; another one may
+	// accept it.
+	copyRefused
+	// copyRetryLater means that there is no run to copy yet, or that it is
+	// being copied.
+	copyRetryLater
+	// copyAborted means that the leaving engine is gone or the generation has
+	// ended.
+	copyAborted
+)
+
+// copyToSomeTarget tries several destinations in sequence, leaving out those in
+// avoid. It returns avoid extended by the engines that refused, and whether the
+// move is over.
+//
+// When a third of a data centre's engines leave at once, the others there are
+// full. Engines that refused are not tried again while there are others, so
+// that an engine with room is found in another data centre within the stop
+// notice, although copies to there take twice as long.
+func (gen *generation) copyToSomeTarget(ctx context.Context, from *directory.Seen, m *move, stopTime time.Time, exclude []string) ([]string, bool) {
+	for range destinationsPerRound {
+		to, reservation, ok := gen.g.cfg.Loads.Acquire(gen.g.view(), PlacementRequest{Service: from.Service, Prompt: gen.Prompt, Locality: PreferDataCentre(from.DataCentre), Exclude: exclude})
+		if !ok {
+			// All engines have refused. Starts over, since one may have room by
+			// now.
+			return []string{from.ID}, false
+		}
+		outcome := gen.copyTo(ctx, from, to, reservation, m, stopTime)
+		if outcome != copySucceeded {
+			reservation.Release()
+		}
+		switch outcome {
+		case copySucceeded, copyAborted:
+			return exclude, true
+		case copyRetryLater:
+			return exclude, false
+		}
+		exclude = append(exclude, to.ID)
+	}
+	return exclude, false
+}
+
+// copyTo copies the generation's memory to another engine and switches to it.
+func (gen *generation) copyTo(ctx context.Context, from, to *directory.Seen, reservation *Reservation, m *move, stopTime time.Time) copyOutcome {
+	start := time.Now()
+	result, err := gen.g.cfg.Engines.Move(ctx, from.Address, gen.ID, to.Address, false)
+	gen.g.cfg.Log.Info("generation copied", "request", gen.ID, "from", from.ID, "to", to.ID, "took", time.Since(start),
+		"remote", to.DataCentre != from.DataCentre, "leaves_in", time.Until(stopTime), "events", result.Events, "error", err)
+	if err != nil {
+		gen.g.metrics.copiesFailed.Inc(1)
+		return copyFailureOutcome(err)
+	}
+	m.copy = &memoryCopy{target: to, handoff: call.Handoff{From: from.Address, Handle: result.Handle}}
+	err = gen.switchTo(m.copy, reservation)
+	if err == nil {
+		gen.g.metrics.movedByCopy.Inc(1)
+		return copySucceeded
+	}
+	gen.g.cfg.Log.Info("switching to the copy failed", "request", gen.ID, "to", to.ID, "error", err)
+	gen.dropCopy(from, m)
+	if err == errStreamEnded {
+		return copyAborted
+	}
+	return copyRefused
+}
+
+// copyFailureOutcome maps the error of a failed copy to its outcome.
+func copyFailureOutcome(err error) copyOutcome {
+	switch failure.KindOf(err) {
+	case failure.KindNotFound, failure.KindInProgress:
+		return copyRetryLater
+	case failure.KindOverloaded:
+		return copyRefused
+	}
+	return copyAborted
+}
+
+// dropCopy frees a copy whose generation has ended. Otherwise the copy would
+// hold memory at an engine for seconds.
+func (gen *generation) dropCopy(from *directory.Seen, m *move) {
+	select {
+	case <-gen.ended:
+	default:
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
+	if err := gen.g.cfg.Engines.Drop(ctx, from.Address, m.copy.handoff.Handle); err != nil {
+		gen.g.cfg.Log.Debug("dropping the copy failed", "request", gen.ID, "error", err)
+	}
+}
+
+// waitForFirstEvent waits until the generation has produced its first event;
+// before that the engine has no run to copy. It returns false if the generation
+// or ctx ended first.
+func (gen *generation) waitForFirstEvent(ctx context.Context) bool {
+	for gen.progress.Load() == nil {
+		select {
+		case <-gen.ended:
+			return false
+		case <-ctx.Done():
+			return false
+		case <-time.After(firstEventPollInterval):
+		}
+	}
+	select {
+	case <-gen.ended:
+		return false
+	default:
+		return ctx.Err() == nil
+	}
+}
+
+// timeUntilStop asks the engine when it stops.
+func (gen *generation) timeUntilStop(ctx context.Context, from *directory.Seen) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	report, err := gen.g.cfg.Engines.Report(ctx, from.Address)
+	if err != nil || report.LeavesIn <= 0 {
+		return gen.g.cfg.Migration.Notice
+	}
+	return report.LeavesIn
+}
+
+// endsWithin reports whether the generation will end on its own before the
+// engine stops.
+func (gen *generation) endsWithin(leavesIn time.Duration) bool {
+	progress := gen.progress.Load()
+	if progress == nil {
+		return false
+	}
+	maxEvents := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
+	return gen.g.cfg.Migration.Stays(migration.MostLeft(maxEvents, progress.events, progress.last-progress.first), leavesIn)
+}
--- /dev/null
+++ b/internal/gateway/owner_query.go
@@ -0,0 +1,145 @@
+package gateway
+
+import (
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/directory"
+)
+
+// Owned identifies a target, for finding the host that owns its load counts.
+type Owned struct{ ID, DataCentre string }
+
+// AskOwner sends the owner of a target's load counts this host's counts there
+// and returns the counts that the owner knows; false without an answer.
+//
+// Hundreds of hosts place some fifty prompts a second, and the counts of a
+// placement take tenths of a second to reach all hosts. In that time several
+// hosts chose the same engine that looked idle to each: its prompts waited for
+// seconds and its memory ran out while other engines had room. Sending all
+// counts through all hosts also costs bandwidth. So each target has one owner,
+// found by rendezvous hashing. A host that chooses a target reports the choice
+// to its owner, and asks the owner for the counts of other hosts before it
+// chooses. This only improves placement and no guarantee depends on it: without
+// an answer, or when two hosts both act as owner, targets are chosen by the
+// counts that this host has.
+type AskOwner func(target Owned, own []loadshare.Count) ([]loadshare.Count, bool)
+
+const (
+	// maxOwnerQueries limits the owners queried one after the other for one
+	// request: each query costs a round trip of some milliseconds.
+	maxOwnerQueries = 3
+	// minDelaySaving is the expected delay that another target must save to
+	// replace one whose owner was already told of the request.
+	minDelaySaving = 100 * time.Millisecond
+)
+
+// AskOwners sets the function that queries owners. Without it no owner is
+// queried.
+func (l *Loads) AskOwners(ask AskOwner) { l.ownerQuery = ask }
+
+// Answer merges the counts of another host and returns all counts known here
+// for the same targets.
+func (l *Loads) Answer(counts []loadshare.Count) []loadshare.Count {
+	l.Take("", counts)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var all []loadshare.Count
+	for _, c := range counts {
+		all = append(all, l.hostLoads.Of(l.now(), c.Target)...)
+	}
+	return all
+}
+
+// queryOwners queries the owners of several targets in parallel for a
+// generation and merges their counts; false when none answered. Requests to
+// plain services are over before their counts could arrive, so they cause no
+// queries.
+func (l *Loads) queryOwners(req PlacementRequest, sampled targetCandidates) bool {
+	if req.Prompt.Tokens == 0 || !l.queriesOwners() {
+		return false
+	}
+	var wg sync.WaitGroup
+	var answered atomic.Bool
+	for _, candidate := range sampled {
+		wg.Go(func() {
+			if l.queryOwner(candidate.target) {
+				answered.Store(true)
+			}
+		})
+	}
+	wg.Wait()
+	return answered.Load()
+}
+
+// queriesOwners reports whether owners are queried.
+func (l *Loads) queriesOwners() bool { return l.ownerQuery != nil && l.ByOwners() }
+
+// queryOwner sends a target's owner this host's counts there and merges the
+// counts it returns; false without an answer.
+func (l *Loads) queryOwner(t *directory.Seen) bool {
+	l.mu.Lock()
+	own := l.hostLoads.Own(t.ID)
+	l.mu.Unlock()
+	counts, answered := l.ownerQuery(Owned{t.ID, t.DataCentre}, []loadshare.Count{own})
+	if !answered {
+		return false
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.hostLoads.TakeAll(l.now(), t.ID, counts)
+	l.learnSpeeds(counts)
+	return true
+}
+
+// confirm queries the owner of the reserved target and moves the reservation to
+// another sampled target while one is better. After the last query it moves
+// only to a target whose owner was queried.
+func (l *Loads) confirm(view *directory.View, req PlacementRequest, sampled targetCandidates, reservation *Reservation) *Reservation {
+	var queried targetCandidates
+	for try := range maxOwnerQueries {
+		if !l.queryReservationOwner(reservation) {
+			break
+		}
+		queried = append(queried, targetCandidate{reservation.candidate, reservation.entry})
+		if try == maxOwnerQueries-1 {
+			sampled = queried
+		}
+		other := l.reserveBetter(view, req, sampled, reservation)
+		if other == nil {
+			break
+		}
+		reservation.Release()
+		// Tells the owner of the release. It would otherwise count the request
+		// until the next regular report, and other hosts would avoid an engine
+		// that has room.
+		l.queryReservationOwner(reservation)
+		reservation = other
+	}
+	return reservation
+}
+
+// queryReservationOwner reports a reservation to the target's owner and merges the
+// owner's counts; false when no owner was queried or none answered.
+func (l *Loads) queryReservationOwner(r *Reservation) bool {
+	return l.queriesOwners() && l.queryOwner(r.entry)
+}
+
+// reserveBetter reserves another of the sampled targets, where the request now
+// adds less delay than at its present target; nil when there is none.
+func (l *Loads) reserveBetter(view *directory.View, req PlacementRequest, sampled targetCandidates, r *Reservation) *Reservation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
+	sums, defaultStep := l.hostLoads.Sums(l.now()), l.speeds.Usual()
+	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Minus(r.load), defaultStep)
+	best := others.choose(l.rng, req)
+	if best == nil || placement.Delay(best.Candidate, req.work())+minDelaySaving > placement.Delay(here, req.work()) {
+		return nil
+	}
+	return l.reserveCandidate(best, req.Prompt)
+}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -15,95 +15,96 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// maxPlainAnswer bounds an answer that is held until it is whole, in bytes.
-const maxPlainAnswer = 8 << 20
+// maxAnswerBytes limits an answer that is buffered until it is complete.
+const maxAnswerBytes = 8 << 20
 
-// whole is a target's complete answer.
-type whole struct {
+// completeAnswer is a target's complete answer.
+type completeAnswer struct {
 	call.Answer
 	header http.Header
 	body   []byte
 }
 
-// plain relays a request of a plain service. The answer is passed on once it
-// is whole: one that breaks off must not look complete, and a repeatable
-// request may be sent elsewhere instead.
-func (g *Gateway) plain(ctx context.Context, x *exchange) {
+// relayPlain relays a request of a plain service. The answer is passed on once
+// it is complete: a truncated answer must not look complete, and a repeatable
+// request can then be sent to another target instead.
+func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
 	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
-	var avoid []string
-	var last error
-	var answer *whole
-	var t tries
-	var tried string
-	var by *basis
+	var exclude []string
+	var lastErr error
+	var answer *completeAnswer
+	var counts attemptCounts
+	var targetID string
+	var selection *selectionState
 	for {
-		choice := g.basis()
-		target, place, ok := g.cfg.Loads.Acquire(choice.view, plainWanted(x, avoid))
+		latest := g.selectionState()
+		target, reservation, ok := g.cfg.Loads.Acquire(latest.view, plainPlacementRequest(x, exclude))
 		if !ok {
 			break
 		}
-		tried, by = target.ID, choice
-		answer, last = g.try(ctx, x, target, by)
-		place.Release()
-		t.add(last)
-		if !g.again(ctx, x, failed(answer, last), last, t) {
+		targetID, selection = target.ID, latest
+		answer, lastErr = g.attempt(ctx, x, target, selection)
+		reservation.Release()
+		counts.add(lastErr)
+		if !g.shouldRetry(ctx, x, retryMayHelp(answer, lastErr), lastErr, counts) {
 			break
 		}
-		avoid = append(avoid, target.ID)
+		exclude = append(exclude, target.ID)
 	}
 	switch {
 	case answer != nil:
-		g.meters.answered(x.route.Kind, time.Since(x.Arrived))
+		g.metrics.countAnswered(x.route.Kind, time.Since(x.Arrived))
 		g.cfg.Log.Info("request answered", "request", x.ID, "route", x.route.Name, "account", accountName(x.account),
-			"config", x.view.Config.Version, "target", tried, "status", answer.Status, "sends", t.sent, "unreached", t.unsent,
-			"basis", by, "took", time.Since(x.Arrived))
-		g.answer(x, answer)
-	case last != nil:
-		g.refuse(x.w, x.Request, last)
+			"config", x.view.Config.Version, "target", targetID, "status", answer.Status, "sends", counts.sent, "unreached", counts.unsent,
+			"basis", selection, "took", time.Since(x.Arrived))
+		g.writeAnswer(x, answer)
+	case lastErr != nil:
+		g.refuse(x.w, x.Request, lastErr)
 	default:
-		g.refuse(x.w, x.Request, g.noTarget(plainWanted(x, avoid)))
+		g.refuse(x.w, x.Request, g.noTargetError(plainPlacementRequest(x, exclude)))
 	}
 }
 
-// plainWanted is what a request of a plain service wants of a target.
-func plainWanted(x *exchange, avoid []string) Wanted {
-	return Wanted{Service: x.service.Name, Near: Anywhere, Avoid: avoid}
+// plainPlacementRequest returns the requirements of a request of a plain
+// service.
+func plainPlacementRequest(x *exchange, exclude []string) PlacementRequest {
+	return PlacementRequest{Service: x.service.Name, Locality: PreferLocal, Exclude: exclude}
 }
 
-// noTarget is the failure of a request that no target may get.
-func (g *Gateway) noTarget(w Wanted) error {
-	if wait, limited := g.cfg.Loads.RoomIn(g.view(), w); limited {
-		return failure.New(failure.KindOverloaded, "the targets of %s are at the rates that they named", w.Service).After(wait)
+// noTargetError returns the failure of a request that no target accepts.
+func (g *Gateway) noTargetError(req PlacementRequest) error {
+	if wait, limited := g.cfg.Loads.RateWait(g.view(), req); limited {
+		return failure.New(failure.KindOverloaded, "all targets of %s are at their advertised rate limits", req.Service).After(wait)
 	}
-	return failure.New(failure.KindNoTarget, "no target of %s may get work", w.Service).After(noTargetRetry)
+	return failure.New(failure.KindNoTarget, "no target of %s accepts the request", req.Service).After(noTargetRetryAfter)
 }
 
-// failed tells whether asking another target may bring a better answer.
-func failed(answer *whole, err error) bool {
+// retryMayHelp reports whether another target may give a better answer.
+func retryMayHelp(answer *completeAnswer, err error) bool {
 	return err != nil || answer.Status >= http.StatusInternalServerError
 }
 
-// unsentTries bounds the targets that are dialled in vain for one request: one
-// that left, one that crashed and one that is cut off, and a spare.
-const unsentTries = 4
+// maxUnsentAttempts limits the targets that fail to be reached for one request:
+// one that left, one that crashed, one that is cut off, and one to spare.
+const maxUnsentAttempts = 4
 
-// tries counts the targets that a request was tried at.
-type tries struct {
-	// sent counts those that it was sent to, unsent those that could not be
-	// reached or whose address another target has by now.
+// attemptCounts counts the targets that a request was tried at.
+type attemptCounts struct {
+	// sent counts the targets that the request was sent to, unsent those that
+	// could not be reached or whose address now belongs to another target.
 	sent, unsent int
 }
 
-func (t *tries) add(err error) {
-	if unsent(err) {
-		t.unsent++
+func (c *attemptCounts) add(err error) {
+	if requestUnsent(err) {
+		c.unsent++
 		return
 	}
-	t.sent++
+	c.sent++
 }
 
-// unsent tells whether a request never got to a target of its service.
-func unsent(err error) bool {
+// unsent reports whether a request never reached a target of its service.
+func requestUnsent(err error) bool {
 	var f *failure.Error
 	if !errors.As(err, &f) || f.Executed != failure.ExecutedNo {
 		return false
@@ -115,18 +116,18 @@
 	return false
 }
 
-// again decides whether a request is tried at another target. One that never
-// got to a target may always be; else it must certainly not have run or be
-// repeatable, the route must allow another target, and the budget of such
-// sends must have one left.
-func (g *Gateway) again(ctx context.Context, x *exchange, failed bool, err error, t tries) bool {
+// shouldRetry decides whether a request is tried at another target. One that
+// never reached a target is retried up to maxUnsentAttempts. Otherwise it must
+// be repeatable or certain not to have run, the route must allow another
+// attempt, and the retry budget must not be used up.
+func (g *Gateway) shouldRetry(ctx context.Context, x *exchange, failed bool, err error, counts attemptCounts) bool {
 	if !failed || ctx.Err() != nil {
 		return false
 	}
-	if unsent(err) {
-		return t.unsent < unsentTries
+	if requestUnsent(err) {
+		return counts.unsent < maxUnsentAttempts
 	}
-	if t.sent >= x.route.Attempts {
+	if counts.sent >= x.route.Attempts {
 		return false
 	}
 	notRun := err != nil && failure.From(err).Executed == failure.ExecutedNo
@@ -137,52 +138,52 @@
 	if !g.cfg.Budget.Retry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
-	g.meters.sentAgain.Inc(1)
+	g.metrics.retries.Inc(1)
 	return true
 }
 
-// try sends a request to one target. The error says whether it ran; an answer
-// without error is the target's own, also when it is a failure.
-func (g *Gateway) try(ctx context.Context, x *exchange, target *directory.Seen, by *basis) (*whole, error) {
-	end := g.cfg.Suspects.begin(target, x.fingerprint)
-	answer, err := g.fetch(ctx, x, target, by)
-	g.blame(ctx, target, err)
+// attempt sends a request to one target. The error says whether the request
+// ran; an answer without error is the target's own, even when it is a failure.
+func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
+	end := g.cfg.Suspects.beginRequest(target, x.fingerprint)
+	answer, err := g.fetch(ctx, x, target, selection)
+	g.recordFailure(ctx, target, err)
 	end(err == nil)
 	return answer, err
 }
 
-// fetch sends a request to one target and reads its whole answer.
-func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.Seen, by *basis) (*whole, error) {
-	resp, answer, err := g.open(ctx, x.send(target), by)
+// fetch sends a request to one target and reads its complete answer.
+func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
+	resp, answer, err := g.send(ctx, x.newSend(target), selection)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		err = failure.Wrap(err, failure.KindTargetLost, "the answer broke off").Unknown()
-	} else if len(body) > maxPlainAnswer {
-		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxPlainAnswer).Unknown()
+		err = failure.Wrap(err, failure.KindTargetLost, "reading the answer failed").Unknown()
+	} else if len(body) > maxAnswerBytes {
+		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxAnswerBytes).Unknown()
 	}
 	if err != nil {
 		return nil, err
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		g.cfg.Loads.Failed(target.ID)
+		g.cfg.Loads.RecordFailure(target.ID)
 	}
-	return &whole{Answer: answer, header: resp.Header, body: body}, nil
+	return &completeAnswer{Answer: answer, header: resp.Header, body: body}, nil
 }
 
-// open sends a request and checks the header of its answer. A target that says
-// that it did not run the request gives a failure that says so.
-func (g *Gateway) open(ctx context.Context, s *call.Send, by *basis) (*http.Response, call.Answer, error) {
+// send sends a request and checks the header of its answer. When the target
+// says that it did not run the request, the error says so too.
+func (g *Gateway) send(ctx context.Context, s *call.Send, selection *selectionState) (*http.Response, call.Answer, error) {
 	req, err := g.cfg.Dialect.WriteSend(ctx, s)
 	if err != nil {
 		return nil, call.Answer{}, err
 	}
 	resp, err := g.cfg.Client.Do(req, func() error {
-		by.sent()
-		if !takesNew(g.view(), s.Target) {
+		selection.recordSend()
+		if !acceptsNew(g.view(), s.Target) {
 			return failure.New(failure.KindTargetLeft, "target %s left before the request was sent", s.Target.ID)
 		}
 		return ctx.Err()
@@ -191,16 +192,16 @@
 		return nil, call.Answer{}, err
 	}
 	answer := g.cfg.Dialect.ReadAnswer(resp)
-	g.noteRate(s, answer)
-	if err := check(s, answer); err != nil {
+	g.observeRate(s, answer)
+	if err := checkAnswer(s, answer); err != nil {
 		_ = resp.Body.Close()
 		return nil, answer, err
 	}
 	return resp, answer, nil
 }
 
-// noteRate takes what a target's answer says of the rate that it takes.
-func (g *Gateway) noteRate(s *call.Send, a call.Answer) {
+// observeRate records the rate limit advertised in a target's answer.
+func (g *Gateway) observeRate(s *call.Send, a call.Answer) {
 	if a.OtherTarget || a.Echo != s.ID {
 		return
 	}
@@ -209,58 +210,58 @@
 	}
 }
 
-// check tells what is wrong with an answer's header, nil when it is the
+// checkAnswer returns what is wrong with an answer's header, nil when it is the
 // target's answer to this request.
-func check(s *call.Send, a call.Answer) error {
+func checkAnswer(s *call.Send, a call.Answer) error {
 	switch {
 	case a.OtherTarget:
-		return failure.New(failure.KindFenced, "another target has the address of %s", s.Target.ID)
+		return failure.New(failure.KindFenced, "the address of target %s belongs to another target", s.Target.ID)
 	case a.NotRun && a.Status >= http.StatusBadRequest:
-		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).After(max(a.RetryAfter, fullRetry))
+		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).After(max(a.RetryAfter, engineFullRetryAfter))
 	case a.Echo != s.ID:
-		return failure.New(failure.KindFrameOutOfPlace, "target %s answered another request", s.Target.ID).Unknown()
+		return failure.New(failure.KindFrameOutOfPlace, "target %s answered with another request's id", s.Target.ID).Unknown()
 	case a.Status < http.StatusMultipleChoices && !a.Sealed:
-		return failure.New(failure.KindTargetFailed, "target %s answered without its mark", s.Target.ID).Unknown()
+		return failure.New(failure.KindTargetFailed, "target %s answered without a seal", s.Target.ID).Unknown()
 	}
 	return nil
 }
 
-// blame counts a failure against a target, unless the caller's leaving or
-// deadline caused it.
-func (g *Gateway) blame(ctx context.Context, target *directory.Seen, err error) {
+// recordFailure counts a failure against a target, unless the caller's
+// disconnect or deadline caused it.
+func (g *Gateway) recordFailure(ctx context.Context, target *directory.Seen, err error) {
 	if err == nil || ctx.Err() != nil || failure.KindOf(err) == failure.KindTargetLeft {
 		return
 	}
-	if unsent(err) {
-		g.cfg.Loads.Unreachable(target.ID)
+	if requestUnsent(err) {
+		g.cfg.Loads.RecordUnreachable(target.ID)
 	}
-	if failure.KindOf(err) == failure.KindTargetLost && g.stays(target) {
-		g.cfg.Suspects.broke(target, g.dial)
+	if failure.KindOf(err) == failure.KindTargetLost && g.notStopping(target) {
+		g.cfg.Suspects.checkForCrash(target, g.dial)
 	}
-	g.cfg.Loads.Broke(target.ID)
+	g.cfg.Loads.RecordBrokenRequest(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
 }
 
-// stays tells whether a target is not known to be stopping by plan: the end of
-// one that is says nothing of its requests.
-func (g *Gateway) stays(target *directory.Seen) bool {
-	return takesNew(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
+// notStopping reports whether no planned stop of a target is known. The end of
+// a target that stops as planned is no evidence against its requests.
+func (g *Gateway) notStopping(target *directory.Seen) bool {
+	return acceptsNew(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
 }
 
-// dial tells whether somebody listens at an address.
+// dial checks whether a process listens at an address.
 func (g *Gateway) dial(ctx context.Context, address string) error {
-	conn, err := targetclient.Dial(ctx, "tcp", address, crashDial)
+	conn, err := targetclient.Dial(ctx, "tcp", address, crashDialTimeout)
 	if err == nil {
 		return conn.Close()
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return failure.Wrap(err, failure.KindTargetFailed, "nobody listens at %s", address)
+		return failure.Wrap(err, failure.KindTargetFailed, "no process listens at %s", address)
 	}
 	return failure.Wrap(err, failure.KindTargetTimeout, "%s does not answer", address)
 }
 
-// answer passes a target's answer on.
-func (g *Gateway) answer(x *exchange, a *whole) {
+// writeAnswer passes a target's answer on to the caller.
+func (g *Gateway) writeAnswer(x *exchange, a *completeAnswer) {
 	h := x.w.Header()
 	g.cfg.Dialect.CopyHeader(h, a.header)
 	if mayHaveBody(x.Method, a.Status) {
@@ -268,12 +269,12 @@
 	}
 	x.w.WriteHeader(a.Status)
 	if _, err := x.w.Write(a.body); err != nil && len(a.body) > 0 {
-		g.cfg.Log.Debug("answer not taken", "request", x.ID, "error", err)
+		g.cfg.Log.Debug("writing the answer to the caller failed", "request", x.ID, "error", err)
 	}
 }
 
-// mayHaveBody tells whether an answer's length stands in its header (RFC 9110,
-// section 8.6): it does not where no body can follow.
+// mayHaveBody reports whether the answer may have a body and so gets a
+// Content-Length (RFC 9110, section 8.6).
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -12,49 +12,51 @@
 	"filbertdeck/internal/wake"
 )
 
-// BorrowRate asks a host that shares a target's rate for one request of it. Of
-// the hosts ranked for the target the first ones share it, so many as holders
-// says; false when none lends.
+// BorrowRate borrows one request of a target's rate from another host. The
+// hosts ranked first for the target, as many as holders says, share the rate;
+// false when none of them lends.
 type BorrowRate func(target string, holders int) bool
 
-// BorrowRates sets how requests are borrowed; none are until then.
-func (l *Loads) BorrowRates(borrow BorrowRate) { l.borrow = borrow }
+// BorrowRates sets the function that borrows requests. Without it none are
+// borrowed.
+func (l *Loads) BorrowRates(borrow BorrowRate) { l.borrowRate = borrow }
 
-// ObserveRate takes what a target said of the rate it takes in an answer to this
-// host; nil is that it named none. It tells whether that is new here.
+// ObserveRate records the rate limit that a target advertised in an answer to
+// this host; nil when it advertised none. It reports whether the limit is new
+// to this host.
 func (l *Loads) ObserveRate(target string, perSecond *float64) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := targetrate.Advertisement{At: l.now()}
+	advertisement := targetrate.Advertisement{At: l.now()}
 	if perSecond != nil {
-		w.Limited, w.PerSecond = true, *perSecond
+		advertisement.Limited, advertisement.PerSecond = true, *perSecond
 	}
 	before, _ := l.rates.Advertised(target)
-	if l.rates.Observe(target, w) {
-		l.alerts.SetRate(l.now(), target, w)
-		wake.Signal(l.alerted)
+	if l.rates.Observe(target, advertisement) {
+		l.alerts.SetRate(l.now(), target, advertisement)
+		wake.Signal(l.alertsChanged)
 	}
-	return w.Limited != before.Limited || w.PerSecond != before.PerSecond
+	return advertisement.Limited != before.Limited || advertisement.PerSecond != before.PerSecond
 }
 
-// mergeRates takes what targets said to other hosts.
+// mergeRates merges rates that targets advertised to other hosts.
 func (l *Loads) mergeRates(counts []loadshare.Count) {
 	for _, c := range counts {
-		if c.Rate != nil && c.Host != l.self {
+		if c.Rate != nil && c.Host != l.address {
 			l.rates.Merge(c.Target, *c.Rate)
 		}
 	}
 }
 
-// limitedCount is the number of targets that name a rate.
-func (l *Loads) limitedCount() int64 {
+// rateLimitedCount returns the number of targets that advertise a rate.
+func (l *Loads) rateLimitedCount() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(l.rates.Limited())
 }
 
-// Lend gives another host one request of a target's rate; false when this host
-// has none to give.
+// Lend lends another host one request of a target's rate; false when this host
+// has none left.
 func (l *Loads) Lend(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,16 +64,17 @@
 	return l.rates.Lend(l.now(), target, rank, hosts)
 }
 
-// rank gives this host's rank for a target among the hosts.
+// rank returns this host's rank for a target among the hosts, and the number of
+// hosts.
 func (l *Loads) rank(target string) (rank, hosts int) {
-	if l.cold.Rank == nil {
+	if l.coldBound.Rank == nil {
 		return 0, 1
 	}
-	return l.cold.Rank(target)
+	return l.coldBound.Rank(target)
 }
 
-// withinRate tells whether this host may send one more to a target by the rate
-// that the target named.
+// withinRate reports whether this host may send one more request within the
+// target's advertised rate.
 func (l *Loads) withinRate(target string) bool {
 	if _, limited := l.rates.Advertised(target); !limited {
 		return true
@@ -80,33 +83,34 @@
 	return l.rates.Open(l.now(), target, rank, hosts)
 }
 
-// HoldWithinRate is Hold for a target that may have named a rate; false when no
-// request of it is to be had.
-func (l *Loads) HoldWithinRate(target string, p call.Prompt) (*Place, bool) {
-	place, ok := l.holdWithinOwn(target, p)
-	if !ok && l.borrowFor(target) {
-		return l.holdWithinOwn(target, p)
+// ReserveWithinRate counts a request at a target that was chosen before and may
+// have advertised a rate; false when this host's share is used up and no
+// request can be borrowed.
+func (l *Loads) ReserveWithinRate(target string, p call.Prompt) (*Reservation, bool) {
+	reservation, ok := l.reserveWithinOwnShare(target, p)
+	if !ok && l.borrow(target) {
+		return l.reserveWithinOwnShare(target, p)
 	}
-	return place, ok
+	return reservation, ok
 }
 
-// holdWithinOwn is HoldWithinRate by what this host has of the rate.
-func (l *Loads) holdWithinOwn(target string, p call.Prompt) (*Place, bool) {
+// reserveWithinOwnShare is ReserveWithinRate without borrowing.
+func (l *Loads) reserveWithinOwnShare(target string, p call.Prompt) (*Reservation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.withinRate(target) {
 		return nil, false
 	}
-	return l.place(target, p), true
+	return l.reserve(target, p), true
 }
 
-// borrowFor borrows one request to a target; false when nobody lends.
-func (l *Loads) borrowFor(target string) bool {
+// borrow borrows one request to a target; false when no host lends one.
+func (l *Loads) borrow(target string) bool {
 	l.mu.Lock()
-	w, limited := l.rates.Advertised(target)
+	advertisement, limited := l.rates.Advertised(target)
 	_, hosts := l.rank(target)
 	l.mu.Unlock()
-	if !limited || l.borrow == nil || !l.borrow(target, targetrate.Holders(w.PerSecond, hosts)) {
+	if !limited || l.borrowRate == nil || !l.borrowRate(target, targetrate.Holders(advertisement.PerSecond, hosts)) {
 		return false
 	}
 	l.mu.Lock()
@@ -115,53 +119,55 @@
 	return true
 }
 
-// borrowAny borrows one request to a target of a service that is at its rate and
-// takes work else, and gives the target; false when nobody lends.
-func (l *Loads) borrowAny(view *directory.View, w Wanted, which func(target string) bool) bool {
-	limited := l.limited(view, w, which)
+// borrowForService borrows one request to any target of a service that would
+// accept it but for its rate; false when no host lends one.
+func (l *Loads) borrowForService(view *directory.View, req PlacementRequest, filter func(target string) bool) bool {
+	limited := l.rateLimitedTargets(view, req, filter)
 	rand.Shuffle(len(limited), func(i, j int) { limited[i], limited[j] = limited[j], limited[i] })
-	return slices.ContainsFunc(limited[:min(len(limited), borrowTries)], l.borrowFor)
+	return slices.ContainsFunc(limited[:min(len(limited), maxBorrowAttempts)], l.borrow)
 }
 
-// borrowTries bounds the targets for which a request is borrowed in vain: each
-// costs a round trip.
-const borrowTries = 2
+// maxBorrowAttempts limits the targets for which borrowing is attempted: each
+// attempt costs a round trip.
+const maxBorrowAttempts = 2
 
-// limited gives the targets of a service that take work but for their rate.
-func (l *Loads) limited(view *directory.View, w Wanted, which func(target string) bool) []string {
+// rateLimitedTargets returns the ids of a service's targets that would accept a
+// request but for their rate.
+func (l *Loads) rateLimitedTargets(view *directory.View, req PlacementRequest, filter func(target string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.rates.Limited() == 0 {
 		return nil
 	}
 	var out []string
-	for _, t := range view.Pool(w.Service) {
+	for _, t := range view.Pool(req.Service) {
 		_, limited := l.rates.Advertised(t.ID)
-		if limited && l.mayGet(view, w, t) && !l.withinRate(t.ID) && which(t.ID) {
+		if limited && l.acceptsIgnoringRate(view, req, t) && !l.withinRate(t.ID) && filter(t.ID) {
 			out = append(out, t.ID)
 		}
 	}
 	return out
 }
 
-// always is for targets however old their advertisement is.
-func always(string) bool { return true }
+// anyAge accepts targets whatever the age of their advertisement.
+func anyAge(string) bool { return true }
 
-// stale tells whether a target named its rate so long ago that it may take more.
-func (l *Loads) stale(target string) bool { return l.rates.Stale(l.now(), target) }
+// isStale reports whether a target's advertisement is so old that the target
+// may accept more by now.
+func (l *Loads) isStale(target string) bool { return l.rates.Stale(l.now(), target) }
 
-// RoomIn is the time until this host may send to a target of a service that is at
-// its rate; false when none of them is.
-func (l *Loads) RoomIn(view *directory.View, w Wanted) (time.Duration, bool) {
-	limited := l.limited(view, w, always)
+// RateWait returns the time until this host may send to one of a service's
+// targets that are at their rate; false when none of them is.
+func (l *Loads) RateWait(view *directory.View, req PlacementRequest) (time.Duration, bool) {
+	limited := l.rateLimitedTargets(view, req, anyAge)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var least time.Duration
+	var shortest time.Duration
 	for _, id := range limited {
 		rank, hosts := l.rank(id)
-		if wait := l.rates.Wait(l.now(), id, rank, hosts); least == 0 || wait < least {
-			least = wait
+		if wait := l.rates.Wait(l.now(), id, rank, hosts); shortest == 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return least, len(limited) > 0
+	return shortest, len(limited) > 0
 }
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -7,207 +7,210 @@
 	"filbertdeck/internal/failure"
 )
 
-// useBackup goes over to the generation's backup, if it has one at an engine
-// that stays.
-func (gen *generation) useBackup() bool {
+// switchToBackup switches to the generation's backup if it has one, at an
+// engine that is not leaving.
+func (gen *generation) switchToBackup() bool {
 	gen.mu.Lock()
 	b := gen.backup
 	gen.mu.Unlock()
-	if b == nil || !b.open() {
+	if b == nil || !b.available() {
 		return false
 	}
-	keeper := b.at
-	if gen.g.cfg.Loads.Leaving(keeper.ID) {
+	target := b.target
+	if gen.g.cfg.Loads.Leaving(target.ID) {
 		return false
 	}
-	place, ok := gen.g.cfg.Loads.HoldWithinRate(keeper.ID, gen.Prompt)
+	reservation, ok := gen.g.cfg.Loads.ReserveWithinRate(target.ID, gen.Prompt)
 	if !ok {
 		return false
 	}
-	begun := time.Now()
-	err := gen.switchTo(b.copied, place)
-	gen.g.cfg.Log.Info("generation goes on at its backup", "request", gen.ID, "to", keeper.ID, "took", time.Since(begun), "silent_for", gen.silentFor(), "error", err)
+	start := time.Now()
+	err := gen.switchTo(b.memoryCopy, reservation)
+	gen.g.cfg.Log.Info("generation goes on at its backup", "request", gen.ID, "to", target.ID, "took", time.Since(start), "silent_for", gen.sinceLastEvent(), "error", err)
 	if err == nil {
-		gen.g.meters.movedBackup.Inc(1)
+		gen.g.metrics.movedToBackup.Inc(1)
 	}
 	return err == nil
 }
 
 // switchTo sends the request to an engine that holds a copy and, when that
-// takes it, ends the stream from the engine before: closing the connection is
-// what makes an engine drop the run. Meanwhile no event is delivered; a refusal
-// leaves all as it was.
-func (gen *generation) switchTo(c *copied, place *Place) error {
-	gen.flow.Lock()
-	defer gen.flow.Unlock()
-	if gen.over {
-		place.Release()
-		return errEnded
-	}
-	l, err := gen.resume(c, place)
+// engine accepts it, ends the stream from the previous engine: closing the
+// connection makes an engine drop the run. No event is delivered meanwhile. A
+// refusal changes nothing.
+func (gen *generation) switchTo(c *memoryCopy, reservation *Reservation) error {
+	gen.deliveryMu.Lock()
+	defer gen.deliveryMu.Unlock()
+	if gen.closed {
+		reservation.Release()
+		return errStreamEnded
+	}
+	stream, err := gen.resume(c, reservation)
 	if err != nil {
 		return err
 	}
 	gen.mu.Lock()
-	cancelOld := gen.cancelLeg
+	cancelOld := gen.cancelStream
 	gen.mu.Unlock()
 	if cancelOld != nil {
 		cancelOld()
 	}
-	gen.next = l
-	gen.enter(c.at, l.cancel, l.backup)
+	gen.nextStream = stream
+	gen.setTarget(c.target, stream.cancel, stream.backup)
 	return nil
 }
 
-// resume sends the request to an engine that holds a copy, to go on behind the
-// last event that the caller has. The engine before still runs, so the answer
-// must come soon or not at all.
-func (gen *generation) resume(c *copied, place *Place) (*leg, error) {
-	by := gen.g.basis()
-	if !takesNew(by.view, c.at.Target) {
-		place.Release()
-		return nil, failure.New(failure.KindNoTarget, "engine %s may get no more work", c.at.ID)
-	}
-	if silent := gen.silentFor(); silent > gen.copyKept() {
-		place.Release()
-		return nil, failure.New(failure.KindNoTarget, "the copy at engine %s is gone after %s of silence", c.at.ID, silent)
-	}
-	if !c.offer() {
-		place.Release()
-		return nil, failure.New(failure.KindNoTarget, "engine %s had the copy offered before", c.at.ID)
-	}
-	s := gen.send(c.at)
-	s.Resume, s.After = &c.handoff, gen.lastID
-	l, err := gen.openWithin(switchLimit, s, c.at, place, by)
-	if unsent(err) {
-		c.takeBack()
+// resume sends the request to an engine that holds a copy, to continue after
+// the last event that the caller has. The previous engine may still run, so the
+// answer must come within switchTimeout.
+func (gen *generation) resume(c *memoryCopy, reservation *Reservation) (*engineStream, error) {
+	selection := gen.g.selectionState()
+	if !acceptsNew(selection.view, c.target.Target) {
+		reservation.Release()
+		return nil, failure.New(failure.KindNoTarget, "engine %s accepts no new work", c.target.ID)
+	}
+	if idle := gen.sinceLastEvent(); idle > gen.copyRetention() {
+		reservation.Release()
+		return nil, failure.New(failure.KindNoTarget, "the copy at engine %s expired after %s without an event", c.target.ID, idle)
+	}
+	if !c.claim() {
+		reservation.Release()
+		return nil, failure.New(failure.KindNoTarget, "the copy was already offered to engine %s", c.target.ID)
+	}
+	s := gen.newSend(c.target)
+	s.Resume, s.After = &c.handoff, gen.lastEventID
+	stream, err := gen.openStreamWithin(switchTimeout, s, c.target, reservation, selection)
+	if requestUnsent(err) {
+		c.unclaim()
 	}
 	if err == nil {
 		gen.moves++
 	}
-	return l, err
+	return stream, err
 }
 
-// takesNew tells whether a target of an earlier view may get work by now.
-func takesNew(view *directory.View, t directory.Target) bool {
+// acceptsNew reports whether a target taken from an earlier view still accepts
+// work.
+func acceptsNew(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
 	return known && now.Started == t.Started && view.TakesNew(now)
 }
 
-// goOn finds where a generation goes on whose stream ended early with why: at
-// the engine that it went over to, from a copy or a backup, or, where the route
-// allows another run to go on, at any other engine.
-func (gen *generation) goOn(why error) (*leg, error) {
-	if l := gen.takeNext(); l != nil {
-		return l, nil
+// continueElsewhere finds where a generation continues whose stream ended early
+// because of cause: at the engine that it has switched to, from a copy or a
+// backup, or, where the route allows a new run to continue it, at any other
+// engine.
+func (gen *generation) continueElsewhere(cause error) (*engineStream, error) {
+	if stream := gen.takeNextStream(); stream != nil {
+		return stream, nil
 	}
 	gen.mu.Lock()
-	m, b, from := gen.move, gen.backup, gen.at
+	m, b, from := gen.move, gen.backup, gen.target
 	gen.mu.Unlock()
 	if m != nil {
 		select {
 		case <-m.done:
 		case <-gen.ctx.Done():
-			return nil, why
+			return nil, cause
 		}
-		if l := gen.takeNext(); l != nil {
-			return l, nil
+		if stream := gen.takeNextStream(); stream != nil {
+			return stream, nil
 		}
-		if l, ok := gen.comeBack(m.copy); ok {
-			return l, nil
+		if stream, ok := gen.resumeFromCopy(m.copy); ok {
+			return stream, nil
 		}
 	}
 	if b != nil {
-		if l, ok := gen.comeBack(b.copied); ok {
-			return l, nil
+		if stream, ok := gen.resumeFromCopy(b.memoryCopy); ok {
+			return stream, nil
 		}
 	}
 	if gen.route.Resumable {
-		return gen.anew(from, why)
+		return gen.startNewRun(from, cause)
 	}
-	return nil, why
+	return nil, cause
 }
 
-// takeNext gives the leg that the generation went over to, nil when there is
-// none.
-func (gen *generation) takeNext() *leg {
-	gen.flow.Lock()
-	defer gen.flow.Unlock()
-	l := gen.next
-	gen.next = nil
-	return l
+// takeNextStream returns the stream that the generation has switched to, nil
+// when there is none.
+func (gen *generation) takeNextStream() *engineStream {
+	gen.deliveryMu.Lock()
+	defer gen.deliveryMu.Unlock()
+	stream := gen.nextStream
+	gen.nextStream = nil
+	return stream
 }
 
-// end says that no leg will be relayed any more, and closes one that the
-// generation went over to in the meantime. Without it a move that ends just
-// after the stream would keep its place at an engine counted for good, and that
-// engine would look fuller than it is to every host.
-func (gen *generation) end() {
-	gen.flow.Lock()
-	gen.over = true
-	l := gen.next
-	gen.next = nil
-	gen.flow.Unlock()
-	if l != nil {
-		l.close(false)
+// closeNextStream records that no further stream will be relayed, and closes
+// one that the generation switched to in the meantime. Otherwise a move that
+// completes just after the stream ended would leave its reservation counted for
+// good, and every host would see that engine as more loaded than it is.
+func (gen *generation) closeNextStream() {
+	gen.deliveryMu.Lock()
+	gen.closed = true
+	stream := gen.nextStream
+	gen.nextStream = nil
+	gen.deliveryMu.Unlock()
+	if stream != nil {
+		stream.close(false)
 	}
 }
 
-// comeBack goes on from a copy after the engine before has ended; false when
-// there is none to offer or its engine doesn't take it.
-func (gen *generation) comeBack(c *copied) (*leg, bool) {
-	if !c.open() {
+// resumeFromCopy continues from a copy after the previous engine has ended;
+// false when there is none to offer or its engine refuses it.
+func (gen *generation) resumeFromCopy(c *memoryCopy) (*engineStream, bool) {
+	if !c.available() {
 		return nil, false
 	}
-	place, ok := gen.g.cfg.Loads.HoldWithinRate(c.at.ID, gen.Prompt)
+	reservation, ok := gen.g.cfg.Loads.ReserveWithinRate(c.target.ID, gen.Prompt)
 	if !ok {
 		return nil, false
 	}
-	l, err := gen.resume(c, place)
-	gen.g.cfg.Log.Info("generation comes back from a copy", "request", gen.ID, "to", c.at.ID, "events", gen.pauses.events,
-		"silent_for", gen.silentFor(), "error", err)
+	stream, err := gen.resume(c, reservation)
+	gen.g.cfg.Log.Info("generation comes back from a copy", "request", gen.ID, "to", c.target.ID, "events", gen.gaps.events,
+		"silent_for", gen.sinceLastEvent(), "error", err)
 	if err != nil {
 		return nil, false
 	}
-	gen.g.meters.cameBack.Inc(1)
-	gen.enter(c.at, l.cancel, l.backup)
-	return l, true
+	gen.g.metrics.resumedAfterLoss.Inc(1)
+	gen.setTarget(c.target, stream.cancel, stream.backup)
+	return stream, true
 }
 
-// silentFor is the time since the last event, or since the request came.
-func (gen *generation) silentFor() time.Duration {
+// sinceLastEvent returns the time since the last event, or since the request
+// arrived if there is none.
+func (gen *generation) sinceLastEvent() time.Duration {
 	since := time.Since(gen.Arrived)
-	if p := gen.progress.Load(); p != nil {
-		since -= p.last
+	if progress := gen.progress.Load(); progress != nil {
+		since -= progress.last
 	}
 	return since
 }
 
-// anew has another engine go on with a generation of a route that allows it,
-// behind the last event that the caller has. One that crashes engines would
-// else go from each to the next.
-func (gen *generation) anew(from *directory.Seen, why error) (*leg, error) {
-	if gen.runs >= gen.route.Attempts || gen.g.cfg.Suspects.guilty(gen.fingerprint) {
-		return nil, why
+// startNewRun has another engine continue a generation, on a route that allows
+// it, after the last event that the caller has. A request that crashes engines
+// is not continued, since it would crash one after the other.
+func (gen *generation) startNewRun(from *directory.Seen, cause error) (*engineStream, error) {
+	if gen.attempts >= gen.route.Attempts || gen.g.cfg.Suspects.isPoison(gen.fingerprint) {
+		return nil, cause
 	}
 	if !gen.g.cfg.Budget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
-		return nil, why
+		return nil, cause
 	}
-	by := gen.g.basis()
-	target, place, ok := gen.g.cfg.Loads.Acquire(by.view, gen.wanted([]string{from.ID}))
+	selection := gen.g.selectionState()
+	target, reservation, ok := gen.g.cfg.Loads.Acquire(selection.view, gen.placementRequest([]string{from.ID}))
 	if !ok {
-		return nil, why
+		return nil, cause
 	}
-	s := gen.send(target)
-	s.After = gen.lastID
-	l, err := gen.open(s, target, place, by)
+	s := gen.newSend(target)
+	s.After = gen.lastEventID
+	stream, err := gen.openStream(s, target, reservation, selection)
 	if err != nil {
-		return nil, why
+		return nil, cause
 	}
-	gen.enter(target, l.cancel, l.backup)
+	gen.setTarget(target, stream.cancel, stream.backup)
 	gen.moves++
-	gen.runs++
-	gen.g.meters.movedAnew.Inc(1)
-	gen.g.cfg.Log.Info("generation resumed by another run", "request", gen.ID, "from", from.ID, "to", target.ID, "events", gen.pauses.events)
-	return l, nil
+	gen.attempts++
+	gen.g.metrics.newRuns.Inc(1)
+	gen.g.cfg.Log.Info("generation continued by a new run", "request", gen.ID, "from", from.ID, "to", target.ID, "events", gen.gaps.events)
+	return stream, nil
 }
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -12,22 +12,22 @@
 	"filbertdeck/internal/directory"
 )
 
-var _ = Describe("a move that is ready just after its generation ended", func() {
-	// The last event is out when a copy of the generation becomes whole. Going
-	// over to it then would start work that nobody waits for, and keep its
-	// place counted for good.
-	It("is not made, and gives its place up", func() {
+var _ = Describe("a move that completes just after its generation ended", func() {
+	// Guards against a copy that completes after the generation's last event:
+	// switching to it would start work that nobody waits for and keep its
+	// reservation counted for good.
+	It("is cancelled and releases its reservation", func() {
 		loads := NewLoads("host-1", "dc-1", func() time.Duration { return 0 })
 		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
 		board := &published.Board{}
-		var out *blackboard.Writer[directory.View]
-		out, err := board.View.Claim()
+		var views *blackboard.Writer[directory.View]
+		views, err := board.View.Claim()
 		Expect(err).NotTo(HaveOccurred())
-		out.Publish(directory.NewView(1, nil, map[string]*directory.Seen{"i-1": target}, nil))
+		views.Publish(directory.NewView(1, nil, map[string]*directory.Seen{"i-1": target}, nil))
 		gen := &generation{exchange: &exchange{Request: &call.Request{}}, g: &Gateway{cfg: Config{Loads: loads, Board: board}}}
-		place := loads.Hold("i-1", call.Prompt{Tokens: 10})
-		gen.end()
-		Expect(gen.switchTo(&copied{at: target}, place)).To(MatchError(errEnded))
-		Expect(loads.Hosts("i-1")).To(BeZero())
+		reservation := loads.Hold("i-1", call.Prompt{Tokens: 10})
+		gen.closeNextStream()
+		Expect(gen.switchTo(&memoryCopy{target: target}, reservation)).To(MatchError(errStreamEnded))
+		Expect(loads.HostsUsing("i-1")).To(BeZero())
 	})
 })
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -14,47 +14,50 @@
 	"filbertdeck/internal/wake"
 )
 
-// Figures of the evidence against requests that crash targets.
+// Parameters of detecting requests that crash targets.
 const (
-	// crashLook is how long after a broken connection the target is looked
-	// for: its process is gone by then, and not back before some seconds.
-	crashLook = 60 * time.Millisecond
-	// crashDial bounds the look; a target that doesn't answer may be cut off,
-	// which proves nothing.
-	crashDial = 300 * time.Millisecond
-	// exportCrashes bounds the crashes in one message to another host.
-	exportCrashes = 32
-	// guiltyRetry is told to the caller of a request that crashes targets. It
-	// did not run and would not: coming back soon makes no sense.
-	guiltyRetry = 10 * time.Second
+	// crashCheckDelay is the time from a broken connection to the check whether
+	// the target still listens: a crashed process is gone by then, and not back
+	// for some seconds.
+	crashCheckDelay = 60 * time.Millisecond
+	// crashDialTimeout limits the check. A target that does not answer may be
+	// cut off from this host, which proves nothing.
+	crashDialTimeout = 300 * time.Millisecond
+	// maxExportedCrashes limits the crashes in one message to another host.
+	maxExportedCrashes = 32
+	// poisonRetryAfter is returned to the caller of a request that crashes
+	// targets. The request did not run and will not run soon, so an early retry
+	// is pointless.
+	poisonRetryAfter = 10 * time.Second
 )
 
-// Suspects keeps the evidence against requests that crash the targets that run
-// them, of this host and of others. It is safe for concurrent use.
+// Suspects keeps the evidence, from this host and from others, against requests
+// that crash the targets that run them. It is safe for concurrent use.
 type Suspects struct {
 	now func() time.Duration
 
 	mu       sync.Mutex
 	detector *poison.Detector
 	running  map[string][]uint64
-	looking  map[uint64]bool
-	// news is signalled when there is evidence to tell other hosts.
-	news chan struct{}
+	checking map[uint64]bool
+	// changed is signalled when there is new evidence for other hosts.
+	changed chan struct{}
 }
 
 // NewSuspects returns a Suspects without evidence.
 func NewSuspects(now func() time.Duration) *Suspects {
 	return &Suspects{
-		now: now, detector: poison.New(poison.Config{}), running: map[string][]uint64{}, looking: map[uint64]bool{},
-		news: make(chan struct{}, 1),
+		now: now, detector: poison.New(poison.Config{}), running: map[string][]uint64{}, checking: map[uint64]bool{},
+		changed: make(chan struct{}, 1),
 	}
 }
 
-// News is received from when there is evidence to tell other hosts.
-func (s *Suspects) News() <-chan struct{} { return s.news }
+// News returns a channel that receives when there is new evidence for other
+// hosts.
+func (s *Suspects) News() <-chan struct{} { return s.changed }
 
-// fingerprint names a request over its attempts: the same caller, path and
-// body come again under another id.
+// fingerprint identifies a request across attempts: a retry has the same
+// account, method, host, URI and body, but another id.
 func fingerprint(x *exchange) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{accountName(x.account), x.Method, x.Host, x.URI} {
@@ -65,79 +68,79 @@
 	return d.Sum64()
 }
 
-// guilty tells whether a request is known to crash targets.
-func (s *Suspects) guilty(f uint64) bool {
+// isPoison reports whether a request is known to crash targets.
+func (s *Suspects) isPoison(fp uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Rule(s.now(), f).Verdict == poison.Guilty
+	return s.detector.Rule(s.now(), fp).Verdict == poison.Guilty
 }
 
-// begin notes that a request runs at a target; end says whether it finished
-// there.
-func (s *Suspects) begin(target *directory.Seen, f uint64) (end func(finished bool)) {
+// beginRequest records that a request runs at a target. The returned function
+// records its end and whether it finished there.
+func (s *Suspects) beginRequest(target *directory.Seen, fp uint64) (end func(finished bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running[target.ID] = append(s.running[target.ID], f)
-	return func(finished bool) { s.end(target.ID, f, finished) }
+	s.running[target.ID] = append(s.running[target.ID], fp)
+	return func(finished bool) { s.endRequest(target.ID, fp, finished) }
 }
 
-func (s *Suspects) end(target string, f uint64, finished bool) {
+func (s *Suspects) endRequest(target string, fp uint64, finished bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.running[target]
-	if i := slices.Index(list, f); i >= 0 {
-		list = slices.Delete(list, i, i+1)
+	running := s.running[target]
+	if i := slices.Index(running, fp); i >= 0 {
+		running = slices.Delete(running, i, i+1)
 	}
-	s.running[target] = list
-	if len(list) == 0 {
+	s.running[target] = running
+	if len(running) == 0 {
 		delete(s.running, target)
 	}
 	if finished {
-		s.detector.Finished(s.now(), f)
+		s.detector.Finished(s.now(), fp)
 	}
 }
 
-// broke notes that a target broke a request's connection. Whether it crashed
-// shows when nobody listens at its address any more; a broken answer alone
-// says nothing.
-func (s *Suspects) broke(target *directory.Seen, dial func(ctx context.Context, address string) error) {
+// checkForCrash checks whether a target that broke a request's connection has
+// crashed: it has if its address refuses connections. A broken answer alone
+// proves nothing.
+func (s *Suspects) checkForCrash(target *directory.Seen, dial func(ctx context.Context, address string) error) {
 	id := poison.CrashID(target.ID, uint64(target.Started))
 	s.mu.Lock()
 	suspects := slices.Clone(s.running[target.ID])
-	looked := s.looking[id]
-	s.looking[id] = true
+	alreadyChecking := s.checking[id]
+	s.checking[id] = true
 	s.mu.Unlock()
-	if looked {
+	if alreadyChecking {
 		return
 	}
-	time.AfterFunc(crashLook, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), crashDial)
+	time.AfterFunc(crashCheckDelay, func() {
+		ctx, cancel := context.WithTimeout(context.Background(), crashDialTimeout)
 		defer cancel()
 		err := dial(ctx, target.Address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.looking, id)
+		delete(s.checking, id)
 		if failure.KindOf(err) == failure.KindTargetFailed {
-			// Latest start first, as the evidence weighs them.
+			// The detector expects the most recently started request first.
 			slices.Reverse(suspects)
 			s.detector.Crashed(s.now(), id, suspects)
-			wake.Signal(s.news)
+			wake.Signal(s.changed)
 		}
 	})
 }
 
-// Export gives the evidence for other hosts.
+// Export returns the evidence for other hosts.
 func (s *Suspects) Export() []poison.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Export(s.now(), exportCrashes)
+	return s.detector.Export(s.now(), maxExportedCrashes)
 }
 
-// Merge takes the evidence of another host.
+// Merge merges the evidence of another host.
 func (s *Suspects) Merge(crashes []poison.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.detector.Merge(s.now(), crashes) {
-		wake.Signal(s.news)
+		wake.Signal(s.changed)
 	}
 }
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -12,12 +12,13 @@
 	"filbertdeck/internal/directory"
 )
 
-// crashing runs a target that dies of the body "poison" and answers all else.
-func crashing(id string) (*directory.Seen, func() int) {
+// startCrashingTarget runs a target that dies when the path contains "poison"
+// and answers all other requests.
+func startCrashingTarget(id string) (*directory.Seen, func() int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = l.Close() })
-	t := &target{id: id, address: l.Addr().String()}
+	t := &fakeTarget{id: id, address: l.Addr().String()}
 	var once sync.Once
 	go func() {
 		for {
@@ -30,41 +31,41 @@
 					once.Do(func() { _ = l.Close() })
 					return
 				}
-				say(goodPlain)(conn, r)
+				respond(completeAnswer)(conn, r)
 			})
 		}
 	}()
-	return t.entry("app", "dc-1"), func() int { return len(t.requests()) }
+	return t.directoryEntry("app", "dc-1"), func() int { return len(t.requests()) }
 }
 
-var _ = Describe("a request that crashes each target that runs it", func() {
-	// Its caller sends it again and again. Each time another target dies with
-	// everyone else's calls, until none is left.
-	It("is refused at once after its third crash, and others are not", func() {
-		d := startDeck()
+var _ = Describe("a request that crashes every target that runs it", func() {
+	// The caller sends the request again and again. Each time another target
+	// dies with the requests of all other callers, until none is left.
+	It("is refused at once after its third crash, while others are served", func() {
+		gw := startGateway()
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			t, _ := crashing(id)
-			d.publish(t)
-			Expect(d.do(d.request("POST", "/book/poison")).status).To(Equal(http.StatusBadGateway))
-			Eventually(d.crashes).Should(Equal(int(id[2] - '0')))
+			t, _ := startCrashingTarget(id)
+			gw.publish(t)
+			Expect(gw.do(gw.request("POST", "/book/poison")).status).To(Equal(http.StatusBadGateway))
+			Eventually(gw.crashCount).Should(Equal(int(id[2] - '0')))
 		}
-		last, seen := crashing("i-4")
-		d.publish(last)
-		got := d.do(d.request("POST", "/book/poison"))
+		last, requestCount := startCrashingTarget("i-4")
+		gw.publish(last)
+		got := gw.do(gw.request("POST", "/book/poison"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(seen()).To(BeZero())
-		Expect(d.do(d.request("POST", "/book/")).status).To(Equal(http.StatusOK))
+		Expect(requestCount()).To(BeZero())
+		Expect(gw.do(gw.request("POST", "/book/")).status).To(Equal(http.StatusOK))
 	})
 
-	// A target breaks off one answer and lives. That says nothing of the
-	// request, which many callers may send.
-	It("is not found in answers that merely broke off", func() {
-		t := startTarget("i-1", say(""))
-		d := startDeck(t.entry("app", "dc-1"))
+	// A target breaks off one answer and keeps running. That is no evidence
+	// against the request, which many callers may send.
+	It("is not suspected because of answers that only broke off", func() {
+		t := startTarget("i-1", respond(""))
+		gw := startGateway(t.directoryEntry("app", "dc-1"))
 		for range 5 {
-			Expect(d.do(d.request("POST", "/book/")).status).To(Equal(http.StatusBadGateway))
+			Expect(gw.do(gw.request("POST", "/book/")).status).To(Equal(http.StatusBadGateway))
 		}
-		Consistently(d.crashes, "200ms").Should(BeZero())
+		Consistently(gw.crashCount, "200ms").Should(BeZero())
 	})
 })
