--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -109,9 +109,9 @@
 	t.failedAt = l.now()
 }
 
-// RecordBrokenRequest records that a target broke off a request, and tells
-// other hosts. Well-formed failure answers are not told to them, since some
-// requests fail at every target.
+// RecordBrokenRequest records that a target broke off a request, and alerts
+// other hosts. Well-formed failure answers cause no alert, since some requests
+// fail at every target.
 func (l *Loads) RecordBrokenRequest(target string) {
 	l.RecordFailure(target)
 	l.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,7 +28,7 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// Retry delays, as told to callers, and time limits of relaying.
+// Retry delays sent to callers, and time limits of relaying.
 const (
 	// notReadyRetryAfter is returned when this host's configuration may be out
 	// of date. The caller's next try reaches another host, and configuration
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -119,7 +119,7 @@
 // checkClosingTarget checks the health of a target that closes a connection. A
 // target about to stop does so, but it also closes connections at other times.
 func (g *Gateway) checkClosingTarget(t *directory.Seen) {
-	if acceptsNew(g.view(), t.Target) {
+	if acceptsNewWork(g.view(), t.Target) {
 		go g.checkTarget(context.Background(), t)
 	}
 }
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -46,10 +46,10 @@
 	hostCount func() int
 	// rng breaks ties and draws the sampled targets.
 	rng *rand.Rand
-	// changed is signalled when there are loads to send to other hosts,
+	// loadsChanged is signalled when there are loads to send to other hosts,
 	// alertsChanged when there are alerts, targetLeaving when a target was
 	// reported to be leaving.
-	changed, alertsChanged, targetLeaving chan struct{}
+	loadsChanged, alertsChanged, targetLeaving chan struct{}
 }
 
 // targetLoad is the load of one target from this host.
@@ -73,7 +73,7 @@
 		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
 		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
-		changed: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
+		loadsChanged: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // Changed returns a channel that receives when there are loads to send to other
 // hosts.
-func (l *Loads) Changed() <-chan struct{} { return l.changed }
+func (l *Loads) Changed() <-chan struct{} { return l.loadsChanged }
 
 // Alerted returns a channel that receives when there are alerts to send to
 // other hosts.
@@ -186,7 +186,7 @@
 		// would be out of date when other hosts receive them.
 		return
 	}
-	wake.Signal(l.changed)
+	wake.Signal(l.loadsChanged)
 }
 
 func (l *Loads) loadOf(target string) *targetLoad {
--- a/internal/gateway/memory_copy.go
+++ b/internal/gateway/memory_copy.go
@@ -16,7 +16,7 @@
 // copyRetention returns how long after a generation's last event a copy of it
 // certainly exists: engines free copies that receive no updates. An expired
 // copy must not be offered, because an engine that fails part of its requests
-// may run the request anew.
+// may run the request as a new one.
 func (gen *generation) copyRetention() time.Duration {
 	return cmp.Or(gen.service.Engine.CopyKept, defaultCopyRetention)
 }
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -161,7 +161,7 @@
 	defer l.mu.Unlock()
 	if l.speeds.Sample(target, perToken) {
 		l.hostLoads.SetStep(l.now(), target, l.speeds.Step(target))
-		wake.Signal(l.changed)
+		wake.Signal(l.loadsChanged)
 	}
 }
 
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -183,7 +183,7 @@
 	}
 	resp, err := g.cfg.Client.Do(req, func() error {
 		selection.recordSend()
-		if !acceptsNew(g.view(), s.Target) {
+		if !acceptsNewWork(g.view(), s.Target) {
 			return failure.New(failure.KindTargetLeft, "target %s left before the request was sent", s.Target.ID)
 		}
 		return ctx.Err()
@@ -245,7 +245,7 @@
 // notStopping reports whether no planned stop of a target is known. The end of
 // a target that stops as planned is no evidence against its requests.
 func (g *Gateway) notStopping(target *directory.Seen) bool {
-	return acceptsNew(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
+	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
 }
 
 // dial checks whether a process listens at an address.
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -11,7 +11,7 @@
 // denyIfCurrent returns a denial when this host's configuration is current,
 // else a retryable failure. A host that the configuration store turns away
 // holds an old configuration while other hosts serve a new route or key. Its
-// caller may try those, and must not be told for good that there is none.
+// caller may try those, and must not get a final answer that there is none.
 func (g *Gateway) denyIfCurrent(denial *failure.Error) error {
 	if g.cfg.Current() {
 		return denial
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -138,8 +138,8 @@
 
 var _ = Describe("a host without access to the published state", func() {
 	// The configuration store turns this host away while operators add a key or
-	// a route. A caller that uses the new one must not be told for good that it
-	// is unknown.
+	// a route. A caller that uses the new one must not get a final answer that
+	// it is unknown.
 	DescribeTable("answers an unknown key or route with a retryable failure", func(change func(*http.Request)) {
 		gw := startGateway(startTarget("i-1", respond(completeAnswer)).directoryEntry("app", "dc-1"))
 		gw.disconnected.Store(true)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -64,7 +64,7 @@
 // answer must come within switchTimeout.
 func (gen *generation) resume(c *memoryCopy, reservation *Reservation) (*engineStream, error) {
 	selection := gen.g.selectionState()
-	if !acceptsNew(selection.view, c.target.Target) {
+	if !acceptsNewWork(selection.view, c.target.Target) {
 		reservation.Release()
 		return nil, failure.New(failure.KindNoTarget, "engine %s accepts no new work", c.target.ID)
 	}
@@ -88,9 +88,9 @@
 	return stream, err
 }
 
-// acceptsNew reports whether a target taken from an earlier view still accepts
+// acceptsNewWork reports whether a target taken from an earlier view still accepts
 // work.
-func acceptsNew(view *directory.View, t directory.Target) bool {
+func acceptsNewWork(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
 	return known && now.Started == t.Started && view.TakesNew(now)
 }
@@ -142,8 +142,8 @@
 
 // closeNextStream records that no further stream will be relayed, and closes
 // one that the generation switched to in the meantime. Otherwise a move that
-// completes just after the stream ended would leave its reservation counted for
-// good, and every host would see that engine as more loaded than it is.
+// completes just after the stream ended would leave its reservation counted
+// permanently, and every host would see that engine as more loaded than it is.
 func (gen *generation) closeNextStream() {
 	gen.deliveryMu.Lock()
 	gen.closed = true
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -14,8 +14,8 @@
 
 var _ = Describe("a move that completes just after its generation ended", func() {
 	// Guards against a copy that completes after the generation's last event:
-	// switching to it would start work that nobody waits for and keep its
-	// reservation counted for good.
+	// switching to it would start work that no caller waits for and keep its
+	// reservation counted permanently.
 	It("is cancelled and releases its reservation", func() {
 		loads := NewLoads("host-1", "dc-1", func() time.Duration { return 0 })
 		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -38,7 +38,10 @@
 
 	mu       sync.Mutex
 	detector *poison.Detector
-	running  map[string][]uint64
+	// running holds the fingerprints of the requests in progress at each
+	// target, oldest first.
+	running map[string][]uint64
+	// checking holds the ids of possible crashes that are being checked.
 	checking map[uint64]bool
 	// changed is signalled when there is new evidence for other hosts.
 	changed chan struct{}
