--- a/internal/decide/fencing/number.go
+++ b/internal/decide/fencing/number.go
@@ -1,24 +1,23 @@
-// Package fencing numbers the orders that the system gives to engines (load a
-// model, an adapter, change role) and makes sure that an owner that has been
-// replaced can't undo its successor's.
+// Package fencing numbers the commands that the system sends to engines (load a
+// model, load an adapter, change role), so that an owner that has been replaced
+// can't undo the commands of its successor.
 //
-// Load pattern: a control process that owns an engine's orders pauses for ten
-// seconds, or sits in the lesser part of a split fleet. Meanwhile the host list
-// names another owner, which orders another model. Then the first one wakes up
-// and sends what it had decided.
+// A control process that owns an engine may pause for ten seconds, or be on the
+// minority side of a partition. Meanwhile the host list names another owner,
+// which commands another model. When the first process resumes, it sends the
+// command that it had decided on before. Without fencing the engine unloads the
+// model that it is serving, or two owners undo each other's commands for as
+// long as the partition lasts: engines change role every few seconds, and
+// requests are refused for a model that the operators' page shows as loaded.
 //
-// What happens without it: the engine unloads the model that it is serving, or
-// the two owners undo each other's orders for as long as the split lasts. One
-// sees engines that change role every few seconds, and requests refused for a
-// model that the operators' page shows as loaded.
-//
-// How it works: an order carries a number that is led by the published list's
-// revision, so an engine that checks refuses every owner of an older list. For
-// engines that don't check, an owner gives orders only while it is confirmed as
-// the only one, waits out its predecessor first, and reads back what the engine
-// does: see Order. What that can't do: a process that pauses between its last
-// check and its write reaches such an engine with an old order. The owner sees
-// it when it reads back, and orders again.
+// Each command carries a fencing number whose high bits are the revision of the
+// published list, so an engine that checks the number refuses every owner under
+// an older list. For an engine that does not check, an owner sends commands
+// only while it is confirmed as the only owner, first waits until its
+// predecessor's commands have ended, and reads back the engine's state (see
+// Command). One case remains: a process that pauses between its last check and
+// its write reaches such an engine with an old command. The owner notices when
+// it reads back and sends its command again.
 package fencing
 
 import (
@@ -27,43 +26,46 @@
 	"filbertdeck/internal/failure"
 )
 
-// Number is a fencing number; a larger one is newer.
+// Number is a fencing number. A larger number is newer.
 type Number uint64
 
-// A number holds the list's revision, then a count of ticks. The revision's 29
-// bits last for a thousand years of changes every minute; 35 bits of ticks of a
-// 64th of a second last for 17 years after the epoch.
+// A number holds the list's revision in its high bits and a count of ticks in
+// its low bits. The 29 bits of the revision last for a thousand years at one
+// change per minute; 35 bits of ticks of 1/64 s last for 17 years after
+// tickEpoch.
 const (
 	tickBits = 35
-	maxTick  = 1<<tickBits - 1
-	// maxRevision is the highest revision that a number can hold.
+	maxTicks = 1<<tickBits - 1
+	// maxRevision is the highest revision that fits into a number.
 	maxRevision = 1<<(64-tickBits) - 1
-	// ticksPerSecond bounds the orders of one owner too: one a tick.
+	// ticksPerSecond is also the highest rate at which one owner can send
+	// commands: one per tick.
 	ticksPerSecond = 64
 )
 
-// epoch is the zero of ticks: the start of the year in which the project began.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// tickEpoch is the time of tick 0. No list is older than 2026.
+var tickEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Revision is the list's revision that the number was made under.
+// Revision returns the list revision under which the number was generated.
 func (n Number) Revision() uint64 { return uint64(n) >> tickBits }
 
-// Sequence makes the numbers of one process. It is not safe for concurrent use.
+// Sequence generates the numbers of one process. It is not safe for concurrent
+// use.
 //
-// Numbers rise within a process whatever its clock does. A process that was
-// replaced while the list's revision stayed the same must go on above its
-// earlier self, of which it remembers nothing; that is why the lower part
-// comes from the wall clock. A clock that was set back meanwhile makes a
-// checking engine refuse (KindFenced) until the clock or the list moves on:
-// orders stop, none is taken wrongly.
+// Numbers increase within a process whatever its clock does. A process that was
+// restarted under the same list revision must continue above the numbers of the
+// earlier process, which it does not know, so the low bits come from the wall
+// clock. If the clock was set back in between, an engine that checks refuses
+// commands (KindFenced) until the clock or the list revision has advanced:
+// commands stop, but no outdated one is accepted.
 type Sequence struct{ last Number }
 
-// Next gives the next number under the list's revision. It fails with
-// KindFenced when the revision or the clock can't be put into a number, or
-// went back to before an earlier number of this process.
+// Next returns the next number under the given list revision. It fails with
+// KindFenced if the revision or the time does not fit into a number, or if the
+// revision is lower than that of an earlier number.
 func (s *Sequence) Next(wall time.Time, revision uint64) (Number, error) {
-	ticks := wall.Sub(epoch) / (time.Second / ticksPerSecond)
-	if revision > maxRevision || ticks < 0 || ticks >= maxTick {
+	ticks := wall.Sub(tickEpoch) / (time.Second / ticksPerSecond)
+	if revision > maxRevision || ticks < 0 || ticks >= maxTicks {
 		return 0, failure.New(failure.KindFenced, "no fencing number for revision %d at %s", revision, wall.Format(time.RFC3339))
 	}
 	if revision < s.last.Revision() {
@@ -73,12 +75,13 @@
 	return s.last, nil
 }
 
-// Guard is the check of an engine that checks; the system uses it for its own
-// processes that take orders.
+// Guard checks numbers on the receiving side. The system's own processes that
+// accept commands use it.
 type Guard struct{ highest Number }
 
-// Admit tells whether an order with this number may be followed, and refuses
-// older ones from then on. An equal number is the same order, sent again.
+// Admit reports whether a command with number n may be executed, and refuses
+// older ones from then on. An equal number is a retransmission of the same
+// command.
 func (g *Guard) Admit(n Number) bool {
 	if n < g.highest {
 		return false
