--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -1,65 +1,68 @@
-// Package delivery decides what happens to each frame that a target sends for
-// one generation, so that every token reaches the caller once, in order, from
-// one generation.
+// Package delivery decides what to do with each frame that a target sends for a
+// generation, so that every token reaches the caller once, in order, and from a
+// single generation.
 //
-// Load pattern: links are cut and go silent, entries resume on new connections
-// while frames of the old one are still on their way, and engines that come
-// back may number frames from the start. Without this check a resumed stream
-// repeats or loses tokens, and a crossed answer reaches the wrong caller; the
-// caller sees a report that reads well and is wrong.
+// Connections break and stop responding, entries resume on new connections
+// while frames of the old one are still in flight, and engines that restart may
+// number frames from the start again. Without this check a resumed stream
+// repeats or loses tokens, and an answer on the wrong connection reaches the
+// wrong caller, who gets a plausible but wrong report.
 //
-// The package is pure: no network, no clock, no goroutine. Invariants of an
-// Order: next only rises; reached <= next; generation changes only while
-// reached is 0; nothing passes after the end.
+// The package does no I/O, reads no clock and starts no goroutines. Invariants
+// of the sequence: the next offset only increases; the number of delivered
+// tokens never exceeds it; the generation changes only while no token has been
+// delivered; nothing is passed on after the end.
 package delivery
 
 import "filbertdeck/internal/failure"
 
-// DefaultResumes bounds the connections that may be opened in a row without a
-// single new token. Each costs a dial (milliseconds); four failures in a row
-// mean that the engine or its numbering is at fault, not the link.
-const DefaultResumes = 4
+// DefaultMaxResumes limits the successive connections that bring no new token.
+// Each costs a dial of some milliseconds; four failures in a row mean that the
+// engine or its numbering is at fault, not the link.
+const DefaultMaxResumes = 4
 
-// resumesBeforeRestart bounds them while the request may start over elsewhere:
-// one new connection tells a cut link from a target that is stuck. Waiting for
-// a stuck target any longer would only add to the caller's stall.
-const resumesBeforeRestart = 1
+// maxResumesBeforeRestart is the limit while the request may still restart on
+// another target. One new connection is enough to tell a broken link from a
+// stuck target; waiting for a stuck target longer would only add to the
+// caller's stall.
+const maxResumesBeforeRestart = 1
 
-// Frame is what one event of a target says.
+// Frame is the content of one event from a target.
 type Frame struct {
 	Generation string
 	// Offset is the index of the frame's first token.
 	Offset uint64
-	// Tokens is the number of tokens in the frame; a frame that only finishes
-	// has none.
+	// Tokens is the number of tokens in the frame. A frame that only reports
+	// the end has none.
 	Tokens uint64
-	// Finish is set when the generation ended with this frame.
+	// Finish is set if the generation ends with this frame.
 	Finish bool
-	// Done marks the stream's closing event ([DONE]), which carries nothing
-	// else.
+	// Done is set for the closing event of the stream ([DONE]), which carries
+	// nothing else.
 	Done bool
 }
 
-// Verdict says what to do with a frame.
+// Verdict is what to do with a frame.
 type Verdict int
 
 // The verdicts.
 const (
 	// Pass: deliver the frame's tokens.
 	Pass Verdict = iota + 1
-	// Duplicate: all its tokens were delivered already; drop it.
+	// Duplicate: all tokens of the frame were delivered already; drop it.
 	Duplicate
 	// Gap: tokens are missing, or the frame holds old and new tokens together,
-	// which can't be parted. Close the connection and resume at Next.
+	// which can't be separated. Close the connection and resume at the next
+	// offset.
 	Gap
-	// Crossed: the frame belongs to another generation. Close that connection,
-	// count it, and resume at Next.
+	// Crossed: the frame belongs to another generation. Close the connection,
+	// count the event, and resume at the next offset.
 	Crossed
 	// Complete: the generation has ended and all its tokens were delivered.
 	Complete
 )
 
-// String names the verdict for counters.
+// String returns the name of the verdict in metrics.
 func (v Verdict) String() string {
 	names := [...]string{"none", "pass", "duplicate", "gap", "crossed", "complete"}
 	if v < 0 || int(v) >= len(names) {
@@ -68,124 +71,125 @@
 	return names[v]
 }
 
-// Mode says when tokens reach the caller.
+// Mode determines when tokens are sent to the caller.
 type Mode int
 
-// The modes; they mirror the table's column `delivery`.
+// The modes, as in the table's column "delivery".
 const (
-	// Stream passes tokens on at once.
+	// Stream sends tokens as they arrive.
 	Stream Mode = iota
-	// Whole holds them until the generation is complete.
+	// Whole buffers tokens until the generation is complete.
 	Whole
 )
 
-// Order checks the frames of one request. It is used by one goroutine.
+// Order checks the frames of one request. It is not safe for concurrent use.
 type Order struct {
-	mode       Mode
-	generation string
-	next       uint64
-	reached    uint64
-	finished   bool
-	complete   bool
-	released   bool
-	resumed    bool
-	resumes    int
-	limit      int
-}
-
-// New returns the order of a generation that starts now.
+	mode            Mode
+	generation      string
+	nextOffset      uint64
+	deliveredTokens uint64
+	finished        bool
+	complete        bool
+	released        bool
+	resumed         bool
+	resumes         int
+	maxResumes      int
+}
+
+// New returns the state for a generation that starts now.
 func New(mode Mode, generation string) Order {
-	return Order{mode: mode, generation: generation, limit: DefaultResumes}
+	return Order{mode: mode, generation: generation, maxResumes: DefaultMaxResumes}
 }
 
-// Resume returns the order of a generation that another connection of the
-// caller began: everything before offset has reached the caller. It never
+// Resume returns the state for a generation that another connection of the
+// caller started: every token before offset has reached the caller. It never
 // changes to another generation, not even at offset 0, because the entry that
-// began it may have delivered more than the caller's handle says.
+// started it may have delivered more than the caller's handle says.
 func Resume(mode Mode, generation string, offset uint64) Order {
 	return Order{
-		mode: mode, generation: generation, next: offset, reached: offset,
-		resumed: true, limit: DefaultResumes,
+		mode: mode, generation: generation, nextOffset: offset, deliveredTokens: offset,
+		resumed: true, maxResumes: DefaultMaxResumes,
 	}
 }
 
-// ResumeFinished is Resume for a caller that has the frame which finished the
-// generation and lacks only the closing event.
+// ResumeFinished is like Resume, for a caller that has received the finishing
+// frame and lacks only the closing event.
 func ResumeFinished(mode Mode, generation string, offset uint64) Order {
 	o := Resume(mode, generation, offset)
 	o.finished = true
 	return o
 }
 
-// Next is the index of the next token to ask the target for.
-func (o *Order) Next() uint64 { return o.next }
+// Next returns the index of the next token to request from the target.
+func (o *Order) Next() uint64 { return o.nextOffset }
 
-// Reached counts the tokens that may have reached the caller.
-func (o *Order) Reached() uint64 { return o.reached }
+// Reached returns the number of tokens that may have reached the caller.
+func (o *Order) Reached() uint64 { return o.deliveredTokens }
 
-// Generation is the generation in progress.
+// Generation returns the ID of the generation in progress.
 func (o *Order) Generation() string { return o.generation }
 
-// Completed tells whether the whole answer has been checked.
-func (o *Order) Completed() bool { return o.complete }
+// Complete reports whether the entire answer has been checked.
+func (o *Order) Complete() bool { return o.complete }
 
-// Finished tells whether all tokens and the generation's finish have passed.
-// A connection that is lost from then on has lost nothing but the closing
-// event: the answer is whole, and Conclude makes it complete.
+// Finished reports whether all tokens and the generation's finish have been
+// passed on. If the connection is lost after that, only the closing event is
+// missing: the answer has all its tokens and may be marked complete without it.
 func (o *Order) Finished() bool { return o.finished }
 
-// Conclude completes a finished answer without its closing event.
+// Conclude marks a finished answer as complete without its closing event, and
+// reports whether the answer is complete.
 func (o *Order) Conclude() bool {
 	o.complete = o.complete || o.finished
 	return o.complete
 }
 
-// Check judges a frame. Tokens of a passed frame count as having reached the
-// caller in mode Stream, whether or not the write that follows succeeds: a
-// write that failed may still have left the host.
+// Check returns the verdict on a frame. In mode Stream the tokens of a passed
+// frame count as delivered even if the write that follows fails, because a
+// failed write may still have left the host.
 func (o *Order) Check(f Frame) Verdict {
 	switch {
 	case f.Done:
 		return o.checkDone()
 	case f.Generation != o.generation:
 		return Crossed
-	case f.Offset > o.next:
+	case f.Offset > o.nextOffset:
 		return Gap
 	case f.Offset+f.Tokens < f.Offset:
-		return Crossed // the numbers overflow: not a frame of ours
-	case f.Offset < o.next && f.Offset+f.Tokens <= o.next:
-		o.finish(f)
+		return Crossed // offset overflow: not a valid frame of this generation
+	case f.Offset < o.nextOffset && f.Offset+f.Tokens <= o.nextOffset:
+		o.noteFinish(f)
 		return Duplicate
-	case f.Offset < o.next:
+	case f.Offset < o.nextOffset:
 		return Gap
 	case o.finished && f.Tokens > 0:
-		return Crossed // a generation does not go on after its end
+		return Crossed // a generation has no tokens after its end
 	}
 	o.accept(f)
 	return Pass
 }
 
 func (o *Order) accept(f Frame) {
-	o.next += f.Tokens
+	o.nextOffset += f.Tokens
 	if f.Tokens > 0 {
 		o.resumes = 0
 	}
 	if o.mode == Stream {
-		o.reached = o.next
+		o.deliveredTokens = o.nextOffset
 	}
-	o.finish(f)
+	o.noteFinish(f)
 }
 
-// finish notes the end only when the finishing frame's end is the end of what
-// was delivered: an older frame can't end a longer stream.
-func (o *Order) finish(f Frame) {
-	if f.Finish && f.Offset+f.Tokens == o.next {
+// noteFinish records the end of the generation, but only if the finishing frame
+// ends at the next offset: an older frame can't end a longer stream.
+func (o *Order) noteFinish(f Frame) {
+	if f.Finish && f.Offset+f.Tokens == o.nextOffset {
 		o.finished = true
 	}
 }
 
-// checkDone accepts the closing event only after a frame that finished. A
-// target that closes early would otherwise pass a cut report off as whole.
+// checkDone accepts the closing event only after a finishing frame. Otherwise
+// an answer that a target closed early would count as complete.
 func (o *Order) checkDone() Verdict {
 	if !o.finished {
 		return Gap
@@ -194,18 +198,20 @@
 	return Complete
 }
 
-// Release is called right before a whole answer is written to the caller.
+// Release must be called right before a buffered answer is written to the
+// caller.
 func (o *Order) Release() {
 	o.released = true
-	o.reached = o.next
+	o.deliveredTokens = o.nextOffset
 }
 
-// Reopen asks for another connection for the same generation, at Next. It is
-// false when too many in a row brought no token.
+// Reopen counts another connection for the same generation, which starts at the
+// next offset. It returns false if too many successive connections brought no
+// token.
 func (o *Order) Reopen() bool {
-	limit := o.limit
+	limit := o.maxResumes
 	if o.MayRestart() {
-		limit = min(limit, resumesBeforeRestart)
+		limit = min(limit, maxResumesBeforeRestart)
 	}
 	if o.complete || o.resumes >= limit {
 		return false
@@ -214,31 +220,31 @@
 	return true
 }
 
-// MayRestart tells whether another generation may answer this request: only
-// while no token can have reached the caller. Tokens of two generations in one
-// answer read well and are wrong.
+// MayRestart reports whether another generation may answer this request. That
+// is only so while no token can have reached the caller: an answer with tokens
+// of two generations looks plausible and is wrong.
 func (o *Order) MayRestart() bool {
-	return o.reached == 0 && !o.released && !o.resumed && !o.complete
+	return o.deliveredTokens == 0 && !o.released && !o.resumed && !o.complete
 }
 
-// Restart begins another generation. It reports false, and changes nothing,
-// where that is not allowed.
+// Restart changes to another generation. If that is not allowed, it returns
+// false and changes nothing.
 func (o *Order) Restart(generation string) bool {
 	if !o.MayRestart() {
 		return false
 	}
-	*o = Order{mode: o.mode, generation: generation, limit: o.limit}
+	*o = Order{mode: o.mode, generation: generation, maxResumes: o.maxResumes}
 	return true
 }
 
-// Lost is the typed end of a request whose generation is gone: it says how
+// Lost returns the error for a request whose generation is gone. It says how
 // many tokens reached the caller and that no more will follow.
 func (o *Order) Lost(cause error) *failure.Error {
 	const text = "the generation was lost after %d delivered tokens"
-	e := failure.New(failure.KindTargetLost, text, o.reached)
+	e := failure.New(failure.KindTargetLost, text, o.deliveredTokens)
 	if cause != nil {
-		e = failure.Wrap(cause, failure.KindTargetLost, text, o.reached)
+		e = failure.Wrap(cause, failure.KindTargetLost, text, o.deliveredTokens)
 	}
-	e.Delivered = int(o.reached)
+	e.Delivered = int(o.deliveredTokens)
 	return e.Ran()
 }
--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -17,26 +17,26 @@
 }
 
 const (
-	pass, dup, gap = delivery.Pass, delivery.Duplicate, delivery.Gap
-	crossed, whole = delivery.Crossed, delivery.Complete
+	pass, duplicate, gap = delivery.Pass, delivery.Duplicate, delivery.Gap
+	crossed, complete    = delivery.Crossed, delivery.Complete
 )
 
-func f(generation string, offset, tokens uint64, finish ...bool) delivery.Frame {
+func newFrame(generation string, offset, tokens uint64, finish ...bool) delivery.Frame {
 	return delivery.Frame{Generation: generation, Offset: offset, Tokens: tokens, Finish: len(finish) > 0}
 }
 
-var done = delivery.Frame{Done: true}
+var closingFrame = delivery.Frame{Done: true}
 
 type step struct {
 	frame delivery.Frame
 	want  delivery.Verdict
 }
 
-var _ = Describe("the order of frames", func() {
-	// Links are cut, engines number wrongly, answers cross on a reused
-	// connection, an engine closes early. The caller would read a report with
-	// words twice, missing, from another request, or cut short, and could not
-	// tell.
+var _ = Describe("a sequence of frames", func() {
+	// Links break, engines number frames wrongly, answers cross on a reused
+	// connection, or an engine closes early. Without the check the caller would
+	// get a report with repeated or missing words, with words of another
+	// request, or cut short, and could not tell.
 	DescribeTable("passes each token once, in order, from one generation",
 		func(reached uint64, steps ...step) {
 			o := delivery.New(delivery.Stream, "g")
@@ -45,94 +45,95 @@
 			}
 			Expect(o.Reached()).To(Equal(reached))
 		},
-		Entry("a plain stream", uint64(3), step{f("g", 0, 1), pass}, step{f("g", 1, 2), pass}, step{f("g", 3, 0, true), pass}, step{done, whole}),
-		Entry("the end with the last token", uint64(2), step{f("g", 0, 2, true), pass}, step{done, whole}),
-		Entry("a frame again after a resume", uint64(2), step{f("g", 0, 2), pass}, step{f("g", 0, 1), dup}, step{f("g", 1, 1), dup}),
-		Entry("the finishing frame again", uint64(2), step{f("g", 0, 2, true), pass}, step{f("g", 1, 1, true), dup}, step{done, whole}),
-		Entry("old and new tokens in one frame", uint64(2), step{f("g", 0, 2), pass}, step{f("g", 1, 2), gap}),
-		Entry("a missing frame", uint64(2), step{f("g", 0, 1), pass}, step{f("g", 2, 1), gap}, step{f("g", 1, 1), pass}),
-		Entry("another's frame", uint64(1), step{f("g", 0, 1), pass}, step{f("h", 1, 1), crossed}, step{f("h", 0, 1, true), crossed}),
-		Entry("an early close", uint64(1), step{f("g", 0, 1), pass}, step{done, gap}),
-		Entry("a close before anything", uint64(0), step{done, gap}),
-		Entry("an older frame that claims the end", uint64(3), step{f("g", 0, 3), pass}, step{f("g", 0, 2, true), dup}, step{done, gap}),
-		Entry("tokens after the end", uint64(1), step{f("g", 0, 1, true), pass}, step{f("g", 1, 1), crossed}),
-		Entry("numbers that overflow", uint64(1), step{f("g", 0, 1), pass}, step{f("g", 1, ^uint64(0)), crossed}),
+		Entry("a complete stream", uint64(3), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, 2), pass}, step{newFrame("g", 3, 0, true), pass}, step{closingFrame, complete}),
+		Entry("a finish with the last token", uint64(2), step{newFrame("g", 0, 2, true), pass}, step{closingFrame, complete}),
+		Entry("repeated frames after a resume", uint64(2), step{newFrame("g", 0, 2), pass}, step{newFrame("g", 0, 1), duplicate}, step{newFrame("g", 1, 1), duplicate}),
+		Entry("a repeated finishing frame", uint64(2), step{newFrame("g", 0, 2, true), pass}, step{newFrame("g", 1, 1, true), duplicate}, step{closingFrame, complete}),
+		Entry("old and new tokens in one frame", uint64(2), step{newFrame("g", 0, 2), pass}, step{newFrame("g", 1, 2), gap}),
+		Entry("a missing frame", uint64(2), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 2, 1), gap}, step{newFrame("g", 1, 1), pass}),
+		Entry("a frame of another generation", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("h", 1, 1), crossed}, step{newFrame("h", 0, 1, true), crossed}),
+		Entry("a closing event before the finish", uint64(1), step{newFrame("g", 0, 1), pass}, step{closingFrame, gap}),
+		Entry("a closing event before any frame", uint64(0), step{closingFrame, gap}),
+		Entry("a finish in an older frame", uint64(3), step{newFrame("g", 0, 3), pass}, step{newFrame("g", 0, 2, true), duplicate}, step{closingFrame, gap}),
+		Entry("tokens after the finish", uint64(1), step{newFrame("g", 0, 1, true), pass}, step{newFrame("g", 1, 1), crossed}),
+		Entry("an offset that overflows", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, ^uint64(0)), crossed}),
 	)
 
-	It("goes on at a caller's offset and never restarts there", func() {
+	It("resumes at a caller's offset and never restarts", func() {
 		for _, offset := range []uint64{0, 7} {
 			o := delivery.Resume(delivery.Stream, "g", offset)
-			Expect(o.Check(f("g", offset+1, 1))).To(Equal(gap))
+			Expect(o.Check(newFrame("g", offset+1, 1))).To(Equal(gap))
 			Expect(o.MayRestart()).To(BeFalse())
-			Expect(o.Check(f("g", offset, 1, true))).To(Equal(pass))
-			Expect(o.Check(done)).To(Equal(whole))
-			Expect(o.Completed()).To(BeTrue())
+			Expect(o.Check(newFrame("g", offset, 1, true))).To(Equal(pass))
+			Expect(o.Check(closingFrame)).To(Equal(complete))
+			Expect(o.Complete()).To(BeTrue())
 		}
 	})
 
-	// The engine dies. If its tokens are with the caller, a new generation
-	// would go on with other words in the middle of the report.
-	DescribeTable("restarts only while nothing reached the caller",
-		func(mode delivery.Mode, frames int, release, want bool) {
+	// The engine dies. If some of its tokens have reached the caller, a new
+	// generation would continue the report in the middle with different words.
+	DescribeTable("restarts only while no token has reached the caller",
+		func(mode delivery.Mode, frames int, released, want bool) {
 			o := delivery.New(mode, "g")
 			for i := range frames {
-				Expect(o.Check(f("g", uint64(i), 1))).To(Equal(pass))
+				Expect(o.Check(newFrame("g", uint64(i), 1))).To(Equal(pass))
 			}
-			if release {
+			if released {
 				o.Release()
 			}
 			Expect(o.Restart("h")).To(Equal(want))
 			if want {
 				Expect(o.Generation()).To(Equal("h"))
 				Expect(o.Next()).To(BeZero())
-				Expect(o.Check(f("g", 0, 1))).To(Equal(crossed), "the dead generation's frames cross")
+				Expect(o.Check(newFrame("g", 0, 1))).To(Equal(crossed), "frames of the lost generation are rejected")
 				return
 			}
-			end := o.Lost(errors.New("reset"))
-			Expect(end.Kind).To(Equal(failure.KindTargetLost))
-			Expect(end.Executed).To(Equal(failure.ExecutedYes))
-			Expect(end.Delivered).To(Equal(frames))
+			lostErr := o.Lost(errors.New("reset"))
+			Expect(lostErr.Kind).To(Equal(failure.KindTargetLost))
+			Expect(lostErr.Executed).To(Equal(failure.ExecutedYes))
+			Expect(lostErr.Delivered).To(Equal(frames))
 		},
 		Entry("streamed, nothing sent", delivery.Stream, 0, false, true),
 		Entry("streamed, one token sent", delivery.Stream, 1, false, false),
-		Entry("held, nothing released", delivery.Whole, 3, false, true),
-		Entry("held and released", delivery.Whole, 3, true, false),
+		Entry("buffered, nothing released", delivery.Whole, 3, false, true),
+		Entry("buffered and released", delivery.Whole, 3, true, false),
 		Entry("an empty answer released", delivery.Whole, 0, true, false),
 	)
 
-	// An engine that numbers from the wrong token sends the same wrong frame
-	// on each new connection. Without a bound the entry would reconnect for
-	// good and the caller would wait for good.
-	It("gives up resuming when connections bring nothing", func() {
+	// An engine that numbers from the wrong token sends the same wrong frame on
+	// each new connection. Without a limit the entry would reconnect and the
+	// caller would wait for ever.
+	It("gives up resuming when connections bring no token", func() {
 		o := delivery.Resume(delivery.Stream, "g", 0)
 		for range 3 {
-			for range delivery.DefaultResumes {
+			for range delivery.DefaultMaxResumes {
 				Expect(o.Reopen()).To(BeTrue())
 			}
 			Expect(o.Reopen()).To(BeFalse())
-			Expect(o.Check(f("g", o.Next(), 1))).To(Equal(pass), "progress allows more")
+			Expect(o.Check(newFrame("g", o.Next(), 1))).To(Equal(pass), "a new token resets the limit")
 		}
 		Expect(o.Lost(nil).Delivered).To(Equal(3))
 	})
 
-	// The target's connection breaks after the last token, or the caller comes
-	// back with nothing missing but the closing event. To call that answer lost
-	// would make the caller pay for a report that it has.
-	It("takes a finished answer for whole without its closing event", func() {
+	// The target's connection breaks after the last token, or the caller
+	// resumes with only the closing event missing. If that answer counted as
+	// lost, the caller would pay again for a report that it has.
+	It("completes a finished answer without its closing event", func() {
 		o := delivery.New(delivery.Stream, "g")
-		Expect(o.Check(f("g", 0, 1))).To(Equal(pass))
+		Expect(o.Check(newFrame("g", 0, 1))).To(Equal(pass))
 		Expect(o.Conclude()).To(BeFalse())
-		Expect(o.Check(f("g", 1, 1, true))).To(Equal(pass))
+		Expect(o.Check(newFrame("g", 1, 1, true))).To(Equal(pass))
 		Expect(o.Finished()).To(BeTrue())
 		Expect(o.Conclude()).To(BeTrue())
 		Expect(o.MayRestart()).To(BeFalse())
-		back := delivery.ResumeFinished(delivery.Stream, "g", 2)
-		Expect(back.Conclude()).To(BeTrue())
+		resumed := delivery.ResumeFinished(delivery.Stream, "g", 2)
+		Expect(resumed.Conclude()).To(BeTrue())
 	})
 
-	// The target hangs before its first token. A second connection that stays
-	// silent shows that it is stuck; another target can start over unseen.
-	It("reconnects only once while it may start over", func() {
+	// The target hangs before its first token. A second connection without a
+	// response shows that it is stuck, and another target can restart the
+	// request unnoticed by the caller.
+	It("reconnects only once while it may restart", func() {
 		o := delivery.New(delivery.Whole, "g")
 		Expect(o.Reopen()).To(BeTrue())
 		Expect(o.Reopen()).To(BeFalse())
@@ -141,12 +142,13 @@
 	})
 
 	It("names its verdicts", func() {
-		Expect([]string{gap.String(), whole.String(), delivery.Verdict(99).String()}).To(Equal([]string{"gap", "complete", "none"}))
+		Expect([]string{gap.String(), complete.String(), delivery.Verdict(99).String()}).To(Equal([]string{"gap", "complete", "none"}))
 	})
 })
 
-// FuzzOrder feeds frames in any order; what passes must be the generation's
-// tokens 0, 1, 2, ... without a break, and an end only after them all.
+// FuzzOrder checks frames in any order. The passed ones must hold the
+// generation's tokens 0, 1, 2, ... without a gap, and the end may come only
+// after all of them.
 func FuzzOrder(fz *testing.F) {
 	fz.Add([]byte{0, 1, 0, 1, 2, 4, 3, 0, 5})
 	fz.Fuzz(func(t *testing.T, ops []byte) {
@@ -166,7 +168,7 @@
 					t.Fatalf("passed %+v at %d", frame, next)
 				}
 				next += frame.Tokens
-			case whole:
+			case complete:
 				if next != length {
 					t.Fatalf("complete after %d tokens", next)
 				}
