--- a/internal/decide/poison/detector.go
+++ b/internal/decide/poison/detector.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// Config holds the detector's figures; the zero value of a field means its
-// default.
+// Config holds the parameters of a detector. A zero field means its default.
 type Config struct {
-	// Remember is how long a crash counts. Default 10 min: a caller that
-	// retries with doubling back-off has come back by then, and a fixed engine
-	// build is not refused for long.
-	Remember time.Duration
-	// SpreadFor is how long a suspect is held after a crash, so that its next
-	// run meets a fleet that knows. Default 5 s: what the push missed, an
-	// exchange a second with one peer each way brings to 8 processes in 3 to 4
-	// rounds.
-	SpreadFor time.Duration
-	// MassTargets and MassWindow tell a common cause from single crashes.
-	// Default 3 targets within 3 s: a poison that is held for SpreadFor after
-	// each crash can't kill three targets so quickly.
-	MassTargets int
-	MassWindow  time.Duration
-	// MaxCrashes bounds the crashes that are kept, the latest first. Default
-	// 128: at 130 host failures a day one is seen every 11 minutes.
+	// CrashTTL is how long a crash counts. The default is 10 min: a caller that
+	// retries with exponential back-off has returned by then, and requests are
+	// not refused for long after the engine build was fixed.
+	CrashTTL time.Duration
+	// SuspectHold is how long a suspect is held after a crash, so that all
+	// processes know of the crash before it runs again. The default is 5 s: a
+	// periodic exchange once a second with one peer in each direction brings
+	// what the push missed to 8 processes in 3 to 4 rounds.
+	SuspectHold time.Duration
+	// MassFailureTargets is the number of targets that must die within
+	// MassFailureWindow for their crashes to count as a mass failure with a
+	// common cause. The default is 3 targets within 3 s: a poison request that
+	// is held for SuspectHold after each crash can't kill three targets that
+	// quickly.
+	MassFailureTargets int
+	MassFailureWindow  time.Duration
+	// MaxCrashes is the maximum number of crashes that are kept; the oldest are
+	// removed first. The default is 128: at 130 host failures a day there is
+	// one every 11 minutes.
 	MaxCrashes int
-	// MaxSuspects bounds the fingerprints kept of one crash. Default 256, the
-	// largest batch of the engines we know of.
-	MaxSuspects int
+	// MaxSuspectsPerCrash is the maximum number of fingerprints kept per crash.
+	// The default is 256, the largest batch of the known engines.
+	MaxSuspectsPerCrash int
 }
 
 const (
-	defaultRemember    = 10 * time.Minute
-	defaultSpreadFor   = 5 * time.Second
-	defaultMassTargets = 3
-	defaultMassWindow  = 3 * time.Second
-	defaultMaxCrashes  = 128
-	defaultMaxSuspects = 256
+	defaultCrashTTL            = 10 * time.Minute
+	defaultSuspectHold         = 5 * time.Second
+	defaultMassFailureTargets  = 3
+	defaultMassFailureWindow   = 3 * time.Second
+	defaultMaxCrashes          = 128
+	defaultMaxSuspectsPerCrash = 256
 )
 
 func (c Config) withDefaults() Config {
-	c.Remember = cmp.Or(c.Remember, defaultRemember)
-	c.SpreadFor = cmp.Or(c.SpreadFor, defaultSpreadFor)
-	c.MassTargets = cmp.Or(c.MassTargets, defaultMassTargets)
-	c.MassWindow = cmp.Or(c.MassWindow, defaultMassWindow)
+	c.CrashTTL = cmp.Or(c.CrashTTL, defaultCrashTTL)
+	c.SuspectHold = cmp.Or(c.SuspectHold, defaultSuspectHold)
+	c.MassFailureTargets = cmp.Or(c.MassFailureTargets, defaultMassFailureTargets)
+	c.MassFailureWindow = cmp.Or(c.MassFailureWindow, defaultMassFailureWindow)
 	c.MaxCrashes = cmp.Or(c.MaxCrashes, defaultMaxCrashes)
-	c.MaxSuspects = cmp.Or(c.MaxSuspects, defaultMaxSuspects)
+	c.MaxSuspectsPerCrash = cmp.Or(c.MaxSuspectsPerCrash, defaultMaxSuspectsPerCrash)
 	return c
 }
 
-// Verdict says how a request may run.
+// Verdict determines how a request may run.
 type Verdict int
 
-// The verdicts, from the mildest on.
+// The verdicts, from the least to the most restrictive.
 const (
-	// Clear requests run anywhere.
+	// Clear requests run on any target.
 	Clear Verdict = iota
 	// Apart requests run on a target without other suspects.
 	Apart
@@ -66,87 +68,89 @@
 
 var verdictNames = [...]string{Clear: "clear", Apart: "apart", Alone: "alone", Guilty: "guilty"}
 
-// String names the verdict as counters and logs show it.
+// String returns the name of the verdict in metrics and logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Ruling is what the detector says of one request.
-type Ruling struct {
+// Assessment is the detector's decision about one request.
+type Assessment struct {
 	Verdict Verdict
-	// Wait is how long the request must not run yet, 0 when it may run now.
-	// Of a guilty request it is the time until the verdict ends.
+	// Wait is how long the request must be held, 0 if it may run now. For a
+	// request that is refused it is the time until the verdict expires.
 	Wait time.Duration
 }
 
-// Crash is one death of a target, as it is gossiped.
+// Crash is the death of a target in the form in which it is gossiped.
 type Crash struct {
-	// ID is equal for reports of the same death: see CrashID.
+	// ID is the same in all reports of one death, see CrashID.
 	ID uint64
 	// Age is the time since the death.
 	Age time.Duration
-	// Fingerprints are the requests that ran there, the latest start first.
+	// Fingerprints are those of the requests that ran on the target, the latest
+	// start first.
 	Fingerprints []uint64
 }
 
 // Detector holds the evidence that one process has. It is not safe for
 // concurrent use.
 type Detector struct {
-	cfg     Config
-	crashes []crash
-	index   map[uint64]evidence
-	expires time.Duration
-	cleared recent
+	cfg         Config
+	crashes     []crash
+	evidence    map[uint64]fingerprintEvidence
+	nextExpiry  time.Duration
+	completions recentCompletions
 }
 
 // New returns a detector without evidence.
 func New(cfg Config) *Detector {
-	return &Detector{cfg: cfg.withDefaults(), index: map[uint64]evidence{}}
+	return &Detector{cfg: cfg.withDefaults(), evidence: map[uint64]fingerprintEvidence{}}
 }
 
-// Crashed notes that a target died while it ran the fingerprints, the latest
-// start first. A target that died idle is noted too: it shows a common cause.
+// Crashed records that a target died while it ran the requests with the given
+// fingerprints, the latest start first. The death of an idle target is recorded
+// too, because it can indicate a mass failure.
 func (d *Detector) Crashed(now time.Duration, id uint64, fingerprints []uint64) {
 	if d.add(crash{id: id, at: now, suspects: fingerprints}) {
 		d.rebuild(now)
 	}
 }
 
-// Finished notes that a request ran to its end.
+// Finished records that a request completed.
 func (d *Detector) Finished(now time.Duration, fingerprint uint64) {
-	f := finish{fingerprint: fingerprint, at: now, ever: true}
-	d.cleared.add(f)
-	if e, suspected := d.index[fingerprint]; suspected {
-		e.finished = f
-		d.index[fingerprint] = e
+	c := completion{fingerprint: fingerprint, at: now, valid: true}
+	d.completions.add(c)
+	if e, suspected := d.evidence[fingerprint]; suspected {
+		e.lastCompletion = c
+		d.evidence[fingerprint] = e
 		d.rebuild(now)
 	}
 }
 
-// Rule says how a request may run now.
-func (d *Detector) Rule(now time.Duration, fingerprint uint64) Ruling {
-	if len(d.index) == 0 {
-		return Ruling{}
+// Rule determines how a request may run now.
+func (d *Detector) Rule(now time.Duration, fingerprint uint64) Assessment {
+	if len(d.evidence) == 0 {
+		return Assessment{}
 	}
-	if now >= d.expires {
+	if now >= d.nextExpiry {
 		d.rebuild(now)
 	}
-	e := d.index[fingerprint]
+	e := d.evidence[fingerprint]
 	switch {
 	case e.weight < fullWeight:
-		return Ruling{}
+		return Assessment{}
 	case e.weight >= guiltyWeight:
-		return Ruling{Verdict: Guilty, Wait: e.expires - now}
+		return Assessment{Verdict: Guilty, Wait: e.expires - now}
 	case e.weight >= aloneWeight:
-		return Ruling{Verdict: Alone, Wait: d.hold(now, e)}
+		return Assessment{Verdict: Alone, Wait: d.remainingHold(now, e)}
 	default:
-		return Ruling{Verdict: Apart, Wait: d.hold(now, e)}
+		return Assessment{Verdict: Apart, Wait: d.remainingHold(now, e)}
 	}
 }
 
-func (d *Detector) hold(now time.Duration, e evidence) time.Duration {
-	return max(0, e.last+d.cfg.SpreadFor-now)
+func (d *Detector) remainingHold(now time.Duration, e fingerprintEvidence) time.Duration {
+	return max(0, e.lastCrash+d.cfg.SuspectHold-now)
 }
 
-// MayShare tells whether a request may join a target that runs requests with
+// MayShare reports whether a request may join a target that runs requests with
 // the given verdicts.
 func MayShare(v Verdict, running []Verdict) bool {
 	if v == Alone {
@@ -160,8 +164,7 @@
 	return true
 }
 
-// Export gives the evidence for gossip, the latest crashes first, at most
-// limit of them.
+// Export returns up to limit crashes for gossip, the latest first.
 func (d *Detector) Export(now time.Duration, limit int) []Crash {
 	d.rebuild(now)
 	out := make([]Crash, 0, min(limit, len(d.crashes)))
@@ -172,23 +175,23 @@
 	return out
 }
 
-// Merge takes evidence of another process. It tells whether any was new: then
-// pass it on to other processes at once.
+// Merge adds the evidence of another process and reports whether any of it was
+// new. The caller must then pass it on to other processes at once.
 func (d *Detector) Merge(now time.Duration, crashes []Crash) bool {
-	news := false
+	changed := false
 	for _, c := range crashes {
-		if c.Age < 0 || c.Age >= d.cfg.Remember {
+		if c.Age < 0 || c.Age >= d.cfg.CrashTTL {
 			continue
 		}
 		if d.add(crash{id: c.ID, at: now - c.Age, suspects: c.Fingerprints}) {
-			news = true
+			changed = true
 		}
 	}
-	if news {
+	if changed {
 		d.rebuild(now)
 	}
-	return news
+	return changed
 }
 
-// Suspects is the number of fingerprints that crashes name.
-func (d *Detector) Suspects() int { return len(d.index) }
+// SuspectCount returns the number of fingerprints for which there is evidence.
+func (d *Detector) SuspectCount() int { return len(d.evidence) }
--- a/internal/decide/poison/detector_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	bad  = uint64(666)
-	good = uint64(7)
-	sec  = time.Second
+	poisonFingerprint   = uint64(666)
+	innocentFingerprint = uint64(7)
+	second              = time.Second
 )
 
 var _ = Describe("a detector", func() {
@@ -30,37 +30,37 @@
 		d.Crashed(at, poison.CrashID("t", uint64(n)), fingerprints)
 	}
 
-	It("holds, sets apart, runs alone and refuses, then forgets", func() {
-		crash(0, 1, bad, good)
-		Expect(d.Rule(sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Apart, Wait: 4 * sec}))
-		Expect(d.Rule(5*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Apart}))
-		crash(6*sec, 2, bad)
-		Expect(d.Rule(11*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Alone}))
-		crash(12*sec, 3, bad)
-		Expect(d.Rule(12*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Guilty, Wait: 10 * time.Minute}))
-		Expect(d.Rule(11*time.Minute, bad)).To(Equal(poison.Ruling{}))
-		Expect(d.Suspects()).To(BeZero())
+	It("holds a suspect, isolates it, runs it alone, refuses it, and lets the evidence expire", func() {
+		crash(0, 1, poisonFingerprint, innocentFingerprint)
+		Expect(d.Rule(second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Apart, Wait: 4 * second}))
+		Expect(d.Rule(5*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Apart}))
+		crash(6*second, 2, poisonFingerprint)
+		Expect(d.Rule(11*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Alone}))
+		crash(12*second, 3, poisonFingerprint)
+		Expect(d.Rule(12*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Guilty, Wait: 10 * time.Minute}))
+		Expect(d.Rule(11*time.Minute, poisonFingerprint)).To(Equal(poison.Assessment{}))
+		Expect(d.SuspectCount()).To(BeZero())
 	})
 
-	It("clears a request that finished, before or after the crash", func() {
-		d.Finished(0, good)
-		crash(sec, 1, bad, good, 8)
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(sec, 8).Verdict).To(Equal(poison.Apart))
-		d.Finished(4*sec, 8)
-		Expect(d.Rule(4*sec, 8).Verdict).To(Equal(poison.Clear))
+	It("clears a request that completed before or after the crash", func() {
+		d.Finished(0, innocentFingerprint)
+		crash(second, 1, poisonFingerprint, innocentFingerprint, 8)
+		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
+		Expect(d.Rule(second, 8).Verdict).To(Equal(poison.Apart))
+		d.Finished(4*second, 8)
+		Expect(d.Rule(4*second, 8).Verdict).To(Equal(poison.Clear))
 	})
 
-	// A rack loses its power. Four targets die within a second with a hundred
-	// requests; their callers send them again and must be served, not refused.
-	It("convicts nobody for a mass failure, but the request on every target of it", func() {
+	// A rack loses power. Four targets die within a second with a hundred
+	// requests. Their callers send them again, and they must be served.
+	It("does not refuse requests after a mass failure, except one that ran on every target of it", func() {
 		for i := range 4 {
-			crash(time.Duration(i)*sec/5, i, uint64(100+i), good)
+			crash(time.Duration(i)*second/5, i, uint64(100+i), innocentFingerprint)
 		}
-		Expect(d.Rule(sec, 101).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Guilty), "on all four and never finished")
-		d.Finished(sec, good)
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Clear))
+		Expect(d.Rule(second, 101).Verdict).To(Equal(poison.Clear))
+		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Guilty), "it ran on all four and never completed")
+		d.Finished(second, innocentFingerprint)
+		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
 	})
 
 	It("lets suspects share a target only with clear requests", func() {
@@ -79,147 +79,149 @@
 			all[i] = uint64(i)
 		}
 		for i := range 200 {
-			crash(time.Duration(i)*sec/100, i, all...)
+			crash(time.Duration(i)*second/100, i, all...)
 		}
-		Expect(d.Suspects()).To(Equal(256))
-		Expect(d.Export(10*sec, 1000)).To(HaveLen(128))
-		Expect(d.Merge(10*sec, []poison.Crash{{ID: 1, Age: 9 * time.Minute}})).To(BeFalse())
+		Expect(d.SuspectCount()).To(Equal(256))
+		Expect(d.Export(10*second, 1000)).To(HaveLen(128))
+		Expect(d.Merge(10*second, []poison.Crash{{ID: 1, Age: 9 * time.Minute}})).To(BeFalse())
 	})
 
-	// A caller sends the poison again and again through any pool; innocent
-	// callers whose requests died with it do the same. Each allocator pushes
-	// news of a crash to the others before the caller can be back. When all
-	// news is lost, each of the four pools pays for its own verdict.
-	DescribeTable("costs few targets and serves every innocent request", func(loss float64, naive bool, atMost int) {
-		most, sum, seeds := 0, 0, uint64(100)
-		if naive {
-			seeds = 5
+	// A caller resends the poison request repeatedly through any pool, and the
+	// callers of innocent requests that were lost with it do the same. Each
+	// allocator pushes evidence of a crash to the others before the caller can
+	// resend. When all messages are lost, each of the four pools needs its own
+	// crashes to reach a verdict.
+	DescribeTable("limits the number of crashes and serves every innocent request", func(lossRate float64, withoutDetector bool, crashLimit int) {
+		maxCrashes, totalCrashes, seedCount := 0, 0, uint64(100)
+		if withoutDetector {
+			seedCount = 5
 		}
-		for seed := range seeds {
-			r := play(seed, naive, loss)
-			Expect(r.served).To(Equal(innocents), "nobody else is refused")
-			most, sum = max(most, r.crashes), sum+r.crashes
+		for seed := range seedCount {
+			result := simulate(seed, withoutDetector, lossRate)
+			Expect(result.served).To(Equal(innocentCount), "no innocent request is refused")
+			maxCrashes, totalCrashes = max(maxCrashes, result.crashes), totalCrashes+result.crashes
 		}
-		Expect(most).To(BeNumerically("<=", atMost))
-		Expect(naive && sum < 100*5).To(BeFalse(), "retry always must show the damage")
-		AddReportEntry("crashes", fmt.Sprintf("loss %g, naive %t: mean %g, most %d", loss, naive, float64(sum)/float64(seeds), most))
+		Expect(maxCrashes).To(BeNumerically("<=", crashLimit))
+		Expect(withoutDetector && totalCrashes < 100*5).To(BeFalse(), "without the detector there must be many crashes")
+		AddReportEntry("crashes", fmt.Sprintf("loss %g, without detector %t: mean %g, maximum %d", lossRate, withoutDetector, float64(totalCrashes)/float64(seedCount), maxCrashes))
 	},
-		Entry("all news arrives", 0.0, false, 3),
-		Entry("a tenth is lost", 0.1, false, 3),
-		Entry("a third is lost: a pool may miss push and exchange", 0.3, false, 4),
-		Entry("a split", 1.0, false, 3*pools),
-		Entry("retry always", 0.0, true, 1000),
+		Entry("no message is lost", 0.0, false, 3),
+		Entry("a tenth of the messages is lost", 0.1, false, 3),
+		Entry("a third of the messages is lost, so a pool may miss both push and exchange", 0.3, false, 4),
+		Entry("a partition", 1.0, false, 3*poolCount),
+		Entry("every request is retried without a detector", 0.0, true, 1000),
 	)
 })
 
 const (
-	pools     = 4
-	innocents = 60
-	step      = sec / 10
+	poolCount     = 4
+	innocentCount = 60
+	tick          = second / 10
 )
 
-// job is a request that a caller sends again until it is served or refused;
-// until is when it ends while it runs, and when it is sent while it waits.
-type job struct {
+// request is resent by its caller until it is served or refused. nextEvent is
+// when it ends while it runs, and when it is sent while it waits.
+type request struct {
 	fingerprint uint64
-	target      int // four a pool; -1 while it doesn't run
-	until       time.Duration
-	over        bool
+	target      int // four per pool; -1 while the request does not run
+	nextEvent   time.Duration
+	ended       bool
 }
 
-// fleet is four pools of four targets with a detector each.
+// fleet is four pools of four targets, with one detector per pool.
 type fleet struct {
 	*rand.Rand
-	naive           bool
-	loss            float64
+	withoutDetector bool
+	lossRate        float64
 	now             time.Duration
-	detectors       [pools]*poison.Detector
-	jobs            [innocents + 1]job
+	detectors       [poolCount]*poison.Detector
+	requests        [innocentCount + 1]request
 	crashes, served int
 }
 
-// play runs for two minutes. Requests take 0.2 to 2 s; the poison kills its
-// target after 300 ms and is sent again 200 ms later. A share of the news
-// between pools, pushed or exchanged once a second, is lost.
-func play(seed uint64, naive bool, loss float64) *fleet {
-	w := &fleet{Rand: rand.New(rand.NewPCG(seed, 2)), naive: naive, loss: loss}
-	for i := range w.detectors {
-		w.detectors[i] = poison.New(poison.Config{})
+// simulate runs the fleet for two minutes. Requests take 0.2 to 2 s. The poison
+// request kills its target after 300 ms and is resent 200 ms later. The given
+// share of the messages between pools, pushed or exchanged once a second, is
+// lost.
+func simulate(seed uint64, withoutDetector bool, lossRate float64) *fleet {
+	f := &fleet{Rand: rand.New(rand.NewPCG(seed, 2)), withoutDetector: withoutDetector, lossRate: lossRate}
+	for i := range f.detectors {
+		f.detectors[i] = poison.New(poison.Config{})
 	}
-	for i := range w.jobs {
-		w.jobs[i] = job{fingerprint: bad + uint64(i), target: -1}
+	for i := range f.requests {
+		f.requests[i] = request{fingerprint: poisonFingerprint + uint64(i), target: -1}
 	}
-	for ; w.now < 120*sec; w.now += step {
-		for i := range w.jobs {
-			if j := &w.jobs[i]; !j.over && w.now >= j.until {
-				w.advance(j)
+	for ; f.now < 120*second; f.now += tick {
+		for i := range f.requests {
+			if r := &f.requests[i]; !r.ended && f.now >= r.nextEvent {
+				f.advance(r)
 			}
 		}
-		for i := range w.detectors {
-			if w.now%sec == 0 {
-				w.push(i, (i+1+w.IntN(pools-1))%pools)
+		for i := range f.detectors {
+			if f.now%second == 0 {
+				f.gossip(i, (i+1+f.IntN(poolCount-1))%poolCount)
 			}
 		}
 	}
-	return w
+	return f
 }
 
-func (w *fleet) push(from, to int) {
-	if from == to || w.Float64() < w.loss || !w.detectors[to].Merge(w.now, w.detectors[from].Export(w.now, 8)) {
+func (f *fleet) gossip(from, to int) {
+	if from == to || f.Float64() < f.lossRate || !f.detectors[to].Merge(f.now, f.detectors[from].Export(f.now, 8)) {
 		return
 	}
-	for next := range w.detectors {
-		w.push(to, next)
+	for next := range f.detectors {
+		f.gossip(to, next)
 	}
 }
 
-func (w *fleet) advance(j *job) {
-	pool := j.target / 4
+func (f *fleet) advance(r *request) {
+	pool := r.target / 4
 	switch {
-	case j.target < 0:
-		w.start(j, w.IntN(4*pools))
-	case j.fingerprint != bad:
-		w.detectors[pool].Finished(w.now, j.fingerprint)
-		j.over, j.target = true, -1
-		w.served++
+	case r.target < 0:
+		f.start(r, f.IntN(4*poolCount))
+	case r.fingerprint != poisonFingerprint:
+		f.detectors[pool].Finished(f.now, r.fingerprint)
+		r.ended, r.target = true, -1
+		f.served++
 	default:
-		w.crashes++
-		var died []uint64
-		for _, o := range w.on(j.target) {
-			o.target, o.until = -1, w.now+2*step
-			died = append(died, o.fingerprint)
+		f.crashes++
+		var lost []uint64
+		for _, o := range f.runningOn(r.target) {
+			o.target, o.nextEvent = -1, f.now+2*tick
+			lost = append(lost, o.fingerprint)
 		}
-		w.detectors[pool].Crashed(w.now, poison.CrashID("t", uint64(w.crashes)), died)
-		for to := range w.detectors {
-			w.push(pool, to)
+		f.detectors[pool].Crashed(f.now, poison.CrashID("t", uint64(f.crashes)), lost)
+		for to := range f.detectors {
+			f.gossip(pool, to)
 		}
 	}
 }
 
-// on gives the jobs that run on a target.
-func (w *fleet) on(target int) (out []*job) {
-	for i := range w.jobs {
-		if w.jobs[i].target == target {
-			out = append(out, &w.jobs[i])
+// runningOn returns the requests that run on a target.
+func (f *fleet) runningOn(target int) (out []*request) {
+	for i := range f.requests {
+		if f.requests[i].target == target {
+			out = append(out, &f.requests[i])
 		}
 	}
 	return out
 }
 
-func (w *fleet) start(j *job, target int) {
-	d := w.detectors[target/4]
-	ruling := d.Rule(w.now, j.fingerprint)
-	var sharing []poison.Verdict
-	for _, o := range w.on(target) {
-		sharing = append(sharing, d.Rule(w.now, o.fingerprint).Verdict)
+func (f *fleet) start(r *request, target int) {
+	d := f.detectors[target/4]
+	assessment := d.Rule(f.now, r.fingerprint)
+	var runningVerdicts []poison.Verdict
+	for _, o := range f.runningOn(target) {
+		runningVerdicts = append(runningVerdicts, d.Rule(f.now, o.fingerprint).Verdict)
 	}
-	j.over = !w.naive && ruling.Verdict == poison.Guilty
-	if j.over || !w.naive && (ruling.Wait > 0 || !poison.MayShare(ruling.Verdict, sharing)) {
+	r.ended = !f.withoutDetector && assessment.Verdict == poison.Guilty
+	if r.ended || !f.withoutDetector && (assessment.Wait > 0 || !poison.MayShare(assessment.Verdict, runningVerdicts)) {
 		return
 	}
-	j.target, j.until = target, w.now+3*step
-	if j.fingerprint != bad {
-		j.until = w.now + 2*step + time.Duration(w.Int64N(int64(18*step)))
+	r.target, r.nextEvent = target, f.now+3*tick
+	if r.fingerprint != poisonFingerprint {
+		r.nextEvent = f.now + 2*tick + time.Duration(f.Int64N(int64(18*tick)))
 	}
 }
 
@@ -230,8 +232,8 @@
 		a, b := poison.New(poison.Config{}), poison.New(poison.Config{})
 		crashes := make([]poison.Crash, rnd.IntN(40))
 		for i := range crashes {
-			id := rnd.Uint64N(30) // one death, one time
-			crashes[i] = poison.Crash{ID: id, Age: time.Duration(id) * 21 * sec, Fingerprints: []uint64{rnd.Uint64N(4), rnd.Uint64N(4)}}
+			id := rnd.Uint64N(30) // equal IDs have equal ages
+			crashes[i] = poison.Crash{ID: id, Age: time.Duration(id) * 21 * second, Fingerprints: []uint64{rnd.Uint64N(4), rnd.Uint64N(4)}}
 		}
 		a.Merge(time.Hour, crashes)
 		rnd.Shuffle(len(crashes), func(i, j int) { crashes[i], crashes[j] = crashes[j], crashes[i] })
@@ -248,9 +250,9 @@
 
 func BenchmarkRule(b *testing.B) {
 	d := poison.New(poison.Config{})
-	d.Crashed(0, 1, []uint64{bad, good})
+	d.Crashed(0, 1, []uint64{poisonFingerprint, innocentFingerprint})
 	b.ReportAllocs()
 	for range b.N {
-		d.Rule(sec, bad)
+		d.Rule(second, poisonFingerprint)
 	}
 }
--- a/internal/decide/poison/doc.go
+++ b/internal/decide/poison/doc.go
@@ -1,40 +1,41 @@
-// Package poison finds the request that crashes each target that runs it.
+// Package poison identifies requests that crash every target that runs them.
 //
-// Load pattern: a request (a prompt that trips a fault in the engine) kills
-// the target that runs it, with everything else in the batch. Its caller sends
-// it again, through any entry, and so do the callers of the innocent requests
-// that died with it.
+// A request whose prompt triggers a fault in the engine kills its target,
+// together with all other requests in the batch. Its caller sends it again,
+// through any entry, and so do the callers of the innocent requests that were
+// lost with it. Without detection each resend costs another target: ten servers
+// are lost within a minute, and the innocent requests fail repeatedly.
+// Operators see targets crash one after another, a few seconds apart, with the
+// same fingerprint among the requests of each.
 //
-// What happens without it: each resend costs another target. Ten servers are
-// gone in a minute, and the innocent requests are lost again and again. One
-// sees targets crash one after the other, a few seconds apart, and the same
-// fingerprint among the requests of each.
+// The evidence is a set of crashes, each with the fingerprints of the requests
+// that ran on the target when it died. Sets are bounded, expire, and are merged
+// by gossip as unions, so the order and number of deliveries make no
+// difference.
 //
-// How it works: the evidence is a set of crashes, each with the fingerprints
-// of the requests that ran on the target when it died. Sets are merged by
-// gossip (union, bounded, expiring): the order in which news arrives, and how
-// often, makes no difference.
+//   - Merge reports whether evidence was new. A process that learns of a crash
+//     pushes it at once to a few peers, so the whole fleet knows within
+//     milliseconds; periodic gossip only fills gaps. The caller of a lost
+//     request also retries within milliseconds, perhaps at another pool.
+//   - After a crash each request that ran on the target is held for
+//     SuspectHold, until the fleet knows. Then it runs on a target without
+//     another suspect, so at most one suspect per target at a time.
+//   - After two crashes it runs alone on a target.
+//   - After three crashes it is refused at once. The number is three so that
+//     an innocent request that shared a target with a poison request, and was
+//     then on a target that died for another reason, has one more attempt,
+//     alone, where no other request can be the cause.
+//   - For a request that has completed somewhere a crash counts a quarter,
+//     because a poison request crashes every target that runs it. This also
+//     keeps a frequent request, which is on most targets that die, from
+//     becoming a suspect.
+//   - When MassFailureTargets or more targets die within MassFailureWindow (a
+//     rack, a switch, a reclaim of hosts), the crashes say little and count a
+//     quarter, unless one request that never completed ran on every one of
+//     them.
 //
-//   - Merge tells whether the evidence was new. Whoever learns of a crash
-//     pushes it on at once (a few peers each, so the whole fleet knows within
-//     milliseconds); periodic gossip only repairs. The caller of a lost request
-//     is back in milliseconds too, perhaps at another pool.
-//   - After a crash each request that was there is held for SpreadFor, until
-//     the fleet knows. Then it runs Apart: on a target with no other suspect,
-//     and one at a time.
-//   - After two crashes it runs Alone on a target.
-//   - After three it is Guilty and refused at once. Three, because an innocent
-//     that shared a target with a poison and then died apart from every other
-//     suspect has one more chance, alone, where nobody else can be the cause.
-//   - Against a request that finished somewhere a crash counts a quarter,
-//     because a poison request crashes each target that runs it. This also
-//     keeps a hot request out of suspicion, which is on most targets that die.
-//   - When MassTargets or more targets die within MassWindow (a rack, a
-//     switch, a reclaim), the crashes say little and count a quarter, unless
-//     the same request that never finished ran on every one of them.
-//
-// What it can't do: equal poison requests that run at the same moment on
-// several targets cost all of these, and so does one that comes back before
-// the news. During a partition each side counts for
-// itself. A caller that varies its prompt makes new fingerprints.
+// Limits: equal poison requests that run at the same moment on several targets
+// crash all of these, and so does one that is resent before the evidence arrives.
+// During a partition each side counts for itself. A caller that varies its
+// prompt creates new fingerprints.
 package poison
--- a/internal/decide/poison/evidence.go
+++ b/internal/decide/poison/evidence.go
@@ -9,8 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A crash weighs fullWeight, one of a mass failure weakWeight: twelve of these
-// would be needed for a verdict, more than a rack holds of one service.
+// Weights of a crash, and the sums that lead to a verdict. It takes twelve
+// crashes of weakWeight for a refusal, more than the targets of one service in
+// a rack.
 const (
 	fullWeight   = 4
 	weakWeight   = 1
@@ -18,54 +19,55 @@
 	guiltyWeight = 3 * fullWeight
 )
 
-// CrashID names the death of one incarnation of a target, so that several
-// processes that saw it count it once.
+// CrashID identifies the death of one incarnation of a target, so that a death
+// that several processes report counts once.
 func CrashID(target string, incarnation uint64) uint64 {
-	var life [8]byte
-	binary.LittleEndian.PutUint64(life[:], incarnation)
+	var incarnationBytes [8]byte
+	binary.LittleEndian.PutUint64(incarnationBytes[:], incarnation)
 	d := xxhash.New()
 	_, _ = d.WriteString(target)
-	_, _ = d.Write(life[:])
+	_, _ = d.Write(incarnationBytes[:])
 	return d.Sum64()
 }
 
-// crash is one death with the time at which it was learnt here. Its suspects
-// are sorted.
+// crash is a death with its time on the local clock. Its suspects are sorted.
 type crash struct {
 	id       uint64
 	at       time.Duration
 	suspects []uint64
 }
 
-// evidence is what all crashes together say of one fingerprint.
-type evidence struct {
-	weight  int
-	last    time.Duration
-	expires time.Duration
-	// finished is when the request last ran to its end, if it ever did.
-	finished finish
+// fingerprintEvidence is the sum of the evidence of all crashes about one
+// fingerprint.
+type fingerprintEvidence struct {
+	weight    int
+	lastCrash time.Duration
+	expires   time.Duration
+	// lastCompletion is when the request last completed, if it ever did.
+	lastCompletion completion
 }
 
-// add joins a crash to the set and tells whether it said anything new. Two
-// allocators may each know a part of what ran there, so suspects are united.
+// add adds a crash and reports whether it contained anything new. Two
+// allocators may each know some of the requests that ran on the target, so
+// their suspects are merged.
 func (d *Detector) add(c crash) bool {
 	i := slices.IndexFunc(d.crashes, func(k crash) bool { return k.id == c.id })
 	if i < 0 {
-		c.suspects = unite(nil, c.suspects, d.cfg.MaxSuspects)
+		c.suspects = mergeSorted(nil, c.suspects, d.cfg.MaxSuspectsPerCrash)
 		return d.insert(c)
 	}
 	known := &d.crashes[i]
-	united := unite(known.suspects, c.suspects, d.cfg.MaxSuspects)
-	grown := len(united) > len(known.suspects)
-	known.suspects = united
+	merged := mergeSorted(known.suspects, c.suspects, d.cfg.MaxSuspectsPerCrash)
+	grown := len(merged) > len(known.suspects)
+	known.suspects = merged
 	return grown
 }
 
-// insert keeps the crashes in the order of time. A crash older than all that
-// there is room for is no news, or gossip would bring it back for ever.
+// insert keeps the crashes sorted by time. If the set is full, a crash older
+// than all others does not count as new, or gossip would pass it on for ever.
 func (d *Detector) insert(c crash) bool {
-	byTime := func(k crash, at time.Duration) int { return cmp.Compare(k.at, at) }
-	i, _ := slices.BinarySearchFunc(d.crashes, c.at, byTime)
+	compareTime := func(k crash, at time.Duration) int { return cmp.Compare(k.at, at) }
+	i, _ := slices.BinarySearchFunc(d.crashes, c.at, compareTime)
 	full := len(d.crashes) == d.cfg.MaxCrashes
 	if full && i == 0 {
 		return false
@@ -77,8 +79,9 @@
 	return true
 }
 
-// unite returns a new sorted list: the old one may be in a message under way.
-func unite(known, more []uint64, limit int) []uint64 {
+// mergeSorted returns a new sorted slice; the old one may be part of a message
+// that is being sent.
+func mergeSorted(known, more []uint64, limit int) []uint64 {
 	more = more[:min(len(more), limit)]
 	out := slices.Concat(known, more)
 	slices.Sort(out)
@@ -86,50 +89,52 @@
 	return out[:min(len(out), limit)]
 }
 
-// rebuild forgets what has expired and weighs the rest. It runs at a crash and
-// at an expiry, not on a request's path.
+// rebuild removes expired crashes and computes the evidence from the others. It
+// runs at a crash, at a completion of a suspect, at an expiry and at an export,
+// but not for each request.
 func (d *Detector) rebuild(now time.Duration) {
-	d.crashes = slices.DeleteFunc(d.crashes, func(c crash) bool { return c.at+d.cfg.Remember <= now })
-	old := d.index
-	d.index = make(map[uint64]evidence, len(old))
+	d.crashes = slices.DeleteFunc(d.crashes, func(c crash) bool { return c.at+d.cfg.CrashTTL <= now })
+	old := d.evidence
+	d.evidence = make(map[uint64]fingerprintEvidence, len(old))
 	for i := range d.crashes {
-		d.weigh(now, i, old)
+		d.addCrashWeight(now, i, old)
 	}
-	d.expires = now + d.cfg.Remember
+	d.nextExpiry = now + d.cfg.CrashTTL
 	if len(d.crashes) > 0 {
-		d.expires = d.crashes[0].at + d.cfg.Remember
+		d.nextExpiry = d.crashes[0].at + d.cfg.CrashTTL
 	}
 }
 
-func (d *Detector) weigh(now time.Duration, i int, old map[uint64]evidence) {
+func (d *Detector) addCrashWeight(now time.Duration, i int, old map[uint64]fingerprintEvidence) {
 	c := d.crashes[i]
-	mass := d.mass(i)
+	massFailure := d.massFailureAround(i)
 	for _, f := range c.suspects {
-		e, known := d.index[f]
+		e, known := d.evidence[f]
 		if !known {
-			e.finished = d.finished(f, old)
+			e.lastCompletion = d.lastCompletion(f, old)
 		}
-		e.weight += crashWeight(f, mass, e.finished.counts(now, d.cfg.Remember))
-		e.last = c.at
-		e.expires = c.at + d.cfg.Remember
-		d.index[f] = e
+		e.weight += crashWeight(f, massFailure, e.lastCompletion.isRecent(now, d.cfg.CrashTTL))
+		e.lastCrash = c.at
+		e.expires = c.at + d.cfg.CrashTTL
+		d.evidence[f] = e
 	}
 }
 
-func (d *Detector) finished(f uint64, old map[uint64]evidence) finish {
-	if e, ok := old[f]; ok && e.finished.ever {
-		return e.finished
+func (d *Detector) lastCompletion(f uint64, old map[uint64]fingerprintEvidence) completion {
+	if e, ok := old[f]; ok && e.lastCompletion.valid {
+		return e.lastCompletion
 	}
-	return d.cleared.find(f)
+	return d.completions.find(f)
 }
 
-// mass gives the crashes around crash i when MassTargets of them, i among
-// these, fell within MassWindow; else nothing.
-func (d *Detector) mass(i int) []crash {
-	n := d.cfg.MassTargets
+// massFailureAround returns the crashes of the mass failure that crash i
+// belongs to, or nil if it belongs to none: crash i must be one of
+// MassFailureTargets crashes within MassFailureWindow.
+func (d *Detector) massFailureAround(i int) []crash {
+	n := d.cfg.MassFailureTargets
 	from, to := i, i
 	for j := max(0, i-n+1); j <= i && j+n <= len(d.crashes); j++ {
-		if d.crashes[j+n-1].at-d.crashes[j].at <= d.cfg.MassWindow {
+		if d.crashes[j+n-1].at-d.crashes[j].at <= d.cfg.MassFailureWindow {
 			from, to = min(from, j), max(to, j+n-1)
 		}
 	}
@@ -139,48 +144,49 @@
 	return d.crashes[from : to+1]
 }
 
-// crashWeight is low for a request that finished somewhere, since a poison
-// never does, and in a mass failure, unless the request ran on every target
-// that died: then it is the common cause. A hot request runs on every target
-// too, but it has finished.
-func crashWeight(f uint64, mass []crash, finished bool) int {
+// crashWeight is low for a request that has completed somewhere, since a poison
+// request never does, and in a mass failure, unless the request ran on every
+// target that died: then it is the common cause. A frequent request also runs
+// on every target, but it has completed before.
+func crashWeight(f uint64, massFailure []crash, completed bool) int {
 	switch {
-	case finished && mass != nil:
+	case completed && massFailure != nil:
 		return 0
-	case finished:
+	case completed:
 		return weakWeight
 	}
-	for _, c := range mass {
-		if _, there := slices.BinarySearch(c.suspects, f); !there {
+	for _, c := range massFailure {
+		if _, found := slices.BinarySearch(c.suspects, f); !found {
 			return weakWeight
 		}
 	}
 	return fullWeight
 }
 
-// recentSlots bounds the memory of finished requests: 64 KB. A hot request
-// comes back before 4,096 others took its slot.
-const recentSlots = 4096
+// completionSlots is the number of completed requests that are remembered, in
+// 96 KB. A frequent request completes again before 4,096 others can overwrite
+// its slot.
+const completionSlots = 4096
 
-// recent remembers requests that finished lately; a new one takes the slot of
-// an older one.
-type recent struct {
-	slots [recentSlots]finish
+// recentCompletions remembers requests that completed lately. A new one
+// overwrites the older one in its slot.
+type recentCompletions struct {
+	slots [completionSlots]completion
 }
 
-type finish struct {
+type completion struct {
 	fingerprint uint64
 	at          time.Duration
-	ever        bool
+	valid       bool
 }
 
-func (f finish) counts(now, remember time.Duration) bool { return f.ever && now-f.at < remember }
+func (c completion) isRecent(now, ttl time.Duration) bool { return c.valid && now-c.at < ttl }
 
-func (r *recent) add(f finish) { r.slots[f.fingerprint%recentSlots] = f }
+func (r *recentCompletions) add(c completion) { r.slots[c.fingerprint%completionSlots] = c }
 
-func (r *recent) find(f uint64) finish {
-	if s := r.slots[f%recentSlots]; s.fingerprint == f {
+func (r *recentCompletions) find(f uint64) completion {
+	if s := r.slots[f%completionSlots]; s.fingerprint == f {
 		return s
 	}
-	return finish{}
+	return completion{}
 }
