--- a/internal/decide/drain/centre.go
+++ b/internal/decide/drain/centre.go
@@ -1,19 +1,18 @@
-// Package drain takes work away without cutting any, and brings it back
-// without a spike: a data centre that operators take out, a target that
-// leaves, and a planned stop of one of our own processes.
+// Package drain takes data centres, targets and processes out of service
+// without cutting work in progress, and returns data centres to service without
+// a load spike.
 //
-// Load pattern: operators take a data centre out at short notice, while its
-// engines run generations of tens of thousands of tokens, and bring it back an
-// hour later, empty, beside two that are full. The platform restarts every
-// process of the fleet on most days.
+// Operators drain a data centre at short notice, while its engines run
+// generations of tens of thousands of tokens, and return it an hour later,
+// empty, beside two that are full. The platform restarts every process of the
+// fleet on most days.
 //
-// What happens without it: new work still goes to the data centre by news that
-// is seconds old, and is cut with its hosts. On return its backlogs are nil, so
-// every entry sends everything there within a second; its caches are cold and
-// its targets start, and they fall over. A process that closes its listener
-// when told to stop refuses what the balancer still sends, and cuts streams.
-//
-// How it works: see Centres, MayStart and Stop.
+// Without this package new work still goes to the drained data centre on
+// information that is seconds old, and is cut when its hosts stop. When it
+// returns, its backlogs are empty, so every entry sends it all work within a
+// second; its caches are cold and its targets are still starting, and they fail
+// under the load. A process that closes its listener as soon as it is told to
+// stop refuses what the load balancer still sends, and cuts streams.
 package drain
 
 import (
@@ -22,77 +21,79 @@
 	"time"
 )
 
-// Config holds the figures of a data centre's return; the zero value of a field
-// means its default.
+// Config holds the parameters of a data centre's return to service. A zero
+// field means its default.
 type Config struct {
-	// RampFor is how long a data centre takes to come back to its full share.
-	// Default 30 s: engines report a cold ramp of some ten seconds and fill
-	// their prefix caches while they serve.
-	RampFor time.Duration
-	// FirstShare is the share right after the return. Default 0.05, what one
-	// full data centre of three can take back should the return fail.
-	FirstShare float64
+	// RampDuration is how long a data centre takes to return to its full share
+	// of work. The default is 30 s: engines take about ten seconds to start up
+	// cold, and fill their prefix caches while they serve.
+	RampDuration time.Duration
+	// InitialShare is the share of work right after the return. The default is
+	// 0.05, which one full data centre of three can take over if the return
+	// fails.
+	InitialShare float64
 }
 
 const (
-	defaultRampFor    = 30 * time.Second
-	defaultFirstShare = 0.05
+	defaultRampDuration = 30 * time.Second
+	defaultInitialShare = 0.05
 )
 
-// Centres follows the operators' list of data centres that are taken out. It
-// is not safe for concurrent use; publish Shares in a snapshot.
+// Centres tracks the operators' list of drained data centres. It is not safe
+// for concurrent use; publish the results in a snapshot.
 type Centres struct {
-	cfg Config
-	out map[string]bool
-	// returned is when a data centre was seen to be back.
-	returned map[string]time.Duration
-	known    bool
+	cfg     Config
+	drained map[string]bool
+	// returnedAt is when a data centre was first seen to be off the list again.
+	returnedAt map[string]time.Duration
+	hasList    bool
 }
 
-// NewCentres returns a follower that has seen no list: it takes no data centre
-// for being out, but is not Ready.
+// NewCentres returns a tracker that has seen no list yet. It treats no data
+// centre as drained, but is not Ready.
 func NewCentres(cfg Config) *Centres {
-	cfg.RampFor = cmp.Or(cfg.RampFor, defaultRampFor)
-	cfg.FirstShare = cmp.Or(cfg.FirstShare, defaultFirstShare)
-	return &Centres{cfg: cfg, out: map[string]bool{}, returned: map[string]time.Duration{}}
+	cfg.RampDuration = cmp.Or(cfg.RampDuration, defaultRampDuration)
+	cfg.InitialShare = cmp.Or(cfg.InitialShare, defaultInitialShare)
+	return &Centres{cfg: cfg, drained: map[string]bool{}, returnedAt: map[string]time.Duration{}}
 }
 
-// Set takes the list in force. A data centre that is no longer on it starts
-// its ramp, one that is on it again is out at once.
-func (c *Centres) Set(now time.Duration, out []string) {
-	for dc := range c.out {
-		if !slices.Contains(out, dc) {
-			delete(c.out, dc)
-			c.returned[dc] = now
+// Set records the current list. A data centre that is no longer on it starts
+// its ramp; one that is added stops taking new work at once.
+func (c *Centres) Set(now time.Duration, drained []string) {
+	for dc := range c.drained {
+		if !slices.Contains(drained, dc) {
+			delete(c.drained, dc)
+			c.returnedAt[dc] = now
 		}
 	}
-	for _, dc := range out {
-		c.out[dc] = true
+	for _, dc := range drained {
+		c.drained[dc] = true
 	}
-	c.known = true
+	c.hasList = true
 }
 
-// Ready tells whether a list was seen. A process that has just started and
-// knows none could send work to a data centre that is out; it must not serve
-// before it has a list, from the configuration service or from a peer.
-func (c *Centres) Ready() bool { return c.known }
+// Ready reports whether a list has been seen. A process that has just started
+// and has no list could send work to a drained data centre, so it must not
+// serve before it has received one from the configuration service or from a
+// peer.
+func (c *Centres) Ready() bool { return c.hasList }
 
-// Share is the part of its usual new work that a data centre takes: 0 while it
-// is out, 1 in full service. While it returns the share grows evenly. Work in
-// progress is not concerned.
+// Share returns the part of its usual new work that a data centre takes: 0
+// while it is drained, 1 in full service, and a linearly growing value while it
+// returns. Work in progress is not affected.
 func (c *Centres) Share(now time.Duration, dc string) float64 {
-	if c.out[dc] {
+	if c.drained[dc] {
 		return 0
 	}
-	since, returning := c.returned[dc]
+	since, returning := c.returnedAt[dc]
 	if !returning {
 		return 1
 	}
-	done := float64(now-since) / float64(c.cfg.RampFor)
-	return min(max(c.cfg.FirstShare, done), 1)
+	progress := float64(now-since) / float64(c.cfg.RampDuration)
+	return min(max(c.cfg.InitialShare, progress), 1)
 }
 
-// MayStart tells whether new work may go to a target: neither it nor its data
-// centre leaves. Ask it again after a wait in a queue, just before the grant:
-// the answer from before the wait is too old.
-func (c *Centres) MayStart(dc string, leaving bool) bool { return !leaving && !c.out[dc] }
+// AcceptsWork reports whether new work may go to a target: neither the target
+// nor its data centre is being drained. After a wait in a queue, call it again
+// just before the grant, because the earlier answer may be outdated.
+func (c *Centres) AcceptsWork(dc string, leaving bool) bool { return !leaving && !c.drained[dc] }
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -17,75 +17,77 @@
 	RunSpecs(t, "drain")
 }
 
-var _ = Describe("a planned stop that stays open while busy", func() {
-	// Two of a data centre's three hosts are restarted at once, and the
-	// balancer goes on sending to them. A caller who is refused there has one
-	// try left, although the host serves its last report for seconds yet.
-	It("takes new work until the last request ends or the limit is near", func() {
+var _ = Describe("a graceful shutdown that accepts work while busy", func() {
+	// Two of a data centre's three hosts are restarted at once, and the load
+	// balancer continues to send to them. A caller that is refused there has
+	// used up one attempt, although the host keeps running for seconds to
+	// finish its last report.
+	It("accepts new work until the last request ends or the time limit is reached", func() {
 		cfg := drain.StopConfig{
 			AnnounceFor: 2 * time.Second, QuietFor: time.Second, AnnounceLimit: 6 * time.Second, LingerFor: time.Second,
 			FinishLimit: 8 * time.Second, OpenWhileBusy: true,
 		}
 		busy, idle := drain.NewStop(cfg), drain.NewStop(cfg)
 		cfg.OpenWhileBusy = false
-		plain := drain.NewStop(cfg)
-		for _, s := range []*drain.Stop{busy, idle, plain} {
+		withoutOption := drain.NewStop(cfg)
+		for _, s := range []*drain.Stop{busy, idle, withoutOption} {
 			s.Begin(0)
 		}
 		busy.Step(4*time.Second, 1)
 		idle.Step(4*time.Second, 0)
-		plain.Step(4*time.Second, 1)
+		withoutOption.Step(4*time.Second, 1)
 		Expect(busy.TakesNew()).To(BeTrue())
 		Expect(idle.TakesNew()).To(BeFalse())
-		Expect(plain.TakesNew()).To(BeFalse())
+		Expect(withoutOption.TakesNew()).To(BeFalse())
 		busy.Step(6*time.Second, 1)
 		Expect(busy.TakesNew()).To(BeFalse())
 	})
 })
 
 var _ = Describe("data centres", func() {
-	It("leave at once, return by a ramp, and leave again in the middle of it", func() {
+	It("are drained at once, return on a ramp, and can be drained again during it", func() {
 		c := drain.NewCentres(drain.Config{})
 		Expect(c.Ready()).To(BeFalse())
 		for _, step := range []struct {
-			at    time.Duration
-			out   []string
-			share float64
+			at      time.Duration
+			drained []string
+			share   float64
 		}{
 			{0, nil, 1}, {time.Second, []string{"east"}, 0}, {2 * time.Second, nil, 0.05},
 			{17 * time.Second, nil, 0.5}, {18 * time.Second, []string{"west", "east"}, 0},
 			{20 * time.Second, []string{"west"}, 0.05}, {60 * time.Second, []string{"west"}, 1},
 		} {
-			c.Set(step.at, step.out)
+			c.Set(step.at, step.drained)
 			Expect(c.Share(step.at, "east")).To(Equal(step.share), step.at.String())
 		}
 		Expect(c.Ready()).To(BeTrue())
-		Expect(c.MayStart("west", false)).To(BeFalse())
-		Expect(c.MayStart("east", false)).To(BeTrue())
-		Expect(c.MayStart("east", true)).To(BeFalse())
+		Expect(c.AcceptsWork("west", false)).To(BeFalse())
+		Expect(c.AcceptsWork("east", false)).To(BeTrue())
+		Expect(c.AcceptsWork("east", true)).To(BeFalse())
 	})
 
-	// A data centre comes back empty beside two that are full. Entries that go
-	// by backlog alone send it everything, and its cold targets fall over.
-	It("never get more than they bear on their return, unlike by backlog alone", func() {
-		naive := comeback(false)
-		Expect(comeback(true)).To(BeZero())
-		Expect(naive).To(BeNumerically(">", 1000))
-		AddReportEntry("beyond what it bore", fmt.Sprint("ramp 0, backlog alone ", naive))
+	// A data centre returns empty beside two that are full. Entries that place
+	// work by backlog alone send it everything, and its cold targets fail.
+	It("never get more than their capacity on their return, unlike by backlog alone", func() {
+		byBacklogAlone := simulateReturn(false)
+		Expect(simulateReturn(true)).To(BeZero())
+		Expect(byBacklogAlone).To(BeNumerically(">", 1000))
+		AddReportEntry("requests beyond the capacity", fmt.Sprint("with ramp 0, by backlog alone ", byBacklogAlone))
 	})
 })
 
-// comeback sends 300 requests a second for 30 s to three data centres that
-// serve 120 a second each. One comes back, and bears a tenth at first and all
-// of it after 25 s. It gives the requests beyond what it bore. By backlog alone
-// it gets everything until backlogs are even again.
-func comeback(ramped bool) (over int) {
+// simulateReturn sends 300 requests a second for 30 s to three data centres
+// that serve 120 a second each. One returns with a tenth of its capacity, which
+// grows to all of it within 25 s. The result is the number of requests beyond
+// that capacity. By backlog alone the data centre gets all requests until
+// backlogs are even again, after 10 s.
+func simulateReturn(ramped bool) (excess int) {
 	rnd := rand.New(rand.NewPCG(1, 6))
 	c := drain.NewCentres(drain.Config{})
 	c.Set(0, []string{"back"})
 	c.Set(0, nil)
 	for second := range 30 {
-		share, got := 1.0/3, 0
+		share, received := 1.0/3, 0
 		if ramped {
 			share *= c.Share(time.Duration(second)*time.Second, "back")
 		} else if second < 10 {
@@ -93,16 +95,16 @@
 		}
 		for range 300 {
 			if rnd.Float64() < share {
-				got++
+				received++
 			}
 		}
-		over += max(0, got-int(120*min(1, 0.1+0.9*float64(second)/25)))
+		excess += max(0, received-int(120*min(1, 0.1+0.9*float64(second)/25)))
 	}
-	return over
+	return excess
 }
 
-var _ = Describe("a planned stop", func() {
-	It("announces, waits for quiet, refuses, finishes, lingers and ends", func() {
+var _ = Describe("a graceful shutdown", func() {
+	It("announces, waits until no work arrives, refuses, finishes, lingers and ends", func() {
 		s := drain.NewStop(drain.StopConfig{})
 		Expect(s.Step(0, 3)).To(Equal(drain.Serving))
 		s.Begin(time.Second)
@@ -122,7 +124,7 @@
 		Expect(s.Cut()).To(BeFalse())
 	})
 
-	It("refuses in the end what a deaf balancer sends, and cuts only by the limit that was set", func() {
+	It("refuses requests of a load balancer that ignores readiness, and cuts work only at the configured limit", func() {
 		s := drain.NewStop(drain.StopConfig{FinishLimit: time.Minute})
 		s.Begin(0)
 		s.Arrived(14 * time.Second)
@@ -133,32 +135,33 @@
 		Expect(s.Cut()).To(BeTrue())
 	})
 
-	// A process that stops listening at once refuses what the balancer still
-	// sends; callers see their connections fail during each rolling upgrade.
-	It("refuses nothing that a working balancer sends", func() {
-		refused, naive := upgrade(drain.StopConfig{}), upgrade(drain.StopConfig{AnnounceLimit: 1})
-		Expect(refused).To(BeZero())
-		Expect(naive).To(BeNumerically(">", 100))
-		AddReportEntry("refused or cut", fmt.Sprint("announced first ", refused, ", refused at once ", naive))
+	// A process that stops listening at once refuses what the load balancer
+	// still sends, so callers see failed connections during each rolling
+	// upgrade.
+	It("refuses nothing that a working load balancer sends", func() {
+		announcedFirst, refusedAtOnce := simulateUpgrade(drain.StopConfig{}), simulateUpgrade(drain.StopConfig{AnnounceLimit: 1})
+		Expect(announcedFirst).To(BeZero())
+		Expect(refusedAtOnce).To(BeNumerically(">", 100))
+		AddReportEntry("refused or cut", fmt.Sprint("announced first ", announcedFirst, ", refused at once ", refusedAtOnce))
 	})
 })
 
-// upgrade stops a process under 100 requests a second, of which each takes up
-// to 3 s; the balancer leaves it out 4 s after the announcement. It gives the
-// requests that were refused or cut.
-func upgrade(cfg drain.StopConfig) (lost int) {
+// simulateUpgrade shuts down a process that receives 100 requests a second,
+// each of which takes up to 3 s. The load balancer stops sending 4 s after the
+// announcement. The result is the number of requests that were refused or cut.
+func simulateUpgrade(cfg drain.StopConfig) (lost int) {
 	rnd := rand.New(rand.NewPCG(1, 7))
 	s := drain.NewStop(cfg)
 	s.Begin(0)
-	running, ends := 0, map[int]int{}
-	for step := 0; s.Phase() != drain.Done; step++ { // of 10 ms
+	running, endingAt := 0, map[int]int{}
+	for step := 0; s.Phase() != drain.Done; step++ { // steps of 10 ms
 		now := time.Duration(step) * 10 * time.Millisecond
-		running -= ends[step]
+		running -= endingAt[step]
 		if step < 400 {
 			s.Arrived(now)
 			if s.TakesNew() {
 				running++
-				ends[step+1+rnd.IntN(300)]++
+				endingAt[step+1+rnd.IntN(300)]++
 			} else {
 				lost++
 			}
--- a/internal/decide/drain/stop.go
+++ b/internal/decide/drain/stop.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Phase is a step of a planned stop.
+// Phase is a phase of a graceful shutdown.
 type Phase int
 
-// The steps, in their order.
+// The phases, in order.
 const (
-	// Serving: ready, takes work.
+	// Serving: the process is ready and accepts work.
 	Serving Phase = iota
-	// Announced: not ready, and says so to balancer and peers, but still takes
-	// work: they have not all heard it.
+	// Announced: the process reports to load balancer and peers that it is not
+	// ready, but still accepts work because some of them have not noticed yet.
 	Announced
-	// Refusing: new work is refused as not run, with the time to come back; what
-	// runs goes on.
+	// Refusing: new work is refused as not run, with a retry time. Work in
+	// progress continues.
 	Refusing
-	// Lingering: nothing runs; last answers leave the socket buffers, and
-	// callers may still resume or fetch an answer.
+	// Lingering: no work is in progress. The last answers leave the socket
+	// buffers, and callers may still resume or fetch an answer.
 	Lingering
 	// Done: the process exits.
 	Done
@@ -27,128 +27,138 @@
 
 var phaseNames = [...]string{"serving", "announced", "refusing", "lingering", "done"}
 
-// String names the phase as logs show it.
+// String returns the name of the phase in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// StopConfig holds the figures of a planned stop; the zero value of a field
-// means its default.
+// StopConfig holds the parameters of a graceful shutdown. A zero field means
+// its default.
 type StopConfig struct {
-	// AnnounceFor is the least time between not ready and the first refusal.
-	// Default 5 s: balancers probe every 1 to 2 s and take a host out after two
-	// failed probes; the published list lags as much.
+	// AnnounceFor is the minimum time between not being ready and the first
+	// refusal. The default is 5 s: load balancers probe every 1 to 2 s and
+	// remove a host after two failed probes, and the published list lags by as
+	// much.
 	AnnounceFor time.Duration
-	// QuietFor is how long no new work has to have come before it is refused.
-	// Default 2 s, a probe's period.
+	// QuietFor is how long no new work must have arrived before new work is
+	// refused. The default is 2 s, the period of a probe.
 	QuietFor time.Duration
-	// AnnounceLimit ends the wait for quiet. Default 15 s: a balancer that
-	// ignores readiness sends for ever; its requests are refused then, which
-	// cuts nothing.
+	// AnnounceLimit is the maximum time before new work is refused. The default
+	// is 15 s: a load balancer that ignores readiness never stops sending.
+	// Refusing its requests cuts no work.
 	AnnounceLimit time.Duration
-	// OpenWhileBusy keeps taking new work, up to AnnounceLimit, while work is in
-	// progress: the process can't end before that work does. A balancer that
-	// has lost half of a data centre's hosts sends to those that are not ready
-	// too, so refusing there costs callers a try for nothing (21 refusals on a
-	// day on which three of eight hosts were stopped in turn).
+	// OpenWhileBusy keeps the process accepting new work while work is in
+	// progress, up to the maximum time above: the process can't end before that
+	// work does. A load balancer that has lost half of a data centre's hosts
+	// also sends to hosts that are not ready, so refusing there costs callers
+	// an attempt for nothing (21 refusals on a day on which three of eight
+	// hosts were stopped in turn).
 	OpenWhileBusy bool
-	// LingerFor follows the end of the last request. Default 1 s.
+	// LingerFor is the time from the end of the last request to the exit. The
+	// default is 1 s.
 	LingerFor time.Duration
-	// FinishLimit bounds the wait for running work; 0, the default, means none:
-	// a report of 40,000 tokens at 61 ms runs for 41 minutes, and no planned
-	// stop cuts it. Set it below the platform's own limit, if it has one, so
-	// that callers get a typed end instead of a broken connection.
+	// FinishLimit is the maximum time from the start of the shutdown that work
+	// in progress may take. The default, 0, means no limit: a report of 40,000
+	// tokens at 61 ms per token takes 41 minutes, and no planned stop cuts it.
+	// If the platform has its own limit, set a lower one, so that callers get a
+	// typed error instead of a broken connection.
 	FinishLimit time.Duration
 }
 
 const (
-	defaultAnnounceFor   = 5 * time.Second
-	defaultQuietFor      = 2 * time.Second
-	defaultAnnounceLimit = 15 * time.Second
-	defaultStopLinger    = time.Second
+	defaultMinAnnounce    = 5 * time.Second
+	defaultQuietPeriod    = 2 * time.Second
+	defaultMaxAnnounce    = 15 * time.Second
+	defaultLingerDuration = time.Second
 )
 
-// Stop is the planned stop of one process. It is not safe for concurrent use.
+// Stop is the graceful shutdown of one process. It is not safe for concurrent
+// use.
 type Stop struct {
-	cfg     StopConfig
-	phase   Phase
-	since   time.Duration
-	asked   time.Duration
-	lastNew time.Duration
-	cut     bool
+	cfg         StopConfig
+	phase       Phase
+	phaseSince  time.Duration
+	beganAt     time.Duration
+	lastArrival time.Duration
+	cutWork     bool
 }
 
-// NewStop returns a process that serves.
+// NewStop returns the state of a process that is serving.
 func NewStop(cfg StopConfig) *Stop {
-	cfg.AnnounceFor = cmp.Or(cfg.AnnounceFor, defaultAnnounceFor)
-	cfg.QuietFor = cmp.Or(cfg.QuietFor, defaultQuietFor)
-	cfg.AnnounceLimit = cmp.Or(cfg.AnnounceLimit, defaultAnnounceLimit)
-	cfg.LingerFor = cmp.Or(cfg.LingerFor, defaultStopLinger)
+	cfg.AnnounceFor = cmp.Or(cfg.AnnounceFor, defaultMinAnnounce)
+	cfg.QuietFor = cmp.Or(cfg.QuietFor, defaultQuietPeriod)
+	cfg.AnnounceLimit = cmp.Or(cfg.AnnounceLimit, defaultMaxAnnounce)
+	cfg.LingerFor = cmp.Or(cfg.LingerFor, defaultLingerDuration)
 	return &Stop{cfg: cfg}
 }
 
-// Begin starts the stop; a second call changes nothing.
+// Begin starts the shutdown. Further calls have no effect.
 func (s *Stop) Begin(now time.Duration) {
 	if s.phase == Serving {
-		s.asked = now
-		s.enter(now, Announced)
+		s.beganAt = now
+		s.enterPhase(now, Announced)
 	}
 }
 
-// Arrived notes that new work came, whether it was taken or refused.
-func (s *Stop) Arrived(now time.Duration) { s.lastNew = now }
+// Arrived records the arrival of new work, whether it was accepted or refused.
+func (s *Stop) Arrived(now time.Duration) { s.lastArrival = now }
 
-// Step moves on. running counts the requests, streams and leases in progress.
-// Call it on each change of running and a few times a second.
+// Step advances the shutdown and returns the phase. running is the number of
+// requests, streams and leases in progress. Call it whenever running changes
+// and several times a second.
 func (s *Stop) Step(now time.Duration, running int) Phase {
 	switch s.phase {
 	case Announced:
-		if s.heard(now) && !s.busy(now, running) {
-			s.enter(now, Refusing)
+		if s.announceDone(now) && !s.acceptsWhileBusy(now, running) {
+			s.enterPhase(now, Refusing)
 		}
 	case Refusing:
-		s.finish(now, running)
+		s.stepRefusing(now, running)
 	case Lingering:
 		if running > 0 { // a caller resumed
-			s.enter(now, Refusing)
-		} else if now-s.since >= s.cfg.LingerFor {
-			s.enter(now, Done)
+			s.enterPhase(now, Refusing)
+		} else if now-s.phaseSince >= s.cfg.LingerFor {
+			s.enterPhase(now, Done)
 		}
 	}
 	return s.phase
 }
 
-// heard tells whether the balancer has taken the process out.
-func (s *Stop) heard(now time.Duration) bool {
-	waited := now - s.since
-	quiet := now-s.lastNew >= s.cfg.QuietFor
+// announceDone reports whether the load balancer can be expected to have
+// removed the process: the minimum time has passed and no work arrives any
+// more, or the maximum time has passed.
+func (s *Stop) announceDone(now time.Duration) bool {
+	waited := now - s.phaseSince
+	quiet := now-s.lastArrival >= s.cfg.QuietFor
 	return (waited >= s.cfg.AnnounceFor && quiet) || waited >= s.cfg.AnnounceLimit
 }
 
-// busy tells whether running work keeps the process open.
-func (s *Stop) busy(now time.Duration, running int) bool {
-	return s.cfg.OpenWhileBusy && running > 0 && now-s.since < s.cfg.AnnounceLimit
+// acceptsWhileBusy reports whether work in progress keeps the process accepting
+// new work.
+func (s *Stop) acceptsWhileBusy(now time.Duration, running int) bool {
+	return s.cfg.OpenWhileBusy && running > 0 && now-s.phaseSince < s.cfg.AnnounceLimit
 }
 
-func (s *Stop) finish(now time.Duration, running int) {
+func (s *Stop) stepRefusing(now time.Duration, running int) {
 	if running == 0 {
-		s.enter(now, Lingering)
+		s.enterPhase(now, Lingering)
 		return
 	}
-	if s.cfg.FinishLimit > 0 && now-s.asked >= s.cfg.FinishLimit {
-		s.cut = true
-		s.enter(now, Done)
+	if s.cfg.FinishLimit > 0 && now-s.beganAt >= s.cfg.FinishLimit {
+		s.cutWork = true
+		s.enterPhase(now, Done)
 	}
 }
 
-func (s *Stop) enter(now time.Duration, p Phase) { s.phase, s.since = p, now }
+func (s *Stop) enterPhase(now time.Duration, p Phase) { s.phase, s.phaseSince = p, now }
 
-// Phase is the step that the stop is in.
+// Phase returns the current phase.
 func (s *Stop) Phase() Phase { return s.phase }
 
-// Ready is what the readiness probe answers.
+// Ready is the answer to the readiness probe.
 func (s *Stop) Ready() bool { return s.phase == Serving }
 
-// TakesNew tells whether new work is taken.
+// TakesNew reports whether new work is accepted.
 func (s *Stop) TakesNew() bool { return s.phase <= Announced }
 
-// Cut tells whether the stop ended with work in progress, by FinishLimit.
-func (s *Stop) Cut() bool { return s.cut }
+// Cut reports whether the shutdown reached its time limit and ended with work
+// in progress.
+func (s *Stop) Cut() bool { return s.cutWork }
