--- a/internal/decide/once/call.go
+++ b/internal/decide/once/call.go
@@ -6,10 +6,10 @@
 	"filbertdeck/internal/failure"
 )
 
-// Header is one header line of an answer.
+// Header is one header field of an answer.
 type Header struct{ Name, Value string }
 
-// Answer is what a target answered.
+// Answer is the response of a target.
 type Answer struct {
 	Status  int
 	Headers []Header
@@ -24,38 +24,39 @@
 	return size
 }
 
-// Call is one call as it reached this entry.
+// Call is a call as this entry received it.
 type Call struct {
 	Account string
 	Key     Key
-	// Fingerprint is equal for equal method, path and body.
+	// Fingerprint is the same for calls with the same method, path and body.
 	Fingerprint uint64
-	// Wall is the wall clock's time at arrival; only UUIDv7 keys need it.
+	// Wall is the wall-clock time of arrival. Only UUIDv7 keys need it.
 	Wall time.Time
-	// Forwarded is set when another entry sent the call on, with the
-	// incarnation and list revision that it believes in (0: does not know).
+	// Forwarded is set when another entry forwarded the call. Incarnation and
+	// HostsRevision are then the incarnation of this process and the host list
+	// revision that the sender knows; 0 means unknown.
 	Forwarded     bool
 	Incarnation   uint64
 	HostsRevision uint64
 }
 
-// Action says what to do with a call.
+// Action is what to do with a call.
 type Action int
 
 // The actions.
 const (
-	// Run: this entry may run the call. Check must follow right before the
-	// first byte, and Finish, Lost or NotRun at the end.
+	// Run: this entry may run the call. The caller must call Check right before
+	// it sends the first byte, and report the outcome at the end.
 	Run Action = iota + 1
-	// Replay: it ran already; Answer is what the target answered.
+	// Replay: the call has already run. Answer is the target's response.
 	Replay
-	// Forward: Owner may run it.
+	// Forward: the process in Owner may run the call.
 	Forward
-	// Refuse: Err says why.
+	// Refuse: Err is the reason.
 	Refuse
 )
 
-// Decision answers Begin.
+// Decision is the result of Begin.
 type Decision struct {
 	Action Action
 	Answer *Answer
--- a/internal/decide/once/expiry.go
+++ b/internal/decide/once/expiry.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// expiryQueue orders the keys on record by the end of their life. Each record
-// stands in it at most once, so that keys which are used again and again can't
-// make it grow.
+// expiryQueue orders the records by expiry time. Each record is in it at most
+// once, so that keys that are used repeatedly can't make it grow.
 type expiryQueue struct {
-	live    expiryHeap
-	expired []*record // opaque keys past their window, oldest first
+	active  expiryHeap
+	expired []*record // opaque keys, oldest first
 }
 
 type expiryHeap []*record
@@ -19,12 +18,12 @@
 func (h expiryHeap) Less(i, j int) bool { return h[i].expires < h[j].expires }
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *expiryHeap) Push(x any) {
 	rec := x.(*record)
-	rec.place = len(*h)
+	rec.heapIndex = len(*h)
 	*h = append(*h, rec)
 }
 
@@ -33,53 +32,55 @@
 	rec := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	rec.place = notQueued
+	rec.heapIndex = notInHeap
 	return rec
 }
 
-// notQueued is the place of a record that is not in the heap.
-const notQueued = -1
+// notInHeap is the heapIndex of a record that is not in the heap.
+const notInHeap = -1
 
-func (q *expiryQueue) push(rec *record) { heap.Push(&q.live, rec) }
+func (q *expiryQueue) push(rec *record) { heap.Push(&q.active, rec) }
 
 func (q *expiryQueue) remove(rec *record) {
-	if rec.place != notQueued {
-		heap.Remove(&q.live, rec.place)
+	if rec.heapIndex != notInHeap {
+		heap.Remove(&q.active, rec.heapIndex)
 	}
 }
 
-// wait is the time until the next key ends, at least the time in which a
-// caller could sensibly ask again.
-func (q *expiryQueue) wait(now time.Duration) time.Duration {
-	if len(q.live) == 0 {
-		return inProgressRetry
+// timeToNextExpiry returns the time until the next key expires, but no less
+// than inProgressRetryAfter, the shortest useful interval between two attempts.
+func (q *expiryQueue) timeToNextExpiry(now time.Duration) time.Duration {
+	if len(q.active) == 0 {
+		return inProgressRetryAfter
 	}
-	return max(q.live[0].expires-now, inProgressRetry)
+	return max(q.active[0].expires-now, inProgressRetryAfter)
 }
 
-// expire ends the records whose keys are past their life. A key whose end can
-// be read off the key itself is forgotten; an opaque one is remembered as
-// expired until its room is needed. A call that is still on its way keeps its
-// record: its end is not known yet.
+// expire handles the records whose keys have expired. Minted and UUIDv7 keys
+// carry the time from which their expiry follows, so their records are removed.
+// An opaque key carries none: its record is kept as expired until the space is
+// needed. The record of a call that is still in progress is kept, because its
+// outcome is not known yet.
 func (r *Register) expire(now time.Duration) {
 	q := &r.expiry
-	for len(q.live) > 0 && q.live[0].expires <= now {
-		rec := heap.Pop(&q.live).(*record)
+	for len(q.active) > 0 && q.active[0].expires <= now {
+		rec := heap.Pop(&q.active).(*record)
 		switch {
 		case rec.state == stateReserved || rec.state == stateSent:
-			rec.expires = now + inProgressRetry
+			rec.expires = now + inProgressRetryAfter
 			q.push(rec)
 		case rec.kind == KeyOpaque:
-			r.hold(rec, 0)
+			r.setChargedBytes(rec, 0)
 			rec.answer, rec.state = nil, stateExpired
 			q.expired = append(q.expired, rec)
 		default:
-			r.drop(rec)
+			r.removeRecord(rec)
 		}
 	}
 }
 
-// dropExpired forgets the oldest expired key.
+// dropExpired removes the oldest expired opaque key and reports whether there
+// was one.
 func (r *Register) dropExpired() bool {
 	q := &r.expiry
 	if len(q.expired) == 0 {
@@ -88,6 +89,6 @@
 	rec := q.expired[0]
 	q.expired[0] = nil
 	q.expired = q.expired[1:]
-	r.drop(rec)
+	r.removeRecord(rec)
 	return true
 }
--- a/internal/decide/once/hosts.go
+++ b/internal/decide/once/hosts.go
@@ -6,20 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HostList is one state of the published list of live entries.
+// HostList is a confirmed state of the published list of live entries.
 type HostList struct {
 	// Revision is the configuration service's revision of the list.
 	Revision uint64
-	// Live holds the forward addresses of the entries that may own keys.
+	// Live holds the forwarding addresses of the entries that may own keys.
 	Live []string
-	// Confirmed is when the request that confirmed this list was SENT to the
-	// configuration service, on the scale of `now`. The time of receipt would
-	// not do: a message that waited in a socket while this process was paused
-	// would make an old list look fresh.
+	// Confirmed is when the request that confirmed this list was sent to the
+	// configuration service, on the same clock as now. The time of receipt
+	// would make an old list look recent if the response waited in a socket
+	// buffer while this process was paused.
 	Confirmed time.Duration
 }
 
-// digest is equal for lists of the same hosts, in any order.
+// digest returns a hash that is equal for lists of the same hosts in any order.
 func (l HostList) digest() uint64 {
 	var sum uint64
 	for _, name := range l.Live {
@@ -28,52 +28,55 @@
 	return sum
 }
 
-// ConfirmedAt converts a wall-clock time of a confirmation, as told by another
-// process, to the monotonic scale: age by the wall clocks, plus the bound on
-// how far two hosts' wall clocks differ.
+// ConfirmedAt converts the wall-clock time of a confirmation that another
+// process reported to this process's monotonic clock. It takes the age by the
+// wall clocks and adds the maximum clock skew between two hosts.
 func (c Config) ConfirmedAt(now time.Duration, wall, confirmed time.Time) time.Duration {
 	age := max(wall.Sub(confirmed), 0)
-	return now - age - c.ClockError
+	return now - age - c.MaxClockSkew
 }
 
-// ownership knows, for the hosts of the published list, since when this
-// process and until when every other one has been live. That answers "have I
-// been the owner of this key without a break since t?" for any key in one pass
-// over the hosts, without keeping old lists.
-type ownership struct {
-	self     uint64
+// ownershipHistory records since when this process has been on the published
+// list, and when each host that has left was last on it. From this, one pass
+// over the hosts tells since when this process has owned a key without
+// interruption, without keeping old lists.
+type ownershipHistory struct {
+	selfHash uint64
 	selfName string
 	revision uint64
 	digest   uint64 // of the list's content
-	// news is the highest revision that a peer was heard to have while it was
-	// newer than ours, newsAt when that was heard first.
-	news      uint64
-	newsAt    time.Duration
-	known     bool
-	selfLive  bool
-	selfSince time.Duration
-	confirmed time.Duration
-	// hosts is a slice, since each call with a caller's own key looks at all
-	// of it; index finds a host by its name.
-	hosts []hostSpan
-	index map[string]int
+	// peerRevision is the highest list revision newer than ours that a peer has
+	// reported, 0 if none. peerRevisionAt is when a newer revision was first
+	// reported.
+	peerRevision   uint64
+	peerRevisionAt time.Duration
+	hasList        bool
+	selfLive       bool
+	selfLiveSince  time.Duration
+	confirmedAt    time.Duration
+	// hosts is a slice because each call with a caller's key scans all of it.
+	// hostIndex finds a host by name.
+	hosts     []hostState
+	hostIndex map[string]int
 }
 
-type hostSpan struct {
+type hostState struct {
 	name string
 	hash uint64
 	live bool
-	// last is when a host that is not live any more was last known live.
-	last time.Duration
+	// lastLive is when a host that has left the list was last known to be on
+	// it.
+	lastLive time.Duration
 }
 
-func newOwnership(self string) ownership {
-	return ownership{self: xxhash.Sum64String(self), selfName: self, index: map[string]int{}}
+func newOwnershipHistory(self string) ownershipHistory {
+	return ownershipHistory{selfHash: xxhash.Sum64String(self), selfName: self, hostIndex: map[string]int{}}
 }
 
-// weight ranks a host for a key (rendezvous hashing): the host with the
-// highest weight owns the key, and a change of one host moves only its keys.
-func weight(host, key uint64) uint64 {
+// rendezvousWeight ranks a host for a key (rendezvous hashing). The host with
+// the highest weight owns the key, so a change of one host moves only the keys
+// of that host.
+func rendezvousWeight(host, key uint64) uint64 {
 	x := host ^ key
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9 // finalizer of SplitMix64
@@ -82,56 +85,57 @@
 	return x ^ x>>31
 }
 
-// set takes a list. unbroken is the longest time between two confirmations
-// that counts as continuous.
-func (o *ownership) set(now time.Duration, list HostList, unbroken, forget time.Duration) {
-	if o.known && list.Confirmed < o.confirmed && list.Revision <= o.revision {
-		return // an older confirmation that came late says nothing new
+// update records a confirmed list. maxGap is the longest time between two
+// confirmations over which ownership still counts as uninterrupted. Hosts that
+// left the list longer than retention ago are removed.
+func (o *ownershipHistory) update(now time.Duration, list HostList, maxGap, retention time.Duration) {
+	if o.hasList && list.Confirmed < o.confirmedAt && list.Revision <= o.revision {
+		return // an older confirmation that arrived late
 	}
 	digest := list.digest()
-	broken := o.breaks(list, digest, unbroken)
-	if broken || list.Revision != o.revision {
-		o.replace(now, list, broken)
-		o.forget(now - forget)
+	discontinuous := o.isDiscontinuous(list, digest, maxGap)
+	if discontinuous || list.Revision != o.revision {
+		o.replaceHosts(now, list, discontinuous)
+		o.pruneHosts(now - retention)
 	}
-	o.known, o.revision, o.digest, o.confirmed = true, list.Revision, digest, list.Confirmed
-	if o.news <= o.revision || o.newsAt < list.Confirmed {
-		o.news = 0
+	o.hasList, o.revision, o.digest, o.confirmedAt = true, list.Revision, digest, list.Confirmed
+	if o.peerRevision <= o.revision || o.peerRevisionAt < list.Confirmed {
+		o.peerRevision = 0
 	}
 }
 
-// breaks tells whether other lists may have been in force, for long enough to
-// matter, without this process knowing: after a long time without
-// confirmation, after a restore to an older state (a revision that falls, or
-// one that is used a second time for another list), and when the service still
-// shows an older list than a peer had before we asked. Ownership then begins
-// anew.
-func (o *ownership) breaks(list HostList, digest uint64, unbroken time.Duration) bool {
+// isDiscontinuous reports whether another list may have been in force, without
+// this process knowing, for long enough to matter. That is possible after a
+// long gap between confirmations, after the service was restored to an older
+// state (the revision falls, or is used again for another list), and when the
+// service returns an older list than a peer already had before the request was
+// sent. Ownership then starts again.
+func (o *ownershipHistory) isDiscontinuous(list HostList, digest uint64, maxGap time.Duration) bool {
 	switch {
-	case !o.known, list.Confirmed-o.confirmed > unbroken, list.Revision < o.revision:
+	case !o.hasList, list.Confirmed-o.confirmedAt > maxGap, list.Revision < o.revision:
 		return true
 	case list.Revision == o.revision && digest != o.digest:
 		return true
 	default:
-		return o.news > list.Revision && o.newsAt < list.Confirmed
+		return o.peerRevision > list.Revision && o.peerRevisionAt < list.Confirmed
 	}
 }
 
-// heard notes a peer's list revision.
-func (o *ownership) heard(now time.Duration, revision uint64) {
-	if revision <= o.revision || revision <= o.news {
+// observePeerRevision records a peer's list revision.
+func (o *ownershipHistory) observePeerRevision(now time.Duration, revision uint64) {
+	if revision <= o.revision || revision <= o.peerRevision {
 		return
 	}
-	if o.news == 0 {
-		o.newsAt = now
+	if o.peerRevision == 0 {
+		o.peerRevisionAt = now
 	}
-	o.news = revision
+	o.peerRevision = revision
 }
 
-func (o *ownership) replace(now time.Duration, list HostList, broken bool) {
+func (o *ownershipHistory) replaceHosts(now time.Duration, list HostList, discontinuous bool) {
 	for i := range o.hosts {
 		if h := &o.hosts[i]; h.live {
-			h.live, h.last = false, now
+			h.live, h.lastLive = false, now
 		}
 	}
 	wasLive := o.selfLive
@@ -141,46 +145,48 @@
 			o.selfLive = true
 			continue
 		}
-		i, known := o.index[name]
-		if !known {
+		i, found := o.hostIndex[name]
+		if !found {
 			i = len(o.hosts)
-			o.index[name] = i
-			o.hosts = append(o.hosts, hostSpan{name: name, hash: xxhash.Sum64String(name)})
+			o.hostIndex[name] = i
+			o.hosts = append(o.hosts, hostState{name: name, hash: xxhash.Sum64String(name)})
 		}
 		o.hosts[i].live = true
 	}
-	if o.selfLive && (!wasLive || broken) {
-		o.selfSince = now
+	if o.selfLive && (!wasLive || discontinuous) {
+		o.selfLiveSince = now
 	}
 }
 
-// forget drops hosts that left so long ago that no living key can be theirs.
-func (o *ownership) forget(before time.Duration) {
+// pruneHosts removes hosts that left the list before cutoff. No key that they
+// can have accepted is still valid.
+func (o *ownershipHistory) pruneHosts(cutoff time.Duration) {
 	kept := o.hosts[:0]
 	for _, h := range o.hosts {
-		if h.live || h.last >= before {
-			o.index[h.name] = len(kept)
+		if h.live || h.lastLive >= cutoff {
+			o.hostIndex[h.name] = len(kept)
 			kept = append(kept, h)
 		} else {
-			delete(o.index, h.name)
+			delete(o.hostIndex, h.name)
 		}
 	}
 	clear(o.hosts[len(kept):])
 	o.hosts = kept
 }
 
-// owner names the key's owner in the list in force, "" when there is none.
-func (o *ownership) owner(key uint64) string {
+// owner returns the owner of the key by the current list, or "" if there is
+// none.
+func (o *ownershipHistory) owner(key uint64) string {
 	best, bestWeight := "", uint64(0)
 	if o.selfLive {
-		best, bestWeight = o.selfName, weight(o.self, key)
+		best, bestWeight = o.selfName, rendezvousWeight(o.selfHash, key)
 	}
 	for i := range o.hosts {
 		h := &o.hosts[i]
 		if !h.live {
 			continue
 		}
-		w := weight(h.hash, key)
+		w := rendezvousWeight(h.hash, key)
 		if best == "" || w > bestWeight || (w == bestWeight && h.name < best) {
 			best, bestWeight = h.name, w
 		}
@@ -188,24 +194,24 @@
 	return best
 }
 
-// since gives the time from which this process has been the key's owner
-// without a break; ok is false when it is not the owner now.
-func (o *ownership) since(key uint64) (since time.Duration, ok bool) {
-	if !o.known || !o.selfLive {
+// ownerSince returns the time since which this process has owned the key
+// without interruption. ok is false if it does not own the key now.
+func (o *ownershipHistory) ownerSince(key uint64) (since time.Duration, ok bool) {
+	if !o.hasList || !o.selfLive {
 		return 0, false
 	}
-	mine := weight(o.self, key)
-	since = o.selfSince
+	selfWeight := rendezvousWeight(o.selfHash, key)
+	since = o.selfLiveSince
 	for i := range o.hosts {
 		h := &o.hosts[i]
-		w := weight(h.hash, key)
-		if w < mine || (w == mine && o.selfName < h.name) {
+		w := rendezvousWeight(h.hash, key)
+		if w < selfWeight || (w == selfWeight && o.selfName < h.name) {
 			continue
 		}
 		if h.live {
 			return 0, false
 		}
-		since = max(since, h.last)
+		since = max(since, h.lastLive)
 	}
 	return since, true
 }
--- a/internal/decide/once/key.go
+++ b/internal/decide/once/key.go
@@ -9,74 +9,79 @@
 	"filbertdeck/internal/failure"
 )
 
-// KeyKind says where a key's time and owner come from.
+// KeyKind is the kind of a key. It determines how the key's time and owner are
+// found.
 type KeyKind int
 
 // The kinds of keys.
 const (
-	// KeyMinted was made by an entry, which is its only owner for good.
+	// KeyMinted is a key that an entry generated. That entry process is its only
+	// owner, also after it has ended.
 	KeyMinted KeyKind = iota + 1
-	// KeyOrdered is a caller's UUIDv7: it carries the time of its making.
-	KeyOrdered
-	// KeyOpaque is any other key of a caller's making.
+	// KeyTimeOrdered is a UUIDv7 that a caller generated. It carries its
+	// creation time.
+	KeyTimeOrdered
+	// KeyOpaque is any other key that a caller generated.
 	KeyOpaque
 )
 
-// maxKeyLength bounds a caller's key, in bytes.
-const maxKeyLength = 255
+// maxKeyBytes is the maximum length of a caller's key.
+const maxKeyBytes = 255
 
-// Process names one entry process: another process at the same address has
-// another incarnation and remembers nothing.
+// Process identifies one entry process. A new process at the same address has
+// another incarnation and none of the earlier one's records.
 type Process struct {
 	Address     string
 	Incarnation uint64
 }
 
-// Key is an idempotency key in its canonical form: two spellings of one key
-// are equal here.
+// Key is an idempotency key in canonical form, so that different spellings of
+// one key are equal.
 type Key struct {
 	Kind KeyKind
 	// ID is the canonical text, unique within an account.
 	ID string
-	// Owner and MintedAt belong to minted keys; MintedAt is the owner's
-	// monotonic time.
+	// Owner and MintedAt are set for minted keys. MintedAt is on the owner's
+	// monotonic clock.
 	Owner    Process
 	MintedAt time.Duration
-	// Stamp is the time that a UUIDv7 carries. Nobody has vouched for it.
-	Stamp time.Time
+	// Timestamp is the creation time in a UUIDv7. It comes from the caller and
+	// is not verified.
+	Timestamp time.Time
 }
 
-// MintedKey describes a key that an entry minted and whose seal was checked.
-func MintedKey(id string, owner Process, at time.Duration) Key {
-	return Key{Kind: KeyMinted, ID: "m/" + id, Owner: owner, MintedAt: at}
+// MintedKey returns the key that an entry minted. The caller must have verified
+// its seal.
+func MintedKey(id string, owner Process, mintedAt time.Duration) Key {
+	return Key{Kind: KeyMinted, ID: "m/" + id, Owner: owner, MintedAt: mintedAt}
 }
 
-// CallerKey reads a key of a caller's making, with or without the quotes of a
-// structured header.
+// CallerKey parses a caller's key, with or without the quotes of a structured
+// header field.
 func CallerKey(text string) (Key, error) {
 	text = strings.TrimSpace(text)
 	if len(text) >= 2 && text[0] == '"' && text[len(text)-1] == '"' {
 		text = text[1 : len(text)-1]
 	}
-	if text == "" || len(text) > maxKeyLength || !visible(text) {
+	if text == "" || len(text) > maxKeyBytes || !isVisibleASCII(text) {
 		return Key{}, failure.New(failure.KindKeyInvalid,
-			"idempotency key must have 1 to %d visible ASCII characters", maxKeyLength).Unknown()
+			"idempotency key must have 1 to %d visible ASCII characters", maxKeyBytes).Unknown()
 	}
 	id, err := uuid.Parse(text)
 	if err != nil || len(text) != len(id.String()) {
 		return Key{Kind: KeyOpaque, ID: "c/" + text}, nil
 	}
-	// A UUID's letters may come in either case.
+	// The hexadecimal digits of a UUID may be in upper or lower case.
 	key := Key{Kind: KeyOpaque, ID: "c/" + id.String()}
 	if id.Version() == 7 {
-		key.Kind = KeyOrdered
+		key.Kind = KeyTimeOrdered
 		sec, nsec := id.Time().UnixTime()
-		key.Stamp = time.Unix(sec, nsec)
+		key.Timestamp = time.Unix(sec, nsec)
 	}
 	return key, nil
 }
 
-func visible(text string) bool {
+func isVisibleASCII(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] > '~' {
 			return false
--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -1,42 +1,47 @@
 // Package once decides which entry may run a call that must run at most once,
-// and what a repeated call is told. It is pure: no network, no clock, no
-// goroutine; time is an argument.
+// and what the caller of a repeated call is told. It does no I/O, reads no
+// clock and starts no goroutines; the time is passed in.
 //
-// Load pattern: callers on poor links send a booking again, through another
-// entry, while the first one is queued, running or lost; meanwhile hosts are
-// replaced, processes pause, and the list of hosts is late. Without this
-// package each entry runs what it receives: a crew drives out twice.
+// Callers on poor links send a booking again, through another entry, while the
+// first attempt is queued, running or lost. Meanwhile hosts are replaced,
+// processes pause, and host lists arrive late. If each entry ran what it
+// receives, a booking would run twice and two crews would drive out.
 //
-// Nothing of the system writes shared state, so the right to run a call must
-// follow from what is known to all: the key itself or the published host list.
+// Entries share no writable state, so the right to run a call must follow from
+// what every entry knows: the key itself or the published host list.
 //
-//   - A minted key names one process (address and incarnation). Only that
-//     process ever runs the call. Safety needs no clock, no list and no peer.
-//     When the process is gone the answer is "unknown", for good.
-//   - A caller's own key belongs to the rendezvous owner over the published
-//     list of live hosts. The owner runs it only if it can vouch that nobody
-//     else ran it: it has been the owner without a break, by lists that the
-//     configuration service confirmed at most Freshness ago, since Freshness +
-//     Margin before the key can first have been accepted anywhere.
+//   - A minted key names one process (address and incarnation), and only that
+//     process ever runs the call. Safety depends on no clock, list or peer.
+//     When the process is gone, the outcome is unknown for good.
+//   - A caller's own key belongs to the host that rendezvous hashing selects
+//     from the published list of live hosts. The owner runs the call only if
+//     no other entry can have run it: it must have owned the key without
+//     interruption since one handover delay before the key can first have been
+//     accepted anywhere, according to lists that the configuration service
+//     confirmed recently enough. The handover delay is the maximum
+//     confirmation age plus the maximum write delay.
 //
-// Why that is enough for callers' keys. Let the list change at T so that the
-// key moves from P to Q. P's last confirmation of the old list was sent before
-// T, so P stops vouching by T+Freshness, and its last check leaves it Margin
-// to put the first byte on the wire. Q has been owner since T at the earliest
-// and runs only keys that can't have been accepted anywhere before
-// T+Freshness+Margin. A list that lasted shorter than that let nobody run
-// anything new, so lists that fell between two confirmations do no harm.
+// This is sufficient for callers' keys. Let a list change at time T move a key
+// from P to Q. P sent its last confirmation request for the old list before T,
+// so P stops accepting calls one maximum confirmation age after T, and its last
+// check leaves one maximum write delay to put the first byte on the wire. Q has
+// owned the key since T at the earliest, and runs only keys that no entry can
+// have accepted before T plus the handover delay. Under a list that was in
+// force for a shorter time no entry ran anything new, so missing a list between
+// two confirmations is harmless.
 //
-// A caller's clock is not trusted: every entry refuses a UUIDv7 from more than
-// AheadLimit in the future, so a key can't have been accepted before its stamp
-// less AheadLimit and ClockError. Entries' wall clocks must agree within
-// ClockError. An opaque key has no time; its caller must not use it for longer
-// than OpaqueWindow after the first try.
+// Callers' clocks are not trusted. Every entry refuses a UUIDv7 that is too far
+// in the future, so a key can't have been accepted earlier than its timestamp
+// minus that limit and the maximum clock skew. The wall clocks of entries must
+// agree within the maximum clock skew. An opaque key carries no time; its
+// caller must not use it for longer than the configured limit after the first
+// attempt.
 //
-// What it can't exclude is told in docs/design/single-execution.md: a
-// configuration service that confirms an old list as current to some readers,
-// and a process that pauses between the last check and the write for longer
-// than Margin. Both concern callers' own keys only.
+// Two failures remain possible and are described in
+// docs/design/single-execution.md: a configuration service that confirms an old
+// list as current to some readers, and a process that pauses between the last
+// check and the write for longer than the maximum write delay. Both affect
+// callers' own keys only.
 package once
 
 import (
@@ -53,111 +58,117 @@
 	stateReserved state = iota + 1
 	stateSent
 	stateDone
-	stateUnknown
-	// stateExpired remembers an opaque key past its window for as long as
-	// there is room: its caller is at fault, but need not book twice for it.
+	stateOutcomeUnknown
+	// stateExpired marks an opaque key that has expired. It is kept while there
+	// is room: its caller should not reuse the key, but must not get a second
+	// booking if it does.
 	stateExpired
 )
 
 type record struct {
-	id          string
-	place       int // in the expiry queue
-	state       state
-	kind        KeyKind
-	fingerprint uint64
-	answer      *Answer
-	held        int // bytes that count against MaxAnswerBytes
-	// first is the earliest time at which the key can have been accepted
-	// anywhere.
-	first   time.Duration
-	expires time.Duration
+	id           string
+	heapIndex    int // in the expiry queue
+	state        state
+	kind         KeyKind
+	fingerprint  uint64
+	answer       *Answer
+	chargedBytes int // bytes that count against MaxTotalAnswerBytes
+	// earliestAccept is the earliest time at which any entry can have accepted
+	// the key.
+	earliestAccept time.Duration
+	expires        time.Duration
 }
 
-// Register is an entry's record of the calls that it may run. It is not safe
-// for concurrent use; the entry holds one lock around it.
+// Register records the calls that this entry may run. It is not safe for
+// concurrent use; the entry guards it with a lock.
 type Register struct {
-	cfg     Config
-	owners  ownership
-	records map[string]*record
-	expiry  expiryQueue
-	bytes   int
-	minted  uint64
+	cfg          Config
+	ownership    ownershipHistory
+	records      map[string]*record
+	expiry       expiryQueue
+	chargedBytes int
+	lastSequence uint64
 }
 
-// New returns an empty register: a process that has just started vouches for
-// nothing that is older than itself.
+// New returns an empty registry. A process that has just started can't rule out
+// that a call with an older key ran elsewhere, so it refuses older keys of
+// callers.
 func New(cfg Config) *Register {
 	cfg = cfg.withDefaults()
-	return &Register{cfg: cfg, owners: newOwnership(cfg.Self.Address), records: map[string]*record{}}
+	return &Register{cfg: cfg, ownership: newOwnershipHistory(cfg.Self.Address), records: map[string]*record{}}
 }
 
-// SetHosts takes a confirmed state of the published host list. Call it at
-// every confirmation, also when nothing changed.
+// SetHosts records a confirmed state of the published host list. It must be
+// called at every confirmation, even if the list has not changed.
 func (r *Register) SetHosts(now time.Duration, list HostList) {
-	forget := max(r.cfg.OrderedLife, r.cfg.OpaqueWindow) + r.cfg.holdOff() + r.cfg.AheadLimit + r.cfg.ClockError
-	r.owners.set(now, list, r.cfg.Freshness, forget)
+	retention := max(r.cfg.TimeOrderedTTL, r.cfg.OpaqueTTL) + r.cfg.handoverDelay() + r.cfg.MaxFutureTimestamp + r.cfg.MaxClockSkew
+	r.ownership.update(now, list, r.cfg.MaxConfirmationAge, retention)
 }
 
-// Heard notes a list revision that a peer has. While a peer knows a newer list
-// this process's own confirmation is worth nothing.
-// It may be called at each gossip message and is called for forwarded calls.
+// Heard records the list revision of a peer. While a peer has a newer list,
+// this process's own confirmation does not count. It may be called for each
+// gossip message; forwarded calls report their revision here too.
 func (r *Register) Heard(now time.Duration, revision uint64) {
-	r.owners.heard(now, revision)
+	r.ownership.observePeerRevision(now, revision)
 }
 
-// NextSequence numbers the keys that this process mints.
+// NextSequence returns the sequence number for the next key that this process
+// mints.
 func (r *Register) NextSequence() uint64 {
-	r.minted++
-	return r.minted
+	r.lastSequence++
+	return r.lastSequence
 }
 
-// Owner names the entry that owns a caller's key by the list in force.
+// Owner returns the entry that owns a caller's key by the current list.
 func (r *Register) Owner(account string, key Key) string {
-	return r.owners.owner(hashOf(recordID(account, key)))
+	return r.ownership.owner(hashOf(recordID(account, key)))
 }
 
-// Len and Bytes give the record's size for counters.
-func (r *Register) Len() int   { return len(r.records) }
-func (r *Register) Bytes() int { return r.bytes }
+// Len returns the number of keys on record.
+func (r *Register) Len() int { return len(r.records) }
+
+// Bytes returns the number of bytes that count against the limit on all
+// answers.
+func (r *Register) Bytes() int { return r.chargedBytes }
 
 func recordID(account string, key Key) string { return account + "\x00" + key.ID }
 
 func hashOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Begin decides about a call that has just arrived.
+// Begin decides what to do with a call that has just arrived.
 func (r *Register) Begin(now time.Duration, call Call) Decision {
 	r.expire(now)
 	id := recordID(call.Account, call.Key)
 	if rec := r.records[id]; rec != nil {
-		return r.again(rec, call)
+		return r.decideRepeated(rec, call)
 	}
-	if d, mine := r.place(now, call, id); !mine {
+	if d, local := r.route(now, call, id); !local {
 		return d
 	}
-	life, err := r.mayRun(now, call, id)
+	validity, err := r.validateNewKey(now, call, id)
 	if err != nil {
 		return refuse(err)
 	}
-	if err := r.room(now); err != nil {
+	if err := r.ensureCapacity(now); err != nil {
 		return refuse(err)
 	}
-	r.reserve(id, call, life)
+	r.reserve(id, call, validity)
 	return Decision{Action: Run}
 }
 
-// reserve puts a key on record and sets room for its answer aside.
-func (r *Register) reserve(id string, call Call, life lifetime) {
+// reserve records a key and reserves space for its answer.
+func (r *Register) reserve(id string, call Call, validity keyValidity) {
 	rec := &record{
-		id: id, place: notQueued, state: stateReserved, kind: call.Key.Kind,
-		fingerprint: call.Fingerprint, first: life.first, expires: life.expires,
+		id: id, heapIndex: notInHeap, state: stateReserved, kind: call.Key.Kind,
+		fingerprint: call.Fingerprint, earliestAccept: validity.earliestAccept, expires: validity.expires,
 	}
 	r.records[id] = rec
-	r.hold(rec, r.cfg.MaxAnswer)
+	r.setChargedBytes(rec, r.cfg.MaxBytesPerAnswer)
 	r.expiry.push(rec)
 }
 
-// again answers a call whose key is on record.
-func (r *Register) again(rec *record, call Call) Decision {
+// decideRepeated decides about a call whose key is on record.
+func (r *Register) decideRepeated(rec *record, call Call) Decision {
 	if rec.fingerprint != call.Fingerprint {
 		return refuse(failure.New(failure.KindKeyReused, "this idempotency key was used for another call"))
 	}
@@ -167,103 +178,105 @@
 			return refuse(failure.New(failure.KindOutcomeUnknown, "the call ran; its answer was too large to keep").Ran())
 		}
 		return Decision{Action: Replay, Answer: rec.answer}
-	case stateUnknown:
+	case stateOutcomeUnknown:
 		return refuse(failure.New(failure.KindOutcomeUnknown, "the call was sent and no answer came back").Unknown())
 	case stateExpired:
-		return refuse(failure.New(failure.KindKeyExpired, "the key was used longer ago than allowed").Unknown())
+		return refuse(failure.New(failure.KindKeyExpired, "the key's period of use has ended").Unknown())
 	default:
-		return refuse(failure.New(failure.KindInProgress, "the call with this key is in progress").Unknown().After(inProgressRetry))
+		return refuse(failure.New(failure.KindInProgress, "the call with this key is in progress").Unknown().After(inProgressRetryAfter))
 	}
 }
 
-// inProgressRetry is when to ask again for a call that is in progress; a plain
+// inProgressRetryAfter is the retry time for a call in progress. A plain
 // service answers within a second.
-const inProgressRetry = time.Second
+const inProgressRetryAfter = time.Second
 
-// place says where a call belongs; mine is true when that is this process.
-func (r *Register) place(now time.Duration, call Call, id string) (d Decision, mine bool) {
+// route determines which process handles a call. local is true if it is this
+// one; otherwise d is the decision.
+func (r *Register) route(now time.Duration, call Call, id string) (d Decision, local bool) {
 	if call.Key.Kind == KeyMinted {
-		return r.placeMinted(call)
+		return r.routeMinted(call)
 	}
 	if call.Forwarded && call.HostsRevision > 0 {
 		r.Heard(now, call.HostsRevision)
 	}
 	if call.Incarnation != 0 && call.Incarnation != r.cfg.Self.Incarnation {
-		return refuse(ownerLost()), false
+		return refuse(ownerLostError()), false
 	}
-	owner := r.owners.owner(hashOf(id))
+	owner := r.ownership.owner(hashOf(id))
 	switch {
 	case owner == r.cfg.Self.Address:
 		return Decision{}, true
 	case owner == "" || call.Forwarded:
-		// Passing it on again could send the call round and round while two
-		// entries hold different lists.
-		return refuse(unvouched("the owner of this key is not known here").After(r.cfg.Freshness)), false
+		// A forwarded call is not forwarded again: entries with different lists
+		// could pass it back and forth for ever.
+		return refuse(notExclusiveError("the owner of this key is not known here").After(r.cfg.MaxConfirmationAge)), false
 	default:
 		return Decision{Action: Forward, Owner: Process{Address: owner}}, false
 	}
 }
 
-func (r *Register) placeMinted(call Call) (Decision, bool) {
+func (r *Register) routeMinted(call Call) (Decision, bool) {
 	owner := call.Key.Owner
 	switch {
 	case owner == r.cfg.Self:
 		return Decision{}, true
 	case owner.Address == r.cfg.Self.Address || call.Forwarded:
-		// An earlier process at this address made the key. It may have run the
-		// call; nobody is left who knows.
-		return refuse(ownerLost()), false
+		// An earlier process at this address minted the key. It may have run
+		// the call, and no record of that is left.
+		return refuse(ownerLostError()), false
 	default:
 		return Decision{Action: Forward, Owner: owner}, false
 	}
 }
 
-func ownerLost() *failure.Error {
+func ownerLostError() *failure.Error {
 	return failure.New(failure.KindOwnerLost, "the entry that could run this call is gone").Unknown()
 }
 
-// OwnerUnreachable is the answer when the owner that Begin named does not
-// answer: it may have run the call earlier, so the outcome is unknown. Asking
-// again makes sense, since an owner that was paused or cut off still knows
-// once it is back.
+// OwnerUnreachable returns the error for a call whose owner does not answer.
+// The owner may have run the call before, so the outcome is unknown. A retry
+// makes sense: an owner that was paused or partitioned still has its record
+// when it is back.
 func OwnerUnreachable(cause error) *failure.Error {
 	return failure.Wrap(cause, failure.KindOwnerLost, "the entry that may run this call can't be reached").
-		Unknown().After(ownerRetry)
+		Unknown().After(ownerRetryAfter)
 }
 
-// ownerRetry is when to ask again for an owner that did not answer. Pauses and
-// short partitions are over by then.
-const ownerRetry = 5 * time.Second
+// ownerRetryAfter is the retry time for an owner that did not answer. It is
+// longer than most pauses and short partitions.
+const ownerRetryAfter = 5 * time.Second
 
-func unvouched(why string) *failure.Error {
-	return failure.New(failure.KindKeyUnvouched, "%s; it may have run at another entry", why).Unknown()
+func notExclusiveError(reason string) *failure.Error {
+	return failure.New(failure.KindKeyUnvouched, "%s; it may have run at another entry", reason).Unknown()
 }
 
-// Check is called right before the first byte goes to the target. A process
-// that slept since Begin finds out here that its right has ended. until is
-// when the first byte must have left: a pause between Check and the write that
-// ends before it is harmless; it is at least Margin long.
-func (r *Register) Check(now time.Duration, account string, key Key) (until time.Duration, err *failure.Error) {
+// Check must be called right before the first byte is sent to the target. It
+// fails if this process lost the right to run the call since Begin, for example
+// during a pause. The first byte must have left by sendBy; a pause between
+// Check and the write that ends before that is harmless. For a caller's key
+// sendBy is at least the maximum write delay away.
+func (r *Register) Check(now time.Duration, account string, key Key) (sendBy time.Duration, err *failure.Error) {
 	id := recordID(account, key)
 	rec := r.records[id]
 	if rec == nil || rec.state != stateReserved {
-		return 0, unvouched("the key's record has ended meanwhile")
+		return 0, notExclusiveError("the key's record no longer allows sending the call")
 	}
-	until = rec.expires
+	sendBy = rec.expires
 	if key.Kind != KeyMinted {
-		ready, err := r.vouch(now, id)
-		if err == nil && rec.first < ready {
-			// The key was another's for a while since Begin.
-			err = unvouched("this entry lost the key for a while")
+		exclusiveSince, err := r.exclusiveOwnerSince(now, id)
+		if err == nil && rec.earliestAccept < exclusiveSince {
+			// Another entry owned the key for some time since Begin.
+			err = notExclusiveError("this entry did not own the key for some time")
 		}
 		if err != nil {
-			r.drop(rec)
+			r.removeRecord(rec)
 			return 0, err
 		}
-		until = r.owners.confirmed + r.cfg.holdOff()
+		sendBy = r.ownership.confirmedAt + r.cfg.handoverDelay()
 	}
 	rec.state = stateSent
-	return until, nil
+	return sendBy, nil
 }
 
 // Finish records the target's answer.
@@ -274,41 +287,41 @@
 	}
 	rec.state = stateDone
 	size := answer.size()
-	if size > r.cfg.MaxAnswer {
-		r.hold(rec, 0)
+	if size > r.cfg.MaxBytesPerAnswer {
+		r.setChargedBytes(rec, 0)
 		return
 	}
 	rec.answer = answer
-	r.hold(rec, size)
+	r.setChargedBytes(rec, size)
 }
 
-// Lost records that the call was sent and that no answer came.
+// Lost records that the call was sent and no answer came back.
 func (r *Register) Lost(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec == nil || rec.state != stateSent {
 		return
 	}
-	rec.state = stateUnknown
-	r.hold(rec, 0)
+	rec.state = stateOutcomeUnknown
+	r.setChargedBytes(rec, 0)
 }
 
-// NotRun records that the call certainly did not run: it was never sent, or
-// the target itself said so. The key may be used again.
+// NotRun records that the call certainly did not run: it was never sent, or the
+// target reported so. The key may be used again.
 func (r *Register) NotRun(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec != nil && (rec.state == stateReserved || rec.state == stateSent) {
-		r.drop(rec)
+		r.removeRecord(rec)
 	}
 }
 
-// hold sets the bytes that a record counts for.
-func (r *Register) hold(rec *record, size int) {
-	r.bytes += size - rec.held
-	rec.held = size
+// setChargedBytes sets the number of bytes that a record counts for.
+func (r *Register) setChargedBytes(rec *record, size int) {
+	r.chargedBytes += size - rec.chargedBytes
+	rec.chargedBytes = size
 }
 
-func (r *Register) drop(rec *record) {
-	r.hold(rec, 0)
+func (r *Register) removeRecord(rec *record) {
+	r.setChargedBytes(rec, 0)
 	r.expiry.remove(rec)
 	delete(r.records, rec.id)
 }
--- a/internal/decide/once/once_test.go
+++ b/internal/decide/once/once_test.go
@@ -21,8 +21,8 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// ordered makes a UUIDv7 of the given time.
-func ordered(at time.Time, n uint64) string {
+// uuidV7 returns a UUIDv7 with the given timestamp and number.
+func uuidV7(at time.Time, n uint64) string {
 	var id uuid.UUID
 	ms := uint64(at.UnixMilli())
 	for i := range 6 {
@@ -41,11 +41,12 @@
 	return key
 }
 
-// self owns every key while it is alone on the list.
+// self owns every key while it is the only host on the list.
 var self = once.Process{Address: "a", Incarnation: 7}
 
-// settled returns a register that has been the only owner for an hour.
-func settled(cfg once.Config) (*once.Register, time.Duration) {
+// newSoleOwner returns a registry that has been the only owner for an hour, and
+// the current time.
+func newSoleOwner(cfg once.Config) (*once.Register, time.Duration) {
 	cfg.Self = self
 	r := once.New(cfg)
 	now := time.Duration(0)
@@ -59,10 +60,12 @@
 	return once.Call{Account: "park", Key: key, Fingerprint: 1, Wall: epoch.Add(now)}
 }
 
-func freshKey(now time.Duration) once.Key { return callerKey(ordered(epoch.Add(now), uint64(now))) }
+func newTimeOrderedKey(now time.Duration) once.Key {
+	return callerKey(uuidV7(epoch.Add(now), uint64(now)))
+}
 
-// outcome tells a decision in one word.
-func outcome(d once.Decision) string {
+// decisionText returns a decision as a short string.
+func decisionText(d once.Decision) string {
 	switch d.Action {
 	case once.Run:
 		return "run"
@@ -89,122 +92,123 @@
 		},
 		Entry(nil, "order-17", once.KeyOpaque, "order-17"),
 		Entry(nil, `"order-17"`, once.KeyOpaque, "order-17"),
-		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", once.KeyOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
+		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", once.KeyTimeOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
 		Entry(nil, "0198f0a0-0000-4000-8000-00000000ABCD", once.KeyOpaque, "0198f0a0-0000-4000-8000-00000000abcd"),
 		Entry(nil, "", once.KeyKind(0), ""), Entry(nil, `""`, once.KeyKind(0), ""), Entry(nil, "a b", once.KeyKind(0), ""),
 		Entry(nil, "é", once.KeyKind(0), ""), Entry(nil, strings.Repeat("x", 256), once.KeyKind(0), ""),
 	)
 	It("carries its time when it is a UUIDv7", func() {
-		Expect(callerKey(ordered(epoch, 1)).Stamp.Equal(epoch)).To(BeTrue())
+		Expect(callerKey(uuidV7(epoch, 1)).Timestamp.Equal(epoch)).To(BeTrue())
 	})
 })
 
 var _ = Describe("a call's record", func() {
-	// A technician's phone sends the booking again while the first one is on
-	// its way, after its answer was lost, and after the target fell silent.
-	// Each time the second must not drive a crew out.
-	DescribeTable("answers a repeated call by what happened to the first",
-		func(act func(*once.Register, time.Duration, once.Key), want string) {
-			r, now := settled(once.Config{})
-			key := freshKey(now)
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
-			act(r, now, key)
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal(want))
+	// A technician's phone sends the booking again while the first attempt is
+	// in progress, after its answer was lost, or after the target stopped
+	// responding. The second attempt must not send out another crew.
+	DescribeTable("answers a repeated call according to the outcome of the first",
+		func(firstAttempt func(*once.Register, time.Duration, once.Key), want string) {
+			r, now := newSoleOwner(once.Config{})
+			key := newTimeOrderedKey(now)
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
+			firstAttempt(r, now, key)
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal(want))
 			other := call(key, now)
 			other.Fingerprint++
 			if want != "run" {
-				Expect(outcome(r.Begin(now, other))).To(Equal("idempotency-key-reused no"))
+				Expect(decisionText(r.Begin(now, other))).To(Equal("idempotency-key-reused no"))
 			}
 			other.Account = "other park"
-			Expect(outcome(r.Begin(now, other))).To(Equal("run"), "accounts don't share keys")
+			Expect(decisionText(r.Begin(now, other))).To(Equal("run"), "accounts don't share keys")
 		},
 		Entry("queued", func(*once.Register, time.Duration, once.Key) {}, "in-progress unknown"),
-		Entry("refused in the queue", func(r *once.Register, _ time.Duration, k once.Key) { r.NotRun("park", k) }, "run"),
-		Entry("sent", send, "in-progress unknown"),
+		Entry("rejected while queued", func(r *once.Register, _ time.Duration, k once.Key) { r.NotRun("park", k) }, "run"),
+		Entry("sent", mustCheck, "in-progress unknown"),
 		Entry("answered", func(r *once.Register, now time.Duration, k once.Key) {
-			send(r, now, k)
+			mustCheck(r, now, k)
 			r.Finish("park", k, &once.Answer{Status: 200, Body: []byte("booked")})
 			r.Lost("park", k)
 			r.NotRun("park", k)
 		}, "replay"),
-		Entry("answered at length", func(r *once.Register, now time.Duration, k once.Key) {
-			send(r, now, k)
-			r.Finish("park", k, &once.Answer{Body: make([]byte, once.DefaultMaxAnswer+1)})
+		Entry("answered with more bytes than are kept", func(r *once.Register, now time.Duration, k once.Key) {
+			mustCheck(r, now, k)
+			r.Finish("park", k, &once.Answer{Body: make([]byte, once.DefaultMaxBytesPerAnswer+1)})
 		}, "outcome-unknown yes"),
-		Entry("sent, no answer", func(r *once.Register, now time.Duration, k once.Key) { send(r, now, k); r.Lost("park", k) }, "outcome-unknown unknown"),
-		Entry("the target did not run it", func(r *once.Register, now time.Duration, k once.Key) { send(r, now, k); r.NotRun("park", k) }, "run"),
+		Entry("sent without an answer", func(r *once.Register, now time.Duration, k once.Key) { mustCheck(r, now, k); r.Lost("park", k) }, "outcome-unknown unknown"),
+		Entry("the target did not run it", func(r *once.Register, now time.Duration, k once.Key) { mustCheck(r, now, k); r.NotRun("park", k) }, "run"),
 	)
 
-	It("checks a call once, and only one that was begun", func() {
-		r, now := settled(once.Config{})
-		key := freshKey(now)
+	It("allows one check for each call that was begun", func() {
+		r, now := newSoleOwner(once.Config{})
+		key := newTimeOrderedKey(now)
 		_, err := r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
 		r.Begin(now, call(key, now))
-		until, err := r.Check(now, "park", key)
+		sendBy, err := r.Check(now, "park", key)
 		Expect(err).To(BeNil())
-		Expect(until - now).To(BeNumerically(">=", once.DefaultMargin))
+		Expect(sendBy - now).To(BeNumerically(">=", once.DefaultMaxWriteDelay))
 		_, err = r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
-		Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"), "the failed check forgets nothing")
+		Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"), "a failed check keeps the record")
 	})
 
-	// Clients book faster than keys expire, or with answers that are large. A
-	// record that forgot the oldest key would run that booking again.
-	It("refuses new keys when it is full rather than forget", func() {
-		r, now := settled(once.Config{MaxKeys: 3})
-		first := freshKey(now)
+	// Clients book faster than keys expire, or receive large answers. If the
+	// oldest key were removed to make room, a retry of that booking would run
+	// it again.
+	It("refuses new keys when it is full", func() {
+		r, now := newSoleOwner(once.Config{MaxKeys: 3})
+		first := newTimeOrderedKey(now)
 		for i := range 3 {
-			key := freshKey(now + time.Duration(i)*time.Millisecond)
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
-			send(r, now, key)
+			key := newTimeOrderedKey(now + time.Duration(i)*time.Millisecond)
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
+			mustCheck(r, now, key)
 			r.Finish("park", key, &once.Answer{Body: make([]byte, 100)})
 		}
 		Expect(r.Len()).To(Equal(3))
 		Expect(r.Bytes()).To(Equal(300))
 		d := r.Begin(now, call(callerKey("opaque"), now))
-		Expect(outcome(d)).To(Equal("overloaded no"))
-		Expect(d.Err.RetryAfter).To(BeNumerically("~", once.DefaultLife, 2*time.Second))
-		Expect(outcome(r.Begin(now, call(first, now)))).To(Equal("replay"))
+		Expect(decisionText(d)).To(Equal("overloaded no"))
+		Expect(d.Err.RetryAfter).To(BeNumerically("~", once.DefaultKeyTTL, 2*time.Second))
+		Expect(decisionText(r.Begin(now, call(first, now)))).To(Equal("replay"))
 
-		bytes, now := settled(once.Config{MaxAnswerBytes: once.DefaultMaxAnswer})
-		Expect(outcome(bytes.Begin(now, call(freshKey(now), now)))).To(Equal("run"))
-		Expect(outcome(bytes.Begin(now, call(callerKey("x"), now)))).To(Equal("overloaded no"))
+		byteLimited, now := newSoleOwner(once.Config{MaxTotalAnswerBytes: once.DefaultMaxBytesPerAnswer})
+		Expect(decisionText(byteLimited.Begin(now, call(newTimeOrderedKey(now), now)))).To(Equal("run"))
+		Expect(decisionText(byteLimited.Begin(now, call(callerKey("x"), now)))).To(Equal("overloaded no"))
 	})
 
-	// A caller comes back hours later with a key whose record is gone.
-	It("refuses expired keys, and remembers opaque ones while there is room", func() {
-		r, now := settled(once.Config{MaxKeys: 2})
-		keys := map[string]once.Key{"ordered": freshKey(now), "opaque": callerKey("order-17")}
+	// A caller retries hours later with a key whose record has been removed.
+	It("refuses expired keys and keeps opaque ones while there is room", func() {
+		r, now := newSoleOwner(once.Config{MaxKeys: 2})
+		keys := map[string]once.Key{"ordered": newTimeOrderedKey(now), "opaque": callerKey("order-17")}
 		for _, key := range keys {
 			r.Begin(now, call(key, now))
-			send(r, now, key)
+			mustCheck(r, now, key)
 			r.Finish("park", key, &once.Answer{})
 		}
 		for end := now + 20*time.Minute; now < end; now += time.Second {
 			r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
 		}
 		for name, key := range keys {
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("idempotency-key-expired unknown"), name)
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("idempotency-key-expired unknown"), name)
 		}
 		Expect(r.Len()).To(Equal(1))
 		for i := range 2 {
-			Expect(outcome(r.Begin(now, call(freshKey(now+time.Duration(i)*time.Millisecond), now)))).To(Equal("run"))
+			Expect(decisionText(r.Begin(now, call(newTimeOrderedKey(now+time.Duration(i)*time.Millisecond), now)))).To(Equal("run"))
 		}
-		Expect(r.Len()).To(Equal(2), "the expired key made room")
+		Expect(r.Len()).To(Equal(2), "the expired key was removed")
 	})
 
-	It("keeps a call that is on its way past its key's life", func() {
-		r, now := settled(once.Config{})
+	It("keeps a call in progress after its key has expired", func() {
+		r, now := newSoleOwner(once.Config{})
 		key := callerKey("slow")
 		r.Begin(now, call(key, now))
-		send(r, now, key)
+		mustCheck(r, now, key)
 		now += time.Hour
-		Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"))
+		Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"))
 	})
 })
 
-func send(r *once.Register, now time.Duration, key once.Key) {
+func mustCheck(r *once.Register, now time.Duration, key once.Key) {
 	_, err := r.Check(now, "park", key)
 	Expect(err).To(BeNil())
 }
@@ -212,132 +216,133 @@
 var _ = Describe("a minted key", func() {
 	key := func(owner once.Process, at time.Duration) once.Key { return once.MintedKey("1", owner, at) }
 
-	// The call reaches the wrong entry, a process that was restarted, or comes
-	// after the key's life. Only the very process that made it may ever run it,
-	// whatever lists and clocks say.
-	DescribeTable("runs only in the process that made it",
+	// The call reaches the wrong entry or a restarted process. Whatever the
+	// lists and clocks say, only the process that minted the key may run it.
+	DescribeTable("runs only in the process that minted it",
 		func(owner once.Process, forwarded bool, want string) {
 			r := once.New(once.Config{Self: self}) // no host list at all
 			c := call(key(owner, time.Minute), 2*time.Minute)
 			c.Forwarded = forwarded
-			Expect(outcome(r.Begin(2*time.Minute, c))).To(Equal(want))
+			Expect(decisionText(r.Begin(2*time.Minute, c))).To(Equal(want))
 		},
-		Entry("here", self, false, "run"),
-		Entry("here, forwarded", self, true, "run"),
-		Entry("elsewhere", once.Process{Address: "b", Incarnation: 1}, false, "forward b"),
-		Entry("elsewhere, forwarded", once.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
-		Entry("an earlier process here", once.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
+		Entry("minted by this process", self, false, "run"),
+		Entry("minted by this process, forwarded", self, true, "run"),
+		Entry("minted by another entry", once.Process{Address: "b", Incarnation: 1}, false, "forward b"),
+		Entry("minted by another entry, forwarded", once.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
+		Entry("minted by an earlier process at this address", once.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
 	)
-	It("ends", func() {
+	It("expires", func() {
 		r := once.New(once.Config{Self: self})
 		k := key(self, 0)
-		Expect(outcome(r.Begin(0, call(k, 0)))).To(Equal("run"))
-		send(r, 0, k)
+		Expect(decisionText(r.Begin(0, call(k, 0)))).To(Equal("run"))
+		mustCheck(r, 0, k)
 		r.Finish("park", k, &once.Answer{})
-		Expect(outcome(r.Begin(time.Minute, call(k, 0)))).To(Equal("replay"))
-		Expect(outcome(r.Begin(time.Hour, call(k, 0)))).To(Equal("idempotency-key-expired unknown"))
+		Expect(decisionText(r.Begin(time.Minute, call(k, 0)))).To(Equal("replay"))
+		Expect(decisionText(r.Begin(time.Hour, call(k, 0)))).To(Equal("idempotency-key-expired unknown"))
 		Expect(r.NextSequence()).To(BeNumerically("<", r.NextSequence()))
 		Expect(once.OwnerUnreachable(fmt.Errorf("refused")).Executed).To(Equal(failure.ExecutedUnknown))
 	})
 })
 
 var _ = Describe("ownership of callers' keys", func() {
-	type change struct {
-		at   time.Duration // after the settled hour
+	type hostListChange struct {
+		at   time.Duration // after the hour of sole ownership
 		list once.HostList
 	}
-	confirm := func(revision uint64, hosts ...string) once.HostList {
+	hostList := func(revision uint64, hosts ...string) once.HostList {
 		return once.HostList{Revision: revision, Live: hosts}
 	}
-	// Hosts come and go, the list is late, the service stops answering or is
-	// restored to an older state. A booking may have run at another entry
-	// meanwhile; who can't know must say so instead of running it.
-	DescribeTable("vouches only for what it can know",
-		func(changes []change, opaque bool, keyAge, after time.Duration, want string) {
-			r, start := settled(once.Config{})
+	// Hosts join and leave, the list is late, or the service stops answering or
+	// is restored to an older state. The booking may have run at another entry
+	// meanwhile, so an entry that can't rule that out must refuse instead of
+	// running it.
+	DescribeTable("runs a key only if no other entry can have run it",
+		func(changes []hostListChange, opaque bool, keyAge, elapsed time.Duration, want string) {
+			r, start := newSoleOwner(once.Config{})
 			for _, c := range changes {
 				c.list.Confirmed = start + c.at
 				r.SetHosts(start+c.at, c.list)
 			}
-			now := start + after
-			// Number 3 is a key that c would own, and that e would not.
-			key := callerKey(ordered(epoch.Add(now-keyAge), 3))
+			now := start + elapsed
+			// Key number 3 would be owned by c if c were on the list, but not
+			// by e.
+			key := callerKey(uuidV7(epoch.Add(now-keyAge), 3))
 			if opaque {
 				key = callerKey("order-17")
 			}
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal(want))
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal(want))
 		},
-		Entry("a fresh key", nil, false, time.Duration(0), time.Second, "run"),
+		Entry("a new key", nil, false, time.Duration(0), time.Second, "run"),
 		Entry("an opaque key", nil, true, time.Duration(0), time.Second, "run"),
-		Entry("a key of tomorrow", nil, false, -3*time.Second, time.Second, "idempotency-key-invalid unknown"),
-		Entry("a list without confirmation", nil, false, time.Duration(0), 4*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("another owner", []change{{time.Second, confirm(2, "b")}}, false, time.Duration(0), 2*time.Second, "forward b"),
-		Entry("no owner", []change{{time.Second, confirm(2)}}, false, time.Duration(0), 2*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("an old key, the owner back", []change{{0, confirm(2, "b")}, {time.Second, confirm(3, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("an opaque key, the owner back", []change{{0, confirm(2, "b")}, {time.Second, confirm(3, "a")}}, true, time.Duration(0), 2*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a fresh key while the old owner may still run", []change{{0, confirm(2, "b")}, {time.Second, confirm(3, "a")}, {3 * time.Second, confirm(3, "a")}, {5 * time.Second, confirm(3, "a")}},
+		Entry("a key with a timestamp in the future", nil, false, -3*time.Second, time.Second, "idempotency-key-invalid unknown"),
+		Entry("a list that is no longer confirmed", nil, false, time.Duration(0), 4*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("another owner", []hostListChange{{time.Second, hostList(2, "b")}}, false, time.Duration(0), 2*time.Second, "forward b"),
+		Entry("no owner", []hostListChange{{time.Second, hostList(2)}}, false, time.Duration(0), 2*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("an old key after ownership returned", []hostListChange{{0, hostList(2, "b")}, {time.Second, hostList(3, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("an opaque key after ownership returned", []hostListChange{{0, hostList(2, "b")}, {time.Second, hostList(3, "a")}}, true, time.Duration(0), 2*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("a new key while the old owner may still run it", []hostListChange{{0, hostList(2, "b")}, {time.Second, hostList(3, "a")}, {3 * time.Second, hostList(3, "a")}, {5 * time.Second, hostList(3, "a")}},
 			false, time.Duration(0), 6*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a fresh key later", []change{{0, confirm(2, "b")}, {time.Second, confirm(3, "a")}, {4 * time.Second, confirm(3, "a")}, {7 * time.Second, confirm(3, "a")}, {9 * time.Second, confirm(3, "a")}},
+		Entry("a new key after the old owner has stopped", []hostListChange{{0, hostList(2, "b")}, {time.Second, hostList(3, "a")}, {4 * time.Second, hostList(3, "a")}, {7 * time.Second, hostList(3, "a")}, {9 * time.Second, hostList(3, "a")}},
 			false, time.Duration(0), 9*time.Second, "run"),
-		Entry("a long break of the watch", []change{{10 * time.Second, confirm(1, "a")}}, false, time.Minute, 10*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a short one", []change{{2 * time.Second, confirm(1, "a")}}, false, time.Minute, 3*time.Second, "run"),
-		Entry("a list restored", []change{{time.Second, confirm(0, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a revision used twice", []change{{time.Second, confirm(1, "b", "a")}, {2 * time.Second, confirm(1, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a host that had the key for a while", []change{{time.Second, confirm(2, "a", "c")}, {2 * time.Second, confirm(3, "a")}}, false, time.Minute, 3*time.Second, "idempotency-key-unvouched unknown"),
-		Entry("a host that comes and goes and never had it", []change{{time.Second, confirm(2, "a", "e")}, {2 * time.Second, confirm(3, "a")}}, false, time.Minute, 3*time.Second, "run"),
+		Entry("a long gap between confirmations", []hostListChange{{10 * time.Second, hostList(1, "a")}}, false, time.Minute, 10*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("a short gap between confirmations", []hostListChange{{2 * time.Second, hostList(1, "a")}}, false, time.Minute, 3*time.Second, "run"),
+		Entry("a list restored to an older revision", []hostListChange{{time.Second, hostList(0, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("a revision used twice", []hostListChange{{time.Second, hostList(1, "b", "a")}, {2 * time.Second, hostList(1, "a")}}, false, time.Minute, 2*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("another host that owned the key for some time", []hostListChange{{time.Second, hostList(2, "a", "c")}, {2 * time.Second, hostList(3, "a")}}, false, time.Minute, 3*time.Second, "idempotency-key-unvouched unknown"),
+		Entry("another host that joined and left and never owned the key", []hostListChange{{time.Second, hostList(2, "a", "e")}, {2 * time.Second, hostList(3, "a")}}, false, time.Minute, 3*time.Second, "run"),
 	)
 
-	It("says when an opaque key can be vouched for", func() {
+	It("returns the time until an opaque key can be accepted", func() {
 		r := once.New(once.Config{Self: self})
 		r.SetHosts(0, once.HostList{Revision: 1, Live: []string{"a"}})
 		d := r.Begin(time.Second, call(callerKey("x"), time.Second))
-		want := once.DefaultLife + once.DefaultFreshness + once.DefaultMargin - time.Second
+		want := once.DefaultKeyTTL + once.DefaultMaxConfirmationAge + once.DefaultMaxWriteDelay - time.Second
 		Expect(d.Err.RetryAfter).To(Equal(want))
 		Expect(r.Owner("park", callerKey("x"))).To(Equal("a"))
 	})
 
-	// One side of a partition is served an old list as current. A peer of the
-	// other side forwards a call and names its newer revision: from then on
-	// this entry's list is worth nothing until it catches up.
-	It("stops vouching when a peer has a newer list", func() {
-		r, now := settled(once.Config{})
-		c := call(freshKey(now), now)
+	// One side of a partition reads an old list as current. A peer on the other
+	// side forwards a call with its newer revision. From then on this entry's
+	// list does not count until it has caught up.
+	It("refuses keys while a peer has a newer list", func() {
+		r, now := newSoleOwner(once.Config{})
+		c := call(newTimeOrderedKey(now), now)
 		c.Forwarded, c.HostsRevision = true, 9
-		Expect(outcome(r.Begin(now, c))).To(Equal("idempotency-key-unvouched unknown"))
+		Expect(decisionText(r.Begin(now, c))).To(Equal("idempotency-key-unvouched unknown"))
 		now += time.Second
 		r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
-		Expect(outcome(r.Begin(now, call(freshKey(now), now)))).To(Equal("idempotency-key-unvouched unknown"), "its ownership began anew")
-		caught, now := settled(once.Config{})
-		caught.Heard(now, 2)
-		caught.SetHosts(now+1, once.HostList{Revision: 2, Live: []string{"a"}, Confirmed: now + 1})
-		Expect(outcome(caught.Begin(now+1, call(callerKey("y"), now)))).To(Equal("run"), "a list that was merely late breaks nothing")
+		Expect(decisionText(r.Begin(now, call(newTimeOrderedKey(now), now)))).To(Equal("idempotency-key-unvouched unknown"), "ownership started again")
+		upToDate, now := newSoleOwner(once.Config{})
+		upToDate.Heard(now, 2)
+		upToDate.SetHosts(now+1, once.HostList{Revision: 2, Live: []string{"a"}, Confirmed: now + 1})
+		Expect(decisionText(upToDate.Begin(now+1, call(callerKey("y"), now)))).To(Equal("run"), "a list that was only late does not interrupt ownership")
 	})
 
-	// The process sleeps between accepting and sending; meanwhile the key was
-	// another's, or the list was not confirmed any more.
+	// The process pauses between accepting a call and sending it. Meanwhile
+	// another entry owned the key, or the list was no longer confirmed.
 	DescribeTable("is checked again right before the first byte",
-		func(sleep time.Duration, lists ...once.HostList) {
-			r, now := settled(once.Config{})
-			key := freshKey(now)
-			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
+		func(pause time.Duration, lists ...once.HostList) {
+			r, now := newSoleOwner(once.Config{})
+			key := newTimeOrderedKey(now)
+			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
 			for _, list := range lists {
-				now += sleep
+				now += pause
 				list.Confirmed = now
 				r.SetHosts(now, list)
 			}
 			if len(lists) == 0 {
-				now += sleep
+				now += pause
 			}
 			_, err := r.Check(now, "park", key)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindKeyUnvouched))
 			Expect(r.Len()).To(BeZero())
 		},
 		Entry("no confirmation", 4*time.Second),
-		Entry("another owner", time.Second, confirm(2, "b")),
-		Entry("another owner for a while", time.Second, confirm(2, "b"), confirm(3, "a")),
+		Entry("another owner", time.Second, hostList(2, "b")),
+		Entry("another owner for some time", time.Second, hostList(2, "b"), hostList(3, "a")),
 	)
 
-	It("moves only the keys of the host that changed, and evenly", func() {
+	It("distributes keys evenly and moves only the keys of the host that changed", func() {
 		hosts := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		before, after := once.New(once.Config{Self: self}), once.New(once.Config{Self: self})
 		before.SetHosts(0, once.HostList{Revision: 1, Live: hosts})
@@ -356,8 +361,8 @@
 		}
 	})
 
-	It("counts a confirmation from the time of its request, by clocks that differ", func() {
-		cfg := once.Config{ClockError: 500 * time.Millisecond}
+	It("adds the clock skew to the age of a confirmation", func() {
+		cfg := once.Config{MaxClockSkew: 500 * time.Millisecond}
 		Expect(cfg.ConfirmedAt(time.Minute, epoch.Add(2*time.Second), epoch)).To(Equal(time.Minute - 2500*time.Millisecond))
 		Expect(cfg.ConfirmedAt(time.Minute, epoch, epoch.Add(time.Hour))).To(Equal(time.Minute - 500*time.Millisecond))
 	})
--- a/internal/decide/once/schedule_test.go
+++ b/internal/decide/once/schedule_test.go
@@ -13,39 +13,40 @@
 	"filbertdeck/internal/failure"
 )
 
-// A schedule drives a few entries, a configuration service that can be
-// restored, callers with wrong clocks and a target that counts. Everything
-// stays within the bounds that the package states: wall clocks of entries
-// differ by at most ClockError, the service answers with a state that was in
-// force after the request was sent, a pause between the last check and the
-// write is shorter than Margin, and opaque keys are used for OpaqueWindow.
+// scheduleConfig is for schedules that drive a few entries, a configuration
+// service that can be restored, callers with wrong clocks, and a target that
+// counts executions. All stay within the limits that the package states: the
+// wall clocks of entries differ by at most the maximum clock skew, the service
+// answers with a state that was in force after the request was sent, a pause
+// between the last check and the write is shorter than the maximum write delay,
+// and opaque keys are used no longer than configured.
 var scheduleConfig = once.Config{
-	Freshness: 30 * time.Millisecond, Margin: 20 * time.Millisecond, ClockError: 6 * time.Millisecond,
-	AheadLimit: 20 * time.Millisecond, OrderedLife: 400 * time.Millisecond,
-	OpaqueWindow: 150 * time.Millisecond, MintedLife: 400 * time.Millisecond, MaxKeys: 64,
+	MaxConfirmationAge: 30 * time.Millisecond, MaxWriteDelay: 20 * time.Millisecond, MaxClockSkew: 6 * time.Millisecond,
+	MaxFutureTimestamp: 20 * time.Millisecond, TimeOrderedTTL: 400 * time.Millisecond,
+	OpaqueTTL: 150 * time.Millisecond, MintedTTL: 400 * time.Millisecond, MaxKeys: 64,
 }
 
 type attempt struct {
-	key     int
-	checked bool
-	at      time.Duration // of the check
+	key       int
+	checked   bool
+	checkedAt time.Duration // when Check succeeded
 }
 
 type simEntry struct {
-	self    once.Process
-	started time.Duration
-	skew    time.Duration
-	reg     *once.Register
-	tries   []attempt
-	asked   bool // a confirmation is on its way
-	answer  once.HostList
+	self                once.Process
+	startedAt           time.Duration
+	skew                time.Duration
+	register            *once.Register
+	attempts            []attempt
+	confirmationPending bool // a confirmation is in flight
+	pendingList         once.HostList
 }
 
 type simKey struct {
-	key   once.Key
-	first time.Duration // the caller's first try, for opaque keys
-	used  bool
-	runs  int
+	key      once.Key
+	firstUse time.Duration // the caller's first attempt, for opaque keys
+	used     bool
+	runs     int
 }
 
 type listState struct {
@@ -53,209 +54,209 @@
 	live     []string
 }
 
-type world struct {
-	now      time.Duration
-	history  []listState
-	entries  []*simEntry
-	keys     []*simKey
-	vouching bool // false: the naive version, which trusts the list it has
-	// refused counts by reason the calls that one process with perfect
-	// knowledge would have run or answered; wrong lists answers that it would
-	// not have given.
-	refused map[failure.Kind]int
-	wrong   []string
+type simulation struct {
+	now             time.Duration
+	history         []listState
+	entries         []*simEntry
+	keys            []*simKey
+	verifyOwnership bool // false: entries trust whatever list they have
+	// refusals counts, by reason, the calls that were refused though a single
+	// process with complete knowledge would have run or answered them.
+	// violations lists decisions that such a process would not have made.
+	refusals   map[failure.Kind]int
+	violations []string
 }
 
-func newWorld(vouching bool) *world {
-	w := &world{now: time.Hour, vouching: vouching, refused: map[failure.Kind]int{}}
+func newSimulation(verifyOwnership bool) *simulation {
+	s := &simulation{now: time.Hour, verifyOwnership: verifyOwnership, refusals: map[failure.Kind]int{}}
 	var all []string
 	for i := range 3 {
 		all = append(all, fmt.Sprint("e", i))
-		w.entries = append(w.entries, &simEntry{skew: time.Duration(i-1) * 3 * time.Millisecond})
-		w.restart(i)
+		s.entries = append(s.entries, &simEntry{skew: time.Duration(i-1) * 3 * time.Millisecond})
+		s.restart(i)
 	}
-	w.history = []listState{{revision: 1, live: all}}
-	return w
+	s.history = []listState{{revision: 1, live: all}}
+	return s
 }
 
-func (w *world) restart(i int) {
-	e := w.entries[i]
+func (s *simulation) restart(i int) {
+	e := s.entries[i]
 	cfg := scheduleConfig
 	cfg.Self = once.Process{Address: fmt.Sprint("e", i), Incarnation: e.self.Incarnation + 1}
-	if !w.vouching {
-		cfg.Freshness, cfg.Margin, cfg.AheadLimit, cfg.ClockError = time.Hour, -time.Hour-time.Second, 1, 1
+	if !s.verifyOwnership {
+		cfg.MaxConfirmationAge, cfg.MaxWriteDelay, cfg.MaxFutureTimestamp, cfg.MaxClockSkew = time.Hour, -time.Hour-time.Second, 1, 1
 	}
-	*e = simEntry{self: cfg.Self, started: w.now, skew: e.skew, reg: once.New(cfg)}
+	*e = simEntry{self: cfg.Self, startedAt: s.now, skew: e.skew, register: once.New(cfg)}
 }
 
-func (w *world) list() listState { return w.history[len(w.history)-1] }
+func (s *simulation) currentList() listState { return s.history[len(s.history)-1] }
 
-// step performs one operation; a is its argument.
-func (w *world) step(op, a byte) {
-	i := int(a) % len(w.entries)
-	e := w.entries[i]
+// step performs the operation op with the argument arg.
+func (s *simulation) step(op, arg byte) {
+	i := int(arg) % len(s.entries)
+	e := s.entries[i]
 	switch op % 16 {
 	case 0, 1:
-		w.now += time.Duration(a%48) * time.Millisecond
+		s.now += time.Duration(arg%48) * time.Millisecond
 	case 2:
-		w.change(a)
+		s.changeHosts(arg)
 	case 3, 4, 5:
-		e.asked = true
-		e.answer = once.HostList{Revision: w.list().revision, Live: w.list().live, Confirmed: w.now - e.started}
+		e.confirmationPending = true
+		e.pendingList = once.HostList{Revision: s.currentList().revision, Live: s.currentList().live, Confirmed: s.now - e.startedAt}
 	case 6, 7, 8:
-		if e.asked {
-			e.asked = false
-			e.reg.SetHosts(w.now-e.started, e.answer)
+		if e.confirmationPending {
+			e.confirmationPending = false
+			e.register.SetHosts(s.now-e.startedAt, e.pendingList)
 		}
 	case 9, 10:
-		w.use(e, int(a)/8)
+		s.submit(e, int(arg)/8)
 	case 11:
-		w.check(e, int(a)/4)
+		s.check(e, int(arg)/4)
 	case 12:
-		w.write(e, int(a)/4, a)
+		s.write(e, int(arg)/4, arg)
 	case 13:
-		w.newKey(a)
+		s.addKey(arg)
 	case 14:
-		if a%4 == 0 {
-			w.restart(i)
+		if arg%4 == 0 {
+			s.restart(i)
 		}
 	case 15:
-		w.restore(a)
+		s.restoreOlderList(arg)
 	}
 }
 
-func (w *world) change(a byte) {
+func (s *simulation) changeHosts(arg byte) {
 	var live []string
-	for i := range w.entries {
-		if a>>i&1 == 1 {
+	for i := range s.entries {
+		if arg>>i&1 == 1 {
 			live = append(live, fmt.Sprint("e", i))
 		}
 	}
-	w.history = append(w.history, listState{revision: w.list().revision + 1, live: live})
+	s.history = append(s.history, listState{revision: s.currentList().revision + 1, live: live})
 }
 
-// restore puts the service back to an older state; later changes number on
-// from there and use revisions a second time.
-func (w *world) restore(a byte) {
-	if back := int(a)%4 + 1; back < len(w.history) && a%8 < 4 {
-		w.history = append(w.history, w.history[len(w.history)-1-back])
+// restoreOlderList restores the service to an older state. Later changes count
+// revisions on from there and so use some revisions a second time.
+func (s *simulation) restoreOlderList(arg byte) {
+	if revisionsBack := int(arg)%4 + 1; revisionsBack < len(s.history) && arg%8 < 4 {
+		s.history = append(s.history, s.history[len(s.history)-1-revisionsBack])
 	}
 }
 
-func (w *world) newKey(a byte) {
+func (s *simulation) addKey(arg byte) {
 	var key once.Key
-	n := len(w.keys)
-	switch a % 3 {
-	case 0: // the caller's clock is off by up to a tenth of a second
-		stamp := epoch.Add(w.now + time.Duration(int(a)-128)*time.Millisecond)
-		key, _ = once.CallerKey(ordered(stamp, uint64(n)))
+	n := len(s.keys)
+	switch arg % 3 {
+	case 0: // the caller's clock is wrong by up to 128 ms
+		timestamp := epoch.Add(s.now + time.Duration(int(arg)-128)*time.Millisecond)
+		key, _ = once.CallerKey(uuidV7(timestamp, uint64(n)))
 	case 1:
 		key, _ = once.CallerKey(fmt.Sprint("opaque-", n))
 	default:
-		e := w.entries[int(a)/3%len(w.entries)]
-		key = once.MintedKey(fmt.Sprint(n), e.self, w.now-e.started)
+		e := s.entries[int(arg)/3%len(s.entries)]
+		key = once.MintedKey(fmt.Sprint(n), e.self, s.now-e.startedAt)
 	}
-	w.keys = append(w.keys, &simKey{key: key})
+	s.keys = append(s.keys, &simKey{key: key})
 }
 
-func (w *world) use(e *simEntry, n int) {
-	if len(w.keys) == 0 {
+func (s *simulation) submit(e *simEntry, n int) {
+	if len(s.keys) == 0 {
 		return
 	}
-	n = len(w.keys) - 1 - n%min(len(w.keys), 6)
-	k := w.keys[n]
+	n = len(s.keys) - 1 - n%min(len(s.keys), 6)
+	k := s.keys[n]
 	if !k.used {
-		k.used, k.first = true, w.now
+		k.used, k.firstUse = true, s.now
 	}
-	if k.key.Kind == once.KeyOpaque && w.now-k.first > scheduleConfig.OpaqueWindow {
+	if k.key.Kind == once.KeyOpaque && s.now-k.firstUse > scheduleConfig.OpaqueTTL {
 		return
 	}
-	d := w.begin(e, k, once.Call{})
+	d := s.begin(e, k, once.Call{})
 	if d.Action == once.Forward {
-		for _, owner := range w.entries {
+		for _, owner := range s.entries {
 			if owner.self.Address != d.Owner.Address {
 				continue
 			}
-			d = w.begin(owner, k, once.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
+			d = s.begin(owner, k, once.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
 			e = owner
 			break
 		}
 	}
 	if d.Action == once.Run {
-		e.tries = append(e.tries, attempt{key: n})
+		e.attempts = append(e.attempts, attempt{key: n})
 	}
-	w.compare(k, d)
+	s.checkDecision(k, d)
 }
 
-// compare sets a decision against that of a single process that never dies and
-// knows all: it runs a new key, repeats an answer, and says no only of a key
-// that did not run.
-func (w *world) compare(k *simKey, d once.Decision) {
+// checkDecision compares a decision with that of a single process that never
+// fails and has complete knowledge. It runs a new key, replays an answer, and
+// reports that a call did not run only if that is true.
+func (s *simulation) checkDecision(k *simKey, d once.Decision) {
 	switch {
 	case d.Action == once.Replay && k.runs == 0:
-		w.wrong = append(w.wrong, "an answer to a call that never ran: "+k.key.ID)
+		s.violations = append(s.violations, "replayed an answer to a call that never ran: "+k.key.ID)
 	case d.Action == once.Refuse && d.Err.Executed == failure.ExecutedNo && k.runs > 0:
-		w.wrong = append(w.wrong, "no to a call that ran: "+k.key.ID)
+		s.violations = append(s.violations, "reported as not run a call that ran: "+k.key.ID)
 	case d.Action == once.Refuse:
-		w.refused[d.Err.Kind]++
+		s.refusals[d.Err.Kind]++
 	}
 }
 
-// explained are the reasons for which the fleet may refuse what a single
-// process would not.
-var explained = []failure.Kind{
+// expectedRefusals are the reasons for which the fleet may refuse calls that a
+// single process would not refuse.
+var expectedRefusals = []failure.Kind{
 	failure.KindKeyUnvouched, failure.KindOwnerLost, failure.KindInProgress, failure.KindOutcomeUnknown,
 	failure.KindKeyExpired, failure.KindKeyInvalid, failure.KindOverloaded,
 }
 
-func (w *world) begin(e *simEntry, k *simKey, call once.Call) once.Decision {
-	call.Account, call.Key, call.Wall = "a", k.key, epoch.Add(w.now+e.skew)
-	return e.reg.Begin(w.now-e.started, call)
+func (s *simulation) begin(e *simEntry, k *simKey, call once.Call) once.Decision {
+	call.Account, call.Key, call.Wall = "a", k.key, epoch.Add(s.now+e.skew)
+	return e.register.Begin(s.now-e.startedAt, call)
 }
 
-func (w *world) check(e *simEntry, n int) {
-	if len(e.tries) == 0 {
+func (s *simulation) check(e *simEntry, n int) {
+	if len(e.attempts) == 0 {
 		return
 	}
-	t := &e.tries[n%len(e.tries)]
-	if t.checked {
+	a := &e.attempts[n%len(e.attempts)]
+	if a.checked {
 		return
 	}
-	if _, err := e.reg.Check(w.now-e.started, "a", w.keys[t.key].key); err != nil {
-		e.reg.NotRun("a", w.keys[t.key].key)
-		e.tries = append(e.tries[:n%len(e.tries)], e.tries[n%len(e.tries)+1:]...)
+	if _, err := e.register.Check(s.now-e.startedAt, "a", s.keys[a.key].key); err != nil {
+		e.register.NotRun("a", s.keys[a.key].key)
+		e.attempts = append(e.attempts[:n%len(e.attempts)], e.attempts[n%len(e.attempts)+1:]...)
 		return
 	}
-	t.checked, t.at = true, w.now
+	a.checked, a.checkedAt = true, s.now
 }
 
-func (w *world) write(e *simEntry, n int, a byte) {
-	if len(e.tries) == 0 || !e.tries[n%len(e.tries)].checked {
+func (s *simulation) write(e *simEntry, n int, arg byte) {
+	if len(e.attempts) == 0 || !e.attempts[n%len(e.attempts)].checked {
 		return
 	}
-	n %= len(e.tries)
-	t := e.tries[n]
-	e.tries = append(e.tries[:n], e.tries[n+1:]...)
-	key := w.keys[t.key]
-	if w.now-t.at >= scheduleConfig.Margin {
-		e.reg.Lost("a", key.key)
+	n %= len(e.attempts)
+	a := e.attempts[n]
+	e.attempts = append(e.attempts[:n], e.attempts[n+1:]...)
+	key := s.keys[a.key]
+	if s.now-a.checkedAt >= scheduleConfig.MaxWriteDelay {
+		e.register.Lost("a", key.key)
 		return
 	}
-	switch a % 4 {
+	switch arg % 4 {
 	case 0:
-		e.reg.NotRun("a", key.key) // the target said so, and ran nothing
+		e.register.NotRun("a", key.key) // the target reported that it did not run the call
 	case 1:
 		key.runs++
-		e.reg.Lost("a", key.key)
+		e.register.Lost("a", key.key)
 	default:
 		key.runs++
-		e.reg.Finish("a", key.key, &once.Answer{Status: 200})
+		e.register.Finish("a", key.key, &once.Answer{Status: 200})
 	}
 }
 
-// twice gives a key that ran more than once.
-func (w *world) twice() *simKey {
-	for _, k := range w.keys {
+// findDuplicateRun returns a key that ran more than once, or nil.
+func (s *simulation) findDuplicateRun() *simKey {
+	for _, k := range s.keys {
 		if k.runs > 1 {
 			return k
 		}
@@ -263,18 +264,18 @@
 	return nil
 }
 
-// runs counts the keys that ran, by kind, so that a register which refuses all
-// does not pass for a safe one.
-func (w *world) ran(into map[once.KeyKind]int) {
-	for _, k := range w.keys {
+// countRunKeys counts the keys that ran, by kind. Without it a registry that
+// refuses every call would pass the test.
+func (s *simulation) countRunKeys(counts map[once.KeyKind]int) {
+	for _, k := range s.keys {
 		if k.runs > 0 {
-			into[k.key.Kind]++
+			counts[k.key.Kind]++
 		}
 	}
 }
 
-// randomSchedule makes a schedule in which lists are mostly confirmed in time
-// and calls mostly go on to their end, with everything else in between.
+// randomSchedule returns a schedule in which most lists are confirmed in time
+// and most calls complete, with every other operation mixed in.
 func randomSchedule(seed uint64, length int) []byte {
 	r := rand.New(rand.NewPCG(seed, 17))
 	var ops []byte
@@ -304,56 +305,56 @@
 	return ops
 }
 
-func runSchedule(ops []byte, vouching bool) *world {
-	w := newWorld(vouching)
+func simulateSchedule(ops []byte, verifyOwnership bool) *simulation {
+	s := newSimulation(verifyOwnership)
 	for i := 0; i+1 < len(ops); i += 2 {
-		w.step(ops[i], ops[i+1])
+		s.step(ops[i], ops[i+1])
 	}
-	return w
+	return s
 }
 
-// FuzzSchedule: no key ever runs twice, whatever happens in whatever order.
+// FuzzSchedule checks that no key runs twice in any order of operations.
 func FuzzSchedule(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(randomSchedule(seed, 200))
 	}
 	f.Fuzz(func(t *testing.T, ops []byte) {
-		w := runSchedule(ops, true)
-		if k := w.twice(); k != nil {
+		s := simulateSchedule(ops, true)
+		if k := s.findDuplicateRun(); k != nil {
 			t.Fatalf("%+v ran %d times", k.key, k.runs)
 		}
-		if len(w.wrong) > 0 {
-			t.Fatal(w.wrong)
+		if len(s.violations) > 0 {
+			t.Fatal(s.violations)
 		}
 	})
 }
 
 var _ = Describe("schedules of pauses, list changes, restores and restarts", func() {
-	// Entries that trust the list they happen to have each run the booking
-	// that reaches them. The same schedules must show that, or they could not
-	// show anything.
-	It("run each key at most once, where the naive version runs some twice", func() {
-		ran := map[once.KeyKind]int{}
-		naive := 0
-		refused := map[failure.Kind]int{}
+	// Entries that trust whatever list they have run each booking that reaches
+	// them, so some bookings run twice. The same schedules must show that
+	// failure, or they would not show that the check prevents it.
+	It("run each key at most once, where entries without the check run some twice", func() {
+		runKeys := map[once.KeyKind]int{}
+		baselineFailures := 0
+		refusals := map[failure.Kind]int{}
 		for seed := range uint64(1000) {
 			ops := randomSchedule(seed, 600)
-			w := runSchedule(ops, true)
-			Expect(w.twice()).To(BeNil(), "seed %d", seed)
-			Expect(w.wrong).To(BeEmpty(), "seed %d", seed)
-			for kind, n := range w.refused {
-				Expect(explained).To(ContainElement(kind))
-				refused[kind] += n
+			w := simulateSchedule(ops, true)
+			Expect(w.findDuplicateRun()).To(BeNil(), "seed %d", seed)
+			Expect(w.violations).To(BeEmpty(), "seed %d", seed)
+			for kind, n := range w.refusals {
+				Expect(expectedRefusals).To(ContainElement(kind))
+				refusals[kind] += n
 			}
-			w.ran(ran)
-			if runSchedule(ops, false).twice() != nil {
-				naive++
+			w.countRunKeys(runKeys)
+			if simulateSchedule(ops, false).findDuplicateRun() != nil {
+				baselineFailures++
 			}
 		}
-		Expect(naive).To(BeNumerically(">", 100))
-		for _, kind := range []once.KeyKind{once.KeyMinted, once.KeyOrdered, once.KeyOpaque} {
-			Expect(ran[kind]).To(BeNumerically(">", 100), "kind %d", kind)
+		Expect(baselineFailures).To(BeNumerically(">", 100))
+		for _, kind := range []once.KeyKind{once.KeyMinted, once.KeyTimeOrdered, once.KeyOpaque} {
+			Expect(runKeys[kind]).To(BeNumerically(">", 100), "kind %d", kind)
 		}
-		AddReportEntry("schedules", fmt.Sprintf("ran %v, naive broke %d of 1000, refused %v", ran, naive, refused))
+		AddReportEntry("schedules", fmt.Sprintf("ran %v, without the check %d of 1000 ran a key twice, refused %v", runKeys, baselineFailures, refusals))
 	})
 })
