--- a/internal/decide/health/breaker.go
+++ b/internal/decide/health/breaker.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// outcomes is how many of the last outcomes a breaker remembers.
-const outcomes = 16
+// outcomeWindow is the number of recent outcomes that a breaker remembers.
+const outcomeWindow = 16
 
-// breaker opens on failures and closes after good trials.
+// breaker is a circuit breaker. It opens on failures or slowness and closes
+// after successful trials.
 type breaker struct {
 	open bool
-	// cause orders open breakers: the worst are ejected first.
+	// cause orders open breakers: targets with the worst cause are ejected
+	// first.
 	cause cause
-	// until is when the next trial may begin.
-	until   time.Duration
-	backoff time.Duration
+	// nextTrialAt is when the next trial may start.
+	nextTrialAt time.Duration
+	backoff     time.Duration
 
-	inRow  int
-	recent uint16
-	known  int
+	consecutiveFailures int
+	recentFailures      uint16
+	knownOutcomes       int
 
-	trial      bool
-	trialBegan time.Duration
-	goodTrials int
+	trialRunning     bool
+	trialStartedAt   time.Duration
+	successfulTrials int
 }
 
-// cause says why a breaker opened, the milder first.
+// cause is why a breaker opened, in order of severity.
 type cause int
 
 const (
@@ -34,50 +36,51 @@
 	causeFailing
 )
 
-func (b *breaker) trip(now time.Duration, why cause, cfg Config, jitter float64) {
+func (b *breaker) trip(now time.Duration, c cause, cfg Config, jitter float64) {
 	if b.open {
-		b.backoff = min(2*b.backoff, cfg.MaxOpenFor)
+		b.backoff = min(2*b.backoff, cfg.MaxBackoff)
 	} else {
-		b.backoff = cfg.OpenFor
+		b.backoff = cfg.InitialBackoff
 	}
-	b.open, b.cause = true, why
-	b.trial, b.goodTrials = false, 0
-	// Up to a quarter is taken off at random, so that the allocators of a
-	// fleet don't send their trials at the same moment.
-	b.until = now + time.Duration(float64(b.backoff)*(1-jitter/4))
+	b.open, b.cause = true, c
+	b.trialRunning, b.successfulTrials = false, 0
+	// Up to a quarter of the back-off is removed at random, so that the
+	// allocators of a fleet don't start their trials at the same moment.
+	b.nextTrialAt = now + time.Duration(float64(b.backoff)*(1-jitter/4))
 }
 
 func (b *breaker) close() { *b = breaker{} }
 
-// result takes an outcome and tells whether it should open the breaker.
-func (b *breaker) result(ok bool, cfg Config) bool {
-	b.recent <<= 1
-	b.known = min(b.known+1, outcomes)
+// recordOutcome records an outcome and reports whether it should open the
+// breaker.
+func (b *breaker) recordOutcome(ok bool, cfg Config) bool {
+	b.recentFailures <<= 1
+	b.knownOutcomes = min(b.knownOutcomes+1, outcomeWindow)
 	if ok {
-		b.inRow = 0
+		b.consecutiveFailures = 0
 		return false
 	}
-	b.inRow++
-	b.recent |= 1
-	failed := bits.OnesCount16(b.recent)
-	often := b.known == outcomes && float64(failed) >= cfg.FailureShare*outcomes
-	return b.inRow >= cfg.Failures || often
+	b.consecutiveFailures++
+	b.recentFailures |= 1
+	failures := bits.OnesCount16(b.recentFailures)
+	tooManyFailures := b.knownOutcomes == outcomeWindow && float64(failures) >= cfg.FailureShare*outcomeWindow
+	return b.consecutiveFailures >= cfg.ConsecutiveFailures || tooManyFailures
 }
 
-// mayTry tells whether an open breaker lets a trial through.
-func (b *breaker) mayTry(now time.Duration, cfg Config) bool {
-	busy := b.trial && now-b.trialBegan < cfg.TrialFor
-	return now >= b.until && !busy
+// trialAllowed reports whether an open breaker lets a trial through.
+func (b *breaker) trialAllowed(now time.Duration, cfg Config) bool {
+	trialPending := b.trialRunning && now-b.trialStartedAt < cfg.TrialTimeout
+	return now >= b.nextTrialAt && !trialPending
 }
 
-func (b *breaker) tried(now time.Duration, ok bool, cfg Config, jitter float64) {
-	b.trial = false
+func (b *breaker) recordTrial(now time.Duration, ok bool, cfg Config, jitter float64) {
+	b.trialRunning = false
 	if !ok {
 		b.trip(now, b.cause, cfg, jitter)
 		return
 	}
-	b.goodTrials++
-	if b.goodTrials >= cfg.Trials {
+	b.successfulTrials++
+	if b.successfulTrials >= cfg.SuccessfulTrials {
 		b.close()
 	}
 }
--- a/internal/decide/health/doc.go
+++ b/internal/decide/health/doc.go
@@ -1,25 +1,24 @@
-// Package health finds slow and failing targets of a pool and keeps work away
-// from them while they are so.
+// Package health detects slow and failing targets of a pool and keeps work away
+// from them until they recover.
 //
-// Load pattern: one of four targets runs at a fifth of its speed (a hot
-// accelerator, a noisy neighbour, a failing link) or answers with errors at
-// once, while the others are full. Its queue looks short, or its answers come
-// quickly, since they are errors.
+// One of four targets may run at a fifth of its speed (a hot accelerator, a
+// noisy neighbour, a failing link) or answer with errors at once, while the
+// others are fully loaded. Its queue looks short, or its answers are fast
+// because they are errors. Least-connections balancing would send a failing
+// target most of the work, because errors free its slots soonest. A slow target
+// would keep a quarter of all requests and so determine the tail of stall times
+// and token gaps: a p95 of several times the median, while the mean looks
+// normal.
 //
-// What happens without it: least-connections sends the failing target most of
-// the work, because it is rid of it soonest. The slow one keeps a quarter of
-// all requests, and the slowest quarter decides what the tail of stall time
-// and of the gaps between tokens looks like. One sees a p95 several times the
-// median while the mean looks well.
-//
-// How it works: a target is compared with the median of the other targets of
-// its pool, which run the same model under the same load, so that a busy hour
-// or a long prompt mix makes nobody slow. A breaker per target opens on
-// failures or slowness, lets single trial requests through after a back-off
-// and closes after some good ones. At most MaxEjected of a pool is ejected; a
-// further bad target is Doubtful: it is used when no good one has room. Else a
-// fault common to all (a bad service revision, our own link) would take the
-// whole pool away, and the few that stay would fall over.
+// Each target is compared with the median of the other targets of its pool,
+// which run the same model under the same load, so that a busy hour or a mix of
+// long prompts makes no target count as slow. A breaker per target opens on
+// failures or slowness, lets single trial requests through after a back-off,
+// and closes after several successful ones. Only a limited share of a pool is
+// ejected. A further bad target is still used when no good one has capacity.
+// Without that limit a fault common to all targets (a bad service revision, a
+// link of this host) would take the entire pool out of service, or overload the
+// few targets that remain.
 package health
 
 import (
@@ -27,88 +26,94 @@
 	"time"
 )
 
-// Config holds the figures of a pool; the zero value of a field means its
-// default.
+// Config holds the parameters of a pool. A zero field means its default.
 type Config struct {
-	// SlowFactor is how many times the median of the others a target's first
-	// token or step time has to be. Default 3: batches of different sizes
-	// explain a factor of two.
+	// SlowFactor is the ratio to the median of the others from which a target's
+	// time to the first token, or its step time, counts as slow. The default is
+	// 3: different batch sizes explain a factor of two.
 	SlowFactor float64
-	// SlowFloor is the least difference that counts. Default 20 ms, a third of
-	// the 61 ms between tokens that the users aim for: a lookup of 3 ms among
-	// lookups of 1 ms harms nobody.
-	SlowFloor time.Duration
-	// MinSamples have to be known of a target, and of another one, before they
-	// are compared. Default 8.
+	// MinSlowDifference is the minimum difference from that median. The default
+	// is 20 ms, a third of the 61 ms between tokens that the users aim for: a
+	// lookup of 3 ms among lookups of 1 ms is harmless.
+	MinSlowDifference time.Duration
+	// MinSamples is the number of samples that a target, and at least one
+	// other, must have before they are compared. The default is 8.
 	MinSamples int
-	// Failures in a row open the breaker. Default 5.
-	Failures int
-	// FailureShare of the last outcomes opens it too. Default 0.5, over the
-	// last 16 outcomes.
+	// ConsecutiveFailures is the number of failures in a row that opens the
+	// breaker. The default is 5.
+	ConsecutiveFailures int
+	// FailureShare is the share of failures among the last 16 outcomes that
+	// opens the breaker. The default is 0.5.
 	FailureShare float64
-	// OpenFor is the first back-off; it doubles up to MaxOpenFor. Defaults 1 s
-	// and 30 s: a restart takes seconds, and a trial costs one request.
-	OpenFor, MaxOpenFor time.Duration
-	// Trials that have to go well in a row close the breaker. Default 3.
-	Trials int
-	// TrialFor is how long an unfinished trial blocks the next. Default 10 s.
-	TrialFor time.Duration
-	// MaxEjected is the share of the pool that may be ejected, rounded down,
-	// but one of two or more. Default 0.34: one of a pool of four, since the
-	// others must carry its work.
-	MaxEjected float64
+	// InitialBackoff is the first back-off; it doubles up to MaxBackoff. The
+	// defaults are 1 s and 30 s: a restart takes seconds, and a trial costs one
+	// request.
+	InitialBackoff, MaxBackoff time.Duration
+	// SuccessfulTrials is the number of successful trials in a row that closes
+	// the breaker. The default is 3.
+	SuccessfulTrials int
+	// TrialTimeout is how long an unfinished trial blocks the next one. The
+	// default is 10 s.
+	TrialTimeout time.Duration
+	// MaxEjectedShare is the share of the pool that may be ejected, rounded
+	// down, but at least one target of a pool of two or more. The default is
+	// 0.34, one of a pool of four, since the others must carry its work.
+	MaxEjectedShare float64
 }
 
 const (
-	defaultSlowFactor   = 3
-	defaultSlowFloor    = 20 * time.Millisecond
-	defaultMinSamples   = 8
-	defaultFailures     = 5
-	defaultFailureShare = 0.5
-	defaultOpenFor      = time.Second
-	defaultMaxOpenFor   = 30 * time.Second
-	defaultTrials       = 3
-	defaultTrialFor     = 10 * time.Second
-	defaultMaxEjected   = 0.34
+	defaultSlowFactor          = 3
+	defaultMinSlowDifference   = 20 * time.Millisecond
+	defaultMinSamples          = 8
+	defaultConsecutiveFailures = 5
+	defaultFailureShare        = 0.5
+	defaultInitialBackoff      = time.Second
+	defaultMaxBackoff          = 30 * time.Second
+	defaultSuccessfulTrials    = 3
+	defaultTrialTimeout        = 10 * time.Second
+	defaultMaxEjectedShare     = 0.34
 )
 
 func (c Config) withDefaults() Config {
 	c.SlowFactor = cmp.Or(c.SlowFactor, defaultSlowFactor)
-	c.SlowFloor = cmp.Or(c.SlowFloor, defaultSlowFloor)
+	c.MinSlowDifference = cmp.Or(c.MinSlowDifference, defaultMinSlowDifference)
 	c.MinSamples = cmp.Or(c.MinSamples, defaultMinSamples)
-	c.Failures = cmp.Or(c.Failures, defaultFailures)
+	c.ConsecutiveFailures = cmp.Or(c.ConsecutiveFailures, defaultConsecutiveFailures)
 	c.FailureShare = cmp.Or(c.FailureShare, defaultFailureShare)
-	c.OpenFor = cmp.Or(c.OpenFor, defaultOpenFor)
-	c.MaxOpenFor = cmp.Or(c.MaxOpenFor, defaultMaxOpenFor)
-	c.Trials = cmp.Or(c.Trials, defaultTrials)
-	c.TrialFor = cmp.Or(c.TrialFor, defaultTrialFor)
-	c.MaxEjected = cmp.Or(c.MaxEjected, defaultMaxEjected)
+	c.InitialBackoff = cmp.Or(c.InitialBackoff, defaultInitialBackoff)
+	c.MaxBackoff = cmp.Or(c.MaxBackoff, defaultMaxBackoff)
+	c.SuccessfulTrials = cmp.Or(c.SuccessfulTrials, defaultSuccessfulTrials)
+	c.TrialTimeout = cmp.Or(c.TrialTimeout, defaultTrialTimeout)
+	c.MaxEjectedShare = cmp.Or(c.MaxEjectedShare, defaultMaxEjectedShare)
 	return c
 }
 
-// Standing says what a target may be given.
+// Standing determines what work a target may get.
 type Standing int
 
-// The standings. A picker gives a Trial target the next request that may be
-// repeated or moved (BeginTrial books it), else takes Good targets, Doubtful
-// ones only when no good one has room, and never Ejected ones.
+// The values. A picker sends the next request that may be repeated or moved to
+// a target that is due for a trial, and records it with BeginTrial. Otherwise
+// it picks healthy targets, degraded ones only if no healthy one has capacity,
+// and never ejected ones.
 const (
-	// Good targets take work.
+	// Good targets get work.
 	Good Standing = iota
-	// Trial targets are open, and one request may show whether they recovered.
+	// Trial targets have an open breaker that allows one request, to test
+	// whether they have recovered.
 	Trial
-	// Doubtful targets are as bad as ejected ones, but too many are.
+	// Doubtful targets also have an open breaker, but the ejected share is used
+	// up.
 	Doubtful
-	// Ejected targets take no work.
+	// Ejected targets get no work.
 	Ejected
 )
 
-var standingNames = [...]string{Good: "good", Trial: "trial", Doubtful: "doubtful", Ejected: "ejected"}
+var statusNames = [...]string{Good: "good", Trial: "trial", Doubtful: "doubtful", Ejected: "ejected"}
 
-// String names the standing as counters and logs show it.
-func (s Standing) String() string { return standingNames[s] }
+// String returns the name that metrics and logs show.
+func (s Standing) String() string { return statusNames[s] }
 
-// Sample is what one request, or one report, showed of a target's speed; a
+// Sample holds the speed of a target as measured by one request or report. A
 // zero field is unknown.
 type Sample struct {
 	FirstToken time.Duration
--- a/internal/decide/health/pool.go
+++ b/internal/decide/health/pool.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// smoothing is the weight of a new sample, about the mean of the last eight:
-// a slow target is found within a dozen requests.
-const smoothing = 0.125
+// smoothingFactor is the weight of a new sample, so that the average covers
+// about the last eight. A slow target is found within a dozen requests.
+const smoothingFactor = 0.125
 
-// Pool judges the targets of one pool. It is not safe for concurrent use.
-// Randomness comes in as jitter, a number in [0, 1).
+// Pool tracks the health of the targets of one pool. It is not safe for
+// concurrent use. Randomness is passed in as jitter, a number in [0, 1).
 type Pool struct {
-	cfg     Config
-	targets map[string]*target
-	order   []*target
-	scratch []float64
+	cfg         Config
+	targets     map[string]*target
+	ordered     []*target
+	meansBuffer []float64
 }
 
 type target struct {
-	address     string
-	first, step speed
-	breaker     breaker
-	ejected     bool
+	address              string
+	firstToken, stepTime movingAverage
+	breaker              breaker
+	ejected              bool
 }
 
-// speed is an exponentially weighted mean in nanoseconds.
-type speed struct {
+// movingAverage is an exponentially weighted moving average in nanoseconds.
+type movingAverage struct {
 	mean    float64
 	samples int
 }
 
-func (s *speed) add(d time.Duration) {
+func (a *movingAverage) add(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	s.samples++
-	weight := max(smoothing, 1/float64(s.samples))
-	s.mean += weight * (float64(d) - s.mean)
+	a.samples++
+	weight := max(smoothingFactor, 1/float64(a.samples))
+	a.mean += weight * (float64(d) - a.mean)
 }
 
 // New returns a pool without targets.
@@ -46,69 +46,70 @@
 	return &Pool{cfg: cfg.withDefaults(), targets: map[string]*target{}}
 }
 
-// SetTargets replaces the targets; what is known of those that stay is kept.
+// SetTargets replaces the targets. Targets that remain keep their state.
 func (p *Pool) SetTargets(addresses []string) {
 	old := p.targets
 	p.targets = make(map[string]*target, len(addresses))
-	p.order = p.order[:0]
+	p.ordered = p.ordered[:0]
 	for _, a := range addresses {
 		t := old[a]
 		if t == nil {
 			t = &target{address: a}
 		}
 		p.targets[a] = t
-		p.order = append(p.order, t)
+		p.ordered = append(p.ordered, t)
 	}
-	p.eject()
+	p.updateEjections()
 }
 
-// Restarted forgets a target's past: another incarnation answers.
+// Restarted resets the state of a target: another incarnation answers at its
+// address.
 func (p *Pool) Restarted(address string) {
 	if t := p.targets[address]; t != nil {
 		*t = target{address: address}
-		p.eject()
+		p.updateEjections()
 	}
 }
 
-// Result takes the outcome of a request: ok says that the target did its part,
-// also when the caller left. It ends a trial.
+// Result records the outcome of a request and ends a trial. ok is also true if
+// the caller disconnected and the target did nothing wrong.
 func (p *Pool) Result(now time.Duration, address string, ok bool, s Sample, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
 	}
 	if ok {
-		p.sample(t, s)
+		p.addSample(t, s)
 	}
 	switch {
-	case t.breaker.open && t.breaker.trial:
-		t.breaker.tried(now, ok && !p.sampleSlow(t, s), p.cfg, jitter)
-		p.forgetSlowness(t)
+	case t.breaker.open && t.breaker.trialRunning:
+		t.breaker.recordTrial(now, ok && !p.isSampleSlow(t, s), p.cfg, jitter)
+		p.resetAveragesIfClosed(t)
 	case t.breaker.open:
-	case t.breaker.result(ok, p.cfg):
+	case t.breaker.recordOutcome(ok, p.cfg):
 		t.breaker.trip(now, causeFailing, p.cfg, jitter)
-	case p.slow(t, t.first, t.step):
+	case p.isSlow(t, t.firstToken, t.stepTime):
 		t.breaker.trip(now, causeSlow, p.cfg, jitter)
 	default:
 		return
 	}
-	p.eject()
+	p.updateEjections()
 }
 
-// Observe takes the step time of a target's report.
+// Observe records the step time from a target's report.
 func (p *Pool) Observe(now time.Duration, address string, step time.Duration, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
 	}
-	t.step.add(step)
-	if !t.breaker.open && p.slow(t, t.first, t.step) {
+	t.stepTime.add(step)
+	if !t.breaker.open && p.isSlow(t, t.firstToken, t.stepTime) {
 		t.breaker.trip(now, causeSlow, p.cfg, jitter)
-		p.eject()
+		p.updateEjections()
 	}
 }
 
-// Standing says what the target may be given now.
+// Standing returns what work the target may get now.
 func (p *Pool) Standing(now time.Duration, address string) Standing {
 	t := p.targets[address]
 	switch {
@@ -116,7 +117,7 @@
 		return Ejected
 	case !t.breaker.open:
 		return Good
-	case t.breaker.mayTry(now, p.cfg):
+	case t.breaker.trialAllowed(now, p.cfg):
 		return Trial
 	case t.ejected:
 		return Ejected
@@ -125,77 +126,80 @@
 	}
 }
 
-// BeginTrial books the one trial request of a target whose standing is Trial.
-// Its Result decides.
+// BeginTrial records the start of the trial request to a target that is due for
+// a trial. Its result decides whether the trial succeeded.
 func (p *Pool) BeginTrial(now time.Duration, address string) {
 	if t := p.targets[address]; t != nil && t.breaker.open {
-		t.breaker.trial, t.breaker.trialBegan = true, now
+		t.breaker.trialRunning, t.breaker.trialStartedAt = true, now
 	}
 }
 
-func (p *Pool) sample(t *target, s Sample) {
-	t.first.add(s.FirstToken)
-	t.step.add(s.StepTime)
+func (p *Pool) addSample(t *target, s Sample) {
+	t.firstToken.add(s.FirstToken)
+	t.stepTime.add(s.StepTime)
 }
 
-// slow compares a target's speeds with the medians of the others.
-func (p *Pool) slow(t *target, first, step speed) bool {
-	return p.above(t, first, firstOf) || p.above(t, step, stepOf)
+// isSlow compares a target's averages with the medians of the other targets.
+func (p *Pool) isSlow(t *target, firstToken, stepTime movingAverage) bool {
+	return p.exceedsMedian(t, firstToken, firstTokenOf) || p.exceedsMedian(t, stepTime, stepTimeOf)
 }
 
-// sampleSlow judges a trial by itself: the mean still holds the slow past.
-func (p *Pool) sampleSlow(t *target, s Sample) bool {
-	first := speed{float64(s.FirstToken), p.cfg.MinSamples}
-	step := speed{float64(s.StepTime), p.cfg.MinSamples}
-	return p.slow(t, first, step)
+// isSampleSlow compares the sample of a trial alone, because the average still
+// contains slow samples from before the trial.
+func (p *Pool) isSampleSlow(t *target, s Sample) bool {
+	firstToken := movingAverage{float64(s.FirstToken), p.cfg.MinSamples}
+	stepTime := movingAverage{float64(s.StepTime), p.cfg.MinSamples}
+	return p.isSlow(t, firstToken, stepTime)
 }
 
-// forgetSlowness starts the means anew when the breaker has closed, or the
-// slow past would open it again at once.
-func (p *Pool) forgetSlowness(t *target) {
+// resetAveragesIfClosed resets the averages when the breaker has closed. Their
+// old slow samples would open it again at once.
+func (p *Pool) resetAveragesIfClosed(t *target) {
 	if !t.breaker.open {
-		t.first, t.step = speed{}, speed{}
+		t.firstToken, t.stepTime = movingAverage{}, movingAverage{}
 	}
 }
 
-func firstOf(t *target) speed { return t.first }
-func stepOf(t *target) speed  { return t.step }
+func firstTokenOf(t *target) movingAverage { return t.firstToken }
+func stepTimeOf(t *target) movingAverage   { return t.stepTime }
 
-func (p *Pool) above(t *target, own speed, of func(*target) speed) bool {
-	if own.samples < p.cfg.MinSamples {
+func (p *Pool) exceedsMedian(t *target, average movingAverage, metric func(*target) movingAverage) bool {
+	if average.samples < p.cfg.MinSamples {
 		return false
 	}
-	others := p.scratch[:0]
-	for _, o := range p.order {
-		if s := of(o); o != t && s.samples >= p.cfg.MinSamples {
-			others = append(others, s.mean)
+	others := p.meansBuffer[:0]
+	for _, o := range p.ordered {
+		if other := metric(o); o != t && other.samples >= p.cfg.MinSamples {
+			others = append(others, other.mean)
 		}
 	}
-	p.scratch = others
+	p.meansBuffer = others
 	if len(others) == 0 {
 		return false
 	}
 	slices.Sort(others)
-	// Of an even number the lower middle: of two others one may be slow too.
+	// For an even number this is the lower of the two middle values: of two
+	// other targets one may be slow too.
 	median := others[(len(others)-1)/2]
-	return own.mean > median*p.cfg.SlowFactor && own.mean > median+float64(p.cfg.SlowFloor)
+	return average.mean > median*p.cfg.SlowFactor && average.mean > median+float64(p.cfg.MinSlowDifference)
 }
 
-// eject marks the worst open targets, as many as the share allows.
-func (p *Pool) eject() {
-	room := int(p.cfg.MaxEjected * float64(len(p.order)))
-	if len(p.order) > 1 {
-		room = max(room, 1)
+// updateEjections marks the worst targets with open breakers as ejected, up to
+// the maximum share.
+func (p *Pool) updateEjections() {
+	maxEjected := int(p.cfg.MaxEjectedShare * float64(len(p.ordered)))
+	if len(p.ordered) > 1 {
+		maxEjected = max(maxEjected, 1)
 	}
-	open := make([]*target, 0, len(p.order))
-	for _, t := range p.order {
+	open := make([]*target, 0, len(p.ordered))
+	for _, t := range p.ordered {
 		t.ejected = false
 		if t.breaker.open {
 			open = append(open, t)
 		}
 	}
 	slices.SortStableFunc(open, func(a, b *target) int { return cmp.Compare(b.breaker.cause, a.breaker.cause) })
-	for _, t := range open[:min(room, len(open))] {
+	for _, t := range open[:min(maxEjected, len(open))] {
 		t.ejected = true
 	}
 }
--- a/internal/decide/health/pool_test.go
+++ b/internal/decide/health/pool_test.go
@@ -20,16 +20,16 @@
 
 const ms = time.Millisecond
 
-var four = []string{"a", "b", "c", "d"}
+var targetNames = []string{"a", "b", "c", "d"}
 
-// fed gives a pool after 12 requests to each target; a negative time stands
-// for a failure.
-func fed(times ...time.Duration) *health.Pool {
+// newPoolWithResults returns a pool after 12 requests to each target. A
+// negative time means a failure.
+func newPoolWithResults(times ...time.Duration) *health.Pool {
 	p := health.New(health.Config{})
-	p.SetTargets(four)
+	p.SetTargets(targetNames)
 	for range 12 {
-		for i, took := range times {
-			p.Result(0, four[i], took >= 0, health.Sample{FirstToken: max(0, took)}, 0)
+		for i, latency := range times {
+			p.Result(0, targetNames[i], latency >= 0, health.Sample{FirstToken: max(0, latency)}, 0)
 		}
 	}
 	return p
@@ -37,23 +37,23 @@
 
 var _ = Describe("a pool", func() {
 	// One target runs at a fifth of its speed. Every fourth caller waits five
-	// times as long, while the mean of the pool looks well.
-	DescribeTable("judges a target by the others", func(a, b, c, d time.Duration, want ...health.Standing) {
-		p := fed(a, b, c, d)
-		for i, t := range four {
+	// times as long, while the mean of the pool looks normal.
+	DescribeTable("compares a target with the others", func(a, b, c, d time.Duration, want ...health.Standing) {
+		p := newPoolWithResults(a, b, c, d)
+		for i, t := range targetNames {
 			Expect(p.Standing(0, t)).To(Equal(want[i]), t)
 		}
 	},
-		Entry("equal", 100*ms, 110*ms, 90*ms, 100*ms, health.Good, health.Good, health.Good, health.Good),
-		Entry("all slow alike", 5000*ms, 6000*ms, 4000*ms, 5000*ms, health.Good, health.Good, health.Good, health.Good),
+		Entry("equal speeds", 100*ms, 110*ms, 90*ms, 100*ms, health.Good, health.Good, health.Good, health.Good),
+		Entry("all equally slow", 5000*ms, 6000*ms, 4000*ms, 5000*ms, health.Good, health.Good, health.Good, health.Good),
 		Entry("one slow", 100*ms, 500*ms, 90*ms, 100*ms, health.Good, health.Ejected, health.Good, health.Good),
-		Entry("too little to matter", 1*ms, 10*ms, 1*ms, 1*ms, health.Good, health.Good, health.Good, health.Good),
-		Entry("one slow, one fails", 500*ms, -ms, 90*ms, 100*ms, health.Doubtful, health.Ejected, health.Good, health.Good),
-		Entry("all fail", -ms, -ms, -ms, -ms, health.Ejected, health.Doubtful, health.Doubtful, health.Doubtful),
+		Entry("a difference below the minimum", 1*ms, 10*ms, 1*ms, 1*ms, health.Good, health.Good, health.Good, health.Good),
+		Entry("one slow, one failing", 500*ms, -ms, 90*ms, 100*ms, health.Doubtful, health.Ejected, health.Good, health.Good),
+		Entry("all failing", -ms, -ms, -ms, -ms, health.Ejected, health.Doubtful, health.Doubtful, health.Doubtful),
 	)
 
-	It("tries again after a back-off, one request at a time, and closes after three", func() {
-		p := fed(-ms, 90*ms, 90*ms, 90*ms)
+	It("allows one trial at a time after a back-off, and closes after three", func() {
+		p := newPoolWithResults(-ms, 90*ms, 90*ms, 90*ms)
 		Expect(p.Standing(999*ms, "a")).To(Equal(health.Ejected))
 		now := time.Second
 		Expect(p.Standing(now, "a")).To(Equal(health.Trial))
@@ -63,7 +63,7 @@
 		Expect(p.Standing(now+1999*ms, "a")).To(Equal(health.Ejected), "the back-off doubles")
 		now += 2 * time.Second
 		p.BeginTrial(now, "a")
-		Expect(p.Standing(now+10*time.Second, "a")).To(Equal(health.Trial), "a lost trial blocks for ten seconds")
+		Expect(p.Standing(now+10*time.Second, "a")).To(Equal(health.Trial), "an unfinished trial blocks the next for ten seconds")
 		for range 3 {
 			Expect(p.Standing(now, "a")).NotTo(Equal(health.Good))
 			p.BeginTrial(now, "a")
@@ -72,8 +72,8 @@
 		Expect(p.Standing(now, "a")).To(Equal(health.Good))
 	})
 
-	It("does not hold a slow past against a target that recovered", func() {
-		p := fed(100*ms, 500*ms, 90*ms, 100*ms)
+	It("ignores old slow samples of a target that recovered", func() {
+		p := newPoolWithResults(100*ms, 500*ms, 90*ms, 100*ms)
 		for i := range 20 {
 			p.BeginTrial(time.Second, "b")
 			p.Result(time.Second, "b", true, health.Sample{FirstToken: 100 * ms}, 0)
@@ -85,66 +85,68 @@
 		Expect(p.Standing(time.Second, "b")).To(Equal(health.Ejected), "every second request failed")
 	})
 
-	It("finds a slow target by its reports, and forgets it when it restarts", func() {
-		p := fed()
+	It("finds a slow target by its reports, and resets it when it restarts", func() {
+		p := newPoolWithResults()
 		for i := range 48 {
 			step := 20 * ms
 			if i%4 == 2 {
 				step = 200 * ms
 			}
-			p.Observe(0, four[i%4], step, 0)
+			p.Observe(0, targetNames[i%4], step, 0)
 		}
 		Expect(p.Standing(0, "c")).To(Equal(health.Ejected))
-		p.SetTargets(four[1:])
+		p.SetTargets(targetNames[1:])
 		Expect(p.Standing(0, "c")).To(Equal(health.Ejected))
-		Expect(p.Standing(0, "a")).To(Equal(health.Ejected), "no target of the pool")
+		Expect(p.Standing(0, "a")).To(Equal(health.Ejected), "not a target of the pool")
 		p.Restarted("c")
 		Expect(p.Standing(0, "c")).To(Equal(health.Good))
 	})
 
-	It("keeps the tail short where the naive way doesn't", func() {
-		ours, naive := serve(1, true), serve(1, false)
-		Expect(ours).To(BeNumerically("<", naive/2))
-		AddReportEntry("p99 to the first token", fmt.Sprint("judged ", ours, ", not judged ", naive))
+	It("keeps the tail latency lower than without ejection", func() {
+		withEjection, withoutEjection := simulateP99(1, true), simulateP99(1, false)
+		Expect(withEjection).To(BeNumerically("<", withoutEjection/2))
+		AddReportEntry("p99 to the first token", fmt.Sprint("with ejection ", withEjection, ", without ejection ", withoutEjection))
 	})
 })
 
-// serve sends 4,000 requests to four targets of which one is five times slower
-// in the middle half, and gives the p99 of the time to the first token.
-func serve(seed uint64, judged bool) time.Duration {
+// simulateP99 sends 4,000 requests to four targets, of which one is five times
+// slower during the middle half, and returns the p99 of the time to the first
+// token.
+func simulateP99(seed uint64, ejection bool) time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	p := fed()
+	p := newPoolWithResults()
 	times := make([]time.Duration, 4000)
 	for i := range times {
-		now, to := time.Duration(i)*10*ms, four[rnd.IntN(4)]
-		for judged && p.Standing(now, to) == health.Ejected {
-			to = four[rnd.IntN(4)]
+		now, address := time.Duration(i)*10*ms, targetNames[rnd.IntN(4)]
+		for ejection && p.Standing(now, address) == health.Ejected {
+			address = targetNames[rnd.IntN(4)]
 		}
-		if p.Standing(now, to) == health.Trial {
-			p.BeginTrial(now, to)
+		if p.Standing(now, address) == health.Trial {
+			p.BeginTrial(now, address)
 		}
 		times[i] = time.Duration(float64(100*ms) * (0.5 + rnd.ExpFloat64()/2))
-		if to == "b" && i > 1000 && i < 3000 {
+		if address == "b" && i > 1000 && i < 3000 {
 			times[i] *= 5
 		}
-		p.Result(now, to, true, health.Sample{FirstToken: times[i]}, rnd.Float64())
+		p.Result(now, address, true, health.Sample{FirstToken: times[i]}, rnd.Float64())
 	}
 	slices.Sort(times)
 	return times[len(times)*99/100]
 }
 
-// FuzzEjected feeds random outcomes: never may more than a third be ejected.
+// FuzzEjected checks with random outcomes that never more than one of the four
+// targets is ejected.
 func FuzzEjected(f *testing.F) {
 	f.Add([]byte("abcdabcdbbbbbbbbbbbbccccccccccccccaaaaaaaaaaa"))
 	f.Fuzz(func(t *testing.T, ops []byte) {
-		p := fed()
+		p := newPoolWithResults()
 		for i, op := range ops {
-			now, to, ejected := time.Duration(i)*100*ms, four[op%4], 0
-			if p.Standing(now, to) == health.Trial {
-				p.BeginTrial(now, to)
+			now, address, ejected := time.Duration(i)*100*ms, targetNames[op%4], 0
+			if p.Standing(now, address) == health.Trial {
+				p.BeginTrial(now, address)
 			}
-			p.Result(now, to, op&4 > 0, health.Sample{FirstToken: time.Duration(op) * 10 * ms}, float64(op)/256)
-			for _, a := range four {
+			p.Result(now, address, op&4 > 0, health.Sample{FirstToken: time.Duration(op) * 10 * ms}, float64(op)/256)
+			for _, a := range targetNames {
 				if p.Standing(now, a) == health.Ejected {
 					ejected++
 				}
@@ -157,7 +159,7 @@
 }
 
 func BenchmarkStanding(b *testing.B) {
-	p := fed()
+	p := newPoolWithResults()
 	b.ReportAllocs()
 	for range b.N {
 		p.Standing(0, "c")
