--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -102,7 +102,7 @@
 
 	// An engine that numbers from the wrong token sends the same wrong frame on
 	// each new connection. Without a limit the entry would reconnect and the
-	// caller would wait for ever.
+	// caller would wait without end.
 	It("gives up resuming when connections bring no token", func() {
 		o := delivery.Resume(delivery.Stream, "g", 0)
 		for range 3 {
--- a/internal/decide/fencing/command.go
+++ b/internal/decide/fencing/command.go
@@ -24,7 +24,7 @@
 	MatchingReads int
 	// MaxAttempts is how often the command is sent. The default is 5. An engine
 	// that changes back that often has another owner; during a partition both
-	// sides would otherwise send for ever.
+	// sides would otherwise never stop sending.
 	MaxAttempts int
 }
 
--- a/internal/decide/fencing/fencing_test.go
+++ b/internal/decide/fencing/fencing_test.go
@@ -99,8 +99,8 @@
 	})
 
 	// Two owners in a partitioned fleet command different models. Each sees its
-	// command undone and gives up after some attempts, instead of sending for
-	// ever.
+	// command undone and gives up after some attempts, instead of sending
+	// without end.
 	It("gives up when it is undone repeatedly", func() {
 		command, t, sent, now := fencing.NewCommand(fencing.Config{}, false), soleTenure(), 0, 10*time.Second
 		for ; command.Step(now, t) != fencing.GiveUp; now += time.Second {
--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -5,14 +5,14 @@
 // Callers on poor links send a booking again, through another entry, while the
 // first attempt is queued, running or lost. Meanwhile hosts are replaced,
 // processes pause, and host lists arrive late. If each entry ran what it
-// receives, a booking would run twice and two crews would drive out.
+// receives, a booking would run twice and two crews would be sent out.
 //
 // Entries share no writable state, so the right to run a call must follow from
 // what every entry knows: the key itself or the published host list.
 //
 //   - A minted key names one process (address and incarnation), and only that
 //     process ever runs the call. Safety depends on no clock, list or peer.
-//     When the process is gone, the outcome is unknown for good.
+//     When the process is gone, the outcome stays unknown.
 //   - A caller's own key belongs to the host that rendezvous hashing selects
 //     from the published list of live hosts. The owner runs the call only if
 //     no other entry can have run it: it must have owned the key without
@@ -209,7 +209,7 @@
 		return Decision{}, true
 	case owner == "" || call.Forwarded:
 		// A forwarded call is not forwarded again: entries with different lists
-		// could pass it back and forth for ever.
+		// could pass it back and forth without end.
 		return refuse(notExclusiveError("the owner of this key is not known here").After(r.cfg.MaxConfirmationAge)), false
 	default:
 		return Decision{Action: Forward, Owner: Process{Address: owner}}, false
--- a/internal/decide/poison/evidence.go
+++ b/internal/decide/poison/evidence.go
@@ -64,7 +64,8 @@
 }
 
 // insert keeps the crashes sorted by time. If the set is full, a crash older
-// than all others does not count as new, or gossip would pass it on for ever.
+// than all others does not count as new, or gossip would never stop passing it
+// on.
 func (d *Detector) insert(c crash) bool {
 	compareTime := func(k crash, at time.Duration) int { return cmp.Compare(k.at, at) }
 	i, _ := slices.BinarySearchFunc(d.crashes, c.at, compareTime)
