--- a/internal/decide/loadshare/loadshare.go
+++ b/internal/decide/loadshare/loadshare.go
@@ -1,21 +1,22 @@
-// Package loadshare adds up what all hosts have running at each target.
+// Package loadshare sums the load that all hosts place on each target.
 //
-// Load pattern: eight hosts send long generations to nine engines, each host
-// about four at a time; what a target reports of itself is half a second old
-// and costs a call.
+// It is made for eight hosts that send long generations to nine engines, about
+// four at a time per host. A target's own load report is half a second old and
+// costs a call. Without shared counts each host sees an eighth of the load, and
+// its choice of the least loaded engine is nearly random. Sometimes an engine
+// then has nine generations where the mean is four: its memory runs out, prompts
+// wait for seconds, and when the engine is taken away its link cannot carry all
+// the generations off.
 //
-// What happens without it: each host sees an eighth of the load, so its choice
-// of the emptiest engine is nearly a random one. Now and then an engine has
-// nine generations where the mean is four: its memory runs out, prompts wait
-// for seconds, and when it is taken away its link can't carry them all off.
+// Each host counts its own load on each target, and hosts exchange the counts
+// that changed. A count has a single writer, its host, and a version, so it can
+// arrive by any path and any number of times. Counts are resent periodically. A
+// count that was not resent in time is dropped, because its host has failed and
+// its requests with it. For each target one host, the owner, collects the counts
+// of all hosts and answers queries about it.
 //
-// How it works: each host counts what it has running itself, and hosts tell
-// each other the counts that changed. A count has one writer, its host, and a
-// version, so that it may come by any way and any number of times. Counts are
-// told again now and then, and one that was not heard of for longer is
-// dropped: its host is gone, and its requests with it.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// Types in this package are not safe for concurrent use. Times are on the
+// monotonic clock.
 package loadshare
 
 import (
@@ -26,272 +27,275 @@
 )
 
 const (
-	// RefreshEvery is how often a host tells again those of its counts that did
-	// not change, so that one lost message makes nobody wrong for long.
+	// RefreshEvery is the interval at which a host resends its counts that did
+	// not change, so that a lost message is made up for soon.
 	RefreshEvery = 2 * time.Second
-	// expireAfter is how long a count holds that is not told again: three
-	// refreshes, of which two may be lost.
+	// expireAfter is how long a count is valid without being resent: three
+	// refresh intervals, so two refreshes can be lost.
 	expireAfter = 3 * RefreshEvery
 )
 
-// Count is what one host has running at one target.
+// Count is the load of one host on one target.
 type Count struct {
 	Host, Target string
-	// Version rises with each count of the host, over its restarts too.
+	// Version increases with each count of the host, also across restarts.
 	Version uint64
 	Load
-	// Leaving says that the host has heard from the target itself that it is
-	// about to stop.
+	// Leaving is set if the target told the host that it is about to stop.
 	Leaving bool
-	// Step is the host's estimate of the time that the target alone takes for
-	// one token; 0 for none.
+	// Step is the host's estimate of the time per token of a generation that runs
+	// alone on the target; 0 if unknown.
 	Step time.Duration
-	// Rate is what the target last said to the host of the rate it takes; nil when
-	// it never named one.
+	// Rate is the last rate limit that the target advertised to the host; nil if
+	// it never advertised one.
 	Rate *targetrate.Advertisement
-	// Failures is another number after each request of the host that the target
-	// broke; 0 when it broke none.
+	// Failures changes with each request of the host that failed because of the
+	// target; 0 if none did.
 	Failures uint32
 }
 
-// Load is what runs at a target. Loads add up.
+// Load is the load on a target. Loads can be added.
 type Load struct {
 	Running int
-	// Tokens are in memory or will be; Unread are those of prompts that have
-	// no first event yet.
+	// Tokens is the memory in tokens that the requests occupy or will occupy.
+	// Unread is the number of tokens in prompts that have not produced a first
+	// event yet.
 	Tokens, Unread int
-	// Copies are the tokens of backups that the target keeps or will keep.
+	// Copies is the number of tokens in backups that the target stores or will
+	// store.
 	Copies int
 }
 
-// Plus adds two loads.
-func (l Load) Plus(o Load) Load {
-	return Load{l.Running + o.Running, l.Tokens + o.Tokens, l.Unread + o.Unread, l.Copies + o.Copies}
+// Plus returns the sum of two loads.
+func (l Load) Plus(other Load) Load {
+	return Load{l.Running + other.Running, l.Tokens + other.Tokens, l.Unread + other.Unread, l.Copies + other.Copies}
 }
 
-// Minus takes a load off.
-func (l Load) Minus(o Load) Load {
-	return Load{l.Running - o.Running, l.Tokens - o.Tokens, l.Unread - o.Unread, l.Copies - o.Copies}
+// Minus returns the difference of two loads.
+func (l Load) Minus(other Load) Load {
+	return Load{l.Running - other.Running, l.Tokens - other.Tokens, l.Unread - other.Unread, l.Copies - other.Copies}
 }
 
-type key struct{ host, target string }
+type entryKey struct{ host, target string }
 
-type held struct {
+type entry struct {
 	Count
-	heard time.Duration
-	// told has the bit of each peer that holds this version: it was told, or
-	// told it itself.
-	told uint64
-	// ownerTold is the version that the target's owner was told.
-	ownerTold uint64
+	receivedAt time.Duration
+	// sentTo has the bits of the peers that hold this version, because it was
+	// sent to them or received from them.
+	sentTo uint64
+	// versionSentToOwner is the version last sent to the target's owner.
+	versionSentToOwner uint64
 }
 
 // Board holds the counts known to one host.
 type Board struct {
-	self      string
-	version   uint64
-	failures  uint32
-	counts    map[key]held
-	peers     peerBits
-	refreshed time.Duration
+	self        string
+	version     uint64
+	failureSeq  uint32
+	counts      map[entryKey]entry
+	peers       peerBits
+	lastRefresh time.Duration
 }
 
-// New returns an empty board of a host. start must be higher than any version
-// that an earlier process of the host used, such as the time of day.
+// New returns an empty board for the host self. start must be higher than any
+// version that an earlier process of the host used, such as the time of day.
 func New(self string, start uint64) *Board {
-	return &Board{self: self, version: start, counts: map[key]held{}, peers: newPeerBits()}
+	return &Board{self: self, version: start, counts: map[entryKey]entry{}, peers: newPeerBits()}
 }
 
-// SetOwn notes what this host has running at a target.
+// SetOwn sets this host's load on a target.
 func (b *Board) SetOwn(now time.Duration, target string, load Load) {
 	c := b.Own(target)
 	c.Load = load
-	b.setOwn(now, c)
+	b.setLocal(now, c)
 }
 
-// SetLeaving notes that a target told this host that it is about to stop.
+// SetLeaving records that a target told this host that it is about to stop.
 func (b *Board) SetLeaving(now time.Duration, target string) {
 	c := b.Own(target)
 	if c.Leaving {
 		return
 	}
 	c.Leaving = true
-	b.setOwn(now, c)
+	b.setLocal(now, c)
 }
 
-// SetStep notes the time that a target alone takes for one token.
+// SetStep sets this host's estimate of the time per token on a target.
 func (b *Board) SetStep(now time.Duration, target string, step time.Duration) {
 	c := b.Own(target)
 	c.Step = step
-	b.setOwn(now, c)
+	b.setLocal(now, c)
 }
 
-// AddFailure notes a request of this host that a target broke. The numbers run
-// over all targets: a count that expired and is made anew must not come to the
-// same one.
+// AddFailure records a request of this host that failed because of a target. The
+// numbers run over all targets, so that a count created again after it expired
+// does not repeat a number.
 func (b *Board) AddFailure(now time.Duration, target string) {
-	b.failures++
+	b.failureSeq++
 	c := b.Own(target)
-	c.Failures = b.failures
-	b.setOwn(now, c)
+	c.Failures = b.failureSeq
+	b.setLocal(now, c)
 }
 
-// SetRate notes what a target said of the rate it takes.
-func (b *Board) SetRate(now time.Duration, target string, w targetrate.Advertisement) {
+// SetRate sets the rate limit that a target advertised to this host.
+func (b *Board) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
 	c := b.Own(target)
-	c.Rate = &w
-	b.setOwn(now, c)
+	c.Rate = &rate
+	b.setLocal(now, c)
 }
 
-// Own gives this host's count of a target, an empty one when there is none.
+// Own returns this host's count of a target, or an empty one.
 func (b *Board) Own(target string) Count {
-	c := b.counts[key{b.self, target}].Count
+	c := b.counts[entryKey{b.self, target}].Count
 	c.Host, c.Target = b.self, target
 	return c
 }
 
-func (b *Board) setOwn(now time.Duration, c Count) {
+// setLocal stores this host's count of a target under a new version.
+func (b *Board) setLocal(now time.Duration, c Count) {
 	b.version++
 	c.Version = b.version
-	k := key{c.Host, c.Target}
-	b.counts[k] = held{Count: c, heard: now, ownerTold: b.counts[k].ownerTold}
+	k := entryKey{c.Host, c.Target}
+	b.counts[k] = entry{Count: c, receivedAt: now, versionSentToOwner: b.counts[k].versionSentToOwner}
 }
 
-// OwnNews gives this host's own counts that changed since the last time, or
-// have to be told again, and takes them for told to the owners of their targets.
+// OwnNews returns this host's own counts that changed since the last call or are
+// due to be resent, and marks them as sent to the owners of their targets.
 func (b *Board) OwnNews(now time.Duration) []Count {
 	b.refresh(now)
 	b.expire(now)
-	var news []Count
+	var updates []Count
 	for k, c := range b.counts {
-		if k.host != b.self || c.ownerTold == c.Version {
+		if k.host != b.self || c.versionSentToOwner == c.Version {
 			continue
 		}
-		c.ownerTold = c.Version
+		c.versionSentToOwner = c.Version
 		b.counts[k] = c
-		news = append(news, c.Count)
+		updates = append(updates, c.Count)
 	}
-	return news
+	return updates
 }
 
-// TakeAll takes all that the owner of a target knows of it: what it does not
-// name has ended.
+// TakeAll replaces the counts of a target with the complete answer of its owner.
+// Other hosts' counts that are missing from the answer have ended.
 func (b *Board) TakeAll(now time.Duration, target string, counts []Count) {
 	for k := range b.counts {
-		named := func(c Count) bool { return c.Host == k.host }
-		if k.target == target && k.host != b.self && !slices.ContainsFunc(counts, named) {
+		fromHost := func(c Count) bool { return c.Host == k.host }
+		if k.target == target && k.host != b.self && !slices.ContainsFunc(counts, fromHost) {
 			delete(b.counts, k)
 		}
 	}
 	b.Take(now, "", counts)
 }
 
-// Of gives the counts of one target that say anything, this host's own among
-// them.
+// Of returns the counts of one target, including this host's own, leaving out
+// empty ones.
 func (b *Board) Of(now time.Duration, target string) []Count {
 	var counts []Count
 	for k, c := range b.counts {
-		if k.target == target && !c.empty() && (k.host == b.self || now-c.heard < expireAfter) {
+		if k.target == target && !c.isZero() && (k.host == b.self || now-c.receivedAt < expireAfter) {
 			counts = append(counts, c.Count)
 		}
 	}
 	return counts
 }
 
-// empty tells whether a count says nothing that a missing one would not.
-func (c Count) empty() bool {
+// isZero reports whether a count carries no more information than a missing one.
+func (c Count) isZero() bool {
 	return c.Load == Load{} && c.Step == 0 && !c.Leaving && c.Failures == 0 && c.Rate == nil
 }
 
-// Take takes counts that a peer told; an empty name stands for one that is not
-// told any.
+// Take merges counts received from a peer. An empty peer name means that the
+// sender is not tracked as a peer.
 func (b *Board) Take(now time.Duration, peer string, counts []Count) {
 	var bit uint64
 	if peer != "" {
 		bit = b.bit(peer)
 	}
 	for _, c := range counts {
-		k := key{c.Host, c.Target}
+		k := entryKey{c.Host, c.Target}
 		if c.Host == b.self {
-			// A process of this host that is gone counted there. What this one
-			// tells must overrule it, also if the clock went back meanwhile.
+			// An earlier process of this host wrote this count. This process must
+			// supersede it, even if the clock was set back in the meantime.
 			if c.Version > b.version {
 				b.version = c.Version
 				b.SetOwn(now, c.Target, b.counts[k].Load)
 			}
 			continue
 		}
-		old, known := b.counts[k]
+		current, found := b.counts[k]
 		switch {
-		case !known && c.empty():
-			// Hosts that ask about a target tell what they have there, which mostly
-			// is nothing. Kept, these would fill answers and memory.
-		case !known || c.Version > old.Version:
-			b.counts[k] = held{Count: c, heard: now, told: bit}
-		case c.Version == old.Version:
-			old.told |= bit
+		case !found && c.isZero():
+			// Hosts that query a target send their own count of it, which is mostly
+			// empty. Keeping these counts would fill answers and memory.
+		case !found || c.Version > current.Version:
+			b.counts[k] = entry{Count: c, receivedAt: now, sentTo: bit}
+		case c.Version == current.Version:
+			current.sentTo |= bit
 			if peer == "" {
-				// The owner expires what its host doesn't tell again.
-				old.heard = now
+				// The owner expires counts that their hosts do not resend.
+				current.receivedAt = now
 			}
-			b.counts[k] = old
+			b.counts[k] = current
 		}
 	}
 }
 
-// News gives the counts that a peer was not told yet, by this host or by
-// telling them itself, and takes them for told.
+// News returns the counts that were neither sent to a peer nor received from it,
+// and marks them as sent.
 func (b *Board) News(now time.Duration, peer string) []Count {
 	b.refresh(now)
 	b.expire(now)
 	bit := b.bit(peer)
-	var news []Count
+	var updates []Count
 	for k, c := range b.counts {
-		if k.host == peer || c.told&bit != 0 {
+		if k.host == peer || c.sentTo&bit != 0 {
 			continue
 		}
-		c.told |= bit
+		c.sentTo |= bit
 		b.counts[k] = c
-		news = append(news, c.Count)
+		updates = append(updates, c.Count)
 	}
-	return news
+	return updates
 }
 
-// bit gives the bit of a peer. When it was another peer's, that one may hold
-// nothing by now.
+// bit returns the bit of a peer. If the bit was reassigned from another peer, it
+// is cleared in all counts, because the new peer may hold none of them.
 func (b *Board) bit(peer string) uint64 {
-	bit, taken := b.peers.bit(peer)
-	if !taken {
+	bit, reassigned := b.peers.bit(peer)
+	if !reassigned {
 		return bit
 	}
 	for k, c := range b.counts {
-		c.told &^= bit
+		c.sentTo &^= bit
 		b.counts[k] = c
 	}
 	return bit
 }
 
-// Sum is what all hosts' counts of one target come to.
-type Sum struct {
-	// Others is what the other hosts have running there.
+// Total is the sum of all hosts' counts of one target.
+type Total struct {
+	// Others is the load of the other hosts.
 	Others Load
-	// Hosts counts the hosts, this one included, with something running there.
+	// Hosts is the number of hosts, including this one, with requests running on
+	// the target.
 	Hosts int
-	// Leaving is set when any host heard that the target is about to stop.
+	// Leaving is set if the target told any host that it is about to stop.
 	Leaving bool
 }
 
-// Sums adds up the counts of every target in one pass: a choice among all
-// targets of a service would else go through all counts once for each of them.
-func (b *Board) Sums(now time.Duration) map[string]Sum {
-	sums := make(map[string]Sum)
+// Sums returns the totals of every target in one pass. Summing per target would
+// read all counts again for each target of a service.
+func (b *Board) Sums(now time.Duration) map[string]Total {
+	sums := make(map[string]Total)
 	for k, c := range b.counts {
-		own := k.host == b.self
-		if !own && now-c.heard >= expireAfter {
+		local := k.host == b.self
+		if !local && now-c.receivedAt >= expireAfter {
 			continue
 		}
 		sum := sums[k.target]
-		if !own {
+		if !local {
 			sum.Others = sum.Others.Plus(c.Load)
 		}
 		if c.Running > 0 {
@@ -303,21 +307,23 @@
 	return sums
 }
 
+// refresh resends this host's counts of running requests every RefreshEvery.
 func (b *Board) refresh(now time.Duration) {
-	if now-b.refreshed < RefreshEvery {
+	if now-b.lastRefresh < RefreshEvery {
 		return
 	}
-	b.refreshed = now
+	b.lastRefresh = now
 	for k, c := range b.counts {
-		if k.host == b.self && c.Running > 0 && now-c.heard >= RefreshEvery {
+		if k.host == b.self && c.Running > 0 && now-c.receivedAt >= RefreshEvery {
 			b.SetOwn(now, k.target, c.Load)
 		}
 	}
 }
 
+// expire removes the counts that were not resent in time.
 func (b *Board) expire(now time.Duration) {
 	for k, c := range b.counts {
-		if now-c.heard >= expireAfter {
+		if now-c.receivedAt >= expireAfter {
 			delete(b.counts, k)
 		}
 	}
--- a/internal/decide/loadshare/loadshare_test.go
+++ b/internal/decide/loadshare/loadshare_test.go
@@ -21,7 +21,7 @@
 }
 
 var _ = Describe("counts", func() {
-	It("come to every host by way of others, and each is told once", func() {
+	It("reach every host through others, each only once", func() {
 		a, b, c := loadshare.New("a", 1), loadshare.New("b", 1), loadshare.New("c", 1)
 		a.SetOwn(0, "e-1", load(2, 7000))
 		b.SetOwn(0, "e-1", load(1, 3000))
@@ -32,9 +32,9 @@
 		Expect(c.News(0, "b")).To(BeEmpty())
 	})
 
-	// A host dies with its requests. If its counts stood for ever, the engines
-	// that it used would be passed over by everyone.
-	It("of a host that is gone end, of one that lives they stand", func() {
+	// A failed host loses its requests. If its counts stayed, all other hosts
+	// would avoid the engines that it used.
+	It("expire for a failed host and stay for a live one", func() {
 		a, b := loadshare.New("a", 1), loadshare.New("b", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
 		b.Take(0, "a", a.News(0, "b"))
@@ -45,37 +45,39 @@
 		Expect(b.Sums(40 * time.Second)["e-1"].Others).To(Equal(load(0, 0)))
 	})
 
-	// A process is replaced on a host whose clock went back. Its counts carry
-	// lower versions than its predecessor's, and the old ones would win.
-	It("of a replaced process overrule its predecessor's, also when the clock went back", func() {
+	// A process is restarted on a host whose clock was set back. Its counts carry
+	// lower versions than those of the earlier process, which would take
+	// precedence.
+	It("of a restarted process supersede the earlier ones, even if the clock was set back", func() {
 		old, b := loadshare.New("a", 1000), loadshare.New("b", 1)
 		old.SetOwn(0, "e-1", load(5, 9000))
 		b.Take(0, "a", old.News(0, "b"))
-		replaced := loadshare.New("a", 10)
-		replaced.SetOwn(0, "e-1", load(1, 3000))
-		replaced.Take(0, "b", b.News(0, "a"))
-		b.Take(0, "a", replaced.News(0, "b"))
+		restarted := loadshare.New("a", 10)
+		restarted.SetOwn(0, "e-1", load(1, 3000))
+		restarted.Take(0, "b", b.News(0, "a"))
+		b.Take(0, "a", restarted.News(0, "b"))
 		Expect(b.Sums(0)["e-1"].Others.Running).To(BeNumerically(">=", 1))
-		echo := loadshare.New("c", 1)
-		echo.Take(0, "b", b.News(0, "c"))
-		replaced.Take(0, "c", echo.News(0, "a2"))
-		b.Take(0, "a", replaced.News(0, "b"))
+		relay := loadshare.New("c", 1)
+		relay.Take(0, "b", b.News(0, "c"))
+		restarted.Take(0, "c", relay.News(0, "a2"))
+		b.Take(0, "a", restarted.News(0, "b"))
 		Expect(b.Sums(0)["e-1"].Others).To(Equal(load(1, 3000)))
 	})
 
-	It("never come back in an older version", func() {
+	It("are not replaced by an older version", func() {
 		a, b := loadshare.New("a", 1), loadshare.New("b", 1)
 		a.SetOwn(0, "e-1", load(4, 0))
-		before := a.News(0, "b")
+		stale := a.News(0, "b")
 		a.SetOwn(0, "e-1", load(1, 0))
 		b.Take(0, "a", a.News(0, "b"))
-		b.Take(0, "a", before)
+		b.Take(0, "a", stale)
 		Expect(b.Sums(0)["e-1"].Others).To(Equal(load(1, 0)))
 	})
 
-	// A host meets more peers over its life than it tells apart. One that is
-	// taken for another would never be told what it lacks.
-	It("reach a peer that takes an older one's place, and that one when it is back", func() {
+	// A host meets more peers over time than it can track. If a new peer were
+	// mistaken for an earlier one, it would never receive the counts that it
+	// lacks.
+	It("reach a peer that reuses another one's bit, and the other one when it returns", func() {
 		a := loadshare.New("a", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
 		for i := range 64 {
@@ -87,7 +89,7 @@
 		Expect(a.News(0, "old-0")).To(HaveLen(1))
 	})
 
-	It("that come by two ways are not told back by either", func() {
+	It("received from two peers are not sent back to either", func() {
 		a, b := loadshare.New("a", 1), loadshare.New("b", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
 		counts := a.News(0, "b")
@@ -97,7 +99,7 @@
 		Expect(b.News(0, "d")).To(HaveLen(1))
 	})
 
-	It("that change are not told again for their age alone", func() {
+	It("that changed recently are not resent because of an earlier refresh", func() {
 		a := loadshare.New("a", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
 		a.SetOwn(1500*time.Millisecond, "e-1", load(2, 6000))
@@ -107,8 +109,8 @@
 	})
 })
 
-var _ = Describe("counts that go to owners alone", func() {
-	It("are told when they change, and again while something runs", func() {
+var _ = Describe("counts sent to owners only", func() {
+	It("are sent when they change, and resent while requests are running", func() {
 		a := loadshare.New("a", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
 		Expect(a.OwnNews(0)).To(HaveLen(1))
@@ -119,10 +121,10 @@
 		Expect(a.OwnNews(2 * loadshare.RefreshEvery)).To(BeEmpty())
 	})
 
-	// Hundreds of hosts ask about an engine and have nothing there. If the owner
-	// kept and told that, its answers would outgrow a datagram, and hosts would
-	// choose without any.
-	It("say nothing of hosts that only asked", func() {
+	// Hundreds of hosts query an engine on which they run nothing. If the owner
+	// kept and returned their empty counts, its answers would not fit a datagram,
+	// and hosts would choose without an answer.
+	It("leave out hosts that only queried the target", func() {
 		owner := loadshare.New("owner", 1)
 		for i := range 200 {
 			owner.Take(0, "", []loadshare.Count{{Host: fmt.Sprint("h-", i), Target: "e-1"}})
@@ -133,9 +135,9 @@
 		Expect(owner.Of(0, "e-1")).To(BeEmpty())
 	})
 
-	// A generation of another host ended since this host last asked. If its count
-	// stood on here, an engine with room would be passed over for seconds.
-	It("end with the owner's word that they have ended", func() {
+	// A generation of another host ended since this host's last query. If its
+	// count stayed, an engine with free capacity would be avoided for seconds.
+	It("are removed when they are missing from the owner's answer", func() {
 		owner, b := loadshare.New("owner", 1), loadshare.New("b", 1)
 		a := loadshare.New("a", 1)
 		a.SetOwn(0, "e-1", load(1, 3000))
--- a/internal/decide/loadshare/peers.go
+++ b/internal/decide/loadshare/peers.go
@@ -2,51 +2,53 @@
 
 import "math/bits"
 
-// maxPeers is the number of peers told apart. A host tells its counts to its
-// neighbours, six of its own and about six whose neighbour it is.
+// maxPeers is the number of peers whose state is tracked. A host sends its counts
+// to its neighbours: six that it selected and about six that selected it.
 const maxPeers = 64
 
-// peerBits gives each peer a bit, so that what peers hold takes 8 bytes a count
-// in place of an entry for each of them: a host of dozens keeps hundreds of
-// counts and exchanges them with a dozen peers.
+// peerBits assigns a bit to each peer, so that the set of peers that hold a count
+// takes 8 bytes per count instead of an entry per peer. In a fleet of dozens of
+// hosts, each keeps hundreds of counts and exchanges them with a dozen peers.
 type peerBits struct {
-	of map[string]uint64
-	// used orders the peers by their last use.
-	used  map[string]uint64
-	clock uint64
+	bits map[string]uint64
+	// lastUse is the value of useCount at each peer's last use.
+	lastUse  map[string]uint64
+	useCount uint64
 }
 
-func newPeerBits() peerBits { return peerBits{of: map[string]uint64{}, used: map[string]uint64{}} }
+func newPeerBits() peerBits { return peerBits{bits: map[string]uint64{}, lastUse: map[string]uint64{}} }
 
-// bit gives a peer's bit; taken tells that it was taken from the peer that was
-// not used for longest.
-func (p *peerBits) bit(peer string) (bit uint64, taken bool) {
-	p.clock++
-	p.used[peer] = p.clock
-	if bit, known := p.of[peer]; known {
+// bit returns the bit of a peer. reassigned is set if the bit belonged to the
+// least recently used peer until now.
+func (p *peerBits) bit(peer string) (bit uint64, reassigned bool) {
+	p.useCount++
+	p.lastUse[peer] = p.useCount
+	if bit, found := p.bits[peer]; found {
 		return bit, false
 	}
-	bit, taken = p.free()
-	p.of[peer] = bit
-	return bit, taken
+	bit, reassigned = p.allocate()
+	p.bits[peer] = bit
+	return bit, reassigned
 }
 
-func (p *peerBits) free() (bit uint64, taken bool) {
-	var all uint64
-	for _, b := range p.of {
-		all |= b
+// allocate returns an unused bit, or the bit of the least recently used peer,
+// which it removes.
+func (p *peerBits) allocate() (bit uint64, reassigned bool) {
+	var inUse uint64
+	for _, b := range p.bits {
+		inUse |= b
 	}
-	if len(p.of) < maxPeers {
-		return 1 << bits.TrailingZeros64(^all), false
+	if len(p.bits) < maxPeers {
+		return 1 << bits.TrailingZeros64(^inUse), false
 	}
 	oldest := ""
-	for peer := range p.of {
-		if oldest == "" || p.used[peer] < p.used[oldest] {
+	for peer := range p.bits {
+		if oldest == "" || p.lastUse[peer] < p.lastUse[oldest] {
 			oldest = peer
 		}
 	}
-	bit = p.of[oldest]
-	delete(p.of, oldest)
-	delete(p.used, oldest)
+	bit = p.bits[oldest]
+	delete(p.bits, oldest)
+	delete(p.lastUse, oldest)
 	return bit, true
 }
