--- a/internal/decide/enginespeed/enginespeed.go
+++ b/internal/decide/enginespeed/enginespeed.go
@@ -1,19 +1,19 @@
-// Package enginespeed learns how quickly each engine makes tokens.
+// Package enginespeed estimates how fast each engine produces tokens.
 //
-// Load pattern: engines of one service differ in speed, some by a third, and
-// nobody publishes it. Each lives for half a minute or less, so a host that
-// knows only its own generations learns an engine's speed when it is about to
-// leave.
+// Engines of one service differ in speed, some by a third, and their speed is not
+// published. Each engine lives for half a minute or less, so a host that only
+// uses its own generations knows an engine's speed when the engine is about to
+// leave. Without estimates many long generations run on slow engines. Each stays
+// in progress longer and can be lost with its engine or host for that much
+// longer.
 //
-// What happens without it: many long generations run on slow engines, and each
-// stays in progress, and can be lost with its engine or host, that much longer.
+// The events of a stream are timed over windows of several events, because single
+// events arrive in bursts. While an engine reads a prompt, the other generations
+// produce tokens at half the rate for a moment, so an estimate near the shortest
+// windows is the speed of the engine without that load. Hosts exchange their
+// estimates.
 //
-// How it works: events of a stream are timed over windows of some events, since
-// single ones come bunched. Prompts that are read beside a generation slow its
-// tokens to half for a moment; an estimate near the quickest windows is that of
-// the engine alone. Hosts tell each other their estimates.
-//
-// It is not safe for concurrent use.
+// Types in this package are not safe for concurrent use.
 package enginespeed
 
 import (
@@ -22,131 +22,133 @@
 )
 
 const (
-	// WindowEvents is the number of events that are timed together: 0.3 s of a
-	// stream, longer than any bunch of events seen and shorter than the reading
-	// of most prompts.
+	// WindowEvents is the number of events per window. It covers 0.3 s of a
+	// stream, which is longer than any burst of events seen and shorter than the
+	// reading of most prompts.
 	WindowEvents = 8
-	// fall and rise are the parts of the way that an estimate goes towards a
-	// shorter and a longer sample. Their ratio makes it settle where one window
-	// in ten is shorter, which is what is left when prompts are read for a sixth
-	// of the time and an engine turns slower now and then.
-	fall, rise = 0.3, 0.03
-	// leastPart of the estimate is a sample that says nothing of the engine: a
-	// host that was paused gets all events of that time at once.
-	leastPart = 0.25
-	// tellPart is the change of an estimate that others are told.
-	tellPart = 0.1
+	// decreaseWeight and increaseWeight are the smoothing weights for samples
+	// below and above the estimate. Their ratio makes the estimate settle at the
+	// tenth percentile of the windows, which suits engines that read prompts for
+	// a sixth of the time and become slower now and then.
+	decreaseWeight, increaseWeight = 0.3, 0.03
+	// minSampleRatio is the fraction of the estimate below which a sample is
+	// discarded: a host that was paused receives all events of the pause at once.
+	minSampleRatio = 0.25
+	// minPublishedChange is the relative change of an estimate that is sent to
+	// other hosts.
+	minPublishedChange = 0.1
 )
 
 // Board holds the estimates known to one host.
-type Board struct{ of map[string]*estimate }
+type Board struct{ estimates map[string]*estimate }
 
-// estimate is what is known of one engine; times are for one token.
-type estimate struct{ own, heard, told time.Duration }
+// estimate is what is known of one engine: this host's estimate, the last one
+// received from another host, and the last one published, as times per token.
+type estimate struct{ local, remote, published time.Duration }
 
 // New returns a board without estimates.
-func New() *Board { return &Board{of: map[string]*estimate{}} }
+func New() *Board { return &Board{estimates: map[string]*estimate{}} }
 
-func (b *Board) get(target string) *estimate {
-	e := b.of[target]
+func (b *Board) estimate(target string) *estimate {
+	e := b.estimates[target]
 	if e == nil {
 		e = &estimate{}
-		b.of[target] = e
+		b.estimates[target] = e
 	}
 	return e
 }
 
-// Sample takes the time for one token, measured over a window. It tells whether
-// other hosts should be told the estimate, which Step gives.
+// Sample adds a time per token measured over a window. It reports whether the
+// estimate, which Step returns, should be sent to other hosts.
 func (b *Board) Sample(target string, perToken time.Duration) bool {
-	e := b.get(target)
-	known := e.step()
+	e := b.estimate(target)
+	current := e.timePerToken()
 	switch {
-	case perToken <= 0 || float64(perToken) < leastPart*float64(known):
+	case perToken <= 0 || float64(perToken) < minSampleRatio*float64(current):
 		return false
-	case e.own == 0:
-		e.own = perToken
-	case perToken < e.own:
-		e.own -= time.Duration(fall * float64(e.own-perToken))
+	case e.local == 0:
+		e.local = perToken
+	case perToken < e.local:
+		e.local -= time.Duration(decreaseWeight * float64(e.local-perToken))
 	default:
-		e.own += time.Duration(rise * float64(perToken-e.own))
+		e.local += time.Duration(increaseWeight * float64(perToken-e.local))
 	}
-	change := float64(e.own-e.told) / float64(e.own)
-	if max(change, -change) < tellPart {
+	change := float64(e.local-e.published) / float64(e.local)
+	if max(change, -change) < minPublishedChange {
 		return false
 	}
-	e.told = e.own
+	e.published = e.local
 	return true
 }
 
-// Heard takes another host's estimate.
+// Heard sets the estimate received from another host.
 func (b *Board) Heard(target string, perToken time.Duration) {
 	if perToken > 0 {
-		b.get(target).heard = perToken
+		b.estimate(target).remote = perToken
 	}
 }
 
-// step is the host's own estimate, else the one it heard; 0 for none. Of two
-// the shorter one has seen the engine with less beside it.
-func (e *estimate) step() time.Duration {
-	if e.own == 0 || e.heard == 0 {
-		return max(e.own, e.heard)
+// timePerToken returns the shorter of the local and the received estimate, which
+// was made with less other load on the engine; 0 if there is none.
+func (e *estimate) timePerToken() time.Duration {
+	if e.local == 0 || e.remote == 0 {
+		return max(e.local, e.remote)
 	}
-	return min(e.own, e.heard)
+	return min(e.local, e.remote)
 }
 
-// Step gives the time that an engine alone takes for one token; 0 when nothing
-// is known of it.
+// Step returns the time per token of a generation that runs alone on an engine; 0
+// if unknown.
 func (b *Board) Step(target string) time.Duration {
-	if e := b.of[target]; e != nil {
-		return e.step()
+	if e := b.estimates[target]; e != nil {
+		return e.timePerToken()
 	}
 	return 0
 }
 
-// Usual is the median of all engines that are known; 0 when none is. It stands
-// in for those that just joined.
+// Usual returns the median time per token of all known engines, or 0 if none is
+// known. It is used for engines that have just joined.
 func (b *Board) Usual() time.Duration {
-	var all []time.Duration
-	for _, e := range b.of {
-		if step := e.step(); step > 0 {
-			all = append(all, step)
+	var times []time.Duration
+	for _, e := range b.estimates {
+		if step := e.timePerToken(); step > 0 {
+			times = append(times, step)
 		}
 	}
-	if len(all) == 0 {
+	if len(times) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[len(all)/2]
+	slices.Sort(times)
+	return times[len(times)/2]
 }
 
-// Retain drops the engines that are not known any more.
+// Retain removes the engines for which known returns false.
 func (b *Board) Retain(known func(target string) bool) {
-	for target := range b.of {
+	for target := range b.estimates {
 		if !known(target) {
-			delete(b.of, target)
+			delete(b.estimates, target)
 		}
 	}
 }
 
 // Window times the events of one stream from one engine.
 type Window struct {
-	events int
-	began  time.Duration
+	events    int
+	startedAt time.Duration
 }
 
-// Event takes an event's time on any steady clock. Once a window is full it
-// gives the time that an event took on the mean.
+// Event adds an event by its time on any monotonic clock. When a window is
+// complete, it returns the mean time per event.
 func (w *Window) Event(at time.Duration) (time.Duration, bool) {
 	w.events++
 	if w.events == 1 {
-		w.began = at
+		w.startedAt = at
 		return 0, false
 	}
 	if w.events <= WindowEvents {
 		return 0, false
 	}
-	mean := (at - w.began) / WindowEvents
-	w.events, w.began = 1, at
+	mean := (at - w.startedAt) / WindowEvents
+	w.events, w.startedAt = 1, at
 	return mean, true
 }
--- a/internal/decide/enginespeed/enginespeed_test.go
+++ b/internal/decide/enginespeed/enginespeed_test.go
@@ -17,88 +17,90 @@
 }
 
 var _ = Describe("the speed of an engine", func() {
-	const quick, slow = 7500 * time.Microsecond, 9750 * time.Microsecond
-	// sample is one window's time a token: prompts are read beside it for part
-	// of the time, which doubles it.
-	sample := func(draw *rand.Rand, step time.Duration) time.Duration {
-		noise := 1 + 0.03*draw.NormFloat64()
-		if draw.Float64() < 0.35 {
-			noise += draw.Float64()
+	const fast, slow = 7500 * time.Microsecond, 9750 * time.Microsecond
+	// sample returns the time per token of one window. In 35% of the windows
+	// prompts are read for part of the time, which slows tokens by up to a factor
+	// of two.
+	sample := func(rng *rand.Rand, step time.Duration) time.Duration {
+		noise := 1 + 0.03*rng.NormFloat64()
+		if rng.Float64() < 0.35 {
+			noise += rng.Float64()
 		}
 		return time.Duration(float64(step) * noise)
 	}
 
-	// Some engines of a service are a third slower. A secretary whose long draft
-	// is sent there waits a third longer, though a quick one had room.
-	It("is told apart within two seconds of one stream, in spite of prompts read beside it", func() {
-		wrong := 0
+	// Some engines of a service are a third slower. A long generation sent to one
+	// takes a third longer although a fast engine had room.
+	It("is distinguished within two seconds of one stream while prompts are read", func() {
+		misranked := 0
 		for seed := range uint64(200) {
-			draw := rand.New(rand.NewPCG(seed, 1))
+			rng := rand.New(rand.NewPCG(seed, 1))
 			b := enginespeed.New()
 			for range 6 {
-				b.Sample("quick", sample(draw, quick))
-				b.Sample("slow", sample(draw, slow))
+				b.Sample("quick", sample(rng, fast))
+				b.Sample("slow", sample(rng, slow))
 			}
 			if b.Step("quick") >= b.Step("slow") {
-				wrong++
+				misranked++
 			}
 		}
-		Expect(wrong).To(BeNumerically("<=", 10))
+		Expect(misranked).To(BeNumerically("<=", 10))
 	})
 
-	It("follows an engine that turns slower", func() {
+	It("follows an engine that becomes slower", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", quick)
+			b.Sample("i-1", fast)
 		}
 		for range 60 {
 			b.Sample("i-1", slow)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically(">", quick+(slow-quick)/2))
+		Expect(b.Step("i-1")).To(BeNumerically(">", fast+(slow-fast)/2))
 	})
 
-	// A host is paused for seconds and then gets all events of that time at
-	// once. Taken for the engine's speed, every long draft would go there.
-	It("is not taken from events that come all at once", func() {
+	// A host is paused for seconds and then receives all events of the pause at
+	// once. If they were taken for the engine's speed, every long generation
+	// would be sent there.
+	It("ignores events that arrive all at once after a pause", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", quick)
+			b.Sample("i-1", fast)
 		}
 		for range 20 {
 			b.Sample("i-1", time.Microsecond)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically("~", quick, time.Microsecond))
+		Expect(b.Step("i-1")).To(BeNumerically("~", fast, time.Microsecond))
 	})
 
-	It("is known from other hosts before the first own event", func() {
+	It("is known from other hosts before the first local event", func() {
 		b := enginespeed.New()
 		Expect(b.Step("i-1")).To(BeZero())
 		Expect(b.Usual()).To(BeZero())
 		b.Heard("i-1", slow)
-		b.Heard("i-2", quick)
-		b.Heard("i-3", quick)
+		b.Heard("i-2", fast)
+		b.Heard("i-3", fast)
 		Expect(b.Step("i-1")).To(Equal(slow))
-		Expect(b.Usual()).To(Equal(quick))
+		Expect(b.Usual()).To(Equal(fast))
 		b.Retain(func(target string) bool { return target != "i-1" })
 		Expect(b.Step("i-1")).To(BeZero())
 	})
 
-	It("is told when it is new or has changed", func() {
+	It("is published when it is new or has changed", func() {
 		b := enginespeed.New()
 		Expect(b.Sample("i-1", slow)).To(BeTrue())
 		Expect(b.Sample("i-1", slow)).To(BeFalse())
-		Expect(b.Sample("i-1", quick/2)).To(BeTrue())
+		Expect(b.Sample("i-1", fast/2)).To(BeTrue())
 	})
 
 	It("is measured over a window of events", func() {
 		var w enginespeed.Window
-		full := 0
+		windows := 0
 		for n := range 1 + 3*enginespeed.WindowEvents {
 			if mean, ok := w.Event(time.Duration(n) * 30 * time.Millisecond); ok {
-				full++
+				windows++
 				Expect(mean).To(Equal(30 * time.Millisecond))
 			}
 		}
-		Expect(full).To(Equal(3))
+		Expect(windows).To(Equal(3))
 	})
 })
