--- a/internal/decide/coldshare/coldshare.go
+++ b/internal/decide/coldshare/coldshare.go
@@ -1,61 +1,62 @@
-// Package coldshare bounds what all hosts together send to a target that has
-// just started, without a message between them.
+// Package coldshare limits what all hosts together send to a target that has just
+// started, without messages between the hosts.
 //
-// Load pattern: an engine joins, or a data centre comes back, cold and empty
-// beside others that are full, and every host chooses the emptiest target.
+// An engine joins, or a data centre comes back, cold and empty beside others that
+// are full, and every host chooses the least loaded target. If each of eight
+// hosts only kept to the rate that the target can take, all of them together
+// would send eight times as much. The target would fail, come back cold and fail
+// again.
 //
-// What happens without it: each host keeps to the rate that the target bears,
-// and all of them together send eight times as much. One sees the target fall
-// over, come back cold, and fall over again.
+// The requests that a target can take in a second are divided among the hosts by
+// their rank for that target: some hosts get one more than others, and if there
+// are more hosts than requests, most get none. The quotas add up to no more than
+// the target's capacity, whenever each host sends. A host that knows fewer hosts
+// than there are would take too much, so all hosts ever known count, and a
+// process that has just started takes one request a second at most.
 //
-// How it works: the sends that a target bears in a second are dealt out to the
-// hosts by their rank for that target, some hosts getting one more than others
-// and, where there are more hosts than sends, most of them none. The parts add
-// up to no more than the whole whoever sends when. A host that knows fewer
-// hosts than there are would take too much, so hosts that were ever heard of
-// count, and a process that has just started takes one send a second at most.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// Types in this package are not safe for concurrent use. Times are on the
+// monotonic clock.
 package coldshare
 
 import "time"
 
-// window is the span in which a target's sends are counted.
+// window is the span in which the requests sent to a target are counted.
 const window = time.Second
 
-// Part is the number of sends a second of the host with a rank, of those that
-// a target bears in all.
-func Part(bears float64, rank, hosts int) int {
-	if hosts <= 0 || rank < 0 || bears < 1 {
+// Part returns how many requests per second the host with the given rank may send
+// to a target that can take capacity requests per second in all.
+func Part(capacity float64, rank, hosts int) int {
+	if hosts <= 0 || rank < 0 || capacity < 1 {
 		return 0
 	}
-	all := int(bears)
-	part := all / hosts
-	if rank < all%hosts {
-		part++
+	total := int(capacity)
+	quota := total / hosts
+	if rank < total%hosts {
+		quota++
 	}
-	return part
+	return quota
 }
 
-// Gate counts one host's sends to one target in any second.
+// Gate limits the requests that one host sends to one target within a second.
 type Gate struct{ sent []time.Duration }
 
-// Open tells whether another send keeps within part.
-func (g *Gate) Open(now time.Duration, part int) bool {
-	g.forget(now)
-	return len(g.sent) < part
+// Open reports whether one more request stays within the quota.
+func (g *Gate) Open(now time.Duration, quota int) bool {
+	g.expire(now)
+	return len(g.sent) < quota
 }
 
-// Send counts a send.
+// Send records a request.
 func (g *Gate) Send(now time.Duration) {
-	g.forget(now)
+	g.expire(now)
 	g.sent = append(g.sent, now)
 }
 
-func (g *Gate) forget(now time.Duration) {
-	kept := 0
-	for kept < len(g.sent) && now-g.sent[kept] >= window {
-		kept++
+// expire removes the requests that have left the window.
+func (g *Gate) expire(now time.Duration) {
+	expired := 0
+	for expired < len(g.sent) && now-g.sent[expired] >= window {
+		expired++
 	}
-	g.sent = g.sent[kept:]
+	g.sent = g.sent[expired:]
 }
--- a/internal/decide/coldshare/coldshare_test.go
+++ b/internal/decide/coldshare/coldshare_test.go
@@ -16,33 +16,33 @@
 }
 
 var _ = Describe("a cold target", func() {
-	// A data centre comes back cold. Every host keeps to the rate that one
-	// target bears, and together they send it eight times as much.
-	DescribeTable("gets no more than it bears from all hosts together",
-		func(bears float64, hosts int) {
-			most := 0
+	// A data centre comes back cold. If every host keeps to the rate that one
+	// target can take, all hosts together send it eight times as much.
+	DescribeTable("gets no more than its capacity from all hosts together",
+		func(capacity float64, hosts int) {
+			total := 0
 			for rank := range hosts {
 				var g coldshare.Gate
-				part := coldshare.Part(bears, rank, hosts)
+				quota := coldshare.Part(capacity, rank, hosts)
 				sent := 0
 				for ms := 0; ms < 1000; ms++ {
 					now := time.Duration(ms) * time.Millisecond
-					if g.Open(now, part) {
+					if g.Open(now, quota) {
 						g.Send(now)
 						sent++
 					}
 				}
-				most += sent
+				total += sent
 			}
-			Expect(most).To(Equal(int(bears)))
+			Expect(total).To(Equal(int(capacity)))
 		},
-		Entry("many sends, few hosts", 90.5, 8),
-		Entry("few sends, many hosts", 12.5, 84),
-		Entry("one", 1.0, 300),
-		Entry("none", 0.4, 8),
+		Entry("many requests, few hosts", 90.5, 8),
+		Entry("few requests, many hosts", 12.5, 84),
+		Entry("one request", 1.0, 300),
+		Entry("less than one request", 0.4, 8),
 	)
 
-	It("gets the next send a second after the one before", func() {
+	It("gets the next request a second after the previous one", func() {
 		var g coldshare.Gate
 		g.Send(0)
 		Expect(g.Open(999*time.Millisecond, 1)).To(BeFalse())
