--- a/internal/decide/memory/memory.go
+++ b/internal/decide/memory/memory.go
@@ -1,19 +1,20 @@
-// Package memory predicts how the memory of a model engine fills as the
-// generations in its batch grow, and tells whether one more fits.
+// Package memory predicts how an engine's memory fills as the generations in its
+// batch grow, and decides whether one more fits.
 //
-// Load pattern: an engine keeps the keys and values of every running token.
-// A batch that fits at admission grows by one token a generation and step, and
-// when memory is full in mid-decode the engine preempts: a caller's stream
-// stalls, and the tokens made so far are computed again. Slot counts and
-// watermarks on the memory in use each suit one mix of lengths; what is to
-// come depends on how long the running ones are likely to last.
+// An engine keeps the keys and values of every token of its running generations.
+// A batch that fits at admission grows by one token per generation and step. If
+// memory fills up during decoding, the engine preempts a generation: the caller's
+// stream stalls, and the tokens produced so far are computed again. A limit on
+// slots or on the memory in use suits only one mix of output lengths, because
+// future use depends on how long the running generations are likely to last.
 //
-// The rule: for several horizons (tokens ahead), the sum over running ones and
-// candidate of P(still running) x memory then, plus z standard deviations of
-// that sum, stays under a part of the engine's memory. Lengths are taken as
-// independent, so variances add. Sums are kept up to date by adding and taking
-// away single generations, so that a decision costs the same for any number
-// of running ones.
+// The admission rule considers several horizons, in tokens ahead. At each one,
+// the expected memory of the running generations and the candidate, which is the
+// sum of P(still running) times size at that time, plus z standard deviations of
+// the sum must stay below a fraction of the engine's memory. Lengths are assumed
+// to be independent, so variances add. The sums are updated by adding and
+// removing single generations, so a decision costs the same for any number of
+// running generations.
 package memory
 
 import (
@@ -23,51 +24,52 @@
 )
 
 const (
-	// DefaultDeviations and DefaultWatermark are the pair that stood in the
-	// design trial's three mixes with one setting: z alone preempts where
-	// many short outputs fill the memory to the brim, a watermark alone where
-	// outputs are long.
+	// DefaultDeviations and DefaultWatermark are the one setting that worked for
+	// all three length mixes tried. Deviations alone lead to preemptions if many
+	// short outputs fill the memory completely, a watermark alone if outputs are
+	// long.
 	DefaultDeviations = 2.0
 	DefaultWatermark  = 0.92
 )
 
-// horizons are in tokens ahead. A batch turns over in a few thousand steps;
-// beyond that prediction says nothing. Steps of a half octave, because a burst
-// of outputs of like length peaks between two horizons: with plain doublings
-// fourteen outputs of 900 tokens were let in where nine fit.
-var horizons = [...]int{
+// horizonTokens are the horizons in tokens ahead. A batch turns over within a few
+// thousand steps, and a prediction beyond that has no value. Above 64 there are
+// two horizons per doubling, because outputs of similar length peak between two
+// horizons: with one per doubling, fourteen outputs of 900 tokens were admitted
+// where nine fit.
+var horizonTokens = [...]int{
 	0, 8, 16, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096,
 }
 
-const horizonCount = len(horizons)
+const horizonCount = len(horizonTokens)
 
-// Growth is what one generation adds to each horizon's mean and variance, in
-// tokens and tokens squared.
+// Growth is the predicted memory of one generation: its mean, in tokens, and
+// variance, in tokens squared, at each horizon.
 type Growth struct {
 	mean, variance [horizonCount]float64
 }
 
-// Now is the memory in use at present, in tokens.
+// Now returns the memory in use now, in tokens.
 func (g *Growth) Now() float64 { return g.mean[0] }
 
-// Generation is a running generation or a candidate, in tokens.
+// Generation is a running generation or a candidate. Sizes are in tokens.
 type Generation struct {
 	Prompt, Produced int
-	// Max bounds the output; 0 means no bound.
+	// Max is the maximum length of the output; 0 means no limit.
 	Max int
 }
 
-// Predict fills g with the growth of one generation.
+// Predict sets g to the predicted memory of one generation.
 func (g *Growth) Predict(d *lengths.Distribution, gen Generation) {
-	reached := d.Beyond(gen.Produced)
+	survivedSoFar := d.Beyond(gen.Produced)
 	for i := range horizonCount {
-		ahead := horizons[i]
+		ahead := horizonTokens[i]
 		p := 1.0
 		switch {
 		case gen.Max > 0 && ahead > 0 && gen.Produced+ahead >= gen.Max:
 			p = 0
-		case ahead > 0 && reached > 0:
-			p = d.Beyond(gen.Produced+ahead) / reached
+		case ahead > 0 && survivedSoFar > 0:
+			p = d.Beyond(gen.Produced+ahead) / survivedSoFar
 		}
 		size := float64(gen.Prompt + gen.Produced + ahead)
 		g.mean[i] = p * size
@@ -75,12 +77,12 @@
 	}
 }
 
-// Load is the predicted memory of one engine: the sum over what runs there.
+// Load is the predicted memory of one engine, the sum over its generations.
 type Load struct {
 	sum Growth
 }
 
-// Add counts a generation in.
+// Add adds a generation.
 func (l *Load) Add(g *Growth) {
 	for i := range horizonCount {
 		l.sum.mean[i] += g.mean[i]
@@ -88,7 +90,7 @@
 	}
 }
 
-// AddAlike counts in several generations of the same growth.
+// AddAlike adds count generations with the same predicted memory.
 func (l *Load) AddAlike(g *Growth, count int) {
 	n := float64(count)
 	for i := range horizonCount {
@@ -97,7 +99,7 @@
 	}
 }
 
-// Remove takes a generation out that was added with the same growth.
+// Remove removes a generation that was added with the same growth.
 func (l *Load) Remove(g *Growth) {
 	for i := range horizonCount {
 		l.sum.mean[i] -= g.mean[i]
@@ -105,37 +107,37 @@
 	}
 }
 
-// Reset empties the sum. Recomputing it from time to time keeps rounding
-// errors of many additions and removals from adding up.
+// Reset sets the sum to zero. Computing the sum anew from time to time keeps
+// rounding errors of many additions and removals from accumulating.
 func (l *Load) Reset() { l.sum = Growth{} }
 
-// Now is the memory in use at present, in tokens.
+// Now returns the memory in use now, in tokens.
 func (l *Load) Now() float64 { return l.sum.mean[0] }
 
-// Rule is the setting of the admission rule.
+// Rule holds the parameters of the admission rule.
 type Rule struct {
-	// Deviations is z, the standard deviations kept free.
+	// Deviations is z, the number of standard deviations kept free.
 	Deviations float64
-	// Watermark is the usable part of the memory, 0 to 1.
+	// Watermark is the usable fraction of the memory, 0 to 1.
 	Watermark float64
 }
 
-// DefaultRule returns the setting that serves every mix.
+// DefaultRule returns the default parameters, which suit every mix of lengths.
 func DefaultRule() Rule {
 	return Rule{Deviations: DefaultDeviations, Watermark: DefaultWatermark}
 }
 
-// Headroom is the least part of the memory, over all horizons, that stays free
-// under the watermark when the candidate is added; negative when it does not
-// fit. Unexplained is memory in use that no generation of the sum accounts
-// for, and memory the engine's size, both in tokens.
-func (r Rule) Headroom(l *Load, candidate *Growth, unexplained, memory float64) float64 {
-	limit := r.Watermark*memory - unexplained
-	least := math.Inf(1)
+// Headroom returns the smallest fraction of the memory, over all horizons, that
+// stays free below the watermark if the candidate is added. It is negative if the
+// candidate does not fit. untracked is memory in use by generations that are not
+// part of the sum, and capacity the size of the engine's memory, both in tokens.
+func (r Rule) Headroom(l *Load, candidate *Growth, untracked, capacity float64) float64 {
+	limit := r.Watermark*capacity - untracked
+	minFree := math.Inf(1)
 	for i := range horizonCount {
 		mean := l.sum.mean[i] + candidate.mean[i]
 		deviation := math.Sqrt(l.sum.variance[i] + candidate.variance[i])
-		least = math.Min(least, limit-mean-r.Deviations*deviation)
+		minFree = math.Min(minFree, limit-mean-r.Deviations*deviation)
 	}
-	return least / memory
+	return minFree / capacity
 }
--- a/internal/decide/memory/memory_test.go
+++ b/internal/decide/memory/memory_test.go
@@ -15,10 +15,11 @@
 	RunSpecs(t, "memory")
 }
 
-const size = 10_000.0
+const capacity = 10_000.0
 
-// learned returns a table in which every output has the given length.
-func learned(length int) *lengths.Distribution {
+// constantLength returns a distribution in which every output has the given
+// length.
+func constantLength(length int) *lengths.Distribution {
 	d := lengths.New(0)
 	for range 3000 {
 		d.Progress(0, length-1)
@@ -28,13 +29,14 @@
 	return d
 }
 
-// admit counts how many fresh generations the rule lets in.
-func admit(d *lengths.Distribution, gen Generation, unexplained float64) int {
+// admittedCount returns how many new generations the rule admits to an empty
+// engine.
+func admittedCount(d *lengths.Distribution, gen Generation, untracked float64) int {
 	var load Load
 	var g Growth
 	g.Predict(d, gen)
 	for n := 0; ; n++ {
-		if DefaultRule().Headroom(&load, &g, unexplained, size) < 0 {
+		if DefaultRule().Headroom(&load, &g, untracked, capacity) < 0 {
 			return n
 		}
 		load.Add(&g)
@@ -42,34 +44,34 @@
 }
 
 var _ = Describe("memory admission", func() {
-	// Ninety prompts of 100 tokens fit an empty engine. When their outputs are
-	// long, it fills up in mid-decode: callers see streams stall while the
-	// engine computes preempted ones again.
-	It("leaves room for what is likely to be produced", func() {
-		short, long := learned(20), learned(900)
-		Expect(admit(short, Generation{Prompt: 100}, 0)).To(BeNumerically("~", 77, 6))
-		Expect(admit(long, Generation{Prompt: 100}, 0)).To(BeNumerically("~", 9, 2))
+	// Ninety prompts of 100 tokens fit an empty engine. If their outputs are
+	// long, its memory fills up during decoding, and streams stall while
+	// preempted generations are computed again.
+	It("reserves memory for the expected output", func() {
+		short, long := constantLength(20), constantLength(900)
+		Expect(admittedCount(short, Generation{Prompt: 100}, 0)).To(BeNumerically("~", 77, 6))
+		Expect(admittedCount(long, Generation{Prompt: 100}, 0)).To(BeNumerically("~", 9, 2))
 	})
 
-	It("counts memory that no known generation explains", func() {
-		d := learned(20)
-		all := admit(d, Generation{Prompt: 100}, 0)
-		Expect(admit(d, Generation{Prompt: 100}, size/2)).To(BeNumerically("<", all/2))
-		Expect(admit(d, Generation{Prompt: 100}, size)).To(BeZero())
+	It("counts memory used by untracked generations", func() {
+		d := constantLength(20)
+		withoutUntracked := admittedCount(d, Generation{Prompt: 100}, 0)
+		Expect(admittedCount(d, Generation{Prompt: 100}, capacity/2)).To(BeNumerically("<", withoutUntracked/2))
+		Expect(admittedCount(d, Generation{Prompt: 100}, capacity)).To(BeZero())
 	})
 
-	It("trusts the bound on an output's length", func() {
-		d := learned(900)
-		Expect(admit(d, Generation{Prompt: 100, Max: 2}, 0)).To(BeNumerically(">", 80))
+	It("uses the maximum length of an output", func() {
+		d := constantLength(900)
+		Expect(admittedCount(d, Generation{Prompt: 100, Max: 2}, 0)).To(BeNumerically(">", 80))
 	})
 
-	It("comes back to zero when everything that was added is taken away", func() {
-		r := rand.New(rand.NewPCG(3, 4))
-		d := learned(300)
+	It("returns to zero when everything that was added is removed", func() {
+		rng := rand.New(rand.NewPCG(3, 4))
+		d := constantLength(300)
 		var load Load
 		running := make([]Growth, 200)
 		for i := range running {
-			running[i].Predict(d, Generation{Prompt: r.IntN(2000), Produced: r.IntN(400)})
+			running[i].Predict(d, Generation{Prompt: rng.IntN(2000), Produced: rng.IntN(400)})
 			load.Add(&running[i])
 		}
 		for i := range running {
@@ -83,12 +85,12 @@
 })
 
 func BenchmarkHeadroom(b *testing.B) {
-	d := learned(300)
+	d := constantLength(300)
 	var load Load
 	var g Growth
 	b.ReportAllocs()
 	for range b.N {
 		g.Predict(d, Generation{Prompt: 400, Max: 4096})
-		DefaultRule().Headroom(&load, &g, 0, size)
+		DefaultRule().Headroom(&load, &g, 0, capacity)
 	}
 }
