--- a/internal/decide/migration/migration.go
+++ b/internal/decide/migration/migration.go
@@ -1,60 +1,60 @@
 // Package migration decides how a running generation leaves an engine that is
 // about to stop.
 //
-// Load pattern: an engine is taken away with about two seconds' notice while
-// it runs four to eight generations of several hosts, which last up to half a
-// minute and may run only once. Copies of their memory queue on the engine's
-// link: 3,000 tokens of 18 KB take 165 ms there, twice that to another data
-// centre.
+// An engine is taken away with about two seconds' notice while it runs four to
+// eight generations of several hosts, which last up to half a minute and may run
+// only once. Copies of their memory queue on the engine's link: 3,000 tokens of
+// 18 KB take 165 ms within the data centre and twice that to another one.
 //
-// What happens without it: a generation that is stopped for the rest of its
-// copy waits behind the first copies of all others, for longer than callers
-// bear. And copies of generations that are about to end by themselves hold up
+// If a generation were stopped while the rest of its memory is copied, it would
+// wait behind the first copies of all others for longer than callers tolerate.
+// Copies of generations that are about to finish anyway would delay the copies of
 // those that are not.
 //
-// How it works: a generation runs on while its memory is copied, and goes on
-// at the other engine as soon as that copy is whole. What it made meanwhile,
-// some ten tokens for each tenth of a second, the other engine reads again in
-// a few milliseconds; no second copy waits in the queue. Generations that
-// will have ended before the engine stops, however long they may become, stay.
+// A generation therefore keeps running while its memory is copied, and resumes on
+// the other engine as soon as that copy is complete. The tokens produced in the
+// meantime, about ten per tenth of a second, are read again by the other engine
+// in a few milliseconds, so no second copy has to queue. Generations that will
+// have finished before the engine stops, at their maximum length, stay.
 //
-// Where the link can't carry everything off in time, copies that take less of
-// it go first, so that more generations get away: each waits for a part of its
-// own copying time before it is asked for. Hosts that know nothing of each
-// other's generations come to one order that way, and the link idles for a few
-// hundredths of a second at most.
+// If the link cannot carry all copies in time, the shorter copies go first, so
+// that more generations are saved. Each generation waits for a fraction of its
+// own copying time before its copy is requested. Hosts that do not know each
+// other's generations arrive at a common order this way, and the link is idle for
+// a few hundredths of a second at most.
 //
-// The functions are pure; times are durations.
+// The functions are pure.
 package migration
 
 import "time"
 
-// Config holds the figures.
+// Config holds the parameters.
 type Config struct {
-	// Notice is taken for the time until an engine stops that doesn't say so.
+	// Notice is the assumed time until an engine stops if the engine does not
+	// state it.
 	Notice time.Duration
-	// EndMargin is the part of the time until the engine stops within which a
-	// generation must have ended at the latest if it is to stay. Reports of
-	// engines on their stop are half a second old.
-	EndMargin float64
-	// OrderShare is the part of its copying time that a generation waits.
-	OrderShare float64
+	// CompletionMargin is the fraction of the time until the engine stops within
+	// which a generation must finish to stay. It allows for reports of the
+	// engine's stop that are half a second old.
+	CompletionMargin float64
+	// CopyWaitFactor is the fraction of its copying time that a generation waits.
+	CopyWaitFactor float64
 }
 
-// Default gives the figures in use.
+// Default returns the default parameters.
 func Default() Config {
-	return Config{Notice: 1500 * time.Millisecond, EndMargin: 0.5, OrderShare: 0.5}
+	return Config{Notice: 1500 * time.Millisecond, CompletionMargin: 0.5, CopyWaitFactor: 0.5}
 }
 
-// Stays tells whether a generation needn't be moved: it has ended by itself
-// before the engine stops. left is the longest that it can run on.
-func (c Config) Stays(left, leavesIn time.Duration) bool {
-	return left < time.Duration(float64(leavesIn)*c.EndMargin)
+// Stays reports whether a generation finishes before the engine stops and does
+// not have to be migrated. remaining is the longest time that it can still run.
+func (c Config) Stays(remaining, leavesIn time.Duration) bool {
+	return remaining < time.Duration(float64(leavesIn)*c.CompletionMargin)
 }
 
-// CopyTime is the time that a copy of so many tokens takes on an idle link,
-// from the bytes of a token and the link's megabits a second; 0 when these are
-// unknown.
+// CopyTime returns the time that a copy of the given number of tokens takes on an
+// idle link, from the bytes per token and the bandwidth of the link in megabits
+// per second; 0 if the bandwidth is unknown.
 func CopyTime(tokens int, bytesPerToken, linkMbps float64) time.Duration {
 	if linkMbps <= 0 {
 		return 0
@@ -63,20 +63,21 @@
 	return time.Duration(bits / linkMbps * float64(time.Microsecond))
 }
 
-// Wait is the time that a generation waits before its copy is asked for.
-func (c Config) Wait(copying time.Duration) time.Duration {
-	return time.Duration(float64(copying) * c.OrderShare)
+// Wait returns how long a generation waits before its copy is requested.
+func (c Config) Wait(copyTime time.Duration) time.Duration {
+	return time.Duration(float64(copyTime) * c.CopyWaitFactor)
 }
 
-// unknownLeft stands for a time that nothing is known of.
-const unknownLeft = time.Duration(1<<63 - 1)
+// unknownRemaining is the remaining time if nothing is known about it.
+const unknownRemaining = time.Duration(1<<63 - 1)
 
-// MostLeft gives the longest time that a generation runs on: most events is
-// what it may make at all, 0 when that is unknown, done those made in the time
-// since the first one. Clients' estimates say too little for it.
-func MostLeft(most, done int, since time.Duration) time.Duration {
-	if most == 0 || done < 2 {
-		return unknownLeft
+// MostLeft returns the longest time that a generation can still run. maxEvents is
+// the maximum number of events, 0 if unknown, and events the number produced in
+// the time elapsed since the first one. Clients' length estimates are too
+// inaccurate for this.
+func MostLeft(maxEvents, events int, elapsed time.Duration) time.Duration {
+	if maxEvents == 0 || events < 2 {
+		return unknownRemaining
 	}
-	return time.Duration(max(most-done, 0)) * (since / time.Duration(done-1))
+	return time.Duration(max(maxEvents-events, 0)) * (elapsed / time.Duration(events-1))
 }
--- a/internal/decide/migration/migration_test.go
+++ b/internal/decide/migration/migration_test.go
@@ -19,69 +19,70 @@
 	RunSpecs(t, "migration")
 }
 
-var _ = Describe("a generation on a leaving engine", func() {
+var _ = Describe("a generation on an engine that is about to stop", func() {
 	const notice = 1500 * time.Millisecond
 
-	// Its copy would hold up those of generations that have long to run.
-	It("stays when it can't but end before the engine stops", func() {
-		left := migration.MostLeft(10, 4, 3*40*time.Millisecond)
-		Expect(left).To(Equal(6 * 40 * time.Millisecond))
-		Expect(migration.Default().Stays(left, notice)).To(BeTrue())
+	// Copying it would delay the copies of generations that have long to run.
+	It("stays if it finishes before the engine stops in any case", func() {
+		remaining := migration.MostLeft(10, 4, 3*40*time.Millisecond)
+		Expect(remaining).To(Equal(6 * 40 * time.Millisecond))
+		Expect(migration.Default().Stays(remaining, notice)).To(BeTrue())
 	})
 
-	// The client's estimate says that the report is about to end. Estimates are
-	// off by a factor of three, and a report that stays for nothing is cut.
-	DescribeTable("leaves when that is not sure", func(most, done int) {
-		left := migration.MostLeft(most, done, time.Duration(done)*40*time.Millisecond)
-		Expect(migration.Default().Stays(left, notice)).To(BeFalse())
+	// The client's estimate says that the generation is about to finish.
+	// Estimates are off by a factor of three, and a generation that stays too
+	// long is cut off.
+	DescribeTable("is migrated if that is not certain", func(maxEvents, events int) {
+		remaining := migration.MostLeft(maxEvents, events, time.Duration(events)*40*time.Millisecond)
+		Expect(migration.Default().Stays(remaining, notice)).To(BeFalse())
 	},
 		Entry("long to run", 556, 50),
-		Entry("too close to the end of the notice", 40, 20),
-		Entry("no bound known", 0, 50),
-		Entry("just begun", 2, 1),
+		Entry("finishes too close to the stop", 40, 20),
+		Entry("maximum length unknown", 0, 50),
+		Entry("just started", 2, 1),
 	)
 })
 
-var _ = Describe("copies that a link can't all carry off in time", func() {
-	// saved plays the copies of one leaving engine, which queue on its link in
-	// the order in which hosts ask for them, and counts those that are whole
-	// before the engine stops.
-	saved := func(c migration.Config, draw *rand.Rand) int {
+var _ = Describe("copies that a link cannot all carry in time", func() {
+	// completedCopies simulates the copies from one stopping engine, which queue
+	// on its link in the order in which hosts request them, and returns the
+	// number completed before the engine stops.
+	completedCopies := func(c migration.Config, rng *rand.Rand) int {
 		const generations, notice = 9, 1400 * time.Millisecond
-		type request struct{ at, takes time.Duration }
+		type request struct{ at, copyTime time.Duration }
 		queue := make([]request, generations)
 		for i := range queue {
-			takes := migration.CopyTime(1500+draw.IntN(4500), 18_432, 2700)
-			heard := time.Duration(draw.IntN(30)) * time.Millisecond
-			queue[i] = request{heard + c.Wait(takes), takes}
+			copyTime := migration.CopyTime(1500+rng.IntN(4500), 18_432, 2700)
+			noticeDelay := time.Duration(rng.IntN(30)) * time.Millisecond
+			queue[i] = request{noticeDelay + c.Wait(copyTime), copyTime}
 		}
 		slices.SortFunc(queue, func(a, b request) int { return cmp.Compare(a.at, b.at) })
-		free, whole := time.Duration(0), 0
+		linkFreeAt, completed := time.Duration(0), 0
 		for _, r := range queue {
-			free = max(free, r.at) + r.takes
-			if free <= notice {
-				whole++
+			linkFreeAt = max(linkFreeAt, r.at) + r.copyTime
+			if linkFreeAt <= notice {
+				completed++
 			}
 		}
-		return whole
+		return completed
 	}
 
-	// An engine with nine reports is taken away with one and a half seconds'
-	// notice. Asked for at once and in any order, some large copies keep several
-	// small ones waiting until the engine is gone.
-	It("go the shorter ones first, and more of them get away", func() {
-		inOrder, atOnce := 0, 0
+	// An engine with nine generations is taken away with one and a half seconds'
+	// notice. If copies are requested at once and in any order, a few large
+	// copies keep several small ones waiting until the engine has stopped.
+	It("are made in order of size, so that more of them complete", func() {
+		ordered, immediate := 0, 0
 		for seed := range uint64(400) {
-			inOrder += saved(migration.Default(), rand.New(rand.NewPCG(seed, 1)))
-			naive := migration.Default()
-			naive.OrderShare = 0
-			atOnce += saved(naive, rand.New(rand.NewPCG(seed, 1)))
+			ordered += completedCopies(migration.Default(), rand.New(rand.NewPCG(seed, 1)))
+			withoutDelay := migration.Default()
+			withoutDelay.CopyWaitFactor = 0
+			immediate += completedCopies(withoutDelay, rand.New(rand.NewPCG(seed, 1)))
 		}
-		AddReportEntry("copies made of 3600", fmt.Sprintf("in order %d, at once %d", inOrder, atOnce))
-		Expect(inOrder).To(BeNumerically(">", atOnce+atOnce/20))
+		AddReportEntry("copies made of 3600", fmt.Sprintf("in order %d, at once %d", ordered, immediate))
+		Expect(ordered).To(BeNumerically(">", immediate+immediate/20))
 	})
 
-	It("take no time that is not known", func() {
+	It("take zero time if the bandwidth is unknown", func() {
 		Expect(migration.CopyTime(3000, 18_432, 0)).To(BeZero())
 		Expect(migration.CopyTime(3000, 18_432, 2700)).To(BeNumerically("~", 164*time.Millisecond, time.Millisecond))
 	})
