--- a/internal/decide/memory/memory.go
+++ b/internal/decide/memory/memory.go
@@ -61,7 +61,7 @@
 
 // Predict sets g to the predicted memory of one generation.
 func (g *Growth) Predict(d *lengths.Distribution, gen Generation) {
-	survivedSoFar := d.Beyond(gen.Produced)
+	survivedSoFar := d.Survival(gen.Produced)
 	for i := range horizonCount {
 		ahead := horizonTokens[i]
 		p := 1.0
@@ -69,7 +69,7 @@
 		case gen.Max > 0 && ahead > 0 && gen.Produced+ahead >= gen.Max:
 			p = 0
 		case ahead > 0 && survivedSoFar > 0:
-			p = d.Beyond(gen.Produced+ahead) / survivedSoFar
+			p = d.Survival(gen.Produced+ahead) / survivedSoFar
 		}
 		size := float64(gen.Prompt + gen.Produced + ahead)
 		g.mean[i] = p * size
