--- a/internal/decide/targetrate/targetrate.go
+++ b/internal/decide/targetrate/targetrate.go
@@ -1,21 +1,22 @@
-// Package targetrate bounds what all hosts together send to a target that has
-// named the rate it takes.
+// Package targetrate limits what all hosts together send to a target that has
+// advertised a rate limit.
 //
-// Load pattern: a target in need says in its answers how many requests a second
-// it takes from all hosts together, while other targets of its service have room
-// or, at worst, all of them are in need.
+// An overloaded target states in its answers how many requests per second it
+// takes from all hosts together. Other targets of its service have free capacity
+// or, at worst, all of them are overloaded. If each host ignored the limit, or
+// kept to it only by itself, all hosts together would send many times the limit,
+// and the target would run out of capacity and fail.
 //
-// What happens without it: each host goes on as before, or keeps to the rate by
-// itself and all of them together send many times as much. The target gets more
-// than it has room for and falls over.
+// A few hosts, selected by their rank for the target, share its rate, each with a
+// token bucket. The shares add up to the rate, and the bucket sizes to a fraction
+// of the burst that a target allows, whenever each host sends and without
+// messages. A host that has neither a token nor another target may borrow a token
+// from a host with a share; the total number of tokens stays the same. An
+// advertisement applies until the target's next one, and hosts pass it on with
+// its age.
 //
-// How it works: a few hosts, by their rank for the target, share its rate; each
-// has a token bucket. The shares add up to the rate, and the buckets to a part of
-// the slack that a target allows, whoever sends when and without a message. A host that has no token and no other target may borrow one
-// from a host that has a share: borrowed or used, it is the same token. What a
-// target says last holds; hosts pass it on with its age.
-//
-// It is not safe for concurrent use; times are on the steady clock.
+// Types in this package are not safe for concurrent use. Times are on the
+// monotonic clock.
 package targetrate
 
 import (
@@ -23,8 +24,8 @@
 	"time"
 )
 
-// A target takes, in any window, slackFactor times its rate and slackRequests
-// besides, as published.
+// By the published contract, a target accepts slackFactor times its rate plus
+// slackRequests in any window.
 const (
 	window        = 4 * time.Second
 	slackFactor   = 1.5
@@ -32,179 +33,185 @@
 )
 
 const (
-	// slackUsed is the part of the slack that buckets may fill up. The rest is
-	// for hosts that differ in which hosts they know.
-	slackUsed = 0.5
-	// mostHolders bounds the hosts that share a rate: fewer shares are larger, and
-	// more are lost less often.
-	mostHolders = 5
-	// leastRate is the rate taken for targets that name less: without any request
-	// nobody would hear that a target takes more again. It stays within
-	// slackRequests.
-	leastRate = 0.25
+	// slackFraction is the fraction of the slack that token buckets may use. The
+	// rest covers hosts that know different sets of hosts.
+	slackFraction = 0.5
+	// maxHolders limits the number of hosts that share a rate. With fewer holders
+	// the shares are larger, with more a share is lost less often.
+	maxHolders = 5
+	// minRate is the rate, in requests per second, assumed for targets that
+	// advertise less. Without any request no host would learn that a target takes
+	// more again. It stays within slackRequests.
+	minRate = 0.25
 	// staleAfter is the age of an advertisement from which hosts without a share
-	// look for a newer one, though other targets have room.
+	// try to get a newer one even though other targets have free capacity.
 	staleAfter = 3 * time.Second
-	// announceEvery is how often an advertisement that says nothing new is passed on.
-	announceEvery = time.Second
+	// announceInterval is the interval at which an unchanged advertisement is
+	// passed on.
+	announceInterval = time.Second
 )
 
-// Advertisement is what a target said of the rate it takes.
+// Advertisement is a target's statement of its rate limit.
 type Advertisement struct {
-	// Limited says that the target named a rate; PerSecond is that rate.
+	// Limited is set if the target stated a limit, which is PerSecond.
 	Limited   bool
 	PerSecond float64
-	// At is when it said so.
+	// At is the time of the statement.
 	At time.Duration
 }
 
-// Holders is the number of hosts, of so many, that share a rate.
+// Holders returns how many of the hosts share a rate.
 func Holders(perSecond float64, hosts int) int {
-	return max(min(hosts, mostHolders, int(buckets(perSecond))), 1)
+	return max(min(hosts, maxHolders, int(totalBurst(perSecond))), 1)
 }
 
-// buckets is the number of tokens that all hosts together may save up.
-func buckets(perSecond float64) float64 {
-	return slackUsed * ((slackFactor-1)*max(perSecond, leastRate)*window.Seconds() + slackRequests)
+// totalBurst returns how many tokens all hosts together may accumulate.
+func totalBurst(perSecond float64) float64 {
+	return slackFraction * ((slackFactor-1)*max(perSecond, minRate)*window.Seconds() + slackRequests)
 }
 
 // share is one host's part of a target's rate.
 type share struct {
 	perSecond float64
-	// bucket is the number of tokens that it may save up.
-	bucket float64
+	// burst is the size of the host's token bucket.
+	burst float64
 }
 
-// shareOf gives the share of the host with a rank, none for most.
+// shareOf returns the share of the host with the given rank, which is zero for
+// most hosts.
 func shareOf(perSecond float64, rank, hosts int) share {
 	holders := Holders(perSecond, hosts)
 	if rank < 0 || rank >= holders {
 		return share{}
 	}
 	n := float64(holders)
-	return share{perSecond: max(perSecond, leastRate) / n, bucket: math.Floor(buckets(perSecond) / n)}
+	return share{perSecond: max(perSecond, minRate) / n, burst: math.Floor(totalBurst(perSecond) / n)}
 }
 
-// Board holds what targets said of their rates, and this host's tokens.
+// Board holds the rate limits that targets advertised and this host's tokens.
 type Board struct{ targets map[string]*target }
 
-// target is one that named a rate.
+// target is the state of a target that advertised a limit.
 type target struct {
-	last      Advertisement
-	announced time.Duration
-	tokens    float64
-	// filledAt is when the tokens were last worked out, if they ever were.
-	filledAt time.Duration
-	filled   bool
+	latest      Advertisement
+	announcedAt time.Duration
+	tokens      float64
+	// refilledAt is the time of the last refill; refilled is false before the
+	// first.
+	refilledAt time.Duration
+	refilled   bool
 }
 
 // New returns an empty board.
 func New() *Board { return &Board{targets: map[string]*target{}} }
 
-// Observe takes what a target said in an answer to this host. It tells whether
-// other hosts are to hear of it.
-func (b *Board) Observe(id string, a Advertisement) (tell bool) {
+// Observe records what a target advertised in an answer to this host. It reports
+// whether the advertisement should be passed on to other hosts.
+func (b *Board) Observe(id string, a Advertisement) (announce bool) {
 	t := b.targets[id]
 	if t == nil && !a.Limited {
 		return false
 	}
-	changed := t == nil || t.last.Limited != a.Limited || t.last.PerSecond != a.PerSecond
-	t = b.take(id, a)
-	if !changed && (!a.Limited || a.At-t.announced < announceEvery) {
+	changed := t == nil || t.latest.Limited != a.Limited || t.latest.PerSecond != a.PerSecond
+	t = b.set(id, a)
+	if !changed && (!a.Limited || a.At-t.announcedAt < announceInterval) {
 		return false
 	}
-	t.announced = a.At
+	t.announcedAt = a.At
 	return true
 }
 
-// Merge takes what a target said to another host.
+// Merge records what a target advertised to another host. Older advertisements
+// are ignored.
 func (b *Board) Merge(id string, a Advertisement) {
 	t := b.targets[id]
-	if t == nil && !a.Limited || t != nil && a.At <= t.last.At {
+	if t == nil && !a.Limited || t != nil && a.At <= t.latest.At {
 		return
 	}
-	b.take(id, a).announced = a.At
+	b.set(id, a).announcedAt = a.At
 }
 
-func (b *Board) take(id string, a Advertisement) *target {
+// set stores a target's last advertisement.
+func (b *Board) set(id string, a Advertisement) *target {
 	t := b.targets[id]
 	if t == nil {
 		t = &target{}
 		b.targets[id] = t
 	}
-	t.last = a
+	t.latest = a
 	return t
 }
 
-// Limited is the number of targets that name a rate.
+// Limited returns the number of targets that advertise a limit.
 func (b *Board) Limited() int {
 	n := 0
 	for _, t := range b.targets {
-		if t.last.Limited {
+		if t.latest.Limited {
 			n++
 		}
 	}
 	return n
 }
 
-// Advertised gives what a target said last; false when it names no rate.
+// Advertised returns a target's last advertisement; false if it has no limit.
 func (b *Board) Advertised(id string) (Advertisement, bool) {
 	t := b.targets[id]
-	if t == nil || !t.last.Limited {
+	if t == nil || !t.latest.Limited {
 		return Advertisement{}, false
 	}
-	return t.last, true
+	return t.latest, true
 }
 
-// Stale tells whether a target named a rate so long ago that it may take more by
-// now.
+// Stale reports whether a target's limit is so old that the target may take more
+// by now.
 func (b *Board) Stale(now time.Duration, id string) bool {
 	a, limited := b.Advertised(id)
 	return limited && now-a.At >= staleAfter
 }
 
-// Open tells whether this host, with a rank among so many, may send one more to a
-// target now.
+// Open reports whether this host, with its rank among the given number of hosts,
+// may send a request to a target now.
 func (b *Board) Open(now time.Duration, id string, rank, hosts int) bool {
 	t := b.targets[id]
-	if t == nil || !t.last.Limited {
+	if t == nil || !t.latest.Limited {
 		return true
 	}
-	t.fill(now, shareOf(t.last.PerSecond, rank, hosts))
+	t.refill(now, shareOf(t.latest.PerSecond, rank, hosts))
 	return t.tokens >= 1
 }
 
-// Wait is the time until this host may send one more to a target. A host without a
-// share waits for the mean time between two requests there.
+// Wait returns the time until this host may send a request to a target. A host
+// without a share waits for the mean interval between requests to the target.
 func (b *Board) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
 	if b.Open(now, id, rank, hosts) {
 		return 0
 	}
 	t := b.targets[id]
-	own := shareOf(t.last.PerSecond, rank, hosts)
+	own := shareOf(t.latest.PerSecond, rank, hosts)
 	if own.perSecond == 0 {
-		return seconds(1 / max(t.last.PerSecond, leastRate))
+		return seconds(1 / max(t.latest.PerSecond, minRate))
 	}
 	return seconds((1 - t.tokens) / own.perSecond)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Send takes a token for a request that goes to a target.
+// Send takes a token for a request sent to a target.
 func (b *Board) Send(id string) {
-	if t := b.targets[id]; t != nil && t.last.Limited {
+	if t := b.targets[id]; t != nil && t.latest.Limited {
 		t.tokens--
 	}
 }
 
 // Borrowed adds a token that another host lent.
 func (b *Board) Borrowed(id string) {
-	if t := b.targets[id]; t != nil && t.last.Limited {
+	if t := b.targets[id]; t != nil && t.latest.Limited {
 		t.tokens++
 	}
 }
 
-// Lend gives a token away, if this host knows the target's rate and has one.
+// Lend takes a token for another host. It reports whether there was one and the
+// target's limit is known.
 func (b *Board) Lend(now time.Duration, id string, rank, hosts int) bool {
 	if _, limited := b.Advertised(id); !limited || !b.Open(now, id, rank, hosts) {
 		return false
@@ -213,7 +220,7 @@
 	return true
 }
 
-// Retain forgets targets that are gone.
+// Retain removes the targets for which known returns false.
 func (b *Board) Retain(known func(id string) bool) {
 	for id := range b.targets {
 		if !known(id) {
@@ -222,15 +229,15 @@
 	}
 }
 
-// fill adds the tokens of a share that came since the last time, up to a full
-// bucket. A host with a share begins with one.
-func (t *target) fill(now time.Duration, own share) {
-	gained := own.perSecond * (now - t.filledAt).Seconds()
-	if !t.filled && own.perSecond > 0 {
-		gained = 1
+// refill adds the tokens earned since the last refill, up to the size of the
+// bucket. A host with a share starts with one token.
+func (t *target) refill(now time.Duration, own share) {
+	earned := own.perSecond * (now - t.refilledAt).Seconds()
+	if !t.refilled && own.perSecond > 0 {
+		earned = 1
 	}
-	t.filled, t.filledAt = true, now
-	if t.tokens < own.bucket {
-		t.tokens = min(t.tokens+gained, own.bucket)
+	t.refilled, t.refilledAt = true, now
+	if t.tokens < own.burst {
+		t.tokens = min(t.tokens+earned, own.burst)
 	}
 }
--- a/internal/decide/targetrate/targetrate_test.go
+++ b/internal/decide/targetrate/targetrate_test.go
@@ -17,11 +17,11 @@
 	RunSpecs(t, "target rate")
 }
 
-// play has some hosts, drawn at random, try to send to one target as often as
-// they can once a time has passed, and gives when they did. With lending, a host
-// without a token asks one of those that share the rate.
-func play(perSecond float64, hosts int, lending bool, idle, length time.Duration) []time.Duration {
-	draw := rand.New(rand.NewPCG(1, uint64(hosts)))
+// simulateSends lets randomly drawn hosts send to one target as often as they can
+// for the given length, after an idle time, and returns the send times. With
+// lending, a host without a token asks one of the hosts that share the rate.
+func simulateSends(perSecond float64, hosts int, lending bool, idle, length time.Duration) []time.Duration {
+	rng := rand.New(rand.NewPCG(1, uint64(hosts)))
 	boards := make([]*targetrate.Board, hosts)
 	for i := range boards {
 		boards[i] = targetrate.New()
@@ -31,9 +31,9 @@
 	var sent []time.Duration
 	const triesPerSecond = 200
 	for now := idle; now < idle+length; now += time.Second / triesPerSecond {
-		host := draw.IntN(hosts)
+		host := rng.IntN(hosts)
 		if !boards[host].Open(now, "i-1", host, hosts) && lending {
-			if lender := draw.IntN(holders); lender != host && boards[lender].Lend(now, "i-1", lender, hosts) {
+			if lender := rng.IntN(holders); lender != host && boards[lender].Lend(now, "i-1", lender, hosts) {
 				boards[host].Borrowed("i-1")
 			}
 		}
@@ -45,51 +45,51 @@
 	return sent
 }
 
-// most is the largest number of sends in four seconds.
-func most(sent []time.Duration) int {
-	out, first := 0, 0
-	for i, at := range sent {
-		for at-sent[first] >= 4*time.Second {
-			first++
+// maxSendsInWindow returns the largest number of sends within four seconds.
+func maxSendsInWindow(sends []time.Duration) int {
+	maxCount, windowStart := 0, 0
+	for i, at := range sends {
+		for at-sends[windowStart] >= 4*time.Second {
+			windowStart++
 		}
-		out = max(out, i-first+1)
+		maxCount = max(maxCount, i-windowStart+1)
 	}
-	return out
+	return maxCount
 }
 
 var _ = Describe("the shares of a target's rate", func() {
 	// Guards against shares that add up to more than the target takes.
-	DescribeTable("keep all hosts together within its bound", func(perSecond float64, hosts int) {
+	DescribeTable("keep all hosts together within its limit", func(perSecond float64, hosts int) {
 		for _, lending := range []bool{false, true} {
 			for _, idle := range []time.Duration{0, time.Minute} {
-				sent := play(perSecond, hosts, lending, idle, 30*time.Second)
-				Expect(most(sent)).To(BeNumerically("<=", 1.5*perSecond*4+5), "lending: %v, idle for %s", lending, idle)
+				sent := simulateSends(perSecond, hosts, lending, idle, 30*time.Second)
+				Expect(maxSendsInWindow(sent)).To(BeNumerically("<=", 1.5*perSecond*4+5), "lending: %v, idle for %s", lending, idle)
 			}
 		}
 	},
 		Entry("one host", 3.4, 1), Entry("a few hosts", 3.4, 8), Entry("a large fleet", 4.6, 300),
-		Entry("a high rate", 40.0, 8), Entry("hardly any", 0.1, 195), Entry("none at all", 0.0, 195),
+		Entry("a high rate", 40.0, 8), Entry("a very low rate", 0.1, 195), Entry("a rate of zero", 0.0, 195),
 	)
 
-	// Guards against requests that are refused at hosts without a share while
-	// tokens of others expire unused.
-	It("serve the target's rate wherever requests come in, once tokens are lent", func() {
+	// Guards against requests that are refused on hosts without a share while
+	// tokens of other hosts stay unused.
+	It("use the whole rate on whichever hosts requests arrive, if tokens are lent", func() {
 		const rate, length = 4.0, 30 * time.Second
 		for _, hosts := range []int{1, 8, 195, 300} {
-			own, lent := play(rate, hosts, false, 0, length), play(rate, hosts, true, 0, length)
+			sharesAlone, withLending := simulateSends(rate, hosts, false, 0, length), simulateSends(rate, hosts, true, 0, length)
 			AddReportEntry(fmt.Sprintf("%d hosts, requests served of the rate", hosts), fmt.Sprintf("shares alone %.2f, lent %.2f",
-				float64(len(own))/(rate*length.Seconds()), float64(len(lent))/(rate*length.Seconds())))
-			Expect(len(lent)).To(BeNumerically(">=", 0.9*rate*length.Seconds()))
+				float64(len(sharesAlone))/(rate*length.Seconds()), float64(len(withLending))/(rate*length.Seconds())))
+			Expect(len(withLending)).To(BeNumerically(">=", 0.9*rate*length.Seconds()))
 		}
 	})
 })
 
-var _ = Describe("what a target says of its rate", func() {
+var _ = Describe("a target's advertised rate", func() {
 	limited := func(perSecond float64, at time.Duration) targetrate.Advertisement {
 		return targetrate.Advertisement{Limited: true, PerSecond: perSecond, At: at}
 	}
 
-	It("holds until it says something else, whoever heard it", func() {
+	It("is valid until it changes, whichever host received it", func() {
 		b := targetrate.New()
 		Expect(b.Observe("i-1", targetrate.Advertisement{At: 1})).To(BeFalse())
 		Expect(b.Observe("i-1", limited(2, 2))).To(BeTrue())
@@ -101,8 +101,8 @@
 		Expect(known).To(BeFalse())
 	})
 
-	// Guards against an advertisement that came late and lifts a rate named after it.
-	It("is not overruled by an older one", func() {
+	// Guards against a late advertisement that lifts a limit stated after it.
+	It("is not replaced by an older one", func() {
 		b := targetrate.New()
 		b.Observe("i-1", limited(2, 5))
 		b.Merge("i-1", targetrate.Advertisement{At: 4})
@@ -110,7 +110,7 @@
 		Expect(known).To(BeTrue())
 	})
 
-	It("is passed on when it changes, and now and then", func() {
+	It("is passed on when it changes and at intervals", func() {
 		b := targetrate.New()
 		Expect(b.Observe("i-1", limited(2, 0))).To(BeTrue())
 		Expect(b.Observe("i-1", limited(2, 100*time.Millisecond))).To(BeFalse())
@@ -120,7 +120,7 @@
 		Expect(b.Observe("i-1", targetrate.Advertisement{At: 4 * time.Second})).To(BeFalse())
 	})
 
-	It("gives the time until the next request", func() {
+	It("determines the time until the next request", func() {
 		b := targetrate.New()
 		b.Observe("i-1", limited(1, 0))
 		Expect(b.Open(0, "i-1", 0, 1)).To(BeTrue())
@@ -129,8 +129,8 @@
 		Expect(b.Wait(0, "i-1", 0, 1)).To(Equal(time.Second))
 		Expect(b.Open(time.Second, "i-1", 0, 1)).To(BeTrue())
 
-		other := targetrate.New()
-		other.Merge("i-1", limited(4, 0))
-		Expect(other.Wait(0, "i-1", 9, 10)).To(Equal(250 * time.Millisecond))
+		withoutShare := targetrate.New()
+		withoutShare.Merge("i-1", limited(4, 0))
+		Expect(withoutShare.Wait(0, "i-1", 9, 10)).To(Equal(250 * time.Millisecond))
 	})
 })
