--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -1,19 +1,17 @@
 // Package hedge decides when an idempotent lookup is sent a second time, to
 // another target, because its first answer is late.
 //
-// Load pattern: a site or gate lookup takes a few milliseconds, but one in a
-// hundred meets a target in a long pause or a link that lost its packet, and a
-// technician or a queue of guests waits for seconds.
+// A lookup takes a few milliseconds, but one in a hundred reaches a target in a
+// long pause or loses a packet, and its caller waits for seconds. Without
+// hedging, the p99 of lookups is that of the worst target. With unlimited
+// hedging, every lookup is late when all targets are slow: all are sent twice,
+// the load doubles when there is no capacity for it, and all targets become
+// slower still.
 //
-// What happens without it: the p99 of lookups is that of the worst target. And
-// with hedging that has no bound: when all targets are slow, every lookup is
-// late, all are sent twice, and the load doubles just when there is no room.
-// One sees twice the lookups at the targets, and all slower than before.
-//
-// How it works: the second call goes out when the first has taken longer than
-// the running p95, so about one in twenty would; a budget bounds them to a
-// share of first calls whatever the times do; and none goes out while the pool
-// is overloaded. Only services whose rows allow repeating are hedged.
+// The second call is sent when the first has taken longer than the current p95,
+// so about one in twenty would be. A budget limits second calls to a fraction of
+// first calls regardless of latency, and none is sent while the pool is
+// overloaded. Only services whose table rows allow repeating calls are hedged.
 package hedge
 
 import (
@@ -27,50 +25,51 @@
 	"filbertdeck/internal/decide/retrybudget"
 )
 
-// Config holds the figures; the zero value of a field means its default.
+// Config holds the parameters. A field with the zero value has its default.
 type Config struct {
-	// Quantile of the answer times, in percent, after which the second call
-	// goes out. Default 95.
+	// Quantile is the latency quantile, in percent, after which the second call
+	// is sent. Default 95.
 	Quantile float64
-	// Share bounds second calls to a share of first ones. Default 0.05, what
-	// the quantile yields while the times keep their distribution.
-	Share float64
-	// Burst is the most second calls in a row. Default 10.
+	// BudgetRatio limits second calls to a fraction of first ones. Default 0.05,
+	// which is what the quantile yields while the latency distribution is stable.
+	BudgetRatio float64
+	// Burst is the largest number of second calls in a row. Default 10.
 	Burst float64
-	// MinDelay and MaxDelay bound the delay. Defaults 2 ms, one round trip
-	// between data centres and some, and 1 s.
+	// MinDelay and MaxDelay limit the delay. Defaults 2 ms, a little more than a
+	// round trip between data centres, and 1 s.
 	MinDelay, MaxDelay time.Duration
-	// MinSamples have to be known before anything is hedged. Default 50: the
-	// p95 of fewer is one of two values.
+	// MinSamples is the number of latencies required before calls are hedged.
+	// Default 50: the p95 of fewer samples is determined by the two largest.
 	MinSamples int64
-	// Window is how long a time counts, in four parts. Default 20 s.
+	// Window is how long a latency counts. Default 20 s, in four segments.
 	Window time.Duration
-	// MaxBacklog is the wait in the pool's queue from which the pool counts as
-	// overloaded. Default 20 ms, several times a lookup's own time.
+	// MaxBacklog is the queueing time of the pool above which the pool counts as
+	// overloaded. Default 20 ms, several times the duration of a lookup.
 	MaxBacklog time.Duration
 }
 
 const (
-	defaultQuantile   = 95
-	defaultShare      = 0.05
-	defaultBurst      = 10
-	defaultMinDelay   = 2 * time.Millisecond
-	defaultMaxDelay   = time.Second
-	defaultMinSamples = 50
-	defaultWindow     = 20 * time.Second
-	defaultMaxBacklog = 20 * time.Millisecond
-
-	// windowParts divide the window; the oldest part is forgotten at a time.
-	windowParts = 4
-	// longestTime, in microseconds, is the largest time that is told apart.
-	longestTime = 60_000_000
-	// digits of precision of the times.
-	digits = 2
+	defaultQuantile    = 95
+	defaultBudgetRatio = 0.05
+	defaultBurst       = 10
+	defaultMinDelay    = 2 * time.Millisecond
+	defaultMaxDelay    = time.Second
+	defaultMinSamples  = 50
+	defaultWindow      = 20 * time.Second
+	defaultMaxBacklog  = 20 * time.Millisecond
+
+	// windowSegments is the number of segments in the window. The oldest segment
+	// is dropped as a whole.
+	windowSegments = 4
+	// maxTimeMicros is the largest latency in the histogram, in microseconds.
+	maxTimeMicros = 60_000_000
+	// significantDigits is the precision of the histogram.
+	significantDigits = 2
 )
 
 func (c Config) withDefaults() Config {
 	c.Quantile = cmp.Or(c.Quantile, defaultQuantile)
-	c.Share = cmp.Or(c.Share, defaultShare)
+	c.BudgetRatio = cmp.Or(c.BudgetRatio, defaultBudgetRatio)
 	c.Burst = cmp.Or(c.Burst, defaultBurst)
 	c.MinDelay = cmp.Or(c.MinDelay, defaultMinDelay)
 	c.MaxDelay = cmp.Or(c.MaxDelay, defaultMaxDelay)
@@ -80,10 +79,10 @@
 	return c
 }
 
-// Refusal says why a call is not hedged.
+// Refusal is the reason why a call is not hedged.
 type Refusal int
 
-// The reasons not to send a second call, None when it may go out.
+// The reasons not to send a second call. None means that it may be sent.
 const (
 	None Refusal = iota
 	NotRepeatable
@@ -95,55 +94,56 @@
 
 var refusalNames = [...]string{"none", "not-repeatable", "too-few-samples", "pool-overloaded", "no-other-target", "budget-spent"}
 
-// String names the reason as counters show it.
+// String returns the reason as used in metrics.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// Situation is what is known when a second call could go out.
+// Situation is the state at the time when a second call would be sent.
 type Situation struct {
-	// Repeatable says that the service's row allows a call to run twice.
+	// Repeatable is set if the service's table row allows a call to run twice.
 	Repeatable bool
-	// Backlog is the wait in the pool's queue.
+	// Backlog is the queueing time of the pool.
 	Backlog time.Duration
-	// OtherTargets is the number of other targets that have room.
+	// OtherTargets is the number of other targets with free capacity.
 	OtherTargets int
 }
 
-// Hedger decides for one service at one entry. Safe for concurrent use.
+// Hedger decides on second calls of one service at one entry. It is safe for
+// concurrent use.
 type Hedger struct {
 	cfg    Config
 	budget *retrybudget.Bucket
-	// delay is 0 until enough times are known.
+	// delay is 0 until there are enough samples.
 	delay atomic.Int64
 
-	mu     sync.Mutex
-	times  *hdrhistogram.WindowedHistogram
-	rotate time.Duration
+	mu           sync.Mutex
+	latencies    *hdrhistogram.WindowedHistogram
+	nextRotation time.Duration
 }
 
-// New returns a hedger that knows no times yet.
+// New returns a hedger without samples.
 func New(now time.Duration, cfg Config) *Hedger {
 	cfg = cfg.withDefaults()
 	return &Hedger{
-		cfg:    cfg,
-		budget: retrybudget.NewBucket(now, cfg.Burst, 0),
-		times:  hdrhistogram.NewWindowed(windowParts, 1, longestTime, digits),
-		rotate: now + cfg.Window/windowParts,
+		cfg:          cfg,
+		budget:       retrybudget.NewBucket(now, cfg.Burst, 0),
+		latencies:    hdrhistogram.NewWindowed(windowSegments, 1, maxTimeMicros, significantDigits),
+		nextRotation: now + cfg.Window/windowSegments,
 	}
 }
 
-// Begin books a first call and gives the delay after which Second should be
-// asked; ok is false when the call is not to be hedged.
+// Begin records a first call and returns the delay after which to call Second; ok
+// is false if the call is not to be hedged.
 func (h *Hedger) Begin(repeatable bool) (delay time.Duration, ok bool) {
 	if !repeatable {
 		return 0, false
 	}
-	h.budget.Deposit(h.cfg.Share)
+	h.budget.Deposit(h.cfg.BudgetRatio)
 	delay = time.Duration(h.delay.Load())
 	return delay, delay > 0
 }
 
-// Second tells whether the second call may go out now, and books it. The
-// caller takes the first whole answer and cancels the other call.
+// Second decides whether the second call may be sent now, and takes it from the
+// budget. The caller uses the first complete answer and cancels the other call.
 func (h *Hedger) Second(now time.Duration, s Situation) Refusal {
 	switch {
 	case !s.Repeatable:
@@ -161,30 +161,32 @@
 	}
 }
 
-// Observe takes the time of a first call, from its start to its answer. A call
-// that a second one overtook counts with the time that it had taken by then:
-// without it the quantile would sink, and more calls would be hedged.
-func (h *Hedger) Observe(now, took time.Duration) {
+// Observe records the latency of a first call, from its start to its answer. A
+// call whose second call answered first is recorded with the time elapsed by
+// then. Leaving these calls out would lower the quantile, and more calls would be
+// hedged.
+func (h *Hedger) Observe(now, latency time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A time beyond the histogram's range counts as its longest.
-	micros := min(max(took.Microseconds(), 1), longestTime)
-	_ = h.times.Current.RecordValue(micros)
-	if now >= h.rotate {
-		h.refresh()
-		h.rotate = now + h.cfg.Window/windowParts
-		h.times.Rotate()
-	} else if h.delay.Load() == 0 && h.times.Current.TotalCount() == h.cfg.MinSamples {
-		h.refresh()
+	// A latency beyond the range of the histogram is recorded as the largest one.
+	micros := min(max(latency.Microseconds(), 1), maxTimeMicros)
+	_ = h.latencies.Current.RecordValue(micros)
+	if now >= h.nextRotation {
+		h.updateDelay()
+		h.nextRotation = now + h.cfg.Window/windowSegments
+		h.latencies.Rotate()
+	} else if h.delay.Load() == 0 && h.latencies.Current.TotalCount() == h.cfg.MinSamples {
+		h.updateDelay()
 	}
 }
 
-func (h *Hedger) refresh() {
-	all := h.times.Merge()
-	if all.TotalCount() < h.cfg.MinSamples {
+// updateDelay computes the delay from the samples in the window.
+func (h *Hedger) updateDelay() {
+	merged := h.latencies.Merge()
+	if merged.TotalCount() < h.cfg.MinSamples {
 		h.delay.Store(0)
 		return
 	}
-	delay := time.Duration(all.ValueAtQuantile(h.cfg.Quantile)) * time.Microsecond
+	delay := time.Duration(merged.ValueAtQuantile(h.cfg.Quantile)) * time.Microsecond
 	h.delay.Store(int64(min(max(delay, h.cfg.MinDelay), h.cfg.MaxDelay)))
 }
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -20,8 +20,8 @@
 
 const ms = time.Millisecond
 
-// warm returns a hedger that has seen times of 1 to 100 ms.
-func warm() *hedge.Hedger {
+// newWarmHedger returns a hedger with samples from 1 to 100 ms.
+func newWarmHedger() *hedge.Hedger {
 	h := hedge.New(0, hedge.Config{})
 	for i := range 100 {
 		h.Observe(0, time.Duration(i+1)*ms)
@@ -31,33 +31,33 @@
 }
 
 var _ = Describe("a hedger", func() {
-	It("waits for the p95 and knows it only after enough times", func() {
+	It("waits for the p95 once there are enough samples", func() {
 		_, ok := hedge.New(0, hedge.Config{}).Begin(true)
 		Expect(ok).To(BeFalse())
-		h := warm()
+		h := newWarmHedger()
 		delay, ok := h.Begin(true)
 		Expect(ok).To(BeTrue())
 		Expect(delay).To(BeNumerically("~", 95*ms, 2*ms))
 		_, ok = h.Begin(false)
 		Expect(ok).To(BeFalse())
-		for i := range 400 { // the old times leave the window
+		for i := range 400 { // the old samples leave the window
 			h.Observe(time.Duration(i)*100*ms, 4*ms)
 		}
 		delay, _ = h.Begin(true)
 		Expect(delay).To(BeNumerically("~", 4*ms, ms))
 	})
 
-	It("is kept per service, while the table has it", func() {
+	It("is kept per service as long as the table contains it", func() {
 		s := hedge.NewSet(hedge.Config{})
 		lookup := s.Of(0, "lookup")
 		Expect(s.Of(0, "lookup")).To(BeIdenticalTo(lookup))
 		Expect(s.Of(0, "gate")).NotTo(BeIdenticalTo(lookup))
-		s.Keep(func(service string) bool { return service == "gate" })
+		s.Retain(func(service string) bool { return service == "gate" })
 		Expect(s.Of(0, "lookup")).NotTo(BeIdenticalTo(lookup))
 	})
 
 	DescribeTable("refuses", func(s hedge.Situation, want hedge.Refusal) {
-		Expect(warm().Second(0, s)).To(Equal(want))
+		Expect(newWarmHedger().Second(0, s)).To(Equal(want))
 	},
 		Entry(nil, hedge.Situation{OtherTargets: 1}, hedge.NotRepeatable),
 		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
@@ -65,65 +65,65 @@
 		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1}, hedge.None),
 	)
 
-	// All targets become slow together. Every lookup is late now, and sending
-	// them all twice would double the load when there is no room for it.
-	DescribeTable("shortens the tail within its budget", func(how, slow int, p99 time.Duration, least, most float64) {
-		got, second := lookups(1, how, slow)
-		Expect(got).To(BeNumerically("<=", p99))
-		Expect(second).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
-		AddReportEntry("lookups", fmt.Sprintf("p99 %v, %.1f%% second calls", got, 100*second))
+	// All targets become slow together. Every lookup is then late, and sending
+	// all of them twice would double the load when there is no capacity for it.
+	DescribeTable("reduces the tail latency within its budget", func(strategy, slowLookups int, p99 time.Duration, minShare, maxShare float64) {
+		measuredP99, secondShare := simulateLookups(1, strategy, slowLookups)
+		Expect(measuredP99).To(BeNumerically("<=", p99))
+		Expect(secondShare).To(And(BeNumerically(">=", minShare), BeNumerically("<=", maxShare)))
+		AddReportEntry("lookups", fmt.Sprintf("p99 %v, %.1f%% second calls", measuredP99, 100*secondShare))
 	},
-		Entry("no second calls", none, 0, 510*ms, 0.0, 0.0),
+		Entry("no second calls", withoutHedging, 0, 510*ms, 0.0, 0.0),
 		Entry("hedged", hedged, 0, 20*ms, 0.01, 0.06),
 		Entry("hedged, all slow", hedged, 2000, 60*ms, 0.01, 0.06),
-		Entry("after 10 ms without a budget, all slow", fixed, 2000, 60*ms, 0.3, 1.0),
+		Entry("fixed delay of 10 ms without a budget, all slow", fixedDelay, 2000, 60*ms, 0.3, 1.0),
 	)
 })
 
 const (
-	none = iota
+	withoutHedging = iota
 	hedged
-	fixed
+	fixedDelay
 )
 
-// lookups sends 10,000 lookups of about 3 ms, of which one in fifty meets a
-// pause of half a second; the last ones, twice slow of them, take 50 ms. It
-// gives the p99 and the share of second calls.
-func lookups(seed uint64, how, slow int) (p99 time.Duration, share float64) {
+// simulateLookups sends 10,000 lookups of about 3 ms, one in fifty of which meets
+// a pause of half a second. The last 2*slowPairs lookups take 50 ms. It returns
+// the p99 and the ratio of second calls to lookups.
+func simulateLookups(seed uint64, strategy, slowPairs int) (p99 time.Duration, share float64) {
 	const n = 10_000
-	rnd := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	h := hedge.New(0, hedge.Config{})
-	times, second := make([]time.Duration, n), 0
+	times, secondCalls := make([]time.Duration, n), 0
 	for i := range times {
 		now := time.Duration(i) * ms
 		call := func() time.Duration {
 			switch {
-			case i >= n-2*slow:
+			case i >= n-2*slowPairs:
 				return 50 * ms
-			case rnd.IntN(50) == 0:
+			case rng.IntN(50) == 0:
 				return 500 * ms
 			}
-			return ms + time.Duration(rnd.ExpFloat64()*float64(2*ms))
+			return ms + time.Duration(rng.ExpFloat64()*float64(2*ms))
 		}
 		first := call()
 		times[i] = first
 		delay, ok := h.Begin(true)
-		if how == fixed {
+		if strategy == fixedDelay {
 			delay, ok = 10*ms, true
 		}
-		late := how != none && ok && first > delay
-		if late && (how == fixed || h.Second(now, hedge.Situation{Repeatable: true, OtherTargets: 3}) == hedge.None) {
-			second++
+		late := strategy != withoutHedging && ok && first > delay
+		if late && (strategy == fixedDelay || h.Second(now, hedge.Situation{Repeatable: true, OtherTargets: 3}) == hedge.None) {
+			secondCalls++
 			times[i] = min(first, delay+call())
 		}
 		h.Observe(now, times[i])
 	}
 	slices.Sort(times)
-	return times[n*99/100], float64(second) / n
+	return times[n*99/100], float64(secondCalls) / n
 }
 
 func BenchmarkObserve(b *testing.B) {
-	h := warm()
+	h := newWarmHedger()
 	b.ReportAllocs()
 	for range b.N {
 		h.Begin(true)
--- a/internal/decide/hedge/set.go
+++ b/internal/decide/hedge/set.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Set holds the hedgers of one entry by service. A request reads it without a
-// lock; a service that is new makes a copy (read-copy-update).
+// Set holds the hedgers of one entry by service. Requests read it without a lock;
+// adding a service copies the map (read-copy-update).
 type Set struct {
 	cfg      Config
 	mu       sync.Mutex
@@ -21,8 +21,8 @@
 	return s
 }
 
-// Of gives the service's hedger. Ask only for services that the table has:
-// each name that is asked for is kept until Keep.
+// Of returns the hedger of a service and creates it if there is none. Call it
+// only for services in the table: each name is kept until Retain removes it.
 func (s *Set) Of(now time.Duration, service string) *Hedger {
 	if h := (*s.services.Load())[service]; h != nil {
 		return h
@@ -33,25 +33,28 @@
 		return h
 	}
 	h := New(now, s.cfg)
-	s.replace(func(string) bool { return true }, map[string]*Hedger{service: h})
+	s.update(func(string) bool { return true }, map[string]*Hedger{service: h})
 	return h
 }
 
-// Keep forgets the services for which keep is false. Call it with a new table.
-func (s *Set) Keep(keep func(service string) bool) {
+// Retain removes the services for which keep returns false. Call it for each new
+// table.
+func (s *Set) Retain(keep func(service string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replace(keep, nil)
+	s.update(keep, nil)
 }
 
-func (s *Set) replace(keep func(string) bool, more map[string]*Hedger) {
+// update replaces the map by one with the services for which keep returns true
+// and the added ones.
+func (s *Set) update(keep func(string) bool, added map[string]*Hedger) {
 	next := map[string]*Hedger{}
 	for name, h := range *s.services.Load() {
 		if keep(name) {
 			next[name] = h
 		}
 	}
-	for name, h := range more {
+	for name, h := range added {
 		next[name] = h
 	}
 	s.services.Store(&next)
