--- a/internal/decide/slowstart/config.go
+++ b/internal/decide/slowstart/config.go
@@ -5,98 +5,99 @@
 	"time"
 )
 
-// Config holds the figures of a Gate; the zero value of a field means its
+// Config holds the parameters of a Gate. A field with the zero value has its
 // default.
 type Config struct {
-	// FreshFor is how long a report counts, from when the target took it. It
-	// has to be shorter than a target's restart, so that a report of the
-	// incarnation before never speaks for the new one: loading a model takes
-	// tens of seconds, a plain service a few. Default 2 s: four reports at the
-	// 500 ms lag that the users' engines show.
-	FreshFor time.Duration
-	// LeaseFor is the life of an admission without renewal; an unseen grant
-	// can reach the target until it ends. Default 3 s.
+	// ReportTTL is how long a report is valid, from when the target made it. It
+	// must be shorter than a target's restart, so that a report of the previous
+	// incarnation is never used for the new one: loading a model takes tens of
+	// seconds, starting a plain service a few. Default 2 s: four reports at the
+	// 500 ms lag of the users' engines.
+	ReportTTL time.Duration
+	// LeaseFor is the duration of a lease without renewal. A grant that is not
+	// covered by a report can reach the target until its lease ends. Default 3 s.
 	LeaseFor time.Duration
-	// ConfirmFor is how long one confirmation of the host list counts. Default
-	// 4 s, see package ownership.
-	ConfirmFor time.Duration
-	// Claimants bounds the processes that may believe at the same time that
-	// they own the pool. Default 3: the users have three data centres, and a
-	// split fleet has one owner a side.
-	Claimants int
-	// WarmBears is the number of requests from which a target counts as warm.
-	// Default 16: a continuous batch of 16 is past the part of the ramp in
-	// which engines fall over.
-	WarmBears int
-	// SettleFor is how long Bears has to stay level for a small target to
-	// count as settled. Default 5 s, two steps of a ramp with steps of 2 s.
-	SettleFor time.Duration
-	// Burst bounds the grants to a warm target that one report covers, at the
-	// least; a quarter of Bears when that is more. It bounds what a target
-	// that turns cold in place receives before anyone can know. Default 4.
+	// ConfirmationTTL is how long one confirmation of the host list is valid.
+	// Default 4 s, see package ownership.
+	ConfirmationTTL time.Duration
+	// MaxOwners is the largest number of processes that may believe at the same
+	// time that they own the pool. Default 3: the users have three data centres,
+	// and a partitioned fleet has one owner per partition.
+	MaxOwners int
+	// WarmCapacity is the number of concurrent requests from which a target
+	// counts as warm. Default 16: a continuous batch of 16 is past the part of
+	// the warm-up in which engines fail under load.
+	WarmCapacity int
+	// SettleTime is how long Bears must be constant for a small target to count
+	// as settled. Default 5 s, two steps of a warm-up with steps of 2 s.
+	SettleTime time.Duration
+	// Burst is the largest number of grants to a warm target per report, or a
+	// quarter of Bears if that is more. It limits what a target that becomes cold
+	// without a restart receives before any report shows it. Default 4.
 	Burst int
-	// JumpFactor is how many times its usual value the step time or the time
-	// to the first token has to reach to be taken for a cold start. Default 4:
-	// the step time of a full batch is two to three times that of a small one.
+	// JumpFactor is the ratio of the step time or the time to the first token to
+	// its mean from which a cold start is assumed. Default 4: the step time of a
+	// full batch is two to three times that of a small one.
 	JumpFactor float64
 }
 
 const (
-	defaultFreshFor   = 2 * time.Second
-	defaultLeaseFor   = 3 * time.Second
-	defaultConfirmFor = 4 * time.Second
-	defaultClaimants  = 3
-	defaultWarmBears  = 16
-	defaultSettleFor  = 5 * time.Second
-	defaultBurst      = 4
-	defaultJumpFactor = 4
+	defaultReportTTL       = 2 * time.Second
+	defaultLeaseDuration   = 3 * time.Second
+	defaultConfirmationTTL = 4 * time.Second
+	defaultMaxOwners       = 3
+	defaultWarmCapacity    = 16
+	defaultSettleTime      = 5 * time.Second
+	defaultBurst           = 4
+	defaultJumpFactor      = 4
 )
 
 func (c Config) withDefaults() Config {
-	c.FreshFor = cmp.Or(c.FreshFor, defaultFreshFor)
-	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseFor)
-	c.ConfirmFor = cmp.Or(c.ConfirmFor, defaultConfirmFor)
-	c.Claimants = cmp.Or(c.Claimants, defaultClaimants)
-	c.WarmBears = cmp.Or(c.WarmBears, defaultWarmBears)
-	c.SettleFor = cmp.Or(c.SettleFor, defaultSettleFor)
+	c.ReportTTL = cmp.Or(c.ReportTTL, defaultReportTTL)
+	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseDuration)
+	c.ConfirmationTTL = cmp.Or(c.ConfirmationTTL, defaultConfirmationTTL)
+	c.MaxOwners = cmp.Or(c.MaxOwners, defaultMaxOwners)
+	c.WarmCapacity = cmp.Or(c.WarmCapacity, defaultWarmCapacity)
+	c.SettleTime = cmp.Or(c.SettleTime, defaultSettleTime)
 	c.Burst = cmp.Or(c.Burst, defaultBurst)
 	c.JumpFactor = cmp.Or(c.JumpFactor, defaultJumpFactor)
 	return c
 }
 
-// Report is a target's own statement of its load.
+// Report is a target's statement of its own load.
 type Report struct {
-	// Age is the time since the target took the figures, at the most: the age
-	// that it states plus the whole round trip of the call.
+	// Age is an upper bound of the time since the target made the report: the age
+	// that it states plus the round trip of the call.
 	Age time.Duration
 	// Incarnation changes when the target restarts.
 	Incarnation uint64
-	// Bears is the number of requests that it bears now; 0 means unsaid.
+	// Bears is the number of concurrent requests that the target can take now; 0
+	// if unknown.
 	Bears            int
 	Running, Waiting int
-	// StepTime is the mean time of a batch step; 0 means unsaid.
+	// StepTime is the mean time of a batch step; 0 if unknown.
 	StepTime time.Duration
 }
 
 func (r Report) load() int { return r.Running + r.Waiting }
 
-// State says how far a target is.
+// State is the warm-up state of a target.
 type State int
 
-// The states of a target, from the most careful on.
+// The states of a target, in the order of the room they allow.
 const (
-	// Unknown: no report that still counts.
+	// Unknown means that there is no valid report.
 	Unknown State = iota
-	// Cold: only the published owner grants, one request at a time.
+	// Cold means that only the published owner grants, one request at a time.
 	Cold
-	// Settled: a small target whose Bears no longer grows. A sole owner fills
-	// it up to Bears; others treat it as cold.
+	// Settled means a small target whose Bears no longer grows. A sole owner
+	// grants up to Bears; others treat the target as cold.
 	Settled
-	// Warm: every allocator grants up to Bears.
+	// Warm means that every allocator grants up to Bears.
 	Warm
 )
 
 var stateNames = [...]string{Unknown: "unknown", Cold: "cold", Settled: "settled", Warm: "warm"}
 
-// String names the state as counters and logs show it.
+// String returns the state as used in metrics and logs.
 func (s State) String() string { return stateNames[s] }
--- a/internal/decide/slowstart/gate.go
+++ b/internal/decide/slowstart/gate.go
@@ -7,161 +7,164 @@
 	"filbertdeck/internal/decide/ownership"
 )
 
-// unbounded is the room at a warm target that doesn't say what it bears.
-const unbounded = 1 << 20
+// unlimitedRoom is the limit of a warm target that does not report its capacity.
+const unlimitedRoom = 1 << 20
 
-// Gate holds what one allocator knows of one target. It is not safe for
-// concurrent use. Times count from any fixed start, the same for all calls.
+// Gate limits the requests that one allocator grants to one target. It is not
+// safe for concurrent use. Times count from any fixed start, the same for all
+// calls.
 type Gate struct {
 	cfg    Config
 	tenure ownership.Tenure
-	flight flight
-	warmth warmth
-
-	report Report
-	taken  time.Duration
-	known  bool
-	// alive is the latest moment at which the incarnation is known to have
-	// lived, by a report or by a token.
-	alive time.Duration
+	leases leaseTracker
+	warmup warmupTracker
+
+	report     Report
+	reportedAt time.Duration
+	hasReport  bool
+	// lastAlive is the last time at which the incarnation is known to have been
+	// running, from a report or a token.
+	lastAlive time.Duration
 }
 
-// New returns a gate without a report; it gives no room until one comes.
+// New returns a gate without a report, which has no room until it receives one.
 func New(cfg Config) *Gate {
 	cfg = cfg.withDefaults()
 	return &Gate{
-		cfg: cfg, flight: flight{leaseFor: cfg.LeaseFor}, warmth: newWarmth(cfg),
-		taken: math.MinInt64,
+		cfg: cfg, leases: leaseTracker{leaseDuration: cfg.LeaseFor}, warmup: newWarmupTracker(cfg),
+		reportedAt: math.MinInt64,
 	}
 }
 
-// SetOwner says whether the published host list of the given revision names
-// this allocator as the pool's owner. Call it for each list that is read, also
-// when the answer stays the same.
+// SetOwner records whether the published host list of the given revision names
+// this allocator as the pool's owner. Call it for each list that is read, even if
+// the answer is unchanged.
 func (g *Gate) SetOwner(now time.Duration, revision uint64, owner bool) {
 	g.tenure.Set(now, revision, owner)
 }
 
-// Confirm says that the host list in force here was the newest one at the
-// moment at: a read of the configuration service that was begun then, or
-// gossip, sent then, of peers that know no newer list.
+// Confirm records that the current host list was the newest one at the given
+// time: the start of a read from the configuration service, or the send time of
+// gossip from peers that know no newer list.
 func (g *Gate) Confirm(at time.Duration) { g.tenure.Confirm(at) }
 
-// Observe takes a report that was received at now. Reports may come late or
-// out of order; one that was taken before the latest is dropped.
+// Observe records a report received at now. Reports may arrive late or out of
+// order; one made before the latest is dropped.
 func (g *Gate) Observe(now time.Duration, r Report) {
-	taken := now - r.Age
-	if taken <= g.taken {
+	madeAt := now - r.Age
+	if madeAt <= g.reportedAt {
 		return
 	}
-	g.warmth.observe(taken, r)
-	g.report, g.taken, g.known = r, taken, true
-	g.alive = max(g.alive, taken)
-	g.flight.covered(taken, r.Incarnation)
+	g.warmup.observe(madeAt, r)
+	g.report, g.reportedAt, g.hasReport = r, madeAt, true
+	g.lastAlive = max(g.lastAlive, madeAt)
+	g.leases.confirmThrough(madeAt, r.Incarnation)
 }
 
-// Granted books a grant. For a lease that another allocator granted and a
-// renewal made known, call Granted and, when it has produced tokens, Started.
+// Granted records a grant. For a lease that another allocator granted and that
+// became known by a renewal, call Granted and, if it has produced tokens,
+// Started.
 func (g *Gate) Granted(now time.Duration, lease uint64) {
-	g.flight.add(now, lease, g.report.Incarnation)
+	g.leases.add(now, lease, g.report.Incarnation)
 }
 
-// Started says that the target was seen to work on the lease.
-func (g *Gate) Started(now time.Duration, lease uint64) { g.flight.done(now, lease) }
+// Started records that the target was seen to work on the lease.
+func (g *Gate) Started(now time.Duration, lease uint64) { g.leases.resolve(now, lease) }
 
-// Progress says that the target produced a token for the lease at the moment
-// at; of a renewal, take when the one before was sent. It proves that the incarnation which began the lease still lives. A lease
-// counts only once a report covers it: an earlier one may have begun on an
-// incarnation that is not known here yet.
+// Progress records that the target produced a token for the lease at the given
+// time; for a renewal, use the send time of the previous one. It proves that the
+// incarnation that started the lease is still running. A lease counts only once a
+// report confirms it, because an earlier one may have started on an incarnation
+// that is not known yet.
 func (g *Gate) Progress(at time.Duration, lease uint64) {
-	if g.known && g.flight.coveredBy(lease, g.report.Incarnation) {
-		g.alive = max(g.alive, at)
+	if g.hasReport && g.leases.confirmedBy(lease, g.report.Incarnation) {
+		g.lastAlive = max(g.lastAlive, at)
 	}
 }
 
-// Ended takes a lease off. finished says that the target completed it;
-// firstToken is its time to the first token, 0 when there was none or when it
-// depends on the request: a long prompt would be taken for a cold start.
+// Ended removes a lease. finished is set if the target completed it. firstToken
+// is the time to the first token; it is 0 if there was none or if it depends on
+// the request, because a long prompt would be mistaken for a cold start.
 func (g *Gate) Ended(now time.Duration, lease uint64, finished bool, firstToken time.Duration) {
-	same := g.flight.grantedTo(lease, g.report.Incarnation)
-	running := g.flight.running()
-	g.flight.done(now, lease)
-	g.flight.end(lease)
-	if same && finished {
-		g.warmth.finished(running, firstToken)
+	sameIncarnation := g.leases.grantedOn(lease, g.report.Incarnation)
+	running := g.leases.leaseCount()
+	g.leases.resolve(now, lease)
+	g.leases.end(lease)
+	if sameIncarnation && finished {
+		g.warmup.finished(running, firstToken)
 	}
 }
 
-// Suspect makes the target cold until reports show otherwise: its connections
-// broke, or it died while it ran requests.
+// Suspect treats the target as cold until reports show otherwise, because its
+// connections broke or it failed while running requests.
 func (g *Gate) Suspect(now time.Duration) {
-	g.warmth.suspect()
-	g.known = false
-	g.taken = max(g.taken, now)
+	g.warmup.suspect()
+	g.hasReport = false
+	g.reportedAt = max(g.reportedAt, now)
 }
 
-// State says how far the target is.
+// State returns the target's state.
 func (g *Gate) State(now time.Duration) State {
-	if !g.known || g.alive <= now-g.cfg.FreshFor {
+	if !g.hasReport || g.lastAlive <= now-g.cfg.ReportTTL {
 		return Unknown
 	}
-	return g.warmth.state
+	return g.warmup.state
 }
 
-// Room is the number of requests that may be granted now.
+// Room returns the number of requests that may be granted now.
 func (g *Gate) Room(now time.Duration) int {
-	g.flight.expire(now)
+	g.leases.expire(now)
 	state := g.State(now)
-	sole := g.sole(now)
+	soleOwner := g.isSoleOwner(now)
 	switch {
-	case state == Warm, state == Settled && sole:
+	case state == Warm, state == Settled && soleOwner:
 		return g.warmRoom()
 	case state == Cold, state == Settled:
-		return g.coldRoom(now, sole)
+		return g.coldRoom(now, soleOwner)
 	default:
 		return 0
 	}
 }
 
-// warmRoom counts every grant that no report covers as arrived, and keeps to
-// one burst a report.
+// warmRoom counts every unconfirmed grant as arrived and grants at most one burst
+// per report.
 func (g *Gate) warmRoom() int {
-	limit := unbounded
+	limit := unlimitedRoom
 	burst := g.cfg.Burst
 	if g.report.Bears > 0 {
 		limit = g.report.Bears
 		burst = max(burst, limit/4)
 	}
-	used := max(g.report.load()+len(g.flight.unseen), g.flight.running())
-	room := min(limit-used, burst-g.flight.since(g.taken))
+	inUse := max(g.report.load()+len(g.leases.unconfirmed), g.leases.leaseCount())
+	room := min(limit-inUse, burst-g.leases.grantedSince(g.reportedAt))
 	return max(room, 0)
 }
 
-// coldRoom gives one place, and only against a report that covers every grant
-// made here. See the package comment for why this bounds the whole fleet.
-func (g *Gate) coldRoom(now time.Duration, sole bool) int {
-	fresh := g.taken > now-g.cfg.FreshFor && g.taken > g.tenure.Began()
-	if !g.tenure.Owner() || !fresh || len(g.flight.unseen) > 0 {
+// coldRoom returns at most one, and only if a report confirms every grant made by
+// this allocator. The package comment explains why this limits the whole fleet.
+func (g *Gate) coldRoom(now time.Duration, soleOwner bool) int {
+	fresh := g.reportedAt > now-g.cfg.ReportTTL && g.reportedAt > g.tenure.Began()
+	if !g.tenure.Owner() || !fresh || len(g.leases.unconfirmed) > 0 {
 		return 0
 	}
-	bears := g.warmth.bears()
-	places := g.cfg.Claimants
-	if bears <= g.cfg.Claimants {
-		if !sole {
+	capacity := g.warmup.capacity()
+	reserve := g.cfg.MaxOwners
+	if capacity <= g.cfg.MaxOwners {
+		if !soleOwner {
 			return 0
 		}
-		places = 1
+		reserve = 1
 	}
-	load := max(g.report.load(), g.flight.running())
-	if load+places > bears {
+	load := max(g.report.load(), g.leases.leaseCount())
+	if load+reserve > capacity {
 		return 0
 	}
 	return 1
 }
 
-// sole tells whether no other allocator grants to this target, and the report
-// was taken after the last grant of an earlier one arrived.
-func (g *Gate) sole(now time.Duration) bool {
-	cfg := ownership.Config{ConfirmFor: g.cfg.ConfirmFor, ActFor: g.cfg.LeaseFor}
-	return g.tenure.Sole(now, cfg) && g.taken > g.tenure.SoleFrom(cfg)
+// isSoleOwner reports whether no other allocator grants to this target and the
+// report was made after the last grant of an earlier owner arrived.
+func (g *Gate) isSoleOwner(now time.Duration) bool {
+	cfg := ownership.Config{ConfirmFor: g.cfg.ConfirmationTTL, ActFor: g.cfg.LeaseFor}
+	return g.tenure.Sole(now, cfg) && g.reportedAt > g.tenure.SoleFrom(cfg)
 }
--- a/internal/decide/slowstart/leases.go
+++ b/internal/decide/slowstart/leases.go
@@ -2,102 +2,103 @@
 
 import "time"
 
-// flight keeps the leases on one target, and which of them no report covers.
-type flight struct {
-	leaseFor time.Duration
-	unseen   []grant
-	leases   map[uint64]lease
+// leaseTracker holds the leases on one target and the grants that no report has
+// confirmed yet.
+type leaseTracker struct {
+	leaseDuration time.Duration
+	unconfirmed   []grant
+	leases        map[uint64]lease
 }
 
-// lease remembers the incarnation that was known when the grant was made, and
-// the one whose report covered it.
+// lease holds the incarnation known when the grant was made, and the one whose
+// report confirmed it.
 type lease struct {
 	incarnation uint64
-	covered     bool
-	coveredBy   uint64
+	confirmed   bool
+	confirmedBy uint64
 }
 
-// grant is a grant that may not have arrived when the last report was taken.
+// grant is a grant that may not have arrived when the last report was made.
 type grant struct {
-	lease   uint64
-	at      time.Duration
-	settled bool
-	// done is when it was known to have arrived or never to arrive.
-	done time.Duration
+	lease     uint64
+	grantedAt time.Duration
+	resolved  bool
+	// resolvedAt is when the grant was known to have arrived or never to arrive.
+	resolvedAt time.Duration
 }
 
-func (f *flight) add(now time.Duration, id, incarnation uint64) {
-	if f.leases == nil {
-		f.leases = map[uint64]lease{}
+func (t *leaseTracker) add(now time.Duration, id, incarnation uint64) {
+	if t.leases == nil {
+		t.leases = map[uint64]lease{}
 	}
-	if _, known := f.leases[id]; known {
+	if _, known := t.leases[id]; known {
 		return
 	}
-	f.leases[id] = lease{incarnation: incarnation}
-	f.unseen = append(f.unseen, grant{lease: id, at: now})
+	t.leases[id] = lease{incarnation: incarnation}
+	t.unconfirmed = append(t.unconfirmed, grant{lease: id, grantedAt: now})
 }
 
-func (f *flight) running() int { return len(f.leases) }
+func (t *leaseTracker) leaseCount() int { return len(t.leases) }
 
-func (f *flight) grantedTo(id, incarnation uint64) bool {
-	l, ok := f.leases[id]
+func (t *leaseTracker) grantedOn(id, incarnation uint64) bool {
+	l, ok := t.leases[id]
 	return ok && l.incarnation == incarnation
 }
 
-func (f *flight) coveredBy(id, incarnation uint64) bool {
-	l := f.leases[id]
-	return l.covered && l.coveredBy == incarnation
+func (t *leaseTracker) confirmedBy(id, incarnation uint64) bool {
+	l := t.leases[id]
+	return l.confirmed && l.confirmedBy == incarnation
 }
 
-func (f *flight) end(id uint64) { delete(f.leases, id) }
+func (t *leaseTracker) end(id uint64) { delete(t.leases, id) }
 
-// done notes that a report taken later covers the lease.
-func (f *flight) done(now time.Duration, id uint64) {
-	for i := range f.unseen {
-		g := &f.unseen[i]
-		if g.lease == id && !g.settled {
-			g.settled, g.done = true, now
+// resolve records that any later report includes the lease.
+func (t *leaseTracker) resolve(now time.Duration, id uint64) {
+	for i := range t.unconfirmed {
+		g := &t.unconfirmed[i]
+		if g.lease == id && !g.resolved {
+			g.resolved, g.resolvedAt = true, now
 		}
 	}
 }
 
-// expire settles the grants whose lease ran out: an entry sends nothing on a
-// lease that is over.
-func (f *flight) expire(now time.Duration) {
-	for i := range f.unseen {
-		g := &f.unseen[i]
-		if !g.settled && g.at+f.leaseFor <= now {
-			g.settled, g.done = true, g.at+f.leaseFor
+// expire resolves the grants whose lease ran out, because an entry sends nothing
+// on an expired lease.
+func (t *leaseTracker) expire(now time.Duration) {
+	for i := range t.unconfirmed {
+		g := &t.unconfirmed[i]
+		if !g.resolved && g.grantedAt+t.leaseDuration <= now {
+			g.resolved, g.resolvedAt = true, g.grantedAt+t.leaseDuration
 		}
 	}
 }
 
-// covered forgets the grants that a report taken at taken includes.
-func (f *flight) covered(taken time.Duration, incarnation uint64) {
-	f.expire(taken)
-	kept := f.unseen[:0]
-	for _, g := range f.unseen {
-		if !g.settled || g.done >= taken {
-			kept = append(kept, g)
+// confirmThrough removes the grants that a report made at taken includes.
+func (t *leaseTracker) confirmThrough(madeAt time.Duration, incarnation uint64) {
+	t.expire(madeAt)
+	remaining := t.unconfirmed[:0]
+	for _, g := range t.unconfirmed {
+		if !g.resolved || g.resolvedAt >= madeAt {
+			remaining = append(remaining, g)
 			continue
 		}
-		f.cover(g.lease, incarnation)
+		t.confirm(g.lease, incarnation)
 	}
-	f.unseen = kept
+	t.unconfirmed = remaining
 }
 
-func (f *flight) cover(id, incarnation uint64) {
-	if l, ok := f.leases[id]; ok && !l.covered {
-		l.covered, l.coveredBy = true, incarnation
-		f.leases[id] = l
+func (t *leaseTracker) confirm(id, incarnation uint64) {
+	if l, ok := t.leases[id]; ok && !l.confirmed {
+		l.confirmed, l.confirmedBy = true, incarnation
+		t.leases[id] = l
 	}
 }
 
-// since counts the unseen grants that were made after the report.
-func (f *flight) since(taken time.Duration) int {
+// grantedSince returns the number of unconfirmed grants made since taken.
+func (t *leaseTracker) grantedSince(reportedAt time.Duration) int {
 	n := 0
-	for _, g := range f.unseen {
-		if g.at >= taken {
+	for _, g := range t.unconfirmed {
+		if g.grantedAt >= reportedAt {
 			n++
 		}
 	}
--- a/internal/decide/slowstart/warmup.go
+++ b/internal/decide/slowstart/warmup.go
@@ -3,128 +3,135 @@
 import "time"
 
 const (
-	// calmReports have to follow a jump before the target may count as warm
-	// again: three rule out that one quick step hides a cold cache.
-	calmReports = 3
-	// dropShare: Bears falling below this share of its last value is a cold
-	// start in place. Engines lower it by a few when memory is short.
-	dropShare = 0.5
-	// smoothing is the weight of a new sample in the usual value, about the
-	// mean of the last ten.
-	smoothing = 0.1
-	// minSamples have to be in the usual value before a jump is judged by it.
+	// normalReportsAfterJump is the number of reports required after a jump
+	// before the target may count as warm again. With three, one fast step cannot
+	// hide a cold cache.
+	normalReportsAfterJump = 3
+	// capacityDropRatio is the ratio of Bears to its last value below which the
+	// target is assumed to have become cold without a restart. Engines lower
+	// Bears by a few when memory is short.
+	capacityDropRatio = 0.5
+	// ewmaWeight is the weight of a new sample, which gives about the mean of the
+	// last ten.
+	ewmaWeight = 0.1
+	// minSamples is the number of samples required before a value is compared
+	// with the mean.
 	minSamples = 8
-	// grownBatch: a step may take longer when the batch has grown by more than
-	// this factor, so that step is not judged.
-	grownBatch = 1.5
+	// batchGrowthFactor is the growth of the batch above which a step time is not
+	// judged, because a larger batch may take longer.
+	batchGrowthFactor = 1.5
 )
 
-// warmth judges one target from its reports and from what it finished.
-type warmth struct {
-	cfg         Config
-	state       State
-	seen        bool
-	incarnation uint64
-	said        int
-	levelSince  time.Duration
-	completed   int
-	// ramp stands for Bears when the target doesn't say it.
-	ramp  int
-	doubt int
+// warmupTracker derives a target's warm-up state from its reports and from the
+// requests that it finished.
+type warmupTracker struct {
+	cfg              Config
+	state            State
+	hasReport        bool
+	incarnation      uint64
+	reportedCapacity int
+	capacitySince    time.Duration
+	completed        int
+	// estimatedCapacity is used instead of Bears if the target does not report
+	// it.
+	estimatedCapacity   int
+	normalReportsNeeded int
 
-	step, batch, first usual
+	stepTime, batchSize, firstToken ewma
 }
 
-func newWarmth(cfg Config) warmth { return warmth{cfg: cfg, state: Cold, ramp: 1} }
+func newWarmupTracker(cfg Config) warmupTracker {
+	return warmupTracker{cfg: cfg, state: Cold, estimatedCapacity: 1}
+}
 
-func (w *warmth) bears() int {
-	if w.said > 0 {
-		return w.said
+func (w *warmupTracker) capacity() int {
+	if w.reportedCapacity > 0 {
+		return w.reportedCapacity
 	}
-	return w.ramp
+	return w.estimatedCapacity
 }
 
-// suspect makes the target cold and asks for calm reports. The usual values
-// stay: they are what the next reports are compared with.
-func (w *warmth) suspect() {
-	w.state, w.ramp, w.completed, w.doubt = Cold, 1, 0, calmReports
+// suspect makes the target cold and requires normal reports. The mean values
+// stay, because the next reports are compared with them.
+func (w *warmupTracker) suspect() {
+	w.state, w.estimatedCapacity, w.completed, w.normalReportsNeeded = Cold, 1, 0, normalReportsAfterJump
 }
 
-func (w *warmth) observe(taken time.Duration, r Report) {
-	if !w.seen || r.Incarnation != w.incarnation {
-		w.restart(taken, r.Incarnation)
+func (w *warmupTracker) observe(madeAt time.Duration, r Report) {
+	if !w.hasReport || r.Incarnation != w.incarnation {
+		w.restart(madeAt, r.Incarnation)
 	}
-	dropped := float64(r.Bears) < dropShare*float64(w.said)
-	if r.Bears != w.said {
-		w.levelSince = taken
+	dropped := float64(r.Bears) < capacityDropRatio*float64(w.reportedCapacity)
+	if r.Bears != w.reportedCapacity {
+		w.capacitySince = madeAt
 	}
-	w.said = r.Bears
+	w.reportedCapacity = r.Bears
 	jumped := w.stepJumped(r)
 	switch {
 	case dropped, jumped:
 		w.suspect()
-	case w.doubt > 0:
-		w.doubt--
+	case w.normalReportsNeeded > 0:
+		w.normalReportsNeeded--
 	}
 	if !jumped && r.StepTime > 0 {
-		w.step.add(float64(r.StepTime))
-		w.batch.add(float64(r.Running))
+		w.stepTime.add(float64(r.StepTime))
+		w.batchSize.add(float64(r.Running))
 	}
-	w.judge(taken)
+	w.updateState(madeAt)
 }
 
-func (w *warmth) restart(taken time.Duration, incarnation uint64) {
-	*w = newWarmth(w.cfg)
-	w.seen, w.incarnation, w.levelSince = true, incarnation, taken
+func (w *warmupTracker) restart(madeAt time.Duration, incarnation uint64) {
+	*w = newWarmupTracker(w.cfg)
+	w.hasReport, w.incarnation, w.capacitySince = true, incarnation, madeAt
 }
 
-func (w *warmth) stepJumped(r Report) bool {
-	grown := float64(r.Running) > grownBatch*w.batch.value
-	return !grown && w.step.exceeded(float64(r.StepTime), w.cfg.JumpFactor)
+func (w *warmupTracker) stepJumped(r Report) bool {
+	batchGrew := float64(r.Running) > batchGrowthFactor*w.batchSize.value
+	return !batchGrew && w.stepTime.exceeded(float64(r.StepTime), w.cfg.JumpFactor)
 }
 
-func (w *warmth) judge(taken time.Duration) {
+func (w *warmupTracker) updateState(madeAt time.Duration) {
 	switch {
-	case w.doubt > 0:
+	case w.normalReportsNeeded > 0:
 		w.state = Cold
-	case w.bears() >= w.cfg.WarmBears:
+	case w.capacity() >= w.cfg.WarmCapacity:
 		w.state = Warm
-	case w.said > 0 && w.completed > 0 && taken-w.levelSince >= w.cfg.SettleFor:
+	case w.reportedCapacity > 0 && w.completed > 0 && madeAt-w.capacitySince >= w.cfg.SettleTime:
 		w.state = Settled
 	default:
 		w.state = Cold
 	}
 }
 
-// finished takes a completed request. The ramp grows only while the target is
-// at least half full of what the ramp allows: requests that ran alone say
-// nothing of how many it bears together.
-func (w *warmth) finished(running int, firstToken time.Duration) {
+// finished records a completed request. The estimated capacity grows only while
+// at least half of it is in use: requests that ran alone do not show how many the
+// target can run together.
+func (w *warmupTracker) finished(running int, firstToken time.Duration) {
 	w.completed++
-	if firstToken > 0 && w.first.exceeded(float64(firstToken), w.cfg.JumpFactor) {
+	if firstToken > 0 && w.firstToken.exceeded(float64(firstToken), w.cfg.JumpFactor) {
 		w.suspect()
 		return
 	}
 	if firstToken > 0 {
-		w.first.add(float64(firstToken))
+		w.firstToken.add(float64(firstToken))
 	}
-	if 2*running >= w.ramp && w.ramp < w.cfg.WarmBears {
-		w.ramp++
+	if 2*running >= w.estimatedCapacity && w.estimatedCapacity < w.cfg.WarmCapacity {
+		w.estimatedCapacity++
 	}
 }
 
-// usual is an exponentially weighted mean.
-type usual struct {
+// ewma is an exponentially weighted moving average.
+type ewma struct {
 	value   float64
 	samples int
 }
 
-func (u *usual) add(v float64) {
-	u.samples++
-	weight := max(smoothing, 1/float64(u.samples))
-	u.value += weight * (v - u.value)
+func (e *ewma) add(v float64) {
+	e.samples++
+	weight := max(ewmaWeight, 1/float64(e.samples))
+	e.value += weight * (v - e.value)
 }
 
-func (u *usual) exceeded(v, factor float64) bool {
-	return u.samples >= minSamples && v > factor*u.value
+func (e *ewma) exceeded(v, factor float64) bool {
+	return e.samples >= minSamples && v > factor*e.value
 }
