--- a/internal/decide/migration/migration_test.go
+++ b/internal/decide/migration/migration_test.go
@@ -23,7 +23,7 @@
 	const notice = 1500 * time.Millisecond
 
 	// Copying it would delay the copies of generations that have long to run.
-	It("stays if it finishes before the engine stops in any case", func() {
+	It("stays if it is certain to finish before the engine stops", func() {
 		remaining := migration.MostLeft(10, 4, 3*40*time.Millisecond)
 		Expect(remaining).To(Equal(6 * 40 * time.Millisecond))
 		Expect(migration.Default().Stays(remaining, notice)).To(BeTrue())
