--- a/internal/decide/placement/backup.go
+++ b/internal/decide/placement/backup.go
@@ -31,8 +31,7 @@
 }
 
 // ChooseKeeper returns the index of the engine that stores a backup of the given
-// number of tokens, or -1 if no engine has room. draw has the same meaning as in
-// Choose.
+// number of tokens, or -1 if no engine has room. draw, in [0, 1), breaks ties.
 func ChooseKeeper(candidates []Candidate, tokens int, draw float64) int {
 	i := Choose(candidates, tokens, draw)
 	if i < 0 || LoadWith(candidates[i], tokens) > maxBackupEngineLoad {
--- a/internal/decide/placement/delay.go
+++ b/internal/decide/placement/delay.go
@@ -4,8 +4,7 @@
 
 // Work is the size of a generation in tokens, with its latency objective.
 type Work struct {
-	// Prompt is the length of the prompt, Output the expected length of the
-	// output.
+	// Lengths of the prompt and of the expected output.
 	Prompt, Output int
 	// Within is the objective for the time to the first token; 0 if there is
 	// none.
@@ -52,7 +51,7 @@
 // others. A choice by load alone has the prompts of short answers read beside
 // long generations and runs many of these on slow engines. When all hosts fail,
 // every generation in progress is lost, so the sum of the times in progress
-// measures the loss to callers, and Delay is what one choice adds to that sum. As
+// measures the loss to callers, and the result is what one choice adds to it. As
 // a result long generations go to fast engines, and short answers go to engines
 // where few generations are delayed while their prompts are read.
 func Delay(c Candidate, w Work) time.Duration {
--- a/internal/decide/placement/delay_test.go
+++ b/internal/decide/placement/delay_test.go
@@ -96,9 +96,9 @@
 }
 
 type simulatedGeneration struct {
-	prompt, unread, output, produced int
-	startedAt                        float64
-	long                             bool
+	prompt, unreadPrompt, output, produced int
+	startedAt                              float64
+	long                                   bool
 }
 
 // step runs at most one step, with times in milliseconds, and returns the
@@ -118,8 +118,8 @@
 	if len(e.prefilling) > 0 {
 		stepTime += prefillMS
 		prefilled := e.prefilling[0]
-		prefilled.unread -= chunk
-		if prefilled.unread <= 0 {
+		prefilled.unreadPrompt -= chunk
+		if prefilled.unreadPrompt <= 0 {
 			e.prefilling, e.decoding = e.prefilling[1:], append(e.decoding, prefilled)
 		}
 	}
@@ -139,7 +139,7 @@
 	for _, r := range slices.Concat(e.decoding, e.prefilling) {
 		c.Running++
 		c.Tokens += r.prompt + r.output
-		c.Unread += max(r.unread, 0)
+		c.Unread += max(r.unreadPrompt, 0)
 	}
 	return c
 }
@@ -170,7 +170,7 @@
 			arrivals = append(arrivals, &simulatedGeneration{prompt: min(logNormal(2200, 0.6), 6000), output: min(logNormal(16, 0.89), 56)})
 		}
 		for _, r := range arrivals {
-			r.unread, r.startedAt = r.prompt, now
+			r.unreadPrompt, r.startedAt = r.prompt, now
 			list := make([]placement.Candidate, len(engines))
 			for i, e := range engines {
 				list[i] = e.candidate()
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -8,11 +8,11 @@
 // out, generations are preempted in the middle of their streams, and callers see
 // pauses of seconds at this engine while others have half of their memory free.
 //
-// Choose takes the target with the largest free fraction of its memory, or of its
-// slots if it is a plain service. Load is what this host runs on the target plus
-// the load that other hosts reported. Among targets of about equal load those in
-// the host's own data centre are preferred, because traffic between data centres
-// costs money.
+// The choice is the target with the largest free fraction of its memory, or of
+// its slots if it has no memory to fill. Load is what this host runs on the
+// target plus the load that other hosts reported. Among targets of about equal
+// load those in the host's own data centre are preferred, because traffic between
+// data centres costs money.
 //
 // The functions are pure.
 package placement
@@ -25,8 +25,8 @@
 	// Running is the known number of running requests of all hosts.
 	Running int
 	Slots   int
-	// Tokens is the memory in tokens that requests of all hosts occupy or will
-	// occupy. Memory is the capacity in tokens, 0 for plain services.
+	// Memory in tokens: what requests of all hosts occupy or will occupy, and the
+	// capacity, which is 0 for plain services.
 	Tokens, Memory int
 	// Copies is the number of tokens in the backups that the target stores.
 	Copies int
@@ -114,9 +114,9 @@
 	return lowestScore(candidates, draw, func(c Candidate) float64 { return LoadWith(c, tokens) })
 }
 
-// ChooseEngine returns the index of the engine with the lowest Delay for a
-// generation, or -1 if there are no candidates. draw has the same meaning as in
-// Choose.
+// ChooseEngine returns the index of the engine on which a generation adds the
+// least delay to all generations, its own included, or -1 if there are no
+// candidates. draw, in [0, 1), breaks ties.
 func ChooseEngine(candidates []Candidate, w Work, draw float64) int {
 	return lowestScore(candidates, draw, func(c Candidate) float64 { return float64(Delay(c, w)) })
 }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -64,9 +64,9 @@
 			for range 14 {
 				order := rng.Perm(targets)[:placement.Sample(targets, hosts)]
 				best := order[0]
-				for _, candidate := range order {
-					if placement.LoadWith(candidates[candidate], tokens) < placement.LoadWith(candidates[best], tokens) {
-						best = candidate
+				for _, index := range order {
+					if placement.LoadWith(candidates[index], tokens) < placement.LoadWith(candidates[best], tokens) {
+						best = index
 					}
 				}
 				sent[best]++
