--- a/internal/decide/loadshare/loadshare.go
+++ b/internal/decide/loadshare/loadshare.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// RefreshEvery is the interval at which a host resends its counts that did
+	// RefreshInterval is the interval at which a host resends its counts that did
 	// not change, so that a lost message is made up for soon.
-	RefreshEvery = 2 * time.Second
+	RefreshInterval = 2 * time.Second
 	// expireAfter is how long a count is valid without being resent: three
 	// refresh intervals, so two refreshes can be lost.
-	expireAfter = 3 * RefreshEvery
+	expireAfter = 3 * RefreshInterval
 )
 
 // Count is the load of one host on one target.
@@ -57,9 +57,8 @@
 // Load is the load on a target. Loads can be added.
 type Load struct {
 	Running int
-	// Tokens is the memory in tokens that the requests occupy or will occupy.
-	// Unread is the number of tokens in prompts that have not produced a first
-	// event yet.
+	// Memory in tokens that the requests occupy or will occupy, and the tokens of
+	// those prompts that have not produced a first event yet.
 	Tokens, Unread int
 	// Copies is the number of tokens in backups that the target stores or will
 	// store.
@@ -122,9 +121,9 @@
 }
 
 // SetStep sets this host's estimate of the time per token on a target.
-func (b *Board) SetStep(now time.Duration, target string, step time.Duration) {
+func (b *Board) SetStep(now time.Duration, target string, timePerToken time.Duration) {
 	c := b.Own(target)
-	c.Step = step
+	c.Step = timePerToken
 	b.setLocal(now, c)
 }
 
@@ -307,14 +306,14 @@
 	return sums
 }
 
-// refresh resends this host's counts of running requests every RefreshEvery.
+// refresh resends this host's counts of running requests every RefreshInterval.
 func (b *Board) refresh(now time.Duration) {
-	if now-b.lastRefresh < RefreshEvery {
+	if now-b.lastRefresh < RefreshInterval {
 		return
 	}
 	b.lastRefresh = now
 	for k, c := range b.counts {
-		if k.host == b.self && c.Running > 0 && now-c.receivedAt >= RefreshEvery {
+		if k.host == b.self && c.Running > 0 && now-c.receivedAt >= RefreshInterval {
 			b.SetOwn(now, k.target, c.Load)
 		}
 	}
--- a/internal/decide/loadshare/loadshare_test.go
+++ b/internal/decide/loadshare/loadshare_test.go
@@ -115,10 +115,10 @@
 		a.SetOwn(0, "e-1", load(1, 3000))
 		Expect(a.OwnNews(0)).To(HaveLen(1))
 		Expect(a.OwnNews(0)).To(BeEmpty())
-		Expect(a.OwnNews(loadshare.RefreshEvery)).To(HaveLen(1))
-		a.SetOwn(loadshare.RefreshEvery, "e-1", load(0, 0))
-		Expect(a.OwnNews(loadshare.RefreshEvery)).To(HaveLen(1))
-		Expect(a.OwnNews(2 * loadshare.RefreshEvery)).To(BeEmpty())
+		Expect(a.OwnNews(loadshare.RefreshInterval)).To(HaveLen(1))
+		a.SetOwn(loadshare.RefreshInterval, "e-1", load(0, 0))
+		Expect(a.OwnNews(loadshare.RefreshInterval)).To(HaveLen(1))
+		Expect(a.OwnNews(2 * loadshare.RefreshInterval)).To(BeEmpty())
 	})
 
 	// Hundreds of hosts query an engine on which they run nothing. If the owner
