--- a/internal/decide/enginespeed/enginespeed.go
+++ b/internal/decide/enginespeed/enginespeed.go
@@ -58,8 +58,8 @@
 	return e
 }
 
-// Sample adds a time per token measured over a window. It reports whether the
-// estimate, which Step returns, should be sent to other hosts.
+// Sample adds a time per token measured over a window. It reports whether the new
+// estimate should be sent to other hosts.
 func (b *Board) Sample(target string, perToken time.Duration) bool {
 	e := b.estimate(target)
 	current := e.timePerToken()
@@ -111,8 +111,8 @@
 func (b *Board) Usual() time.Duration {
 	var times []time.Duration
 	for _, e := range b.estimates {
-		if step := e.timePerToken(); step > 0 {
-			times = append(times, step)
+		if perToken := e.timePerToken(); perToken > 0 {
+			times = append(times, perToken)
 		}
 	}
 	if len(times) == 0 {
