--- a/internal/decide/migration/migration.go
+++ b/internal/decide/migration/migration.go
@@ -47,9 +47,10 @@
 }
 
 // Stays reports whether a generation finishes before the engine stops and does
-// not have to be migrated. remaining is the longest time that it can still run.
-func (c Config) Stays(remaining, leavesIn time.Duration) bool {
-	return remaining < time.Duration(float64(leavesIn)*c.CompletionMargin)
+// not have to be migrated. remaining is the longest time that it can still run,
+// untilStop the time until the engine stops.
+func (c Config) Stays(remaining, untilStop time.Duration) bool {
+	return remaining < time.Duration(float64(untilStop)*c.CompletionMargin)
 }
 
 // CopyTime returns the time that a copy of the given number of tokens takes on an
