--- a/internal/decide/slowstart/config.go
+++ b/internal/decide/slowstart/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config holds the parameters of a Gate. A field with the zero value has its
+// Config holds the parameters of the limit. A field with the zero value has its
 // default.
 type Config struct {
 	// ReportTTL is how long a report is valid, from when the target made it. It
@@ -28,12 +28,14 @@
 	// counts as warm. Default 16: a continuous batch of 16 is past the part of
 	// the warm-up in which engines fail under load.
 	WarmCapacity int
-	// SettleTime is how long Bears must be constant for a small target to count
-	// as settled. Default 5 s, two steps of a warm-up with steps of 2 s.
+	// SettleTime is how long the reported capacity must be constant for a small
+	// target to count as settled. Default 5 s, two steps of a warm-up with steps
+	// of 2 s.
 	SettleTime time.Duration
 	// Burst is the largest number of grants to a warm target per report, or a
-	// quarter of Bears if that is more. It limits what a target that becomes cold
-	// without a restart receives before any report shows it. Default 4.
+	// quarter of its capacity if that is more. It limits what a target that
+	// becomes cold without a restart receives before any report shows it. Default
+	// 4.
 	Burst int
 	// JumpFactor is the ratio of the step time or the time to the first token to
 	// its mean from which a cold start is assumed. Default 4: the step time of a
@@ -90,10 +92,10 @@
 	Unknown State = iota
 	// Cold means that only the published owner grants, one request at a time.
 	Cold
-	// Settled means a small target whose Bears no longer grows. A sole owner
-	// grants up to Bears; others treat the target as cold.
+	// Settled means a small target whose capacity no longer grows. A sole owner
+	// grants up to its capacity; others treat the target as cold.
 	Settled
-	// Warm means that every allocator grants up to Bears.
+	// Warm means that every allocator grants up to the target's capacity.
 	Warm
 )
 
--- a/internal/decide/slowstart/doc.go
+++ b/internal/decide/slowstart/doc.go
@@ -16,9 +16,9 @@
 //     makes the next grant only when it has a report that the target made after
 //     the last grant was seen to start or to end, or after its lease expired.
 //   - The owner reserves room for one unconfirmed grant of each possible other
-//     owner: a grant requires load + MaxOwners <= Bears. Consider the latest
-//     report that any grant was based on. It showed load <= Bears - MaxOwners,
-//     and after it at most one unconfirmed grant of each owner arrives. Bears is
+//     owner: a grant requires load + MaxOwners <= capacity. Consider the latest
+//     report that any grant was based on. It showed load <= capacity - MaxOwners,
+//     and after it at most one unconfirmed grant of each owner arrives. Capacity is
 //     therefore never exceeded, however late reports, clocks and host lists are,
 //     as long as no more than MaxOwners processes act as owner within one lease
 //     duration.
--- a/internal/decide/slowstart/gate.go
+++ b/internal/decide/slowstart/gate.go
@@ -61,9 +61,9 @@
 	g.leases.confirmThrough(madeAt, r.Incarnation)
 }
 
-// Granted records a grant. For a lease that another allocator granted and that
-// became known by a renewal, call Granted and, if it has produced tokens,
-// Started.
+// Granted records a grant. A lease that another allocator granted and that became
+// known by a renewal is recorded in the same way, and also as started once it has
+// produced tokens.
 func (g *Gate) Granted(now time.Duration, lease uint64) {
 	g.leases.add(now, lease, g.report.Incarnation)
 }
--- a/internal/decide/slowstart/gate_test.go
+++ b/internal/decide/slowstart/gate_test.go
@@ -39,7 +39,7 @@
 
 	It("has no room without a report or after the report has expired", func() {
 		Expect(g.Room(0)).To(Equal(0))
-		Expect(roomAfterReport(100*ms, 0, 1, 32, 0)).To(Equal(8), "a burst of a quarter of Bears")
+		Expect(roomAfterReport(100*ms, 0, 1, 32, 0)).To(Equal(8), "a burst of a quarter of the capacity")
 		Expect(roomAfterReport(200*ms, 0, 1, 32, 31)).To(Equal(1))
 		g.Granted(200*ms, 1)
 		Expect(g.Room(200 * ms)).To(Equal(0))
@@ -61,7 +61,7 @@
 		Expect(g.Room(10 * sec)).To(BeNumerically("<=", 1))
 	},
 		Entry("incarnation", func(now time.Duration) { roomAfterReport(now, 0, 2, 2, 0) }),
-		Entry("drop of Bears", func(now time.Duration) { roomAfterReport(now, 0, 1, 20, 0) }),
+		Entry("drop of the capacity", func(now time.Duration) { roomAfterReport(now, 0, 1, 20, 0) }),
 		Entry("step time", func(now time.Duration) {
 			g.Observe(now, slowstart.Report{Incarnation: 1, Bears: 64, Running: 4, StepTime: 200 * ms})
 		}),
--- a/internal/decide/slowstart/warmup.go
+++ b/internal/decide/slowstart/warmup.go
@@ -7,9 +7,9 @@
 	// before the target may count as warm again. With three, one fast step cannot
 	// hide a cold cache.
 	normalReportsAfterJump = 3
-	// capacityDropRatio is the ratio of Bears to its last value below which the
-	// target is assumed to have become cold without a restart. Engines lower
-	// Bears by a few when memory is short.
+	// capacityDropRatio is the ratio of the reported capacity to its last value
+	// below which the target is assumed to have become cold without a restart.
+	// Engines lower it by a few requests when memory is short.
 	capacityDropRatio = 0.5
 	// ewmaWeight is the weight of a new sample, which gives about the mean of the
 	// last ten.
@@ -25,15 +25,14 @@
 // warmupTracker derives a target's warm-up state from its reports and from the
 // requests that it finished.
 type warmupTracker struct {
-	cfg              Config
-	state            State
-	hasReport        bool
-	incarnation      uint64
-	reportedCapacity int
-	capacitySince    time.Duration
-	completed        int
-	// estimatedCapacity is used instead of Bears if the target does not report
-	// it.
+	cfg               Config
+	state             State
+	hasReport         bool
+	incarnation       uint64
+	reportedCapacity  int
+	capacitySince     time.Duration
+	completedRequests int
+	// estimatedCapacity is used if the target does not report its capacity.
 	estimatedCapacity   int
 	normalReportsNeeded int
 
@@ -54,7 +53,7 @@
 // suspect makes the target cold and requires normal reports. The mean values
 // stay, because the next reports are compared with them.
 func (w *warmupTracker) suspect() {
-	w.state, w.estimatedCapacity, w.completed, w.normalReportsNeeded = Cold, 1, 0, normalReportsAfterJump
+	w.state, w.estimatedCapacity, w.completedRequests, w.normalReportsNeeded = Cold, 1, 0, normalReportsAfterJump
 }
 
 func (w *warmupTracker) observe(madeAt time.Duration, r Report) {
@@ -96,7 +95,7 @@
 		w.state = Cold
 	case w.capacity() >= w.cfg.WarmCapacity:
 		w.state = Warm
-	case w.reportedCapacity > 0 && w.completed > 0 && madeAt-w.capacitySince >= w.cfg.SettleTime:
+	case w.reportedCapacity > 0 && w.completedRequests > 0 && madeAt-w.capacitySince >= w.cfg.SettleTime:
 		w.state = Settled
 	default:
 		w.state = Cold
@@ -107,7 +106,7 @@
 // at least half of it is in use: requests that ran alone do not show how many the
 // target can run together.
 func (w *warmupTracker) finished(running int, firstToken time.Duration) {
-	w.completed++
+	w.completedRequests++
 	if firstToken > 0 && w.firstToken.exceeded(float64(firstToken), w.cfg.JumpFactor) {
 		w.suspect()
 		return
