--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Begin records a first call and returns the delay after which to call Second; ok
-// is false if the call is not to be hedged.
+// Begin records a first call and returns the delay after which to ask for a
+// second one; ok is false if the call is not to be hedged.
 func (h *Hedger) Begin(repeatable bool) (delay time.Duration, ok bool) {
 	if !repeatable {
 		return 0, false
