--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -12,87 +12,93 @@
 	"filbertdeck/internal/decide/slowstart"
 )
 
-// Config holds the allocator's figures; the zero value of a field means its
-// default.
+// Config holds the allocator's parameters; the zero value of a field selects
+// its default.
 type Config struct {
 	// Owner tells whether this allocator is the pool's published owner. Only
-	// the published owner admits to cold targets.
+	// the published owner admits requests to cold targets.
 	Owner bool
-	// LeaseFor is the life of a lease without renewal. Default 3 s.
+	// LeaseFor is the lifetime of a lease without renewal. Default 3 s.
 	LeaseFor time.Duration
-	// QueueLimit bounds the asks that wait. Default 1024.
+	// QueueLimit bounds the number of waiting asks. Default 1024.
 	QueueLimit int
-	// Seed seeds the choices that are random and the first lease's id. Draw it
-	// anew at each start of the process: an id that comes again would renew a
-	// lease of the process before.
+	// Seed seeds the random choices and the first lease ID. It must be drawn
+	// anew at each start of the process: a repeated ID would renew a lease of
+	// the previous process.
 	Seed uint64
-	// Memory is the memory rule; the zero value is the default rule.
+	// Memory is the rule for admission by memory; the zero value is the default
+	// rule.
 	Memory memory.Rule
-	// SlowStart holds the figures for targets that have just started.
+	// SlowStart holds the parameters for targets that have just started.
 	SlowStart slowstart.Config
 }
 
 const (
-	defaultLease      = 3 * time.Second
-	defaultQueueLimit = 1024
-
-	// PromptCharge and OutputCharge are the service charged for a token. An
-	// output token costs a place in a batch step and a prompt token a part of
-	// one; the scheme's authors charge 1 and 2 as well.
-	PromptCharge = 1.0
-	OutputCharge = 2.0
+	defaultLeaseDuration = 3 * time.Second
+	defaultQueueLimit    = 1024
+
+	// PromptTokenCharge and OutputTokenCharge are the service charged per
+	// token. An output token takes a slot in a batch step and a prompt token a
+	// part of one; the scheme that package fairqueue cites has the same
+	// charges of 1 and 2.
+	PromptTokenCharge = 1.0
+	OutputTokenCharge = 2.0
 	// callCharge is charged for a call of a plain service, which has no tokens.
 	callCharge = 1.0
 
-	// refreshEvery bounds the age of predictions: at 25 tokens a second each
-	// of 50 generations grows by 2.5 tokens between refreshes, a thousandth of
-	// an engine's memory in all.
-	refreshEvery = 100 * time.Millisecond
-	// deferLimit bounds the asks put behind in one round because they can't use
-	// the targets that have room (Ask.Avoid, suspects): two batches' worth of
-	// innocents that shared a target with a poison request.
-	deferLimit = 64
-	// hopelessChecks bounds the accounts whose newest ask is looked at again at
-	// each refresh; all 11,000 are seen within five seconds.
-	hopelessChecks = 256
+	// refreshInterval bounds the age of predictions: at 25 tokens per second
+	// each of 50 generations grows by 2.5 tokens between refreshes, in total a
+	// thousandth of an engine's memory.
+	refreshInterval = 100 * time.Millisecond
+	// maxDeferralsPerPass bounds the asks that one pass defers because they
+	// cannot use the targets with free capacity (Ask.Avoid, crash suspects). It
+	// covers two batches of innocent requests that shared a target with a
+	// poison request.
+	maxDeferralsPerPass = 64
+	// deadlineChecksPerRefresh bounds the accounts whose newest ask is checked
+	// again at each refresh; all of 11,000 accounts are checked within five
+	// seconds.
+	deadlineChecksPerRefresh = 256
 )
 
 // Allocator admits requests to the targets of one pool.
 type Allocator struct {
-	cfg     Config
-	random  *rand.Rand
-	outputs outputs
-	queue   *fairqueue.Queue[Ask]
-	drain   fairqueue.Drain
-	shares  map[string]Share
-	parts   partTable
-
-	targets map[string]*target
-	order   []*target
-	// usable is the number of targets that aren't leaving.
-	usable  int
-	waiting map[askKey]*fairqueue.Request[Ask]
-	leases  leaseTable
-
-	health   *health.Pool
-	pace     pace
-	suspects suspects
-	owner    ownership
-	stopping bool
-
-	skipped []*fairqueue.Account[Ask]
-	// held are the waiting suspects, in the order in which they became so.
-	held     []*fairqueue.Request[Ask]
-	heldGrew bool
-	// turn counts calls of admit.
-	turn      uint64
-	refreshed time.Duration
-	round     int
-	// out gathers decisions; spare is the slice that the last Decide returned.
-	out, spare []Decision
+	cfg           Config
+	random        *rand.Rand
+	outputLengths outputLengthModel
+	queue         *fairqueue.Queue[Ask]
+	drainRate     fairqueue.DrainRate
+	shares        map[string]Share
+	quotas        quotaTable
+
+	targets     map[string]*target
+	targetOrder []*target
+	// usableTargets is the number of targets that are not leaving.
+	usableTargets int
+	waiting       map[askKey]*fairqueue.Request[Ask]
+	leases        leaseTable
+
+	health    *health.Pool
+	stepTimes stepTimeModel
+	poison    poisonGuard
+	ownership ownership
+	stopping  bool
+
+	skippedAccounts []*fairqueue.Account[Ask]
+	// quarantined holds the waiting suspects, in the order in which they became
+	// so.
+	quarantined    []*fairqueue.Request[Ask]
+	quarantineGrew bool
+	// admitPass counts the calls of admit.
+	admitPass          uint64
+	refreshedAt        time.Duration
+	deadlineCheckIndex int
+	// pendingDecisions collects decisions; spareDecisions is the slice that the
+	// last Decide returned.
+	pendingDecisions, spareDecisions []Decision
 }
 
-// askKey names a waiting ask.
+// askKey identifies a waiting ask.
 type askKey struct {
 	holder  Holder
 	request uint64
@@ -101,7 +107,7 @@
 // New returns an allocator without targets.
 func New(cfg Config) *Allocator {
 	if cfg.LeaseFor == 0 {
-		cfg.LeaseFor = defaultLease
+		cfg.LeaseFor = defaultLeaseDuration
 	}
 	if cfg.QueueLimit == 0 {
 		cfg.QueueLimit = defaultQueueLimit
@@ -111,23 +117,23 @@
 	}
 	cfg.SlowStart.LeaseFor = cfg.LeaseFor
 	return &Allocator{
-		cfg:      cfg,
-		random:   rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
-		outputs:  newOutputs(),
-		queue:    fairqueue.New[Ask](cfg.QueueLimit, fairqueue.DefaultLookAhead),
-		shares:   map[string]Share{},
-		parts:    partTable{byAccount: map[string]*part{}},
-		targets:  map[string]*target{},
-		waiting:  map[askKey]*fairqueue.Request[Ask]{},
-		leases:   newLeaseTable(LeaseID(firstID(cfg.Seed))),
-		health:   health.New(health.Config{}),
-		suspects: newSuspects(),
-		owner:    ownership{owner: cfg.Owner, known: cfg.Owner},
+		cfg:           cfg,
+		random:        rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
+		outputLengths: newOutputLengthModel(),
+		queue:         fairqueue.New[Ask](cfg.QueueLimit, fairqueue.DefaultLookAhead),
+		shares:        map[string]Share{},
+		quotas:        quotaTable{byAccount: map[string]*quotaState{}},
+		targets:       map[string]*target{},
+		waiting:       map[askKey]*fairqueue.Request[Ask]{},
+		leases:        newLeaseTable(LeaseID(firstID(cfg.Seed))),
+		health:        health.New(health.Config{}),
+		poison:        newPoisonGuard(),
+		ownership:     ownership{owner: cfg.Owner, received: cfg.Owner},
 	}
 }
 
-// firstID spreads seeds over all ids, so that the ids drawn after neighbouring
-// seeds don't run into each other.
+// firstID distributes seeds over all IDs, so that the ID ranges of neighbouring
+// seeds do not overlap.
 func firstID(seed uint64) uint64 {
 	var b [8]byte
 	for i := range b {
@@ -136,7 +142,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// SetShares replaces the accounts' shares.
+// SetShares replaces the shares of all accounts.
 func (a *Allocator) SetShares(now time.Duration, shares []Share) {
 	clear(a.shares)
 	for _, s := range shares {
@@ -144,197 +150,198 @@
 	}
 }
 
-// SetShare replaces one account's share, as an edit of one row does.
+// SetShare replaces one account's share.
 func (a *Allocator) SetShare(_ time.Duration, s Share) {
 	a.shares[s.Account] = s
-	if a.queue.Known(s.Account) != nil {
-		a.account(s.Account)
+	if a.queue.Lookup(s.Account) != nil {
+		a.queueAccount(s.Account)
 	}
 }
 
-// RemoveShare takes an account's share away; it counts with weight 1 then.
+// RemoveShare removes an account's share; the account then has weight 1.
 func (a *Allocator) RemoveShare(_ time.Duration, account string) {
 	delete(a.shares, account)
-	if a.queue.Known(account) != nil {
-		a.account(account)
+	if a.queue.Lookup(account) != nil {
+		a.queueAccount(account)
 	}
 }
 
-func (a *Allocator) account(name string) *fairqueue.Account[Ask] {
+func (a *Allocator) queueAccount(name string) *fairqueue.Account[Ask] {
 	s := a.shares[name]
-	return a.queue.Account(name, s.Weight, a.limit(name, s))
+	return a.queue.UpsertAccount(name, s.Weight, a.runningLimit(name, s))
 }
 
-// Stop refuses everything that waits and everything asked from now on. What
-// runs goes on, and its leases are renewed and settled as before.
+// Stop refuses all waiting requests and all later asks. Running requests
+// continue, and their leases are renewed and settled as before.
 func (a *Allocator) Stop(_ time.Duration) { a.stopping = true }
 
-// Decide moves time on and returns the decisions that are due. The slice is
-// valid until the next call.
+// Decide advances the time to now and returns the decisions that are due. The
+// slice is valid until the next call.
 func (a *Allocator) Decide(now time.Duration) []Decision {
 	a.expireLeases(now)
-	a.lapseParts(now)
+	a.expireQuotas(now)
 	a.refresh(now)
-	a.refuseOverdue(now - 1)
+	a.refuseExpired(now - 1)
 	a.admit(now)
-	if a.heldGrew {
-		a.refuseHeld(now)
+	if a.quarantineGrew {
+		a.refuseQuarantined(now)
 	}
-	a.refuseOverdue(now)
-	out := a.out
-	a.out, a.spare = a.spare[:0], out
+	a.refuseExpired(now)
+	out := a.pendingDecisions
+	a.pendingDecisions, a.spareDecisions = a.spareDecisions[:0], out
 	return out
 }
 
-// refresh brings everything up to date that follows from the passage of time.
+// refresh updates all state that depends on the passage of time.
 func (a *Allocator) refresh(now time.Duration) {
-	if now-a.refreshed < refreshEvery && a.refreshed > 0 {
+	if now-a.refreshedAt < refreshInterval && a.refreshedAt > 0 {
 		return
 	}
-	a.refreshed = now
-	a.outputs.refresh()
-	for _, t := range a.order {
-		t.refresh(now, &a.outputs)
+	a.refreshedAt = now
+	a.outputLengths.refresh()
+	for _, t := range a.targetOrder {
+		t.refresh(now, &a.outputLengths)
 	}
-	// Requests that only their account's limit or their own constraints hold
-	// back say nothing of how fast the pool serves: it may be idle, and others
-	// would be turned away.
-	a.drain.Tick(now, a.queue.Blocked())
-	a.refuseHopeless(now)
-	a.refuseHeld(now)
+	// Requests held back only by their account's limit or their own constraints
+	// are no evidence of how fast the pool serves: it may be idle, and a rate
+	// measured then would cause other requests to be refused.
+	a.drainRate.Update(now, a.queue.AtCapacity())
+	a.refusePredictedLate(now)
+	a.refuseQuarantined(now)
 }
 
-// admit grants in the queue's order for as long as the head finds a target. A
-// head without room keeps its place and those behind it wait: passing over a
-// large prompt for small ones would starve it. Only a head whose own
-// constraints rule out the targets with room goes behind its account's others.
+// admit grants requests in queue order for as long as a target can take the
+// head. A head that no target has capacity for keeps its position and blocks
+// those behind it: serving small requests ahead of a large prompt would starve
+// it. Only a head whose own constraints exclude the targets with free capacity
+// moves behind the other requests of its account.
 func (a *Allocator) admit(now time.Duration) {
-	a.turn++
-	fate := headAnswered
-	for deferred := 0; fate != headBlocked && deferred < deferLimit; {
+	a.admitPass++
+	result := headDecided
+	for deferred := 0; result != headBlocked && deferred < maxDeferralsPerPass; {
 		r := a.queue.Head()
 		if r == nil {
 			break
 		}
-		if fate = a.serve(now, r); fate == headDeferred {
+		if result = a.processHead(now, r); result == headDeferred {
 			deferred++
 		}
 	}
-	a.queue.SetBlocked(fate == headBlocked)
-	for _, s := range a.skipped {
+	a.queue.SetAtCapacity(result == headBlocked)
+	for _, s := range a.skippedAccounts {
 		a.queue.Unskip(s)
 	}
-	a.skipped = a.skipped[:0]
+	a.skippedAccounts = a.skippedAccounts[:0]
 }
 
-// headFate says what became of the request at the head.
-type headFate int
+// headResult is the outcome of processing the request at the head.
+type headResult int
 
 const (
-	headAnswered headFate = iota
+	headDecided headResult = iota
 	headDeferred
 	headBlocked
 )
 
-// serve grants, refuses or defers the head.
-func (a *Allocator) serve(now time.Duration, r *fairqueue.Request[Ask]) headFate {
+// processHead grants, refuses or defers the request at the head.
+func (a *Allocator) processHead(now time.Duration, r *fairqueue.Request[Ask]) headResult {
 	ask := &r.Value
-	ruling := a.suspects.rule(now, ask.Fingerprint)
-	if ruling.guilty {
-		a.refuseWaiting(r, RefusedPoison, ruling.wait)
-		return headAnswered
+	restriction := a.poison.restrictionFor(now, ask.Fingerprint)
+	if restriction.rejected {
+		a.refuseWaiting(r, RefusedPoison, restriction.wait)
+		return headDecided
 	}
-	t := a.choose(now, ask, ruling)
+	t := a.chooseTarget(now, ask, restriction)
 	if t != nil {
-		a.grantWaiting(now, r, t, ruling)
-		return headAnswered
+		a.grantWaiting(now, r, t, restriction)
+		return headDecided
 	}
-	if len(ask.Avoid) == 0 && !ruling.constrained() {
+	if len(ask.Avoid) == 0 && !restriction.restricted() {
 		return headBlocked
 	}
-	if ruling.constrained() {
-		a.hold(r)
+	if restriction.restricted() {
+		a.quarantine(r)
 	}
-	if ruling.alone {
-		a.suspects.reserve(a.order, r)
+	if restriction.exclusive {
+		a.poison.reserveTarget(a.targetOrder, r)
 	}
-	// Back at a request that was deferred in this turn, nothing of its account
-	// can run. Going round it again would use up the turn, and everybody
-	// else's requests would wait beside idle targets.
-	if r.Turn == a.turn {
-		a.skipped = append(a.skipped, r.Account)
+	// A request that was already deferred in this pass is at the head again, so
+	// no request of its account can run. Trying the account again would use up
+	// the pass while other accounts' requests wait for targets that are idle.
+	if r.DeferredInPass == a.admitPass {
+		a.skippedAccounts = append(a.skippedAccounts, r.Account)
 		a.queue.Skip(r.Account)
 		return headDeferred
 	}
-	r.Turn = a.turn
+	r.DeferredInPass = a.admitPass
 	a.queue.Defer(r)
 	return headDeferred
 }
 
-func (a *Allocator) grantWaiting(now time.Duration, r *fairqueue.Request[Ask], t *target, ruling ruling) {
+func (a *Allocator) grantWaiting(now time.Duration, r *fairqueue.Request[Ask], t *target, restriction poisonRestriction) {
 	ask := r.Value
 	delete(a.waiting, askKey{ask.Holder, ask.Request})
-	a.suspects.release(r)
-	a.unhold(r)
+	a.poison.releaseReservation(r)
+	a.releaseQuarantine(r)
 	cost := admissionCharge(ask.PromptTokens, t)
 	a.queue.Start(r, cost)
-	a.drain.Charge(cost)
-	l := a.leases.draw()
+	a.drainRate.Add(cost)
+	l := a.leases.create()
 	l.service = ask.Service
-	l.fingerprint, l.alone, l.suspect = ask.Fingerprint, ruling.alone, ruling.constrained()
-	a.book(now, l, ask.Holder, r.Account, t, memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	l.fingerprint, l.exclusive, l.suspect = ask.Fingerprint, restriction.exclusive, restriction.restricted()
+	a.addLease(now, l, ask.Holder, r.Account, t, memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	l.charged = cost
-	t.cache.expect(ask.Prefix)
+	t.cache.insert(ask.Prefix)
 	if a.health.Standing(now, t.address) == health.Trial {
 		a.health.BeginTrial(now, t.address)
 	}
-	a.queue.Release(r)
+	a.queue.Recycle(r)
 	a.grant(l, ask.Request, 0)
 }
 
 func (a *Allocator) grant(l *lease, request uint64, attained int) {
-	a.out = append(a.out, Decision{
+	a.pendingDecisions = append(a.pendingDecisions, Decision{
 		Holder: l.holder, Request: request, Lease: l.id, Target: l.target.address,
 		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseFor: a.cfg.LeaseFor,
 	})
 }
 
-// admissionCharge is what a request is charged before it produced anything.
-func admissionCharge(prompt int, t *target) float64 {
+// admissionCharge returns the charge of a request before it produces output.
+func admissionCharge(promptTokens int, t *target) float64 {
 	if t.report.MemoryTokens == 0 {
 		return callCharge
 	}
-	return PromptCharge * float64(prompt)
+	return PromptTokenCharge * float64(promptTokens)
 }
 
-// Snapshot is what the allocator shows of itself for counters.
+// Snapshot is the allocator's state as exported for metrics.
 type Snapshot struct {
 	Waiting, Running, Accounts int
 	Targets                    []TargetSnapshot
 }
 
-// TargetSnapshot shows one target.
+// TargetSnapshot is the state of one target.
 type TargetSnapshot struct {
 	Address string
 	State   slowstart.State
 	Running int
-	// PredictedTokens is the memory in use by our own count.
+	// PredictedTokens is the memory in use as predicted by the allocator.
 	PredictedTokens int
-	// Report is the target's last statement; its Age counts from when it was
-	// made to when it was read.
+	// Report is the target's last report; its Age is the time from when it was
+	// taken to when it was received.
 	Report Report
 }
 
-// Waiting counts the asks that have no decision yet.
+// Waiting returns the number of asks without a decision.
 func (a *Allocator) Waiting() int { return a.queue.Len() }
 
-// Running counts the leases in force.
+// Running returns the number of active leases.
 func (a *Allocator) Running() int { return len(a.leases.byID) }
 
-// Snapshot returns the state for counters.
+// Snapshot returns the current state for metrics.
 func (a *Allocator) Snapshot(now time.Duration) Snapshot {
-	s := Snapshot{Waiting: a.queue.Len(), Running: len(a.leases.byID), Accounts: a.queue.Accounts()}
-	for _, t := range a.order {
+	s := Snapshot{Waiting: a.queue.Len(), Running: len(a.leases.byID), Accounts: a.queue.AccountCount()}
+	for _, t := range a.targetOrder {
 		s.Targets = append(s.Targets, TargetSnapshot{
 			Address: t.address, State: t.gate.State(now), Running: len(t.leases),
 			PredictedTokens: int(t.load.Now()), Report: t.report,
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -9,44 +9,47 @@
 )
 
 const (
-	// affinityWeight is what a wholly cached prompt counts against free room.
-	// Too much and all requests of a popular prefix herd onto one target while
-	// others idle; 0.3 lets a target with up to 30% less room win.
+	// affinityWeight is the score of a fully cached prompt, in units of free
+	// capacity (0 to 1). A high value sends all requests of a popular prefix to
+	// one target while others are idle; with 0.3 a target with up to 30% less
+	// free capacity is preferred.
 	affinityWeight = 0.3
-	// affinityTokens is the cached prompt that counts in full. Prompts are
-	// computed at tens of thousands of tokens a second, so that a thousand cost
-	// about one batch step of everyone on that target.
-	affinityTokens = 1024
-	// tieBreak spreads equal targets at random, so that several allocators that
-	// see the same reports don't all take the first in the list.
-	tieBreak = 0.01
+	// fullAffinityTokens is the number of cached prompt tokens that gives the
+	// full score. Prompts are processed at tens of thousands of tokens per
+	// second, so that a thousand tokens delay all requests of the target by
+	// about one batch step.
+	fullAffinityTokens = 1024
+	// tieBreakJitter is the random part of the score, so that several
+	// allocators with the same reports do not all choose the first of several
+	// equal targets.
+	tieBreakJitter = 0.01
 )
 
-// choose picks the target for an ask: it filters those that may take it and
-// takes the one with the most room and the most of the prompt in its cache,
-// healthy ones first. It returns nil when none may.
-func (a *Allocator) choose(now time.Duration, ask *Ask, r ruling) *target {
-	if r.held {
+// chooseTarget picks the target for an ask: of the targets that may take it,
+// the one with the best sum of free capacity and cached prompt, healthy ones
+// first. It returns nil if there is none.
+func (a *Allocator) chooseTarget(now time.Duration, ask *Ask, restriction poisonRestriction) *target {
+	if restriction.mustWait {
 		return nil
 	}
 	var growth memory.Growth
-	growth.Predict(a.outputs.of(ask.Service), memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
-	avoid := a.avoided(ask)
+	growth.Predict(a.outputLengths.forService(ask.Service), memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	avoid := a.effectiveAvoidList(ask)
 	var best *target
 	bestScore := 0.0
-	for _, t := range a.order {
+	for _, t := range a.targetOrder {
 		standing := a.health.Standing(now, t.address)
 		if standing == health.Ejected || t.leaving || slices.Contains(avoid, t.address) {
 			continue
 		}
-		if !t.allows(r) || t.room(now, a.owner.owner) <= 0 {
+		if !t.allows(restriction) || t.freeSlots(now, a.ownership.owner) <= 0 {
 			continue
 		}
 		room, fits := a.headroom(t, ask, &growth)
 		if !fits {
 			continue
 		}
-		score := room + a.affinity(t, ask) + tieBreak*a.random.Float64() + preference(standing)
+		score := room + a.cacheAffinity(t, ask) + tieBreakJitter*a.random.Float64() + standingBonus(standing)
 		if best == nil || score > bestScore {
 			best, bestScore = t, score
 		}
@@ -54,29 +57,30 @@
 	return best
 }
 
-// preference puts a target's standing before its score, which lies within -2
-// and 2: one trial request goes ahead, so that a target which recovered comes
-// back, and a doubtful target is taken when no good one has room.
-func preference(s health.Standing) float64 {
-	switch s {
+// standingBonus ranks a target's health standing above the rest of its score,
+// which lies between -2 and 2. A target on trial is preferred for one request,
+// so that a recovered target returns to service; a doubtful target is used only
+// if no good one has capacity.
+func standingBonus(standing health.Standing) float64 {
+	switch standing {
 	case health.Trial:
-		return standingStep
+		return standingWeight
 	case health.Doubtful:
-		return -standingStep
+		return -standingWeight
 	default:
 		return 0
 	}
 }
 
-const standingStep = 10.0
+const standingWeight = 10.0
 
-// avoided gives the targets to avoid; a list that names them all is void, for
-// else the request could never run.
-func (a *Allocator) avoided(ask *Ask) []string {
+// effectiveAvoidList returns the targets to avoid. A list that names all
+// targets is ignored, because the request could otherwise never run.
+func (a *Allocator) effectiveAvoidList(ask *Ask) []string {
 	if len(ask.Avoid) == 0 {
 		return nil
 	}
-	for _, t := range a.order {
+	for _, t := range a.targetOrder {
 		if !t.leaving && !slices.Contains(ask.Avoid, t.address) {
 			return ask.Avoid
 		}
@@ -84,25 +88,27 @@
 	return nil
 }
 
-// headroom is the part of the target that stays free with the ask on it.
+// headroom returns the part of the target that remains free with the ask on it.
 func (a *Allocator) headroom(t *target, ask *Ask, growth *memory.Growth) (room float64, fits bool) {
 	if t.report.MemoryTokens == 0 {
-		used := len(t.leases) + t.strangers
-		return 1 - float64(used+1)/float64(t.bears()), true
+		used := len(t.leases) + t.unknownRequests
+		return 1 - float64(used+1)/float64(t.capacity()), true
 	}
 	size := float64(t.report.MemoryTokens)
-	room = a.cfg.Memory.Headroom(&t.load, growth, t.unexplained, size)
-	// An empty engine takes whatever prompt fits it: no admission rule may keep
-	// a request out for ever because its output could be long.
-	empty := len(t.leases) == 0 && t.strangers == 0 && t.unexplained < 1
+	room = a.cfg.Memory.Headroom(&t.load, growth, t.unattributedTokens, size)
+	// An empty engine takes any prompt that fits: the memory rule must not
+	// exclude a request for ever because its output could be long.
+	empty := len(t.leases) == 0 && t.unknownRequests == 0 && t.unattributedTokens < 1
 	return room, room >= 0 || empty && float64(ask.PromptTokens+1) <= a.cfg.Memory.Watermark*size
 }
 
-func (a *Allocator) affinity(t *target, ask *Ask) float64 {
+// cacheAffinity returns the score for the part of the prompt in the target's
+// cache.
+func (a *Allocator) cacheAffinity(t *target, ask *Ask) float64 {
 	if len(ask.Prefix) == 0 || ask.PromptTokens == 0 {
 		return 0
 	}
-	part := float64(t.cache.hits(ask.Prefix)) / float64(len(ask.Prefix))
-	cached := part * float64(ask.PromptTokens)
-	return affinityWeight * min(1, cached/affinityTokens)
+	hitRatio := float64(t.cache.leadingHits(ask.Prefix)) / float64(len(ask.Prefix))
+	cached := hitRatio * float64(ask.PromptTokens)
+	return affinityWeight * min(1, cached/fullAffinityTokens)
 }
--- a/internal/decide/admission/held.go
+++ b/internal/decide/admission/held.go
@@ -7,43 +7,44 @@
 	"filbertdeck/internal/decide/fairqueue"
 )
 
-// hold counts a waiting request among the suspects.
-func (a *Allocator) hold(r *fairqueue.Request[Ask]) {
-	if !r.Held {
-		r.Held = true
-		a.held = append(a.held, r)
-		a.heldGrew = true
+// quarantine adds a waiting request to the quarantined suspects.
+func (a *Allocator) quarantine(r *fairqueue.Request[Ask]) {
+	if !r.Quarantined {
+		r.Quarantined = true
+		a.quarantined = append(a.quarantined, r)
+		a.quarantineGrew = true
 	}
 }
 
-func (a *Allocator) unhold(r *fairqueue.Request[Ask]) {
-	if !r.Held {
+func (a *Allocator) releaseQuarantine(r *fairqueue.Request[Ask]) {
+	if !r.Quarantined {
 		return
 	}
-	r.Held = false
-	i := slices.Index(a.held, r)
-	a.held = slices.Delete(a.held, i, i+1)
+	r.Quarantined = false
+	i := slices.Index(a.quarantined, r)
+	a.quarantined = slices.Delete(a.quarantined, i, i+1)
 }
 
-// refuseHeld answers suspects that can't make it. A target that dies leaves
-// dozens of them, and they run one a target; those far behind would hear only
-// when their time is over, though it is plain at once that it won't do.
-func (a *Allocator) refuseHeld(now time.Duration) {
-	a.heldGrew = false
+// refuseQuarantined refuses suspects that cannot be served before their
+// deadlines. A crash of a target leaves dozens of suspects, which run one per
+// target; those far behind would otherwise be refused only at their deadlines,
+// although the wait is predictable at once.
+func (a *Allocator) refuseQuarantined(now time.Duration) {
+	a.quarantineGrew = false
 	ahead := 0
-	for _, t := range a.order {
-		ahead += t.suspects
+	for _, t := range a.targetOrder {
+		ahead += t.suspectLeases
 	}
-	for i := 0; i < len(a.held); {
-		r := a.held[i]
-		ruling := a.suspects.rule(now, r.Value.Fingerprint)
-		rounds := time.Duration(ahead / max(a.usable, 1))
-		wait := ruling.wait + rounds*a.leases.residence
+	for i := 0; i < len(a.quarantined); {
+		r := a.quarantined[i]
+		restriction := a.poison.restrictionFor(now, r.Value.Fingerprint)
+		rounds := time.Duration(ahead / max(a.usableTargets, 1))
+		wait := restriction.wait + rounds*a.leases.meanServiceTime
 		switch {
-		case !ruling.constrained():
+		case !restriction.restricted():
 			i++
 		case now+wait > r.Deadline:
-			a.refuseWaiting(r, RefusedDeadline, a.comeBack(wait))
+			a.refuseWaiting(r, RefusedDeadline, a.retryAfter(wait))
 		default:
 			ahead++
 			i++
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -8,7 +8,7 @@
 	"filbertdeck/internal/decide/memory"
 )
 
-// lease is one admission that counts.
+// lease is one active admission.
 type lease struct {
 	id      LeaseID
 	holder  Holder
@@ -18,49 +18,49 @@
 	gen     memory.Generation
 	growth  memory.Growth
 	granted time.Duration
-	// heard is when gen.Produced was told.
-	heard   time.Duration
-	expires time.Duration
+	// progressAt is when gen.Produced was last reported.
+	progressAt time.Duration
+	expires    time.Duration
 	// charged is the service charged so far, in tokens.
 	charged     float64
 	fingerprint uint64
-	// alone and suspect say that the poison rules hold it apart.
-	alone, suspect bool
-	// place is its index in the target's leases.
-	place          int
+	// exclusive is set if the request must run without any other on its target,
+	// suspect if crash evidence restricts it at all.
+	exclusive, suspect bool
+	// index is the lease's position in the target's leases.
+	index          int
 	previous, next *lease
 }
 
-// leaseTable holds the leases by id and in the order of their expiry. All live
-// equally long, so that a renewed one goes to the end and the order needs no
-// sorting.
+// leaseTable holds the leases by ID and in order of expiry. All have the same
+// lifetime, so a renewed lease moves to the end and no sorting is needed.
 type leaseTable struct {
 	byID        map[LeaseID]*lease
 	first, last *lease
 	nextID      LeaseID
 	free        []*lease
-	// residence is the mean time from grant to settlement, meanCharge the mean
-	// service of a finished request.
-	residence  time.Duration
-	meanCharge float64
+	// meanServiceTime is the mean time from grant to settlement, meanCharge the
+	// mean charge of a finished request in tokens.
+	meanServiceTime time.Duration
+	meanCharge      float64
 }
 
 func newLeaseTable(first LeaseID) leaseTable {
 	return leaseTable{byID: map[LeaseID]*lease{}, nextID: first}
 }
 
-// draw returns a lease with an id that isn't in use. Ids of leases rebuilt from
-// renewals come from other processes and could be met by chance.
-func (t *leaseTable) draw() *lease {
+// create returns a lease with an unused ID. IDs of leases rebuilt from renewals
+// come from other processes and can collide with new ones.
+func (t *leaseTable) create() *lease {
 	for {
 		t.nextID++
 		if _, used := t.byID[t.nextID]; !used && t.nextID != 0 {
-			return t.make(t.nextID)
+			return t.insert(t.nextID)
 		}
 	}
 }
 
-func (t *leaseTable) make(id LeaseID) *lease {
+func (t *leaseTable) insert(id LeaseID) *lease {
 	var l *lease
 	if n := len(t.free); n > 0 {
 		l = t.free[n-1]
@@ -103,35 +103,36 @@
 	t.free = append(t.free, l)
 }
 
-// settled feeds the means with a finished request.
-func (t *leaseTable) settled(residence time.Duration, charge float64) {
+// recordFinished updates the means with a finished request.
+func (t *leaseTable) recordFinished(serviceTime time.Duration, charge float64) {
 	if t.meanCharge == 0 {
-		t.residence, t.meanCharge = residence, charge
+		t.meanServiceTime, t.meanCharge = serviceTime, charge
 		return
 	}
-	keep := residenceMemory
-	t.residence = time.Duration(keep*float64(t.residence) + (1-keep)*float64(residence))
-	t.meanCharge = keep*t.meanCharge + (1-keep)*charge
+	decay := leaseMeanDecay
+	t.meanServiceTime = time.Duration(decay*float64(t.meanServiceTime) + (1-decay)*float64(serviceTime))
+	t.meanCharge = decay*t.meanCharge + (1-decay)*charge
 }
 
-// book counts a lease in at its target.
-func (a *Allocator) book(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memory.Generation) {
+// addLease registers a lease with its target.
+func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memory.Generation) {
 	l.holder, l.account, l.target, l.gen = holder, account, t, gen
-	l.granted, l.heard, l.expires = now, now, now+a.cfg.LeaseFor
+	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseFor
 	a.leases.append(l)
-	l.growth.Predict(a.outputs.of(l.service), gen)
+	l.growth.Predict(a.outputLengths.forService(l.service), gen)
 	t.add(now, l)
-	a.suspects.began(l.fingerprint)
+	a.poison.leaseStarted(l.fingerprint)
 }
 
-// Renew extends leases of holder, and books those that are not known here: the
-// allocator has just taken over, or they expired while the entry was cut off.
+// Renew extends the holder's leases and rebuilds those that are unknown, either
+// because this allocator has just taken over the pool or because they expired
+// while the entry was disconnected.
 func (a *Allocator) Renew(now time.Duration, holder Holder, renewals []Renewal) {
 	for i := range renewals {
 		r := &renewals[i]
 		l := a.leases.byID[r.Lease]
 		if l == nil {
-			a.rebuild(now, holder, r)
+			a.rebuildLease(now, holder, r)
 			continue
 		}
 		if l.holder != holder {
@@ -140,49 +141,49 @@
 		a.leases.unlink(l)
 		a.leases.append(l)
 		l.expires = now + a.cfg.LeaseFor
-		a.progress(now, l, r.Produced, false)
+		a.recordProgress(now, l, r.Produced, false)
 	}
 }
 
-func (a *Allocator) rebuild(now time.Duration, holder Holder, r *Renewal) {
+func (a *Allocator) rebuildLease(now time.Duration, holder Holder, r *Renewal) {
 	t := a.targets[r.Target]
 	if t == nil {
 		return
 	}
-	l := a.leases.make(r.Lease)
+	l := a.leases.insert(r.Lease)
 	l.service = r.Service
-	account := a.account(r.Account)
-	a.queue.Resume(account, 0)
-	a.book(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.Produced})
+	account := a.queueAccount(r.Account)
+	a.queue.AddRunning(account, 0)
+	a.addLease(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.Produced})
 	if r.Produced > 0 {
-		t.started(now, l)
+		t.recordFirstToken(now, l)
 	}
 }
 
-// progress charges what a lease produced since it was last heard of. ended
-// tells that the last token was the output's end.
-func (a *Allocator) progress(now time.Duration, l *lease, produced int, ended bool) {
+// recordProgress charges what a lease produced since its last progress report.
+// endOfOutput tells whether the last token ended the output.
+func (a *Allocator) recordProgress(now time.Duration, l *lease, produced int, endOfOutput bool) {
 	if produced <= l.gen.Produced {
 		return
 	}
 	if l.gen.Produced == 0 {
-		l.target.started(now, l)
+		l.target.recordFirstToken(now, l)
 	}
 	l.target.gate.Progress(now, uint64(l.id))
 	survived := produced
-	if ended {
+	if endOfOutput {
 		survived--
 	}
-	a.outputs.progress(l.service, l.gen.Produced, survived)
-	a.parts.produced(l.account.Name, produced-l.gen.Produced)
-	a.charge(l, OutputCharge*float64(produced-l.gen.Produced))
-	l.gen.Produced, l.heard = produced, now
+	a.outputLengths.recordProgress(l.service, l.gen.Produced, survived)
+	a.quotas.addProduced(l.account.Name, produced-l.gen.Produced)
+	a.charge(l, OutputTokenCharge*float64(produced-l.gen.Produced))
+	l.gen.Produced, l.progressAt = produced, now
 }
 
 func (a *Allocator) charge(l *lease, tokens float64) {
 	l.charged += tokens
 	a.queue.Charge(l.account, tokens)
-	a.drain.Charge(tokens)
+	a.drainRate.Add(tokens)
 }
 
 // Settle ends a lease.
@@ -192,85 +193,88 @@
 		return
 	}
 	finished := s.Outcome == OutcomeDone
-	// An output that was cut by its bound says only that it is not shorter.
-	ended := finished && s.Produced > 0 && (l.gen.Max == 0 || s.Produced < l.gen.Max)
-	a.progress(now, l, s.Produced, ended)
-	if ended {
-		a.outputs.finished(l.service, s.Produced)
+	// An output that was cut off at its limit gives only a lower bound of the
+	// length.
+	endOfOutput := finished && s.Produced > 0 && (l.gen.Max == 0 || s.Produced < l.gen.Max)
+	a.recordProgress(now, l, s.Produced, endOfOutput)
+	if endOfOutput {
+		a.outputLengths.recordFinished(l.service, s.Produced)
 	}
 	if finished {
-		a.leases.settled(now-l.granted, l.charged)
+		a.leases.recordFinished(now-l.granted, l.charged)
 	}
-	// A request that did not run is given back what it was charged, once.
+	// The charge of a request that did not run is refunded.
 	if s.Outcome == OutcomeNotRun {
 		a.charge(l, -l.charged)
 	}
-	a.observe(now, l, s)
-	a.end(now, l, finished)
+	a.recordOutcome(now, l, s)
+	a.endLease(now, l, finished)
 }
 
-// observe takes what a settlement says of the request and its target.
-func (a *Allocator) observe(now time.Duration, l *lease, s Settlement) {
+// recordOutcome updates the crash evidence and the target's health with the
+// outcome of a request.
+func (a *Allocator) recordOutcome(now time.Duration, l *lease, s Settlement) {
 	t := l.target
 	switch s.Outcome {
 	case OutcomeDone:
-		a.suspects.finished(now, l.fingerprint)
+		a.poison.requestFinished(now, l.fingerprint)
 	case OutcomeTargetCrashed:
-		a.suspects.crashed(now, t)
+		a.poison.targetCrashed(now, t)
 		t.gate.Suspect(now)
 	case OutcomeNotRun:
-		// Nothing reached the target, so that it says nothing of it.
+		// The request did not reach the target and is no evidence of its health.
 		return
 	}
 	ok := s.Outcome == OutcomeDone || s.Outcome == OutcomeCallerLeft
-	a.health.Result(now, t.address, ok, t.sample(s), a.random.Float64())
+	a.health.Result(now, t.address, ok, t.healthSample(s), a.random.Float64())
 }
 
-// sample is what a request showed of its target's speed. Of an engine that is
-// the pace: the first token comes late after a long prompt or among many new
-// ones, on a healthy engine too.
-func (t *target) sample(s Settlement) health.Sample {
+// healthSample returns the evidence of the target's speed. For an engine it is
+// the normalized step time: the first token can be late on a healthy engine
+// too, after a long prompt or among many new requests.
+func (t *target) healthSample(s Settlement) health.Sample {
 	if t.report.MemoryTokens > 0 {
-		return health.Sample{StepTime: t.pace}
+		return health.Sample{StepTime: t.normalizedStep}
 	}
 	return health.Sample{FirstToken: s.FirstToken}
 }
 
-// end takes a lease off all counts.
-func (a *Allocator) end(now time.Duration, l *lease, finished bool) {
+// endLease removes a lease from all counts.
+func (a *Allocator) endLease(now time.Duration, l *lease, finished bool) {
 	account, cost := l.account, 0.0
 	if finished {
 		cost = l.charged
 	}
-	// No time to the first token is handed to slow start: it takes a late one
-	// for a cold start, and every long prompt or slow call would make a warm
-	// target cold for seconds.
+	// The time to the first token is not passed to slow start, which takes a
+	// late one for a cold start: every long prompt or slow call would make a
+	// warm target cold for seconds.
 	l.target.gate.Ended(now, uint64(l.id), finished, 0)
 	l.target.remove(now, l, finished)
-	a.suspects.ended(l.fingerprint)
+	a.poison.leaseEnded(l.fingerprint)
 	a.leases.remove(l)
 	a.queue.Finish(account, cost)
 }
 
-// expireLeases ends leases that nobody renewed: their entry is gone or cut
-// off. What may still run at the target shows in the target's own reports.
+// expireLeases ends leases that were not renewed, because their entry has
+// failed or is disconnected. Requests that still run at the target appear in
+// its reports.
 func (a *Allocator) expireLeases(now time.Duration) {
 	for l := a.leases.first; l != nil && l.expires <= now; l = a.leases.first {
-		a.end(now, l, false)
+		a.endLease(now, l, false)
 	}
 }
 
-// DropHolder ends the leases of an entry process that is known to be gone, and
-// takes its waiting asks out.
-func (a *Allocator) DropHolder(now time.Duration, holder Holder) {
+// RemoveHolder ends the leases of an entry process that is known to have failed
+// or stopped, and removes its waiting asks.
+func (a *Allocator) RemoveHolder(now time.Duration, holder Holder) {
 	for key, r := range a.waiting {
 		if key.holder == holder {
-			a.forget(r)
+			a.dropWaiting(r)
 		}
 	}
 	for _, l := range a.leases.byID {
 		if l.holder == holder {
-			a.end(now, l, false)
+			a.endLease(now, l, false)
 		}
 	}
 }
--- a/internal/decide/admission/outputs.go
+++ b/internal/decide/admission/outputs.go
@@ -2,25 +2,26 @@
 
 import "filbertdeck/internal/decide/lengths"
 
-// outputs learns how long outputs get, for each service by itself and for all
-// together.
+// outputLengthModel learns the distribution of output lengths, per service and
+// over all services.
 //
-// Load pattern: long reports and short summaries share engines. Predicted from
-// one distribution, a summary looks as if it might grow for thousands of
-// tokens, and a report as if it would soon end: engines stand half empty, or
-// fill up in mid-decode.
-type outputs struct {
+// Services with long and with short outputs can share engines. Predicted from a
+// common distribution, a short output appears likely to grow by thousands of
+// tokens and a long one to end soon, so that engines run half empty or run out
+// of memory during decoding.
+type outputLengthModel struct {
 	all       *lengths.Distribution
 	byService map[string]*lengths.Distribution
 }
 
-func newOutputs() outputs {
-	return outputs{all: lengths.New(0), byService: map[string]*lengths.Distribution{}}
+func newOutputLengthModel() outputLengthModel {
+	return outputLengthModel{all: lengths.New(0), byService: map[string]*lengths.Distribution{}}
 }
 
-// of gives a service's distribution; that of all stands for requests whose
-// service is not known, such as those that a predecessor granted.
-func (o *outputs) of(service string) *lengths.Distribution {
+// forService returns a service's distribution. The distribution over all
+// services is used when the service is unknown, as for requests that a previous
+// owner granted.
+func (o *outputLengthModel) forService(service string) *lengths.Distribution {
 	if service == "" {
 		return o.all
 	}
@@ -32,25 +33,26 @@
 	return d
 }
 
-func (o *outputs) refresh() {
+func (o *outputLengthModel) refresh() {
 	o.all.Refresh()
 	for _, d := range o.byService {
 		d.Refresh()
 	}
 }
 
-// progress notes that an output outlived a part of its growth.
-func (o *outputs) progress(service string, from, to int) {
+// recordProgress records that an output grew from one length to another without
+// ending.
+func (o *outputLengthModel) recordProgress(service string, from, to int) {
 	o.all.Progress(from, to)
 	if service != "" {
-		o.of(service).Progress(from, to)
+		o.forService(service).Progress(from, to)
 	}
 }
 
-// finished notes the length of an output that ended by itself.
-func (o *outputs) finished(service string, produced int) {
+// recordFinished records the length of an output that ended by itself.
+func (o *outputLengthModel) recordFinished(service string, produced int) {
 	o.all.Finished(produced)
 	if service != "" {
-		o.of(service).Finished(produced)
+		o.forService(service).Finished(produced)
 	}
 }
--- a/internal/decide/admission/outputs_test.go
+++ b/internal/decide/admission/outputs_test.go
@@ -4,25 +4,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// admitted teaches an allocator that summaries get 40 tokens and reports 3,000,
-// and counts the summaries that it then puts on one engine at once. named tells
-// whether requests say which service they belong to.
-func admitted(named bool) int {
-	r := newRig(1, Config{})
+// countAdmittedSummaries trains an allocator with summaries of 40 tokens and
+// reports of 3,000, and returns how many summaries it then admits to one engine
+// at once. nameServices tells whether requests name their service.
+func countAdmittedSummaries(nameServices bool) int {
+	r := newHarness(1, Config{})
 	service := func(name string) func(*Ask) {
 		return func(a *Ask) {
 			a.PromptTokens, a.MaxTokens = 50, 4000
-			if named {
+			if nameServices {
 				a.Service = name
 			}
 		}
 	}
-	lengths := []struct {
+	workloads := []struct {
 		name   string
 		tokens int
 	}{{"summaries", 40}, {"reports", 3000}}
 	for range 120 {
-		for _, s := range lengths {
+		for _, s := range workloads {
 			r.now += sec
 			r.SetOwner(r.now, true)
 			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
@@ -36,18 +36,18 @@
 	r.SetOwner(r.now, true)
 	before := len(r.granted)
 	r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
-	r.asks(64, "a", service("summaries"))
+	r.askMany(64, "a", service("summaries"))
 	r.decide()
 	return len(r.granted) - before
 }
 
 var _ = Describe("services that share engines", func() {
 	// Reports of 3,000 tokens and summaries of 40 run on the same engines.
-	// Predicted from one distribution, every summary might become a report:
-	// the engine stands half empty while clerks wait.
-	It("are predicted each by its own outputs", func() {
-		together, apart := admitted(false), admitted(true)
-		AddReportEntry("summaries on one engine: predicted together, apart", []int{together, apart})
-		Expect(apart).To(BeNumerically(">=", 3*together))
+	// Predicted from a common distribution, every summary could become a
+	// report, and the engine stays half empty while requests wait.
+	It("are predicted from their own output lengths", func() {
+		pooled, perService := countAdmittedSummaries(false), countAdmittedSummaries(true)
+		AddReportEntry("summaries admitted to one engine: common distribution, per service", []int{pooled, perService})
+		Expect(perService).To(BeNumerically(">=", 3*pooled))
 	})
 })
--- a/internal/decide/admission/owner.go
+++ b/internal/decide/admission/owner.go
@@ -6,47 +6,48 @@
 	"filbertdeck/internal/decide/slowstart"
 )
 
-// ownership is what the published host list says of this allocator.
+// ownership is what the published host list says about this allocator.
 type ownership struct {
-	owner     bool
-	revision  uint64
-	at        time.Duration
-	confirmed time.Duration
-	known     bool
+	owner       bool
+	revision    uint64
+	observedAt  time.Duration
+	confirmedAt time.Duration
+	received    bool
 }
 
-func (o *ownership) tell(g *slowstart.Gate) {
-	if !o.known {
+// applyTo passes the ownership on to a target's slow-start gate.
+func (o *ownership) applyTo(g *slowstart.Gate) {
+	if !o.received {
 		return
 	}
-	g.SetOwner(o.at, o.revision, o.owner)
-	g.Confirm(o.confirmed)
+	g.SetOwner(o.observedAt, o.revision, o.owner)
+	g.Confirm(o.confirmedAt)
 }
 
-// SetOwnership says whether the published host list of the given revision
-// names this allocator as the pool's owner. Call it for each list that is
-// read, also when the answer stays the same.
+// SetOwnership records whether the published host list of the given revision
+// names this allocator as the pool's owner. It must be called for each list
+// that is read, also when the answer is unchanged.
 func (a *Allocator) SetOwnership(now time.Duration, revision uint64, owner bool) {
-	a.owner.owner, a.owner.revision, a.owner.at, a.owner.known = owner, revision, now, true
-	for _, t := range a.order {
+	a.ownership.owner, a.ownership.revision, a.ownership.observedAt, a.ownership.received = owner, revision, now, true
+	for _, t := range a.targetOrder {
 		t.gate.SetOwner(now, revision, owner)
 	}
 }
 
-// Confirm says that the host list in force here was the newest one at the
-// moment at. Without a confirmation every two seconds cold targets get work
-// only while that leaves room for other allocators which may believe they own
-// the pool; see slowstart.
+// Confirm records that the host list in force here was the newest one at the
+// time at. Without a confirmation every two seconds, cold targets receive work
+// only as far as it leaves capacity for other allocators that may believe they
+// own the pool; see package slowstart.
 func (a *Allocator) Confirm(at time.Duration) {
-	a.owner.confirmed = max(a.owner.confirmed, at)
-	for _, t := range a.order {
+	a.ownership.confirmedAt = max(a.ownership.confirmedAt, at)
+	for _, t := range a.targetOrder {
 		t.gate.Confirm(at)
 	}
 }
 
-// SetOwner is SetOwnership and Confirm in one, for a list that was read just
+// SetOwner records and confirms the ownership from a list that was read just
 // now and carries no revision.
 func (a *Allocator) SetOwner(now time.Duration, owner bool) {
-	a.SetOwnership(now, a.owner.revision, owner)
+	a.SetOwnership(now, a.ownership.revision, owner)
 	a.Confirm(now)
 }
--- a/internal/decide/admission/parts.go
+++ b/internal/decide/admission/parts.go
@@ -6,82 +6,86 @@
 	"filbertdeck/internal/decide/fairqueue"
 )
 
-// Part is what this pool may use of an account's leased limits (package
-// quota).
+// Part is the quota granted to this pool from an account's shared limits
+// (package quota).
 type Part struct {
 	Account string
-	// MayStart is false while nothing of the account may start.
+	// MayStart is false while no request of the account may start.
 	MayStart bool
-	// Running bounds its leases here; 0 means that the row has no such bound.
+	// Running bounds the account's leases here; 0 means that the account has no
+	// such limit.
 	Running int
-	// Until is the end of the lease. A process that was paused over it must not
-	// go on by it: others have the account's limit by then.
+	// Until is when the quota grant expires. A process that was paused beyond
+	// that time must not use it, because other pools have received the
+	// account's limit by then.
 	Until time.Duration
 }
 
-// QuotaUse is what an account with leased limits does in this pool.
+// QuotaUse is the use of this pool by an account with shared limits.
 type QuotaUse struct {
 	Account          string
 	Running, Waiting int
-	// Produced counts the output tokens since the last QuotaUses.
+	// Produced counts the output tokens since the use was last read.
 	Produced int
 }
 
-// part is the part in force of one account, and what it produced.
-type part struct {
+// quotaState is the quota grant in force of one account and its use.
+type quotaState struct {
 	Part
-	made int
+	producedTokens int
 }
 
-// partTable holds the parts of the accounts that use this pool.
-type partTable struct {
-	byAccount map[string]*part
-	// lapse is the earliest end of a part that allows something, 0 without one.
-	lapse time.Duration
+// quotaTable holds the quota grants of the accounts that use this pool.
+type quotaTable struct {
+	byAccount map[string]*quotaState
+	// nextExpiry is the earliest expiry of a quota grant that allows starts, or
+	// 0.
+	nextExpiry time.Duration
 }
 
-func (t *partTable) of(account string) *part {
+func (t *quotaTable) getOrCreate(account string) *quotaState {
 	p := t.byAccount[account]
 	if p == nil {
-		p = &part{}
+		p = &quotaState{}
 		t.byAccount[account] = p
 	}
 	return p
 }
 
-func (t *partTable) produced(account string, tokens int) {
+func (t *quotaTable) addProduced(account string, tokens int) {
 	if p := t.byAccount[account]; p != nil {
-		p.made += tokens
+		p.producedTokens += tokens
 	}
 }
 
-// SetPart puts a part in force. Until the first one, and after its end, the
-// account's requests wait.
+// SetPart puts a quota grant in force. Before the first one and after its
+// expiry the account's requests wait.
 func (a *Allocator) SetPart(now time.Duration, p Part) {
 	p.MayStart = p.MayStart && now < p.Until
-	a.parts.of(p.Account).Part = p
-	if p.MayStart && (a.parts.lapse == 0 || p.Until < a.parts.lapse) {
-		a.parts.lapse = p.Until
+	a.quotas.getOrCreate(p.Account).Part = p
+	if p.MayStart && (a.quotas.nextExpiry == 0 || p.Until < a.quotas.nextExpiry) {
+		a.quotas.nextExpiry = p.Until
 	}
-	a.applyLimit(p.Account)
+	a.updateLimit(p.Account)
 }
 
-// applyLimit brings a known account's place in the queue up to date.
-func (a *Allocator) applyLimit(account string) {
-	if a.queue.Known(account) != nil {
-		a.account(account)
+// updateLimit applies the current limit to the account, if the queue keeps it.
+func (a *Allocator) updateLimit(account string) {
+	if a.queue.Lookup(account) != nil {
+		a.queueAccount(account)
 	}
 }
 
-// limit is the bound on an account's running requests as the queue takes it.
-func (a *Allocator) limit(account string, s Share) int {
+// runningLimit returns the bound on an account's running requests in the form
+// that the queue takes.
+func (a *Allocator) runningLimit(account string, s Share) int {
 	if !s.Leased {
 		return s.MaxRunning
 	}
-	p := a.parts.of(account)
+	p := a.quotas.getOrCreate(account)
 	switch {
 	case !p.MayStart || s.MaxRunning > 0 && p.Running == 0:
-		return fairqueue.NoneMayRun
+		return fairqueue.ZeroLimit
 	case s.MaxRunning == 0:
 		return 0
 	default:
@@ -89,42 +93,43 @@
 	}
 }
 
-// lapseParts ends the parts whose lease is over.
-func (a *Allocator) lapseParts(now time.Duration) {
-	if a.parts.lapse == 0 || now < a.parts.lapse {
+// expireQuotas disables the quota grants that have expired.
+func (a *Allocator) expireQuotas(now time.Duration) {
+	if a.quotas.nextExpiry == 0 || now < a.quotas.nextExpiry {
 		return
 	}
-	a.parts.lapse = 0
-	for account, p := range a.parts.byAccount {
+	a.quotas.nextExpiry = 0
+	for account, p := range a.quotas.byAccount {
 		if !p.MayStart {
 			continue
 		}
 		if now >= p.Until {
 			p.MayStart = false
-			a.applyLimit(account)
+			a.updateLimit(account)
 			continue
 		}
-		if a.parts.lapse == 0 || p.Until < a.parts.lapse {
-			a.parts.lapse = p.Until
+		if a.quotas.nextExpiry == 0 || p.Until < a.quotas.nextExpiry {
+			a.quotas.nextExpiry = p.Until
 		}
 	}
 }
 
-// QuotaUses tells what the accounts with leased limits do here, and forgets
-// those that do nothing and hold nothing.
+// QuotaUses returns the use of the pool by the accounts with shared limits,
+// resets their token counts and forgets accounts without use and without a
+// valid quota grant.
 func (a *Allocator) QuotaUses(now time.Duration) []QuotaUse {
-	a.lapseParts(now)
+	a.expireQuotas(now)
 	var uses []QuotaUse
-	for account, p := range a.parts.byAccount {
-		u := QuotaUse{Account: account, Produced: p.made}
-		p.made = 0
-		if q := a.queue.Known(account); q != nil {
+	for account, p := range a.quotas.byAccount {
+		u := QuotaUse{Account: account, Produced: p.producedTokens}
+		p.producedTokens = 0
+		if q := a.queue.Lookup(account); q != nil {
 			u.Running, u.Waiting = q.Running(), q.Waiting()
 		}
 		if u != (QuotaUse{Account: account}) {
 			uses = append(uses, u)
 		} else if !p.MayStart {
-			delete(a.parts.byAccount, account)
+			delete(a.quotas.byAccount, account)
 		}
 	}
 	return uses
--- a/internal/decide/admission/parts_test.go
+++ b/internal/decide/admission/parts_test.go
@@ -6,33 +6,34 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a part of leased limits", func() {
-	start := func(running, maxRunning int) *rig {
-		r := newRig(1, Config{})
+var _ = Describe("a quota grant of shared limits", func() {
+	startWithQuota := func(running, maxRunning int) *harness {
+		r := newHarness(1, Config{})
 		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: maxRunning, Leased: true}})
-		r.asks(5, "park", nil)
+		r.askMany(5, "park", nil)
 		r.decide()
-		Expect(r.decisions).To(BeZero(), "no part, no start, no refusal")
+		Expect(r.decisions).To(BeZero(), "without a quota grant nothing starts and nothing is refused")
 		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: running, Until: r.now + 3*sec})
 		r.decide()
 		return r
 	}
 
-	DescribeTable("bounds what runs, with the row", func(part, row, runs int) {
-		r := start(part, row)
-		Expect(r.granted).To(HaveLen(runs))
+	DescribeTable("bounds running requests together with the account's limit", func(quotaLimit, accountLimit, expectedRunning int) {
+		r := startWithQuota(quotaLimit, accountLimit)
+		Expect(r.granted).To(HaveLen(expectedRunning))
 		Expect(r.refused).To(BeEmpty())
 	},
-		Entry("the part is smaller", 2, 3, 2),
-		Entry("the row was lowered meanwhile", 3, 1, 1),
+		Entry("the quota grant is smaller", 2, 3, 2),
+		Entry("the account's limit was lowered meanwhile", 3, 1, 1),
 		Entry("only the rate is limited", 0, 0, 5),
-		Entry("a row that has just got a bound", 0, 3, 0),
+		Entry("the account's limit has just been set", 0, 3, 0),
 	)
 
-	// A control process is paused for longer than a lease and wakes up. Others
-	// have its part by then; by the old one it would start what they started.
-	It("ends by the allocator's clock, before anything is decided", func() {
-		r := start(2, 3)
+	// A control process is paused for longer than its quota grant is valid.
+	// Other pools have received the quota grant by then; if it were still used,
+	// the account would run more than its limit.
+	It("expires by the allocator's clock, before the next decision", func() {
+		r := startWithQuota(2, 3)
 		for _, d := range r.granted {
 			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, Produced: 10})
 		}
@@ -42,37 +43,37 @@
 		Expect(r.granted).To(HaveLen(2))
 		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: 1, Until: r.now})
 		r.decide()
-		Expect(r.granted).To(HaveLen(2), "an answer that was late itself")
+		Expect(r.granted).To(HaveLen(2), "the quota grant had already expired when it arrived")
 		r.SetShares(r.now, []Share{{Account: "park"}})
 		r.decide()
-		Expect(r.granted).To(HaveLen(5), "the row's limit was taken out")
+		Expect(r.granted).To(HaveLen(5), "the account's limit was removed")
 	})
 
-	It("tells what each account does, once a token", func() {
-		r := start(2, 3)
+	It("reports each account's use, each token once", func() {
+		r := startWithQuota(2, 3)
 		for _, d := range r.granted {
-			r.Renew(r.now, home, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", Produced: 20}})
+			r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", Produced: 20}})
 		}
 		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3, Produced: 40}}))
 		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3}}))
-		r.DropHolder(r.now, home)
+		r.RemoveHolder(r.now, testHolder)
 		Expect(r.QuotaUses(r.now + 3*sec)).To(BeEmpty())
-		Expect(r.parts.byAccount).To(BeEmpty())
+		Expect(r.quotas.byAccount).To(BeEmpty())
 	})
 
-	// Requests of a limited account wait at an engine that is nearly idle. Were
-	// its pace then taken for all that it can serve, a clerk of another account
-	// would be told to come back in a minute.
-	It("doesn't make an idle pool look slow", func() {
-		r := newRig(1, Config{})
+	// Requests of a limited account wait at an engine that is nearly idle. If
+	// its rate were taken for its capacity, a request of another account would
+	// be refused with a retry delay of a minute.
+	It("does not make an idle pool appear slow", func() {
+		r := newHarness(1, Config{})
 		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: 3, Leased: true}})
-		r.asks(5, "park", nil)
+		r.askMany(5, "park", nil)
 		first := r.ask("clinic", nil)
 		r.decide()
 		for i := range 50 {
 			r.now += 100 * ms
 			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
-			r.Renew(r.now, home, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", Produced: i}})
+			r.Renew(r.now, testHolder, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", Produced: i}})
 			r.decide()
 		}
 		next := r.ask("clinic", func(a *Ask) { a.MaxWait = time.Second })
--- a/internal/decide/admission/prefix.go
+++ b/internal/decide/admission/prefix.go
@@ -2,13 +2,13 @@
 
 import "sort"
 
-// cacheLimit bounds the hashes remembered of one target: 8192 blocks of 16
-// tokens are more than an engine's whole memory. At 16 bytes each in a map it
-// is about 300 KB for each target of a pool.
-const cacheLimit = 8192
+// maxCachedHashes bounds the hashes kept per target: 8192 blocks of 16 tokens
+// exceed the memory of an engine. At 16 bytes each in a map they take about 300
+// KB per target of a pool.
+const maxCachedHashes = 8192
 
-// prefixCache is what we believe a target has cached. Events come late and
-// with gaps, so it is a hint and never more.
+// prefixCache is an estimate of the prompt blocks that a target has cached.
+// Events arrive late and with gaps, so it is used only as a hint.
 type prefixCache struct{ hashes map[uint64]struct{} }
 
 func newPrefixCache() prefixCache { return prefixCache{hashes: map[uint64]struct{}{}} }
@@ -19,30 +19,30 @@
 	for _, h := range evicted {
 		delete(c.hashes, h)
 	}
-	c.expect(cached)
+	c.insert(cached)
 }
 
-// expect notes blocks that the target is about to cache, so that requests with
-// the same prefix follow at once and not only after the event.
-func (c *prefixCache) expect(prefix []uint64) {
+// insert adds blocks. For a granted request it is called before the target
+// reports them, so that requests with the same prefix can follow at once.
+func (c *prefixCache) insert(prefix []uint64) {
 	for _, h := range prefix {
-		if len(c.hashes) >= cacheLimit {
-			c.dropOne()
+		if len(c.hashes) >= maxCachedHashes {
+			c.evictAny()
 		}
 		c.hashes[h] = struct{}{}
 	}
 }
 
-func (c *prefixCache) dropOne() {
+func (c *prefixCache) evictAny() {
 	for h := range c.hashes {
 		delete(c.hashes, h)
 		return
 	}
 }
 
-// hits counts the leading blocks that are cached. A block is cached only with
-// those before it, so that a binary search finds the end.
-func (c *prefixCache) hits(prefix []uint64) int {
+// leadingHits counts the leading blocks that are cached. A block is cached only
+// together with those before it, so binary search finds the end.
+func (c *prefixCache) leadingHits(prefix []uint64) int {
 	if len(c.hashes) == 0 {
 		return 0
 	}
--- a/internal/decide/admission/priority.go
+++ b/internal/decide/admission/priority.go
@@ -3,19 +3,20 @@
 import "math/bits"
 
 const (
-	// priorityBand is the room between two of the operators' priorities.
-	priorityBand = 16
-	// attainedStep is the output in tokens from which attained service counts;
-	// each doubling takes one step.
-	attainedStep = 128
+	// priorityBandSize is the number of engine priorities per operator
+	// priority.
+	priorityBandSize = 16
+	// attainedStepTokens is the output in tokens from which attained service
+	// lowers the priority; each doubling lowers it by one more.
+	attainedStepTokens = 128
 )
 
-// priority gives an engine's priority for a request. Load pattern: long jobs
-// among short ones. An engine that must preempt takes the lowest priority; by
-// arrival alone that would be the short request which just came. Ranking by
-// attained service, in doublings, needs no length ahead. The operators'
-// priority goes first.
-func priority(share, attained int) int {
-	class := bits.Len(uint(attained / attainedStep))
-	return share*priorityBand - min(class, priorityBand-1)
+// priority returns the engine priority of a request. Long and short jobs share
+// engines, and an engine that must preempt takes the lowest priority; in order
+// of arrival that would be the short request that came last. Ranking by
+// attained service, in doublings, needs no knowledge of the output length. The
+// operators' priority takes precedence.
+func priority(operatorPriority, attainedTokens int) int {
+	doublings := bits.Len(uint(attainedTokens / attainedStepTokens))
+	return operatorPriority*priorityBandSize - min(doublings, priorityBandSize-1)
 }
--- a/internal/decide/admission/suspects.go
+++ b/internal/decide/admission/suspects.go
@@ -9,93 +9,94 @@
 	"filbertdeck/internal/decide/poison"
 )
 
-// ruling is what the poison rules say of one request.
-type ruling struct {
-	// guilty requests are refused; wait is when the verdict ends.
-	guilty bool
-	wait   time.Duration
-	// held requests must not run yet.
-	held bool
-	// alone requests run on a target without any other; apart ones on a target
-	// without other suspects.
-	alone, apart bool
+// poisonRestriction is how the crash evidence restricts one request.
+type poisonRestriction struct {
+	// rejected requests are refused; wait is the time until that ends.
+	rejected bool
+	wait     time.Duration
+	// mustWait is set while the request must not run yet.
+	mustWait bool
+	// exclusive requests run on a target without any other request, separate
+	// ones on a target without other suspects.
+	exclusive, separate bool
 }
 
-func (r ruling) constrained() bool { return r.held || r.alone || r.apart }
+func (r poisonRestriction) restricted() bool { return r.mustWait || r.exclusive || r.separate }
 
-// allows tells whether the poison rules let a request onto the target.
-func (t *target) allows(r ruling) bool {
+// allows reports whether the restriction lets a request run on the target.
+func (t *target) allows(restriction poisonRestriction) bool {
 	switch {
-	case t.alone > 0:
+	case t.exclusiveLeases > 0:
 		return false
-	case r.alone:
-		return len(t.leases)+t.strangers == 0
+	case restriction.exclusive:
+		return len(t.leases)+t.unknownRequests == 0
 	case t.reserved:
 		return false
-	case r.apart:
-		return t.suspects == 0
+	case restriction.separate:
+		return t.suspectLeases == 0
 	}
 	return true
 }
 
-// suspects applies the evidence of crashes to this pool. It also keeps the
-// target that is being emptied for a request which must run alone: without
-// that such a request would never see an empty target on a busy pool, and an
-// innocent one would not get through.
-type suspects struct {
+// poisonGuard applies the crash evidence to this pool. It also reserves a
+// target, which takes no new requests, for a request that must run exclusively:
+// on a busy pool there would otherwise never be an empty target, and an
+// innocent request could never run.
+type poisonGuard struct {
 	detector *poison.Detector
-	// running counts the leases of each fingerprint.
-	running map[uint64]int
-	waiting *fairqueue.Request[Ask]
-	held    *target
+	// runningByFingerprint counts the leases of each fingerprint.
+	runningByFingerprint map[uint64]int
+	reservedFor          *fairqueue.Request[Ask]
+	reservedTarget       *target
 }
 
-func newSuspects() suspects {
-	return suspects{detector: poison.New(poison.Config{}), running: map[uint64]int{}}
+func newPoisonGuard() poisonGuard {
+	return poisonGuard{detector: poison.New(poison.Config{}), runningByFingerprint: map[uint64]int{}}
 }
 
-// rule says how a request may run now; a fingerprint of 0 says nothing.
-func (s *suspects) rule(now time.Duration, fingerprint uint64) ruling {
+// restrictionFor returns how a request may run now. A request with fingerprint
+// 0 is not restricted.
+func (s *poisonGuard) restrictionFor(now time.Duration, fingerprint uint64) poisonRestriction {
 	if fingerprint == 0 {
-		return ruling{}
+		return poisonRestriction{}
 	}
 	r := s.detector.Rule(now, fingerprint)
 	suspected := r.Verdict == poison.Apart || r.Verdict == poison.Alone
-	// Of equal suspects one runs at a time: two on two targets would cost both
-	// before the first crash is known.
-	twin := suspected && s.running[fingerprint] > 0
-	return ruling{
-		guilty: r.Verdict == poison.Guilty, wait: r.Wait, held: r.Wait > 0 || twin,
-		alone: r.Verdict == poison.Alone, apart: r.Verdict == poison.Apart,
+	// Identical suspects run one at a time: run on two targets at once they
+	// could crash both before the first crash is known.
+	duplicateRunning := suspected && s.runningByFingerprint[fingerprint] > 0
+	return poisonRestriction{
+		rejected: r.Verdict == poison.Guilty, wait: r.Wait, mustWait: r.Wait > 0 || duplicateRunning,
+		exclusive: r.Verdict == poison.Alone, separate: r.Verdict == poison.Apart,
 	}
 }
 
-// began and ended count a lease's fingerprint.
-func (s *suspects) began(fingerprint uint64) {
+// leaseStarted and leaseEnded count the leases of a fingerprint.
+func (s *poisonGuard) leaseStarted(fingerprint uint64) {
 	if fingerprint != 0 {
-		s.running[fingerprint]++
+		s.runningByFingerprint[fingerprint]++
 	}
 }
 
-func (s *suspects) ended(fingerprint uint64) {
+func (s *poisonGuard) leaseEnded(fingerprint uint64) {
 	if fingerprint == 0 {
 		return
 	}
-	if s.running[fingerprint]--; s.running[fingerprint] == 0 {
-		delete(s.running, fingerprint)
+	if s.runningByFingerprint[fingerprint]--; s.runningByFingerprint[fingerprint] == 0 {
+		delete(s.runningByFingerprint, fingerprint)
 	}
 }
 
-func (s *suspects) finished(now time.Duration, fingerprint uint64) {
+func (s *poisonGuard) requestFinished(now time.Duration, fingerprint uint64) {
 	if fingerprint != 0 {
 		s.detector.Finished(now, fingerprint)
 	}
 }
 
-// crashed notes the death of a target with all that ran there, the latest
-// start first. Each lease of the target is settled so; the first tells all,
-// and the others have the same crash's id.
-func (s *suspects) crashed(now time.Duration, t *target) {
+// targetCrashed records the crash of a target with all requests that ran there,
+// the latest start first. It is called for each lease of the target; the first
+// call records all of them, and later calls have the same crash ID.
+func (s *poisonGuard) targetCrashed(now time.Duration, t *target) {
 	running := slices.Clone(t.leases)
 	slices.SortFunc(running, func(a, b *lease) int { return cmp.Compare(b.granted, a.granted) })
 	var fingerprints []uint64
@@ -107,39 +108,40 @@
 	s.detector.Crashed(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
 }
 
-// PoisonEvidence gives the latest crashes for gossip, at most limit of them.
+// PoisonEvidence returns the latest crashes for gossip, at most limit of them.
 func (a *Allocator) PoisonEvidence(now time.Duration, limit int) []poison.Crash {
-	return a.suspects.detector.Export(now, limit)
+	return a.poison.detector.Export(now, limit)
 }
 
-// MergePoison takes evidence of other allocators. It tells whether any was
-// new: then pass it on at once.
+// MergePoison adds crash evidence of other allocators. It reports whether any
+// was new and should be passed on at once.
 func (a *Allocator) MergePoison(now time.Duration, crashes []poison.Crash) bool {
-	return a.suspects.detector.Merge(now, crashes)
+	return a.poison.detector.Merge(now, crashes)
 }
 
-// reserve empties the least loaded target for the request, one at a time.
-func (s *suspects) reserve(targets []*target, r *fairqueue.Request[Ask]) {
-	if s.waiting != nil {
+// reserveTarget reserves the least loaded target for the request. At most one
+// reservation exists at a time.
+func (s *poisonGuard) reserveTarget(targets []*target, r *fairqueue.Request[Ask]) {
+	if s.reservedFor != nil {
 		return
 	}
 	for _, t := range targets {
-		if !t.leaving && (s.held == nil || len(t.leases) < len(s.held.leases)) {
-			s.held = t
+		if !t.leaving && (s.reservedTarget == nil || len(t.leases) < len(s.reservedTarget.leases)) {
+			s.reservedTarget = t
 		}
 	}
-	if s.held != nil {
-		s.waiting, s.held.reserved = r, true
+	if s.reservedTarget != nil {
+		s.reservedFor, s.reservedTarget.reserved = r, true
 	}
 }
 
-// release ends the reservation for a request that no longer waits.
-func (s *suspects) release(r *fairqueue.Request[Ask]) {
-	if s.waiting != r {
+// releaseReservation ends the reservation of a request that no longer waits.
+func (s *poisonGuard) releaseReservation(r *fairqueue.Request[Ask]) {
+	if s.reservedFor != r {
 		return
 	}
-	if s.held != nil {
-		s.held.reserved = false
+	if s.reservedTarget != nil {
+		s.reservedTarget.reserved = false
 	}
-	s.waiting, s.held = nil, nil
+	s.reservedFor, s.reservedTarget = nil, nil
 }
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -8,59 +8,64 @@
 )
 
 const (
-	// silentSlots bounds a plain service that does not say what it bears. It is
-	// the load at which slow start takes a target for warm.
-	silentSlots = 16
-	// burstLeast and burstShare bound the grants to a warm target that neither
-	// a report nor a first token has confirmed: what it receives at most when
-	// it turned cold a moment ago and nobody can know yet. Each request that it
-	// serves meanwhile makes room for two, so that short calls, of which
-	// hundreds come and go between two reports, soon use all it bears.
-	burstLeast = 4
-	burstShare = 4
+	// defaultServiceCapacity is the number of concurrent requests assumed for a
+	// plain service that does not report it. It is also the load at which slow
+	// start considers a target warm.
+	defaultServiceCapacity = 16
+	// minUnconfirmedGrants and unconfirmedGrantDivisor bound the grants to a
+	// warm target that neither a report nor a first token has confirmed: the
+	// maximum that a target receives if it has just turned cold without this
+	// being known yet. Each request that it serves meanwhile allows two more,
+	// so that short calls, hundreds of which can pass between two reports, soon
+	// use its full capacity.
+	minUnconfirmedGrants    = 4
+	unconfirmedGrantDivisor = 4
 )
 
-// released is a lease that ended after the last report was taken, which may
-// still count it.
-type released struct {
+// endedLease is a lease that ended after the last report was taken; a report
+// that was taken before its end still counts it.
+type endedLease struct {
 	granted, ended time.Duration
 	tokens         int
 }
 
-// target is one back end: what it said of itself and what we know of it.
+// target is one target: its last report and what the allocator knows of it.
 type target struct {
 	address string
 	leaving bool
 	gate    *slowstart.Gate
 	report  Report
-	// taken is when the report was taken, by our clock.
-	taken time.Duration
-	known bool
-	// pace is the reported step time without the effect of the batch's size.
-	pace   time.Duration
-	leases []*lease
-	load   memory.Load
-	// unexplained is memory in use, and strangers are requests, that the last
-	// report showed beyond our own leases at that time.
-	unexplained float64
-	strangers   int
-	// unconfirmed counts our leases that were granted after the report was
+	// reportTakenAt is when the report was taken, by the allocator's clock.
+	reportTakenAt time.Duration
+	reported      bool
+	// normalizedStep is the reported step time without the effect of the batch
+	// size.
+	normalizedStep time.Duration
+	leases         []*lease
+	load           memory.Load
+	// unattributedTokens is the memory in use, and unknownRequests the number
+	// of requests, in the last report beyond those of the allocator's own
+	// leases at that time.
+	unattributedTokens float64
+	unknownRequests    int
+	// unconfirmed counts the leases that were granted after the report was
 	// taken and have produced nothing yet.
 	unconfirmed int
-	// confirmed counts those granted after the report that have produced
-	// something or ended well since.
-	confirmed int
-	ended     []released
-	cache     prefixCache
-	// alone and suspects count leases that the poison rules hold apart.
-	alone, suspects int
-	reserved        bool
+	// confirmed counts those granted after the report that have since produced
+	// output or finished.
+	confirmed     int
+	recentlyEnded []endedLease
+	cache         prefixCache
+	// exclusiveLeases and suspectLeases count the leases that the poison rules
+	// restrict.
+	exclusiveLeases, suspectLeases int
+	reserved                       bool
 }
 
-// SetTargets replaces the pool's targets. Leases on targets that are gone end.
+// SetTargets replaces the pool's targets. Leases on removed targets end.
 func (a *Allocator) SetTargets(now time.Duration, targets []Target) {
 	listed := make(map[string]bool, len(targets))
-	a.order, a.usable = a.order[:0], 0
+	a.targetOrder, a.usableTargets = a.targetOrder[:0], 0
 	for _, spec := range targets {
 		t := a.targets[spec.Address]
 		if t == nil {
@@ -72,17 +77,17 @@
 		listed[spec.Address] = true
 		t.leaving = spec.Leaving
 		if !t.leaving {
-			a.usable++
+			a.usableTargets++
 		}
-		a.order = append(a.order, t)
+		a.targetOrder = append(a.targetOrder, t)
 	}
 	for address, t := range a.targets {
 		if !listed[address] {
 			a.dropTarget(now, t)
 		}
 	}
-	addresses := make([]string, len(a.order))
-	for i, t := range a.order {
+	addresses := make([]string, len(a.targetOrder))
+	for i, t := range a.targetOrder {
 		addresses[i] = t.address
 	}
 	a.health.SetTargets(addresses)
@@ -90,59 +95,59 @@
 
 func (a *Allocator) newTarget(address string) *target {
 	t := &target{address: address, gate: slowstart.New(a.cfg.SlowStart), cache: newPrefixCache()}
-	t.taken = -1
-	a.owner.tell(t.gate)
+	t.reportTakenAt = -1
+	a.ownership.applyTo(t.gate)
 	a.targets[address] = t
 	return t
 }
 
 func (a *Allocator) dropTarget(now time.Duration, t *target) {
 	for len(t.leases) > 0 {
-		a.end(now, t.leases[0], false)
+		a.endLease(now, t.leases[0], false)
 	}
 	delete(a.targets, t.address)
 }
 
-// Report takes a target's statement of its load. One that was taken before the
-// latest is dropped.
+// Report processes a target's report. A report older than the latest one is
+// ignored.
 func (a *Allocator) Report(now time.Duration, r Report) {
 	t := a.targets[r.Target]
 	if t == nil {
 		return
 	}
-	step := a.pace.normal(r.StepTime, r.Running)
+	step := a.stepTimes.normalize(r.StepTime, r.Running)
 	t.gate.Observe(now, slowstart.Report{
 		Age: r.Age, Incarnation: r.Incarnation, Bears: r.Bears,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
 	taken := now - r.Age
-	if t.known && taken < t.taken {
+	if t.reported && taken < t.reportTakenAt {
 		return
 	}
-	if t.known && r.Incarnation != t.report.Incarnation {
+	if t.reported && r.Incarnation != t.report.Incarnation {
 		t.cache.clear()
 		a.health.Restarted(t.address)
 	}
-	t.pace = step
+	t.normalizedStep = step
 	a.health.Observe(now, t.address, step, a.random.Float64())
 	t.cache.update(r.CachedPrefixes, r.EvictedPrefixes)
 	r.CachedPrefixes, r.EvictedPrefixes = nil, nil
-	if taken > t.taken {
+	if taken > t.reportTakenAt {
 		t.confirmed = 0
 	}
-	t.report, t.taken, t.known = r, taken, true
-	t.refresh(now, &a.outputs)
+	t.report, t.reportTakenAt, t.reported = r, taken, true
+	t.refresh(now, &a.outputLengths)
 }
 
 func (t *target) add(now time.Duration, l *lease) {
-	l.place = len(t.leases)
+	l.index = len(t.leases)
 	t.leases = append(t.leases, l)
 	t.load.Add(&l.growth)
-	if l.alone {
-		t.alone++
+	if l.exclusive {
+		t.exclusiveLeases++
 	}
 	if l.suspect {
-		t.suspects++
+		t.suspectLeases++
 	}
 	if l.gen.Produced == 0 {
 		t.unconfirmed++
@@ -152,100 +157,102 @@
 
 func (t *target) remove(now time.Duration, l *lease, finished bool) {
 	last := len(t.leases) - 1
-	t.leases[l.place] = t.leases[last]
-	t.leases[l.place].place = l.place
+	t.leases[l.index] = t.leases[last]
+	t.leases[l.index].index = l.index
 	t.leases[last] = nil
 	t.leases = t.leases[:last]
 	t.load.Remove(&l.growth)
-	if l.alone {
-		t.alone--
+	if l.exclusive {
+		t.exclusiveLeases--
 	}
 	if l.suspect {
-		t.suspects--
+		t.suspectLeases--
 	}
 	if t.isUnconfirmed(l) {
 		t.confirm(finished)
 	}
-	t.ended = append(t.ended, released{granted: l.granted, ended: now, tokens: l.gen.Prompt + l.gen.Produced})
+	t.recentlyEnded = append(t.recentlyEnded, endedLease{granted: l.granted, ended: now, tokens: l.gen.Prompt + l.gen.Produced})
 }
 
-// started notes the first token of a lease.
-func (t *target) started(now time.Duration, l *lease) {
+// recordFirstToken records the first token of a lease.
+func (t *target) recordFirstToken(now time.Duration, l *lease) {
 	if t.isUnconfirmed(l) {
 		t.confirm(true)
 	}
 	t.gate.Started(now, uint64(l.id))
 }
 
-// confirm takes a lease off the unconfirmed ones; well says that the target
-// was seen to serve it.
-func (t *target) confirm(well bool) {
+// confirm removes a lease from the unconfirmed ones; served tells whether the
+// target was seen to serve it.
+func (t *target) confirm(served bool) {
 	t.unconfirmed--
-	if well {
+	if served {
 		t.confirmed++
 	}
 }
 
 func (t *target) isUnconfirmed(l *lease) bool {
-	return l.gen.Produced == 0 && l.granted >= t.taken
+	return l.gen.Produced == 0 && l.granted >= t.reportTakenAt
 }
 
-// refresh predicts anew what runs here, from how far each generation should be
-// by now, and compares the last report with what we knew ran at its time. The
-// larger of the two counts: reports lag, and our count misses what a
-// predecessor granted or an expired lease left running.
-func (t *target) refresh(now time.Duration, o *outputs) {
+// refresh recomputes the predicted load, from the progress that each generation
+// should have made by now, and compares the last report with the leases known
+// to run when it was taken. The larger of the two is used: reports lag, and the
+// allocator's own count lacks requests that a previous owner granted or an
+// expired lease left running.
+func (t *target) refresh(now time.Duration, o *outputLengthModel) {
 	t.load.Reset()
 	t.unconfirmed = 0
-	usedThen, runningThen := 0, 0
+	usedAtReport, runningAtReport := 0, 0
 	for _, l := range t.leases {
-		l.growth.Predict(o.of(l.service), t.extrapolate(l, now))
+		l.growth.Predict(o.forService(l.service), t.extrapolate(l, now))
 		t.load.Add(&l.growth)
 		if t.isUnconfirmed(l) {
 			t.unconfirmed++
 		}
-		if l.granted < t.taken {
-			then := t.extrapolate(l, t.taken)
-			usedThen += then.Prompt + then.Produced
-			runningThen++
+		if l.granted < t.reportTakenAt {
+			atReport := t.extrapolate(l, t.reportTakenAt)
+			usedAtReport += atReport.Prompt + atReport.Produced
+			runningAtReport++
 		}
 	}
-	kept := t.ended[:0]
-	for _, r := range t.ended {
-		if r.ended < t.taken {
+	kept := t.recentlyEnded[:0]
+	for _, r := range t.recentlyEnded {
+		if r.ended < t.reportTakenAt {
 			continue
 		}
 		kept = append(kept, r)
-		if r.granted < t.taken {
-			usedThen += r.tokens
-			runningThen++
+		if r.granted < t.reportTakenAt {
+			usedAtReport += r.tokens
+			runningAtReport++
 		}
 	}
-	t.ended = kept
-	t.unexplained = float64(max(0, t.report.UsedTokens-usedThen))
-	t.strangers = max(0, t.report.Running+t.report.Waiting-runningThen)
-	t.predictStrangers(o)
+	t.recentlyEnded = kept
+	t.unattributedTokens = float64(max(0, t.report.UsedTokens-usedAtReport))
+	t.unknownRequests = max(0, t.report.Running+t.report.Waiting-runningAtReport)
+	t.predictUnknownRequests(o)
 }
 
-// predictStrangers lets requests that we know nothing of grow like fresh ones
-// of their mean size. Counted at their present size only, a new owner would
-// fill the engine with generations that outgrow it while it learns of them.
-func (t *target) predictStrangers(o *outputs) {
-	if t.strangers == 0 {
+// predictUnknownRequests adds the unknown requests to the load as new requests
+// of their mean size. Counted at their present size only, they would let a new
+// owner fill the engine with generations that outgrow its memory before it
+// knows them.
+func (t *target) predictUnknownRequests(o *outputLengthModel) {
+	if t.unknownRequests == 0 {
 		return
 	}
 	var g memory.Growth
-	g.Predict(o.all, memory.Generation{Prompt: int(t.unexplained) / t.strangers})
-	t.load.AddAlike(&g, t.strangers)
-	t.unexplained = 0
+	g.Predict(o.all, memory.Generation{Prompt: int(t.unattributedTokens) / t.unknownRequests})
+	t.load.AddAlike(&g, t.unknownRequests)
+	t.unattributedTokens = 0
 }
 
-// extrapolate says how far a generation should be at a time: a token a step
-// since it was last heard of.
+// extrapolate estimates the progress of a generation at a time: one token per
+// step since its last progress report.
 func (t *target) extrapolate(l *lease, at time.Duration) memory.Generation {
 	gen := l.gen
 	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
-		gen.Produced += int((at - l.heard) / step)
+		gen.Produced += int((at - l.progressAt) / step)
 	}
 	gen.Produced = max(gen.Produced, 0)
 	if gen.Max > 0 {
@@ -254,31 +261,31 @@
 	return gen
 }
 
-// bears is the number of requests that may run at the target.
-func (t *target) bears() int {
+// capacity returns the number of requests that may run at the target.
+func (t *target) capacity() int {
 	if t.report.Bears > 0 {
 		return t.report.Bears
 	}
 	if t.report.MemoryTokens > 0 {
-		return maxBatch
+		return defaultEngineCapacity
 	}
-	return silentSlots
+	return defaultServiceCapacity
 }
 
-// maxBatch bounds an engine that does not say what it bears; memory is what
-// limits it before that.
-const maxBatch = 256
+// defaultEngineCapacity bounds the requests of an engine that does not report
+// its capacity; memory is the limit before that.
+const defaultEngineCapacity = 256
 
-// room tells how many more requests the target may be given now, by count.
-// What has started lately goes by slow start alone. A warm target, and a small
-// settled one at its owner, goes by our own count: its reports lag by many
-// times the length of a short call.
-func (t *target) room(now time.Duration, owner bool) int {
+// freeSlots returns how many more requests the target may be given now, by
+// count. For a target that started recently, slow start alone decides. For a
+// warm target, and for a small settled one at its owner, the allocator's own
+// count decides, because reports lag by many times the length of a short call.
+func (t *target) freeSlots(now time.Duration, owner bool) int {
 	state := t.gate.State(now)
 	if state != slowstart.Warm && (state != slowstart.Settled || !owner) {
 		return t.gate.Room(now)
 	}
-	bears := t.bears()
-	free := bears - len(t.leases) - t.strangers
-	return min(free, max(burstLeast, bears/burstShare)+t.confirmed-t.unconfirmed)
+	capacity := t.capacity()
+	free := capacity - len(t.leases) - t.unknownRequests
+	return min(free, max(minUnconfirmedGrants, capacity/unconfirmedGrantDivisor)+t.confirmed-t.unconfirmed)
 }
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -1,18 +1,18 @@
-// Package admission decides which request may start on which target, and
-// when. It is a pure state machine: asks, renewals, settlements, target
-// reports and ticks go in, decisions come out. It has no clock, no goroutine
-// and no network; time is an argument, counted from any fixed start.
+// Package admission decides which request may start on which target, and when.
+// It is a deterministic state machine without clock, goroutines or network:
+// asks, renewals, settlements, target reports and ticks are its inputs and
+// decisions its outputs. Time is an argument, measured from any fixed origin.
 //
-// One Allocator owns the targets of one service in one data centre (a pool).
-// The control process runs it on a single goroutine.
+// An Allocator owns the targets of one service in one data centre (a pool). The
+// control process runs each Allocator on a single goroutine.
 package admission
 
 import "time"
 
-// LeaseID names one admission; it is never used twice by one allocator.
+// LeaseID identifies one admission; an allocator never reuses one.
 type LeaseID uint64
 
-// Holder is the entry process that asked: its address and incarnation.
+// Holder identifies the entry process that asked, by address and incarnation.
 type Holder struct {
 	Entry       string
 	Incarnation uint64
@@ -23,25 +23,30 @@
 	Holder  Holder
 	Request uint64
 	Account string
-	// Service tells whose outputs' lengths the request is predicted by.
+	// Service selects the distribution of output lengths that predicts the
+	// request.
 	Service string
-	// PromptTokens and MaxTokens are in tokens; MaxTokens bounds the output.
+	// PromptTokens is the length of the prompt and MaxTokens the limit of the
+	// output, in tokens.
 	PromptTokens, MaxTokens int
-	// Fingerprint is equal for equal requests.
+	// Fingerprint is equal for identical requests; 0 means that it is not
+	// known.
 	Fingerprint uint64
 	// Prefix is a chain of hashes of the prompt's leading blocks.
 	Prefix []uint64
-	// MaxWait bounds the wait in the queue.
+	// MaxWait bounds the time in the queue.
 	MaxWait time.Duration
-	// Avoid lists targets that failed this request already.
+	// Avoid lists targets that have already failed this request.
 	Avoid []string
-	// AdoptTarget, when set, books a generation that runs there already.
+	// AdoptTarget, when set, registers a generation that already runs there;
+	// AdoptTokens is the number of tokens that it has produced.
 	AdoptTarget string
 	AdoptTokens int
 }
 
-// Renewal keeps a lease alive and says how far its generation is. It carries
-// enough to rebuild the lease at an allocator that has just taken over.
+// Renewal extends a lease and reports the progress of its generation. It
+// carries enough to rebuild the lease in an allocator that has just taken over
+// the pool.
 type Renewal struct {
 	Lease        LeaseID
 	Target       string
@@ -51,7 +56,7 @@
 	Produced     int
 }
 
-// Outcome says how an admitted request ended.
+// Outcome is the way in which an admitted request ended.
 type Outcome int
 
 // The ways in which an admitted request ends.
@@ -60,7 +65,8 @@
 	OutcomeNotRun
 	OutcomeTargetFailed
 	OutcomeCallerLeft
-	// OutcomeTargetCrashed means that the target died while it ran the request.
+	// OutcomeTargetCrashed means that the target crashed while it ran the
+	// request.
 	OutcomeTargetCrashed
 )
 
@@ -73,46 +79,46 @@
 	Duration   time.Duration
 }
 
-// Report is a target's own statement of its load, taken Age ago.
+// Report is a target's own measurement of its load, taken Age ago.
 type Report struct {
 	Target string
 	Age    time.Duration
-	// Incarnation changes when the target restarts: it is cold again.
+	// Incarnation changes when the target restarts, which makes it cold again.
 	Incarnation uint64
-	// MemoryTokens is the memory for keys and values, in tokens; Used is the
-	// part in use.
+	// MemoryTokens is the size of the key-value cache, in tokens, and
+	// UsedTokens the part in use.
 	MemoryTokens, UsedTokens int
 	Running, Waiting         int
 	Preemptions              uint64
-	// Bears is the number of requests that the target bears now; 0 means that
-	// the target does not say.
+	// Bears is the number of requests that the target can run concurrently at
+	// present; 0 means that it does not report this.
 	Bears int
 	// Stopping is set once the target has announced that it will stop.
 	Stopping bool
 	// StepTime is the mean time of a batch step.
 	StepTime time.Duration
-	// CachedPrefixes are the prefix hashes the target reports as cached since
-	// the last report.
+	// CachedPrefixes and EvictedPrefixes are the prefix hashes that the target
+	// has cached and evicted since the last report.
 	CachedPrefixes, EvictedPrefixes []uint64
 }
 
-// Target is one back end of the pool.
+// Target is one target of the pool.
 type Target struct {
 	Address string
 	// Leaving targets receive no new work.
 	Leaving bool
 }
 
-// Share is an account's part of the pool.
+// Share is an account's entitlement to the pool.
 type Share struct {
 	Account string
 	Weight  float64
-	// MaxRunning bounds the account's leases in this pool; 0 means no bound.
+	// MaxRunning bounds the account's leases in this pool; 0 means unlimited.
 	MaxRunning int
-	// Leased accounts share their limits with other pools: only what SetPart
-	// gave may start here, never more than MaxRunning.
+	// Leased is set for accounts that share their limits with other pools: only
+	// what a quota grant allows may start here, and never more than MaxRunning.
 	Leased bool
-	// Priority is handed to engines; higher goes first.
+	// Priority is passed on to engines; higher values are served first.
 	Priority int
 }
 
@@ -143,5 +149,5 @@
 	RetryAfter time.Duration
 }
 
-// Granted tells a grant from a refusal.
+// Granted reports whether the decision is a grant.
 func (d Decision) Granted() bool { return d.Reason == 0 }
--- a/internal/decide/fairqueue/account.go
+++ b/internal/decide/fairqueue/account.go
@@ -2,64 +2,71 @@
 
 import "time"
 
-// Account is one client account's place in a queue. Accounts exist only while
-// they have requests waiting or running, or owe service; a pool's state grows
-// with the accounts that use it and not with the table.
+// Account is the scheduling state of one client account in a queue. An account
+// is kept only while it has requests waiting or running, or has an outstanding
+// service debt, so memory grows with the accounts that use the pool and not
+// with the size of the account table.
 type Account[T any] struct {
 	Name   string
 	weight float64
-	// limit bounds running; 0 means no bound, NoneMayRun that none may start.
+	// limit bounds running; 0 means unlimited, ZeroLimit that none may start.
 	limit   int
 	running int
 	waiting int
-	// served is the virtual time: charged tokens over weight.
-	served      float64
-	first, last *Request[T]
-	// readyAt and lengthAt place the account in the queue's heaps.
-	readyAt, lengthAt int
-	// idle is set while the account stands in the idle list.
+	// normalizedService is the account's virtual time: charged tokens divided
+	// by weight.
+	normalizedService float64
+	first, last       *Request[T]
+	// readyIndex and lengthIndex are the account's indexes in the queue's
+	// heaps.
+	readyIndex, lengthIndex int
+	// idle is set while the account is in the queue's idle list.
 	idle     bool
 	pushedAt time.Duration
-	// skipped keeps it from being picked for the moment.
+	// skipped excludes the account from selection between Skip and Unskip.
 	skipped bool
-	// drain measures its own service while it is backlogged.
-	drain Drain
-	// meanCost is the mean charge of its finished requests; 0 when unknown.
+	// drainRate measures the account's own service while it is backlogged.
+	drainRate DrainRate
+	// meanCost is the exponential moving average of the charge of its finished
+	// requests, in tokens; 0 when unknown.
 	meanCost float64
 }
 
-// Weight is the account's weight.
+// Weight returns the account's scheduling weight.
 func (a *Account[T]) Weight() float64 { return a.weight }
 
-// Running is the number of its requests that run.
+// Running returns the number of its running requests.
 func (a *Account[T]) Running() int { return a.running }
 
-// Waiting is the number of its requests that wait.
+// Waiting returns the number of its waiting requests.
 func (a *Account[T]) Waiting() int { return a.waiting }
 
-// Served is the service charged so far over the weight, in tokens.
-func (a *Account[T]) Served() float64 { return a.served }
+// NormalizedService returns the tokens charged so far divided by the weight.
+func (a *Account[T]) NormalizedService() float64 { return a.normalizedService }
 
-// NoneMayRun is the limit of an account that may start nothing at present. Its
-// requests keep their places.
-const NoneMayRun = -1
+// ZeroLimit is the limit of an account that may start no request at present.
+// Its waiting requests keep their positions in the queue.
+const ZeroLimit = -1
 
-// Limit bounds its running requests; 0 means no bound.
+// Limit returns the bound on its running requests; 0 means unlimited.
 func (a *Account[T]) Limit() int { return a.limit }
 
-// Newest is its waiting request that came last, nil when none waits.
+// Newest returns its most recently queued waiting request, or nil.
 func (a *Account[T]) Newest() *Request[T] { return a.last }
 
-// Limited tells whether the account runs as many requests as it may.
-func (a *Account[T]) Limited() bool { return a.limit != 0 && a.running >= a.limit }
+// AtLimit reports whether the account's running requests have reached its
+// limit.
+func (a *Account[T]) AtLimit() bool { return a.limit != 0 && a.running >= a.limit }
 
-// key orders the accounts that could be picked; the least goes first.
-func (a *Account[T]) key(ahead float64) float64 {
-	return a.served + ahead*float64(a.running)/a.weight
+// schedulingKey orders the accounts that are ready; the lowest key is served
+// first. lookAhead is in tokens for each running request.
+func (a *Account[T]) schedulingKey(lookAhead float64) float64 {
+	return a.normalizedService + lookAhead*float64(a.running)/a.weight
 }
 
-// length is the part of the queue that the account takes, over its weight.
-func (a *Account[T]) length() float64 { return float64(a.waiting) / a.weight }
+// normalizedLength returns the number of waiting requests divided by the
+// weight.
+func (a *Account[T]) normalizedLength() float64 { return float64(a.waiting) / a.weight }
 
 func (a *Account[T]) append(r *Request[T]) {
 	r.previous, r.next = a.last, nil
@@ -87,13 +94,13 @@
 	a.waiting--
 }
 
-// readyPlace and lengthPlace let one object stand in several
-// heaps, each of which keeps its own index.
+// readyElement and lengthElement adapt an account to the two heaps that it can
+// be in at the same time; each heap keeps its own index.
 type (
-	readyPlace[T any]  struct{ *Account[T] }
-	lengthPlace[T any] struct{ *Account[T] }
+	readyElement[T any]  struct{ *Account[T] }
+	lengthElement[T any] struct{ *Account[T] }
 )
 
-func (p readyPlace[T]) place() *int  { return &p.readyAt }
-func (p lengthPlace[T]) place() *int { return &p.lengthAt }
-func (r *Request[T]) place() *int    { return &r.deadlineAt }
+func (p readyElement[T]) heapIndex() *int  { return &p.readyIndex }
+func (p lengthElement[T]) heapIndex() *int { return &p.lengthIndex }
+func (r *Request[T]) heapIndex() *int      { return &r.deadlineIndex }
--- a/internal/decide/fairqueue/drain.go
+++ b/internal/decide/fairqueue/drain.go
@@ -6,77 +6,83 @@
 )
 
 const (
-	// drainMemory is the time constant of the measured rate: several renewal
-	// rounds, in which tokens arrive in lumps, and short against the tens of
-	// seconds that callers wait.
-	drainMemory = 5 * time.Second
-	// drainTick bounds how often the rate is brought up to date.
-	drainTick = 100 * time.Millisecond
-	// drainTrusted is the time under backlog before the rate is believed.
-	drainTrusted = 2 * time.Second
+	// drainTimeConstant is the time constant of the exponential average. It
+	// spans several renewal rounds, because tokens are charged in bursts at
+	// each renewal, and is short against the tens of seconds that callers wait.
+	drainTimeConstant = 5 * time.Second
+	// drainSampleInterval is the minimum time between updates of the rate.
+	drainSampleInterval = 100 * time.Millisecond
+	// drainMinBacklogTime is how long a backlog must have been observed before
+	// the rate counts as known.
+	drainMinBacklogTime = 2 * time.Second
 )
 
-// Drain measures how fast a pool serves while it is backlogged, in charged
-// tokens a second. A rate measured with an empty queue would be the demand and
-// not the capacity, and would turn away callers whom the pool could serve.
-type Drain struct {
-	rate     float64
-	charged  float64
-	last     time.Duration
-	observed time.Duration
-	busy     bool
+// DrainRate measures how fast a pool serves while it is backlogged, in charged
+// tokens per second. A rate measured with an empty queue would reflect the
+// demand and not the capacity, and callers that the pool could serve would be
+// refused.
+type DrainRate struct {
+	rate           float64
+	pendingTokens  float64
+	sampledAt      time.Duration
+	backloggedTime time.Duration
+	wasBacklogged  bool
 }
 
-// Charge counts served tokens.
-func (d *Drain) Charge(tokens float64) { d.charged += tokens }
+// Add counts tokens that were served.
+func (d *DrainRate) Add(tokens float64) { d.pendingTokens += tokens }
 
-// Tick moves time on; backlogged tells whether requests wait now.
-func (d *Drain) Tick(now time.Duration, backlogged bool) {
-	elapsed := now - d.last
-	if elapsed < drainTick {
+// Update advances the measurement to now; backlogged tells whether requests are
+// waiting.
+func (d *DrainRate) Update(now time.Duration, backlogged bool) {
+	elapsed := now - d.sampledAt
+	if elapsed < drainSampleInterval {
 		return
 	}
-	instant := d.charged / elapsed.Seconds()
-	if d.busy && backlogged {
-		d.observed += elapsed
-		part := 1 - math.Exp(-elapsed.Seconds()/drainMemory.Seconds())
-		d.rate += max(part, elapsed.Seconds()/d.observed.Seconds()) * (instant - d.rate)
+	sample := d.pendingTokens / elapsed.Seconds()
+	if d.wasBacklogged && backlogged {
+		d.backloggedTime += elapsed
+		smoothing := 1 - math.Exp(-elapsed.Seconds()/drainTimeConstant.Seconds())
+		d.rate += max(smoothing, elapsed.Seconds()/d.backloggedTime.Seconds()) * (sample - d.rate)
 	}
-	d.charged, d.last, d.busy = 0, now, backlogged
+	d.pendingTokens, d.sampledAt, d.wasBacklogged = 0, now, backlogged
 }
 
-// Rate is the service in tokens a second; known is false until enough was
-// seen.
-func (d *Drain) Rate() (rate float64, known bool) {
-	return d.rate, d.observed >= drainTrusted && d.rate > 0
+// Rate returns the service rate in tokens per second; known is false until a
+// backlog has been observed for long enough.
+func (d *DrainRate) Rate() (rate float64, known bool) {
+	return d.rate, d.backloggedTime >= drainMinBacklogTime && d.rate > 0
 }
 
-// Wait estimates how long a request of account a would wait that has ahead
-// requests of the same account before it. typical is the cost of a request, in
-// charged tokens, while the account has none of its own. While the drain rate
-// isn't known the estimate is 0: turning callers away needs grounds.
-func (q *Queue[T]) Wait(d *Drain, a *Account[T], ahead int, typical float64) time.Duration {
+// EstimateWait estimates how long a request of account a waits when ahead
+// requests of the same account are before it. typicalCost is the cost of a
+// request, in charged tokens, assumed while the account has no mean of its own.
+// While the drain rate is unknown the estimate is 0, so that no caller is
+// refused without evidence of overload.
+func (q *Queue[T]) EstimateWait(d *DrainRate, a *Account[T], ahead int, typicalCost float64) time.Duration {
 	rate, known := d.Rate()
 	if !known {
 		return 0
 	}
 	cost := a.meanCost
 	if cost == 0 {
-		cost = typical
+		cost = typicalCost
 	}
-	total := q.backlogged
+	totalWeight := q.backloggedWeight
 	if a.waiting == 0 {
-		total += a.weight
+		totalWeight += a.weight
 	}
-	share := rate * a.weight / total
-	// Accounts that are served without waiting take part of the rate and don't
-	// show among those that wait: what this account really got says so.
-	if own, known := a.drain.Rate(); known {
-		share = min(share, own)
+	accountRate := rate * a.weight / totalWeight
+	// Accounts that are served without waiting use part of the rate but are not
+	// among the backlogged ones; the account's own measured rate accounts for
+	// them.
+	if ownRate, known := a.drainRate.Rate(); known {
+		accountRate = min(accountRate, ownRate)
 	}
-	seconds := float64(ahead+1) * cost / share
-	return time.Duration(min(seconds, maxWaitSeconds) * float64(time.Second))
+	seconds := float64(ahead+1) * cost / accountRate
+	return time.Duration(min(seconds, maxEstimateSeconds) * float64(time.Second))
 }
 
-// maxWaitSeconds bounds an estimate; beyond it the figure says only "later".
-const maxWaitSeconds = 600
+// maxEstimateSeconds bounds an estimate, which is not meaningful beyond ten
+// minutes.
+const maxEstimateSeconds = 600
--- a/internal/decide/fairqueue/heap.go
+++ b/internal/decide/fairqueue/heap.go
@@ -1,21 +1,22 @@
 package fairqueue
 
-// indexed is an element that knows its place in a heap; -1 while in none.
-type indexed interface {
-	place() *int
+// heapElement is an element that stores its own index in a heap, or -1 while it
+// is in none.
+type heapElement interface {
+	heapIndex() *int
 }
 
 // heap is a binary heap whose elements can be moved and removed in O(log n).
-// container/heap would do, but boxes each element and calls through an
-// interface, which costs more than the pick itself.
-type heap[E indexed] struct {
+// container/heap boxes each element and calls through an interface, which costs
+// more than the selection itself.
+type heap[E heapElement] struct {
 	items []E
 	less  func(a, b E) bool
 }
 
 func (h *heap[E]) len() int { return len(h.items) }
 
-func (h *heap[E]) first() (e E, ok bool) {
+func (h *heap[E]) peek() (e E, ok bool) {
 	if len(h.items) == 0 {
 		return e, false
 	}
@@ -23,47 +24,47 @@
 }
 
 func (h *heap[E]) push(e E) {
-	*e.place() = len(h.items)
+	*e.heapIndex() = len(h.items)
 	h.items = append(h.items, e)
-	h.up(len(h.items) - 1)
+	h.siftUp(len(h.items) - 1)
 }
 
 func (h *heap[E]) remove(e E) {
-	i := *e.place()
+	i := *e.heapIndex()
 	if i < 0 {
 		return
 	}
 	last := len(h.items) - 1
 	h.swap(i, last)
-	var none E
-	h.items[last] = none
+	var zero E
+	h.items[last] = zero
 	h.items = h.items[:last]
-	*e.place() = -1
+	*e.heapIndex() = -1
 	if i < last {
 		h.fixAt(i)
 	}
 }
 
-// fix restores the order after e's key has changed.
+// fix restores the heap order after the key of e has changed.
 func (h *heap[E]) fix(e E) {
-	if i := *e.place(); i >= 0 {
+	if i := *e.heapIndex(); i >= 0 {
 		h.fixAt(i)
 	}
 }
 
 func (h *heap[E]) fixAt(i int) {
-	if !h.down(i) {
-		h.up(i)
+	if !h.siftDown(i) {
+		h.siftUp(i)
 	}
 }
 
 func (h *heap[E]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.items[i].place() = i
-	*h.items[j].place() = j
+	*h.items[i].heapIndex() = i
+	*h.items[j].heapIndex() = j
 }
 
-func (h *heap[E]) up(i int) {
+func (h *heap[E]) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(h.items[i], h.items[parent]) {
@@ -74,7 +75,7 @@
 	}
 }
 
-func (h *heap[E]) down(i int) bool {
+func (h *heap[E]) siftDown(i int) bool {
 	start := i
 	for {
 		least := i
