--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -35,11 +35,11 @@
 // harness is an allocator with a clock and a record of its decisions.
 type harness struct {
 	*Allocator
-	now       time.Duration
-	granted   map[uint64]Decision
-	refused   map[uint64]Decision
-	decisions int
-	next      uint64
+	now         time.Duration
+	granted     map[uint64]Decision
+	refused     map[uint64]Decision
+	decisions   int
+	lastRequest uint64
 }
 
 var testHolder = Holder{Entry: "10.0.0.1:80", Incarnation: 1}
@@ -70,13 +70,13 @@
 
 // ask queues a request and returns its number.
 func (r *harness) ask(account string, change func(*Ask)) uint64 {
-	r.next++
-	ask := Ask{Holder: testHolder, Request: r.next, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
+	r.lastRequest++
+	ask := Ask{Holder: testHolder, Request: r.lastRequest, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
 	if change != nil {
 		change(&ask)
 	}
 	r.Ask(r.now, ask)
-	return r.next
+	return r.lastRequest
 }
 
 func (r *harness) askMany(n int, account string, change func(*Ask)) (ids []uint64) {
@@ -211,7 +211,7 @@
 		r.askMany(300, "a", func(a *Ask) { a.MaxWait = 5 * sec })
 		r.decide()
 		Expect(len(r.refused) - before).To(BeNumerically(">", 200))
-		lastRefusal := r.refused[r.next]
+		lastRefusal := r.refused[r.lastRequest]
 		Expect(lastRefusal.Reason).To(Equal(RefusedDeadline))
 		Expect(lastRefusal.RetryAfter).To(BeNumerically("<", 30*sec))
 	})
@@ -408,7 +408,7 @@
 			}
 		}
 		Expect(crashes).To(BeNumerically("<=", 3))
-		Expect(r.refused[r.next-1].Reason).To(Equal(RefusedPoison))
+		Expect(r.refused[r.lastRequest-1].Reason).To(Equal(RefusedPoison))
 		Expect(r.granted).To(HaveKey(last))
 		successor := newHarness(1, Config{})
 		Expect(successor.MergePoison(successor.now, r.PoisonEvidence(r.now, 10))).To(BeTrue())
@@ -503,10 +503,10 @@
 			if r.granted[id].Target == "e0" {
 				lost++
 				r.settle(id, OutcomeTargetFailed, 0)
-			} else if r.next > 20 {
+			} else if r.lastRequest > 20 {
 				r.settle(id-10, OutcomeDone, 10)
 			}
-			if r.next%50 == 0 {
+			if r.lastRequest%50 == 0 {
 				reportAllTargets(r)
 			}
 		}
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -258,7 +258,7 @@
 				if i > 40 {
 					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, Produced: 20})
 				}
-				r.Ask(r.now, Ask{Holder: testHolder, Request: r.next + uint64(i) + 1, Account: names[i%accounts],
+				r.Ask(r.now, Ask{Holder: testHolder, Request: r.lastRequest + uint64(i) + 1, Account: names[i%accounts],
 					PromptTokens: 100, MaxTokens: 100, MaxWait: time.Hour})
 				r.refresh(r.now)
 				startedAt := time.Now()
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -38,7 +38,7 @@
 	byID        map[LeaseID]*lease
 	first, last *lease
 	nextID      LeaseID
-	free        []*lease
+	freeList    []*lease
 	// meanServiceTime is the mean time from grant to settlement, meanCharge the
 	// mean charge of a finished request in tokens.
 	meanServiceTime time.Duration
@@ -62,9 +62,9 @@
 
 func (t *leaseTable) insert(id LeaseID) *lease {
 	var l *lease
-	if n := len(t.free); n > 0 {
-		l = t.free[n-1]
-		t.free = t.free[:n-1]
+	if n := len(t.freeList); n > 0 {
+		l = t.freeList[n-1]
+		t.freeList = t.freeList[:n-1]
 	} else {
 		l = &lease{}
 	}
@@ -100,7 +100,7 @@
 	t.unlink(l)
 	delete(t.byID, l.id)
 	*l = lease{}
-	t.free = append(t.free, l)
+	t.freeList = append(t.freeList, l)
 }
 
 // recordFinished updates the means with a finished request.
