--- a/internal/decide/admission/poison.go
+++ b/internal/decide/admission/poison.go
@@ -11,7 +11,8 @@
 
 // poisonRestriction is how the crash evidence restricts one request.
 type poisonRestriction struct {
-	// rejected requests are refused; wait is the time until that ends.
+	// rejected requests are refused; wait is the time until the restriction
+	// ends.
 	rejected bool
 	wait     time.Duration
 	// mustWait is set while the request must not run yet.
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -29,7 +29,8 @@
 	tokens         int
 }
 
-// target is one target: its last report and what the allocator knows of it.
+// target is the allocator's state of one target: its last report and the leases
+// and memory that are known to be in use there.
 type target struct {
 	address string
 	leaving bool
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -102,7 +102,7 @@
 	CachedPrefixes, EvictedPrefixes []uint64
 }
 
-// Target is one target of the pool.
+// Target is an entry of the pool's target list.
 type Target struct {
 	Address string
 	// Leaving targets receive no new work.
