--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -197,15 +197,15 @@
 	// retry delay, and not at their deadlines.
 	It("refuses at once what cannot be served in time, with a retry delay", func() {
 		r := newHarness(1, Config{})
-		active := []uint64{}
+		runningIDs := []uint64{}
 		for range 100 {
-			active = append(active, r.askMany(2, "a", func(a *Ask) { a.MaxWait = 5 * sec })...)
+			runningIDs = append(runningIDs, r.askMany(2, "a", func(a *Ask) { a.MaxWait = 5 * sec })...)
 			r.advance(100 * ms)
 			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
-			for _, id := range active[:1] {
+			for _, id := range runningIDs[:1] {
 				r.settle(id, OutcomeDone, 100)
 			}
-			active = active[1:]
+			runningIDs = runningIDs[1:]
 		}
 		before := len(r.refused)
 		r.askMany(300, "a", func(a *Ask) { a.MaxWait = 5 * sec })
@@ -367,12 +367,12 @@
 // crashTarget settles everything that runs on a target as lost in a crash, and
 // restarts the target.
 func (r *harness) crashTarget(target string) {
-	died := 0
+	crashed := 0
 	for id, d := range r.granted {
 		if d.Target == target {
 			r.settle(id, OutcomeTargetCrashed, 0)
 			delete(r.granted, id)
-			died++
+			crashed++
 		}
 	}
 	r.targets[target].report.Incarnation++
@@ -496,12 +496,12 @@
 	// pool's requests and fails them all.
 	It("gets trial requests only", func() {
 		r := newHarness(3, Config{})
-		lost := 0
+		failed := 0
 		for range 200 {
 			id := r.ask("a", nil)
 			r.advance(10 * ms)
 			if r.granted[id].Target == "e0" {
-				lost++
+				failed++
 				r.settle(id, OutcomeTargetFailed, 0)
 			} else if r.lastRequest > 20 {
 				r.settle(id-10, OutcomeDone, 10)
@@ -510,7 +510,7 @@
 				reportAllTargets(r)
 			}
 		}
-		Expect(lost).To(BeNumerically("<", 12))
+		Expect(failed).To(BeNumerically("<", 12))
 	})
 })
 
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -199,8 +199,8 @@
 // to be still waiting at its deadline.
 func (a *Allocator) predictedLate(now time.Duration, r *fairqueue.Request[Ask]) bool {
 	ahead := r.Account.Waiting() - 1
-	left := time.Duration(queuedWaitMargin * float64(r.Deadline-now))
-	return ahead > 0 && a.predictWait(r.Account, ahead-1) > left
+	remaining := time.Duration(queuedWaitMargin * float64(r.Deadline-now))
+	return ahead > 0 && a.predictWait(r.Account, ahead-1) > remaining
 }
 
 func (a *Allocator) refuseAll() {
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -20,7 +20,7 @@
 	usedIDs      map[LeaseID]bool
 }
 
-func newSchedule(t *testing.T, seed uint64) *randomSchedule {
+func newRandomSchedule(t *testing.T, seed uint64) *randomSchedule {
 	s := &randomSchedule{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: sec,
 		allocator: New(Config{Owner: true, Seed: seed, QueueLimit: 32}),
@@ -211,7 +211,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		s := newSchedule(t, seed)
+		s := newRandomSchedule(t, seed)
 		for range 400 {
 			s.step()
 		}
