--- /dev/null
+++ b/internal/decide/admission/poison.go
@@ -0,0 +1,148 @@
+package admission
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"filbertdeck/internal/decide/fairqueue"
+	"filbertdeck/internal/decide/poison"
+)
+
+// poisonRestriction is how the crash evidence restricts one request.
+type poisonRestriction struct {
+	// rejected requests are refused; wait is the time until the restriction
+	// ends.
+	rejected bool
+	wait     time.Duration
+	// mustWait is set while the request must not run yet.
+	mustWait bool
+	// exclusive requests run on a target without any other request, separate
+	// ones on a target without other suspects.
+	exclusive, separate bool
+}
+
+func (r poisonRestriction) restricted() bool { return r.mustWait || r.exclusive || r.separate }
+
+// allows reports whether the restriction lets a request run on the target.
+func (t *target) allows(restriction poisonRestriction) bool {
+	switch {
+	case t.exclusiveLeases > 0:
+		return false
+	case restriction.exclusive:
+		return len(t.leases)+t.unknownRequests == 0
+	case t.reserved:
+		return false
+	case restriction.separate:
+		return t.suspectLeases == 0
+	}
+	return true
+}
+
+// poisonGuard applies the crash evidence to this pool. It also reserves a
+// target, which takes no new requests, for a request that must run exclusively:
+// on a busy pool there would otherwise never be an empty target, and an
+// innocent request could never run.
+type poisonGuard struct {
+	detector *poison.Detector
+	// runningByFingerprint counts the leases of each fingerprint.
+	runningByFingerprint map[uint64]int
+	reservedFor          *fairqueue.Request[Ask]
+	reservedTarget       *target
+}
+
+func newPoisonGuard() poisonGuard {
+	return poisonGuard{detector: poison.New(poison.Config{}), runningByFingerprint: map[uint64]int{}}
+}
+
+// restrictionFor returns how a request may run now. A request with fingerprint
+// 0 is not restricted.
+func (s *poisonGuard) restrictionFor(now time.Duration, fingerprint uint64) poisonRestriction {
+	if fingerprint == 0 {
+		return poisonRestriction{}
+	}
+	r := s.detector.Rule(now, fingerprint)
+	suspected := r.Verdict == poison.Apart || r.Verdict == poison.Alone
+	// Identical suspects run one at a time: run on two targets at once they
+	// could crash both before the first crash is known.
+	duplicateRunning := suspected && s.runningByFingerprint[fingerprint] > 0
+	return poisonRestriction{
+		rejected: r.Verdict == poison.Guilty, wait: r.Wait, mustWait: r.Wait > 0 || duplicateRunning,
+		exclusive: r.Verdict == poison.Alone, separate: r.Verdict == poison.Apart,
+	}
+}
+
+// leaseStarted and leaseEnded count the leases of a fingerprint.
+func (s *poisonGuard) leaseStarted(fingerprint uint64) {
+	if fingerprint != 0 {
+		s.runningByFingerprint[fingerprint]++
+	}
+}
+
+func (s *poisonGuard) leaseEnded(fingerprint uint64) {
+	if fingerprint == 0 {
+		return
+	}
+	if s.runningByFingerprint[fingerprint]--; s.runningByFingerprint[fingerprint] == 0 {
+		delete(s.runningByFingerprint, fingerprint)
+	}
+}
+
+func (s *poisonGuard) requestFinished(now time.Duration, fingerprint uint64) {
+	if fingerprint != 0 {
+		s.detector.Finished(now, fingerprint)
+	}
+}
+
+// targetCrashed records the crash of a target with all requests that ran there,
+// the latest start first. It is called for each lease of the target; the first
+// call records all of them, and later calls have the same crash ID.
+func (s *poisonGuard) targetCrashed(now time.Duration, t *target) {
+	running := slices.Clone(t.leases)
+	slices.SortFunc(running, func(a, b *lease) int { return cmp.Compare(b.granted, a.granted) })
+	var fingerprints []uint64
+	for _, l := range running {
+		if l.fingerprint != 0 {
+			fingerprints = append(fingerprints, l.fingerprint)
+		}
+	}
+	s.detector.Crashed(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
+}
+
+// PoisonEvidence returns the latest crashes for gossip, at most limit of them.
+func (a *Allocator) PoisonEvidence(now time.Duration, limit int) []poison.Crash {
+	return a.poison.detector.Export(now, limit)
+}
+
+// MergePoison adds crash evidence of other allocators. It reports whether any
+// was new and should be passed on at once.
+func (a *Allocator) MergePoison(now time.Duration, crashes []poison.Crash) bool {
+	return a.poison.detector.Merge(now, crashes)
+}
+
+// reserveTarget reserves the least loaded target for the request. At most one
+// reservation exists at a time.
+func (s *poisonGuard) reserveTarget(targets []*target, r *fairqueue.Request[Ask]) {
+	if s.reservedFor != nil {
+		return
+	}
+	for _, t := range targets {
+		if !t.leaving && (s.reservedTarget == nil || len(t.leases) < len(s.reservedTarget.leases)) {
+			s.reservedTarget = t
+		}
+	}
+	if s.reservedTarget != nil {
+		s.reservedFor, s.reservedTarget.reserved = r, true
+	}
+}
+
+// releaseReservation ends the reservation of a request that no longer waits.
+func (s *poisonGuard) releaseReservation(r *fairqueue.Request[Ask]) {
+	if s.reservedFor != r {
+		return
+	}
+	if s.reservedTarget != nil {
+		s.reservedTarget.reserved = false
+	}
+	s.reservedFor, s.reservedTarget = nil, nil
+}
