--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/accusers"
 	"filbertdeck/internal/decide/coldshare"
 	"filbertdeck/internal/decide/enginespeed"
+	"filbertdeck/internal/decide/failurereports"
 	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
 	"filbertdeck/internal/decide/targetrate"
@@ -32,7 +32,7 @@
 	alerts *loadshare.Board
 	speeds *enginespeed.Board
 	// accusers holds the target failures that other hosts reported.
-	accusers  *accusers.Board
+	accusers  *failurereports.Tracker
 	coldBound ColdBound
 	// rates holds the rate limits that targets advertised. borrowRate borrows
 	// one request of another host's share of a rate; nil when none can be
@@ -71,7 +71,7 @@
 	start := uint64(time.Now().UnixMicro())
 	return &Loads{
 		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
-		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
+		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
 		loadsChanged: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
@@ -148,7 +148,7 @@
 	l.mergeRates(alerts)
 	for _, c := range alerts {
 		if c.Host != l.address {
-			l.accusers.Heard(l.now(), c.Host, c.Target, c.Failures)
+			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.Failures)
 		}
 		if c.Leaving {
 			wake.Signal(l.targetLeaving)
