--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -18,8 +18,8 @@
 	// Owner tells whether this allocator is the pool's published owner. Only
 	// the published owner admits requests to cold targets.
 	Owner bool
-	// LeaseFor is the lifetime of a lease without renewal. Default 3 s.
-	LeaseFor time.Duration
+	// LeaseDuration is the lifetime of a lease without renewal. Default 3 s.
+	LeaseDuration time.Duration
 	// QueueLimit bounds the number of waiting asks. Default 1024.
 	QueueLimit int
 	// Seed seeds the random choices and the first lease ID. It must be drawn
@@ -106,8 +106,8 @@
 
 // New returns an allocator without targets.
 func New(cfg Config) *Allocator {
-	if cfg.LeaseFor == 0 {
-		cfg.LeaseFor = defaultLeaseDuration
+	if cfg.LeaseDuration == 0 {
+		cfg.LeaseDuration = defaultLeaseDuration
 	}
 	if cfg.QueueLimit == 0 {
 		cfg.QueueLimit = defaultQueueLimit
@@ -115,7 +115,7 @@
 	if cfg.Memory == (memory.Rule{}) {
 		cfg.Memory = memory.DefaultRule()
 	}
-	cfg.SlowStart.LeaseFor = cfg.LeaseFor
+	cfg.SlowStart.LeaseFor = cfg.LeaseDuration
 	return &Allocator{
 		cfg:           cfg,
 		random:        rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
@@ -302,7 +302,7 @@
 func (a *Allocator) grant(l *lease, request uint64, attained int) {
 	a.pendingDecisions = append(a.pendingDecisions, Decision{
 		Holder: l.holder, Request: request, Lease: l.id, Target: l.target.address,
-		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseFor: a.cfg.LeaseFor,
+		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseDuration: a.cfg.LeaseDuration,
 	})
 }
 
--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -48,14 +48,14 @@
 // tokens of memory and can run 64 requests.
 func newHarness(engines int, cfg Config) *harness {
 	r := &harness{Allocator: New(cfg), now: 10 * sec, granted: map[uint64]Decision{}, refused: map[uint64]Decision{}}
-	r.SetOwner(0, true)
+	r.SetConfirmedOwner(0, true)
 	targets := make([]Target, engines)
 	for i := range targets {
 		targets[i].Address = fmt.Sprint("e", i)
 	}
 	r.SetTargets(r.now, targets)
 	for _, t := range targets {
-		r.report(t.Address, Report{Bears: 64, MemoryTokens: 10_000})
+		r.report(t.Address, Report{Capacity: 64, MemoryTokens: 10_000})
 	}
 	return r
 }
@@ -103,7 +103,7 @@
 }
 
 func (r *harness) settle(id uint64, o Outcome, produced int) {
-	r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: o, Produced: produced})
+	r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: o, ProducedTokens: produced})
 }
 
 var _ = Describe("the allocator", func() {
@@ -130,7 +130,7 @@
 		}
 		Expect(grantsByTarget["e0"]).To(Equal(5))
 		prefix := []uint64{1, 2, 3, 4}
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, CachedPrefixes: prefix})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, CachedPrefixes: prefix})
 		for _, id := range r.askMany(3, "a", func(a *Ask) { a.PromptTokens, a.Prefix = 500, prefix }) {
 			r.decide()
 			Expect(r.granted[id].Target).To(Equal("e1"))
@@ -173,8 +173,8 @@
 			return 2
 		}),
 		Entry("a maximum wait that has passed", RefusedDeadline, func(r *harness) uint64 {
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
-			r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
+			r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
 			id := r.ask("a", func(a *Ask) { a.MaxWait = sec })
 			r.advance(sec)
 			return id
@@ -201,7 +201,7 @@
 		for range 100 {
 			runningIDs = append(runningIDs, r.askMany(2, "a", func(a *Ask) { a.MaxWait = 5 * sec })...)
 			r.advance(100 * ms)
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 			for _, id := range runningIDs[:1] {
 				r.settle(id, OutcomeDone, 100)
 			}
@@ -229,7 +229,7 @@
 
 	It("defers a head that is blocked by its own constraints", func() {
 		r := newHarness(2, Config{})
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
 		r.ask("a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		other := r.ask("b", nil)
 		r.decide()
@@ -242,7 +242,7 @@
 	// which other accounts' requests could start.
 	It("serves other accounts behind several constrained heads", func() {
 		r := newHarness(2, Config{})
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
 		r.askMany(3, "a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		r.askMany(3, "b", func(a *Ask) { a.Avoid = []string{"e0"} })
 		others := r.askMany(3, "c", nil)
@@ -304,12 +304,12 @@
 		predecessor, successor := newHarness(1, Config{Seed: 1}), newHarness(1, Config{Seed: 2})
 		predecessor.askMany(64, "a", nil)
 		predecessor.decide()
-		successor.report("e0", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_000, Running: len(predecessor.granted)})
+		successor.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_000, Running: len(predecessor.granted)})
 		successor.askMany(10, "b", nil)
 		successor.decide()
 		Expect(successor.granted).To(BeEmpty())
 		for _, d := range predecessor.granted {
-			successor.Renew(successor.now, testHolder, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a", PromptTokens: 100, Produced: 50}})
+			successor.Renew(successor.now, testHolder, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a", PromptTokens: 100, ProducedTokens: 50}})
 		}
 		successor.advance(100 * ms)
 		Expect(successor.granted).To(BeEmpty())
@@ -337,17 +337,17 @@
 	It("get work only from the published owner, and only up to their capacity", func() {
 		for _, owner := range []bool{true, false} {
 			r := newHarness(0, Config{})
-			r.SetOwner(0, owner)
+			r.SetConfirmedOwner(0, owner)
 			r.SetTargets(r.now, []Target{{Address: "cold"}})
 			running := 0
 			r.askMany(20, "a", nil)
 			for range 20 {
-				r.Confirm(r.now)
-				r.report("cold", Report{Bears: 3, MemoryTokens: 10_000, Running: running})
+				r.ConfirmOwnership(r.now)
+				r.report("cold", Report{Capacity: 3, MemoryTokens: 10_000, Running: running})
 				r.advance(500 * ms)
 				running = len(r.granted)
 				for _, d := range r.granted {
-					r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: "cold", Produced: 1}})
+					r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: "cold", ProducedTokens: 1}})
 				}
 				Expect(running).To(BeNumerically("<=", 3))
 			}
@@ -377,7 +377,7 @@
 	}
 	r.targets[target].report.Incarnation++
 	r.now += 500 * ms
-	r.report(target, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: r.targets[target].report.Incarnation})
+	r.report(target, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[target].report.Incarnation})
 }
 
 var _ = Describe("a request that crashes its targets", func() {
@@ -396,7 +396,7 @@
 				r.renewAll()
 				for i := range 3 {
 					address := fmt.Sprint("e", i)
-					r.report(address, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
+					r.report(address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
 				}
 			}
 			if d, ran := r.granted[id]; ran {
@@ -411,7 +411,7 @@
 		Expect(r.refused[r.lastRequest-1].Reason).To(Equal(RefusedPoison))
 		Expect(r.granted).To(HaveKey(last))
 		successor := newHarness(1, Config{})
-		Expect(successor.MergePoison(successor.now, r.PoisonEvidence(r.now, 10))).To(BeTrue())
+		Expect(successor.MergePoisonEvidence(successor.now, r.PoisonEvidence(r.now, 10))).To(BeTrue())
 		id := successor.ask("a", func(a *Ask) { a.Fingerprint = 666 })
 		successor.decide()
 		Expect(successor.refused[id].Reason).To(Equal(RefusedPoison))
@@ -428,11 +428,11 @@
 		for i := range 80 {
 			r.now += 500 * ms
 			full, idle := []string{"e0", "e1"}[i/40%2], []string{"e1", "e0"}[i/40%2]
-			r.report(full, Report{Bears: 64, MemoryTokens: 10_000, Running: 100, StepTime: 40 * ms})
-			r.report(idle, Report{Bears: 64, MemoryTokens: 10_000, Running: 4, StepTime: 11 * ms})
+			r.report(full, Report{Capacity: 64, MemoryTokens: 10_000, Running: 100, StepTime: 40 * ms})
+			r.report(idle, Report{Capacity: 64, MemoryTokens: 10_000, Running: 4, StepTime: 11 * ms})
 			id := r.ask("a", nil)
 			r.decide()
-			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, Produced: 9, FirstToken: time.Duration(i) * 50 * ms})
+			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, ProducedTokens: 9, FirstToken: time.Duration(i) * 50 * ms})
 			for _, t := range r.targetOrder {
 				Expect(r.health.Standing(r.now, t.address)).To(Equal(health.Good))
 				Expect(t.gate.State(r.now)).To(Equal(slowstart.Warm))
@@ -480,7 +480,7 @@
 		for range 30 {
 			r.now += 500 * ms
 			for _, t := range r.targetOrder {
-				r.report(t.address, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: t.report.Incarnation})
+				r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: t.report.Incarnation})
 			}
 			r.renewAll()
 			r.decide()
@@ -524,7 +524,7 @@
 		served := 0
 		for i := range 1000 {
 			if i%50 == 0 {
-				r.report("app", Report{Bears: 20, Running: min(20, i), Age: 400 * ms})
+				r.report("app", Report{Capacity: 20, Running: min(20, i), Age: 400 * ms})
 			}
 			for len(r.waiting) < 40 {
 				r.ask("a", func(a *Ask) { a.PromptTokens, a.MaxTokens = 0, 0 })
@@ -546,7 +546,7 @@
 		r.SetShares(r.now, []Share{{Account: "b", Weight: 1, MaxRunning: 2}})
 		plainCall := func(a *Ask) { a.PromptTokens, a.MaxTokens = 0, 0 }
 		for i := range 30 {
-			r.report("app", Report{Bears: 20})
+			r.report("app", Report{Capacity: 20})
 			r.askMany(1, []string{"a", "b"}[i%2], plainCall)
 			r.advance(50 * ms)
 		}
@@ -554,7 +554,7 @@
 		for range 10 {
 			r.askMany(3, "a", plainCall)
 			r.advance(50 * ms)
-			r.report("app", Report{Bears: 20, Running: len(r.granted)})
+			r.report("app", Report{Capacity: 20, Running: len(r.granted)})
 		}
 		Expect(r.granted).To(HaveLen(20))
 	})
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -241,8 +241,8 @@
 	a.grant(l, ask.Request, ask.AdoptTokens)
 }
 
-// Backlog estimates the wait of a new request.
-func (a *Allocator) Backlog() time.Duration {
+// EstimatedWait estimates the wait of a new request.
+func (a *Allocator) EstimatedWait() time.Duration {
 	n := a.queue.Len()
 	if n == 0 {
 		return 0
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -41,11 +41,11 @@
 }
 
 func (s *randomSchedule) reportRandomLoads() {
-	s.allocator.SetOwner(s.now, s.rng.IntN(8) > 0)
+	s.allocator.SetConfirmedOwner(s.now, s.rng.IntN(8) > 0)
 	for i := range 4 {
 		s.allocator.Report(s.now, Report{
 			Target: fmt.Sprint("t", i), Age: time.Duration(s.rng.IntN(600)) * ms,
-			Incarnation: uint64(1 + s.now/(40*sec)), Bears: []int{0, 1, 3, 20, 64}[s.rng.IntN(5)],
+			Incarnation: uint64(1 + s.now/(40*sec)), Capacity: []int{0, 1, 3, 20, 64}[s.rng.IntN(5)],
 			MemoryTokens: 4000 * s.rng.IntN(2), UsedTokens: s.rng.IntN(4000), Running: s.rng.IntN(10),
 			StepTime: time.Duration(s.rng.IntN(50)) * ms,
 		})
@@ -86,12 +86,12 @@
 		s.askRandom()
 	case 4, 5:
 		if id, ok := s.anyLease(); ok {
-			s.allocator.Settle(s.now, Settlement{Lease: id, Outcome: Outcome(1 + s.rng.IntN(5)), Produced: s.rng.IntN(3000)})
+			s.allocator.Settle(s.now, Settlement{Lease: id, Outcome: Outcome(1 + s.rng.IntN(5)), ProducedTokens: s.rng.IntN(3000)})
 			delete(s.leaseTargets, id)
 		}
 	case 6:
 		if id, ok := s.anyLease(); ok {
-			s.allocator.Renew(s.now, testHolder, []Renewal{{Lease: id, Target: s.leaseTargets[id], Account: "a1", Produced: s.rng.IntN(2000)}})
+			s.allocator.Renew(s.now, testHolder, []Renewal{{Lease: id, Target: s.leaseTargets[id], Account: "a1", ProducedTokens: s.rng.IntN(2000)}})
 		}
 	case 7:
 		s.reportRandomLoads()
@@ -222,7 +222,7 @@
 // engines do every half second.
 func reportAllTargets(r *harness) {
 	for _, t := range r.targetOrder {
-		r.report(t.address, Report{Bears: 64, MemoryTokens: 10_000})
+		r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000})
 	}
 }
 
@@ -256,7 +256,7 @@
 					b.StartTimer()
 				}
 				if i > 40 {
-					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, Produced: 20})
+					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, ProducedTokens: 20})
 				}
 				r.Ask(r.now, Ask{Holder: testHolder, Request: r.lastRequest + uint64(i) + 1, Account: names[i%accounts],
 					PromptTokens: 100, MaxTokens: 100, MaxWait: time.Hour})
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -117,7 +117,7 @@
 // addLease registers a lease with its target.
 func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memory.Generation) {
 	l.holder, l.account, l.target, l.gen = holder, account, t, gen
-	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseFor
+	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
 	l.growth.Predict(a.outputLengths.forService(l.service), gen)
 	t.add(now, l)
@@ -140,8 +140,8 @@
 		}
 		a.leases.unlink(l)
 		a.leases.append(l)
-		l.expires = now + a.cfg.LeaseFor
-		a.recordProgress(now, l, r.Produced, false)
+		l.expires = now + a.cfg.LeaseDuration
+		a.recordProgress(now, l, r.ProducedTokens, false)
 	}
 }
 
@@ -154,8 +154,8 @@
 	l.service = r.Service
 	account := a.queueAccount(r.Account)
 	a.queue.AddRunning(account, 0)
-	a.addLease(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.Produced})
-	if r.Produced > 0 {
+	a.addLease(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
+	if r.ProducedTokens > 0 {
 		t.recordFirstToken(now, l)
 	}
 }
@@ -195,10 +195,10 @@
 	finished := s.Outcome == OutcomeDone
 	// An output that was cut off at its limit gives only a lower bound of the
 	// length.
-	endOfOutput := finished && s.Produced > 0 && (l.gen.Max == 0 || s.Produced < l.gen.Max)
-	a.recordProgress(now, l, s.Produced, endOfOutput)
+	endOfOutput := finished && s.ProducedTokens > 0 && (l.gen.Max == 0 || s.ProducedTokens < l.gen.Max)
+	a.recordProgress(now, l, s.ProducedTokens, endOfOutput)
 	if endOfOutput {
-		a.outputLengths.recordFinished(l.service, s.Produced)
+		a.outputLengths.recordFinished(l.service, s.ProducedTokens)
 	}
 	if finished {
 		a.leases.recordFinished(now-l.granted, l.charged)
--- a/internal/decide/admission/outputlengths_test.go
+++ b/internal/decide/admission/outputlengths_test.go
@@ -24,8 +24,8 @@
 	for range 120 {
 		for _, s := range workloads {
 			r.now += sec
-			r.SetOwner(r.now, true)
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+			r.SetConfirmedOwner(r.now, true)
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 			id := r.ask("a", service(s.name))
 			r.decide()
 			Expect(r.granted).To(HaveKey(id))
@@ -33,9 +33,9 @@
 		}
 	}
 	r.now += sec
-	r.SetOwner(r.now, true)
+	r.SetConfirmedOwner(r.now, true)
 	before := len(r.granted)
-	r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+	r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 	r.askMany(64, "a", service("summaries"))
 	r.decide()
 	return len(r.granted) - before
--- a/internal/decide/admission/ownership.go
+++ b/internal/decide/admission/ownership.go
@@ -34,20 +34,20 @@
 	}
 }
 
-// Confirm records that the host list in force here was the newest one at the
+// ConfirmOwnership records that the host list in force here was the newest one at the
 // time at. Without a confirmation every two seconds, cold targets receive work
 // only as far as it leaves capacity for other allocators that may believe they
 // own the pool; see package slowstart.
-func (a *Allocator) Confirm(at time.Duration) {
+func (a *Allocator) ConfirmOwnership(at time.Duration) {
 	a.ownership.confirmedAt = max(a.ownership.confirmedAt, at)
 	for _, t := range a.targetOrder {
 		t.gate.Confirm(at)
 	}
 }
 
-// SetOwner records and confirms the ownership from a list that was read just
+// SetConfirmedOwner records and confirms the ownership from a list that was read just
 // now and carries no revision.
-func (a *Allocator) SetOwner(now time.Duration, owner bool) {
+func (a *Allocator) SetConfirmedOwner(now time.Duration, owner bool) {
 	a.SetOwnership(now, a.ownership.revision, owner)
-	a.Confirm(now)
+	a.ConfirmOwnership(now)
 }
--- a/internal/decide/admission/poison.go
+++ b/internal/decide/admission/poison.go
@@ -114,9 +114,9 @@
 	return a.poison.detector.Export(now, limit)
 }
 
-// MergePoison adds crash evidence of other allocators. It reports whether any
+// MergePoisonEvidence adds crash evidence of other allocators. It reports whether any
 // was new and should be passed on at once.
-func (a *Allocator) MergePoison(now time.Duration, crashes []poison.Crash) bool {
+func (a *Allocator) MergePoisonEvidence(now time.Duration, crashes []poison.Crash) bool {
 	return a.poison.detector.Merge(now, crashes)
 }
 
--- a/internal/decide/admission/quota.go
+++ b/internal/decide/admission/quota.go
@@ -6,32 +6,32 @@
 	"filbertdeck/internal/decide/fairqueue"
 )
 
-// Part is the quota granted to this pool from an account's shared limits
+// QuotaGrant is the quota granted to this pool from an account's shared limits
 // (package quota).
-type Part struct {
+type QuotaGrant struct {
 	Account string
 	// MayStart is false while no request of the account may start.
 	MayStart bool
-	// Running bounds the account's leases here; 0 means that the account has no
+	// MaxRunning bounds the account's leases here; 0 means that the account has no
 	// such limit.
-	Running int
-	// Until is when the quota grant expires. A process that was paused beyond
+	MaxRunning int
+	// ExpiresAt is when the quota grant expires. A process that was paused beyond
 	// that time must not use it, because other pools have received the
 	// account's limit by then.
-	Until time.Duration
+	ExpiresAt time.Duration
 }
 
-// QuotaUse is the use of this pool by an account with shared limits.
-type QuotaUse struct {
+// QuotaUsage is the use of this pool by an account with shared limits.
+type QuotaUsage struct {
 	Account          string
 	Running, Waiting int
-	// Produced counts the output tokens since the use was last read.
-	Produced int
+	// ProducedTokens counts the output tokens since the use was last read.
+	ProducedTokens int
 }
 
 // quotaState is the quota grant in force of one account and its use.
 type quotaState struct {
-	Part
+	QuotaGrant
 	producedTokens int
 }
 
@@ -58,13 +58,13 @@
 	}
 }
 
-// SetPart puts a quota grant in force. Before the first one and after its
+// SetQuotaGrant puts a quota grant in force. Before the first one and after its
 // expiry the account's requests wait.
-func (a *Allocator) SetPart(now time.Duration, p Part) {
-	p.MayStart = p.MayStart && now < p.Until
-	a.quotas.getOrCreate(p.Account).Part = p
-	if p.MayStart && (a.quotas.nextExpiry == 0 || p.Until < a.quotas.nextExpiry) {
-		a.quotas.nextExpiry = p.Until
+func (a *Allocator) SetQuotaGrant(now time.Duration, p QuotaGrant) {
+	p.MayStart = p.MayStart && now < p.ExpiresAt
+	a.quotas.getOrCreate(p.Account).QuotaGrant = p
+	if p.MayStart && (a.quotas.nextExpiry == 0 || p.ExpiresAt < a.quotas.nextExpiry) {
+		a.quotas.nextExpiry = p.ExpiresAt
 	}
 	a.updateLimit(p.Account)
 }
@@ -79,17 +79,17 @@
 // runningLimit returns the bound on an account's running requests in the form
 // that the queue takes.
 func (a *Allocator) runningLimit(account string, s Share) int {
-	if !s.Leased {
+	if !s.SharedLimits {
 		return s.MaxRunning
 	}
 	p := a.quotas.getOrCreate(account)
 	switch {
-	case !p.MayStart || s.MaxRunning > 0 && p.Running == 0:
+	case !p.MayStart || s.MaxRunning > 0 && p.MaxRunning == 0:
 		return fairqueue.ZeroLimit
 	case s.MaxRunning == 0:
 		return 0
 	default:
-		return min(p.Running, s.MaxRunning)
+		return min(p.MaxRunning, s.MaxRunning)
 	}
 }
 
@@ -103,30 +103,30 @@
 		if !p.MayStart {
 			continue
 		}
-		if now >= p.Until {
+		if now >= p.ExpiresAt {
 			p.MayStart = false
 			a.updateLimit(account)
 			continue
 		}
-		if a.quotas.nextExpiry == 0 || p.Until < a.quotas.nextExpiry {
-			a.quotas.nextExpiry = p.Until
+		if a.quotas.nextExpiry == 0 || p.ExpiresAt < a.quotas.nextExpiry {
+			a.quotas.nextExpiry = p.ExpiresAt
 		}
 	}
 }
 
-// QuotaUses returns the use of the pool by the accounts with shared limits,
+// TakeQuotaUsage returns the use of the pool by the accounts with shared limits,
 // resets their token counts and forgets accounts without use and without a
 // valid quota grant.
-func (a *Allocator) QuotaUses(now time.Duration) []QuotaUse {
+func (a *Allocator) TakeQuotaUsage(now time.Duration) []QuotaUsage {
 	a.expireQuotas(now)
-	var uses []QuotaUse
+	var uses []QuotaUsage
 	for account, p := range a.quotas.byAccount {
-		u := QuotaUse{Account: account, Produced: p.producedTokens}
+		u := QuotaUsage{Account: account, ProducedTokens: p.producedTokens}
 		p.producedTokens = 0
 		if q := a.queue.Lookup(account); q != nil {
 			u.Running, u.Waiting = q.Running(), q.Waiting()
 		}
-		if u != (QuotaUse{Account: account}) {
+		if u != (QuotaUsage{Account: account}) {
 			uses = append(uses, u)
 		} else if !p.MayStart {
 			delete(a.quotas.byAccount, account)
--- a/internal/decide/admission/quota_test.go
+++ b/internal/decide/admission/quota_test.go
@@ -9,11 +9,11 @@
 var _ = Describe("a quota grant of shared limits", func() {
 	startWithQuota := func(running, maxRunning int) *harness {
 		r := newHarness(1, Config{})
-		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: maxRunning, Leased: true}})
+		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: maxRunning, SharedLimits: true}})
 		r.askMany(5, "park", nil)
 		r.decide()
 		Expect(r.decisions).To(BeZero(), "without a quota grant nothing starts and nothing is refused")
-		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: running, Until: r.now + 3*sec})
+		r.SetQuotaGrant(r.now, QuotaGrant{Account: "park", MayStart: true, MaxRunning: running, ExpiresAt: r.now + 3*sec})
 		r.decide()
 		return r
 	}
@@ -35,13 +35,13 @@
 	It("expires by the allocator's clock, before the next decision", func() {
 		r := startWithQuota(2, 3)
 		for _, d := range r.granted {
-			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, Produced: 10})
+			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, ProducedTokens: 10})
 		}
 		r.now += 3 * sec
-		r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+		r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 		r.decide()
 		Expect(r.granted).To(HaveLen(2))
-		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: 1, Until: r.now})
+		r.SetQuotaGrant(r.now, QuotaGrant{Account: "park", MayStart: true, MaxRunning: 1, ExpiresAt: r.now})
 		r.decide()
 		Expect(r.granted).To(HaveLen(2), "the quota grant had already expired when it arrived")
 		r.SetShares(r.now, []Share{{Account: "park"}})
@@ -52,12 +52,12 @@
 	It("reports each account's use, each token once", func() {
 		r := startWithQuota(2, 3)
 		for _, d := range r.granted {
-			r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", Produced: 20}})
+			r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", ProducedTokens: 20}})
 		}
-		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3, Produced: 40}}))
-		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3}}))
+		Expect(r.TakeQuotaUsage(r.now)).To(Equal([]QuotaUsage{{Account: "park", Running: 2, Waiting: 3, ProducedTokens: 40}}))
+		Expect(r.TakeQuotaUsage(r.now)).To(Equal([]QuotaUsage{{Account: "park", Running: 2, Waiting: 3}}))
 		r.RemoveHolder(r.now, testHolder)
-		Expect(r.QuotaUses(r.now + 3*sec)).To(BeEmpty())
+		Expect(r.TakeQuotaUsage(r.now + 3*sec)).To(BeEmpty())
 		Expect(r.quotas.byAccount).To(BeEmpty())
 	})
 
@@ -66,14 +66,14 @@
 	// be refused with a retry delay of a minute.
 	It("does not make an idle pool appear slow", func() {
 		r := newHarness(1, Config{})
-		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: 3, Leased: true}})
+		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: 3, SharedLimits: true}})
 		r.askMany(5, "park", nil)
 		first := r.ask("clinic", nil)
 		r.decide()
 		for i := range 50 {
 			r.now += 100 * ms
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
-			r.Renew(r.now, testHolder, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", Produced: i}})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+			r.Renew(r.now, testHolder, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", ProducedTokens: i}})
 			r.decide()
 		}
 		next := r.ask("clinic", func(a *Ask) { a.MaxWait = time.Second })
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -118,7 +118,7 @@
 	}
 	step := a.stepTimes.normalize(r.StepTime, r.Running)
 	t.gate.Observe(now, slowstart.Report{
-		Age: r.Age, Incarnation: r.Incarnation, Bears: r.Bears,
+		Age: r.Age, Incarnation: r.Incarnation, Bears: r.Capacity,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
 	taken := now - r.Age
@@ -264,8 +264,8 @@
 
 // capacity returns the number of requests that may run at the target.
 func (t *target) capacity() int {
-	if t.report.Bears > 0 {
-		return t.report.Bears
+	if t.report.Capacity > 0 {
+		return t.report.Capacity
 	}
 	if t.report.MemoryTokens > 0 {
 		return defaultEngineCapacity
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -48,12 +48,12 @@
 // carries enough to rebuild the lease in an allocator that has just taken over
 // the pool.
 type Renewal struct {
-	Lease        LeaseID
-	Target       string
-	Account      string
-	Service      string
-	PromptTokens int
-	Produced     int
+	Lease          LeaseID
+	Target         string
+	Account        string
+	Service        string
+	PromptTokens   int
+	ProducedTokens int
 }
 
 // Outcome is the way in which an admitted request ended.
@@ -72,11 +72,11 @@
 
 // Settlement ends a lease.
 type Settlement struct {
-	Lease      LeaseID
-	Outcome    Outcome
-	Produced   int
-	FirstToken time.Duration
-	Duration   time.Duration
+	Lease          LeaseID
+	Outcome        Outcome
+	ProducedTokens int
+	FirstToken     time.Duration
+	Duration       time.Duration
 }
 
 // Report is a target's own measurement of its load, taken Age ago.
@@ -90,9 +90,9 @@
 	MemoryTokens, UsedTokens int
 	Running, Waiting         int
 	Preemptions              uint64
-	// Bears is the number of requests that the target can run concurrently at
+	// Capacity is the number of requests that the target can run concurrently at
 	// present; 0 means that it does not report this.
-	Bears int
+	Capacity int
 	// Stopping is set once the target has announced that it will stop.
 	Stopping bool
 	// StepTime is the mean time of a batch step.
@@ -115,9 +115,9 @@
 	Weight  float64
 	// MaxRunning bounds the account's leases in this pool; 0 means unlimited.
 	MaxRunning int
-	// Leased is set for accounts that share their limits with other pools: only
+	// SharedLimits is set for accounts that share their limits with other pools: only
 	// what a quota grant allows may start here, and never more than MaxRunning.
-	Leased bool
+	SharedLimits bool
 	// Priority is passed on to engines; higher values are served first.
 	Priority int
 }
@@ -138,12 +138,12 @@
 
 // Decision answers one ask: Target is set for a grant, Reason for a refusal.
 type Decision struct {
-	Holder   Holder
-	Request  uint64
-	Lease    LeaseID
-	Target   string
-	Priority int
-	LeaseFor time.Duration
+	Holder        Holder
+	Request       uint64
+	Lease         LeaseID
+	Target        string
+	Priority      int
+	LeaseDuration time.Duration
 
 	Reason     RefusalReason
 	RetryAfter time.Duration
