--- a/internal/decide/coldshare/coldshare.go
+++ b/internal/decide/coldlimit/coldlimit.go
@@ -1,4 +1,4 @@
-// Package coldshare limits what all hosts together send to a target that has just
+// Package coldlimit limits what all hosts together send to a target that has just
 // started, without messages between the hosts.
 //
 // An engine joins, or a data centre comes back, cold and empty beside others that
@@ -16,16 +16,16 @@
 //
 // Types in this package are not safe for concurrent use. Times are on the
 // monotonic clock.
-package coldshare
+package coldlimit
 
 import "time"
 
 // window is the span in which the requests sent to a target are counted.
 const window = time.Second
 
-// Part returns how many requests per second the host with the given rank may send
+// SendQuota returns how many requests per second the host with the given rank may send
 // to a target that can take capacity requests per second in all.
-func Part(capacity float64, rank, hosts int) int {
+func SendQuota(capacity float64, rank, hosts int) int {
 	if hosts <= 0 || rank < 0 || capacity < 1 {
 		return 0
 	}
@@ -37,23 +37,23 @@
 	return quota
 }
 
-// Gate limits the requests that one host sends to one target within a second.
-type Gate struct{ sent []time.Duration }
+// Limiter limits the requests that one host sends to one target within a second.
+type Limiter struct{ sent []time.Duration }
 
-// Open reports whether one more request stays within the quota.
-func (g *Gate) Open(now time.Duration, quota int) bool {
+// Allows reports whether one more request stays within the quota.
+func (g *Limiter) Allows(now time.Duration, quota int) bool {
 	g.expire(now)
 	return len(g.sent) < quota
 }
 
-// Send records a request.
-func (g *Gate) Send(now time.Duration) {
+// RecordSend records a request.
+func (g *Limiter) RecordSend(now time.Duration) {
 	g.expire(now)
 	g.sent = append(g.sent, now)
 }
 
 // expire removes the requests that have left the window.
-func (g *Gate) expire(now time.Duration) {
+func (g *Limiter) expire(now time.Duration) {
 	expired := 0
 	for expired < len(g.sent) && now-g.sent[expired] >= window {
 		expired++
--- a/internal/decide/coldshare/coldshare_test.go
+++ b/internal/decide/coldlimit/coldlimit_test.go
@@ -1,4 +1,4 @@
-package coldshare_test
+package coldlimit_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 )
 
 func TestColdshare(t *testing.T) {
@@ -22,13 +22,13 @@
 		func(capacity float64, hosts int) {
 			total := 0
 			for rank := range hosts {
-				var g coldshare.Gate
-				quota := coldshare.Part(capacity, rank, hosts)
+				var g coldlimit.Limiter
+				quota := coldlimit.SendQuota(capacity, rank, hosts)
 				sent := 0
 				for ms := 0; ms < 1000; ms++ {
 					now := time.Duration(ms) * time.Millisecond
-					if g.Open(now, quota) {
-						g.Send(now)
+					if g.Allows(now, quota) {
+						g.RecordSend(now)
 						sent++
 					}
 				}
@@ -43,9 +43,9 @@
 	)
 
 	It("gets the next request a second after the previous one", func() {
-		var g coldshare.Gate
-		g.Send(0)
-		Expect(g.Open(999*time.Millisecond, 1)).To(BeFalse())
-		Expect(g.Open(time.Second, 1)).To(BeTrue())
+		var g coldlimit.Limiter
+		g.RecordSend(0)
+		Expect(g.Allows(999*time.Millisecond, 1)).To(BeFalse())
+		Expect(g.Allows(time.Second, 1)).To(BeTrue())
 	})
 })
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
 	"filbertdeck/internal/directory"
@@ -94,7 +94,7 @@
 // target.
 func (l *Loads) coldShare(target string, rate float64) int {
 	rank, hosts := l.coldBound.Rank(target)
-	return coldshare.Part(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
+	return coldlimit.SendQuota(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
 }
 
 // RecordFailure records that a target failed a request through its own fault.
@@ -156,7 +156,7 @@
 // now: a cold target takes this host's share of its cold rate.
 func (l *Loads) withinColdShare(view *directory.View, t *directory.Seen) bool {
 	rate := l.coldRate(view, t)
-	return rate == 0 || l.loadOf(t.ID).coldGate.Open(l.now(), l.coldShare(t.ID, rate))
+	return rate == 0 || l.loadOf(t.ID).coldGate.Allows(l.now(), l.coldShare(t.ID, rate))
 }
 
 // newCandidate returns the placement candidate for a target. others is the load
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/enginespeed"
 	"filbertdeck/internal/decide/failurereports"
 	"filbertdeck/internal/decide/loadshare"
@@ -62,7 +62,7 @@
 	// unreachableAt is the last time at which it could not be reached.
 	unreachableAt time.Duration
 	// coldGate limits the sends while the target is cold.
-	coldGate coldshare.Gate
+	coldGate coldlimit.Limiter
 }
 
 // NewLoads returns empty loads of a host. Other hosts identify the host by its
@@ -223,7 +223,7 @@
 
 func (l *Loads) reserveLoad(target string, load loadshare.Load) *Reservation {
 	if load.Running > 0 {
-		l.loadOf(target).coldGate.Send(l.now())
+		l.loadOf(target).coldGate.RecordSend(l.now())
 		l.rates.Send(target)
 	}
 	l.setLoad(target, l.loadOf(target).Plus(load))
