--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -175,9 +175,9 @@
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
 		return nil
-	}, drain.StopConfig{
-		AnnounceFor: announceFor, QuietFor: quietFor, AnnounceLimit: grace - finishMargin, OpenWhileBusy: true,
-		LingerFor: lingerFor, FinishLimit: grace,
+	}, drain.ShutdownConfig{
+		MinAnnounce: announceFor, QuietPeriod: quietFor, MaxAnnounce: grace - finishMargin, AcceptWhileBusy: true,
+		LingerDuration: lingerFor, DrainTimeout: grace,
 	})
 }
 
