--- a/internal/decide/enginespeed/enginespeed.go
+++ b/internal/decide/enginespeed/enginespeed.go
@@ -39,17 +39,17 @@
 	minPublishedChange = 0.1
 )
 
-// Board holds the estimates known to one host.
-type Board struct{ estimates map[string]*estimate }
+// Estimator holds the estimates known to one host.
+type Estimator struct{ estimates map[string]*estimate }
 
 // estimate is what is known of one engine: this host's estimate, the last one
 // received from another host, and the last one published, as times per token.
 type estimate struct{ local, remote, published time.Duration }
 
 // New returns a board without estimates.
-func New() *Board { return &Board{estimates: map[string]*estimate{}} }
+func New() *Estimator { return &Estimator{estimates: map[string]*estimate{}} }
 
-func (b *Board) estimate(target string) *estimate {
+func (b *Estimator) estimate(target string) *estimate {
 	e := b.estimates[target]
 	if e == nil {
 		e = &estimate{}
@@ -58,9 +58,9 @@
 	return e
 }
 
-// Sample adds a time per token measured over a window. It reports whether the new
+// AddSample adds a time per token measured over a window. It reports whether the new
 // estimate should be sent to other hosts.
-func (b *Board) Sample(target string, perToken time.Duration) bool {
+func (b *Estimator) AddSample(target string, perToken time.Duration) bool {
 	e := b.estimate(target)
 	current := e.timePerToken()
 	switch {
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Heard sets the estimate received from another host.
-func (b *Board) Heard(target string, perToken time.Duration) {
+// SetRemote sets the estimate received from another host.
+func (b *Estimator) SetRemote(target string, perToken time.Duration) {
 	if perToken > 0 {
 		b.estimate(target).remote = perToken
 	}
@@ -97,18 +97,18 @@
 	return min(e.local, e.remote)
 }
 
-// Step returns the time per token of a generation that runs alone on an engine; 0
+// TimePerToken returns the time per token of a generation that runs alone on an engine; 0
 // if unknown.
-func (b *Board) Step(target string) time.Duration {
+func (b *Estimator) TimePerToken(target string) time.Duration {
 	if e := b.estimates[target]; e != nil {
 		return e.timePerToken()
 	}
 	return 0
 }
 
-// Usual returns the median time per token of all known engines, or 0 if none is
+// Median returns the median time per token of all known engines, or 0 if none is
 // known. It is used for engines that have just joined.
-func (b *Board) Usual() time.Duration {
+func (b *Estimator) Median() time.Duration {
 	var times []time.Duration
 	for _, e := range b.estimates {
 		if perToken := e.timePerToken(); perToken > 0 {
@@ -123,7 +123,7 @@
 }
 
 // Retain removes the engines for which known returns false.
-func (b *Board) Retain(known func(target string) bool) {
+func (b *Estimator) Retain(known func(target string) bool) {
 	for target := range b.estimates {
 		if !known(target) {
 			delete(b.estimates, target)
@@ -137,9 +137,9 @@
 	startedAt time.Duration
 }
 
-// Event adds an event by its time on any monotonic clock. When a window is
+// Add adds an event by its time on any monotonic clock. When a window is
 // complete, it returns the mean time per event.
-func (w *Window) Event(at time.Duration) (time.Duration, bool) {
+func (w *Window) Add(at time.Duration) (time.Duration, bool) {
 	w.events++
 	if w.events == 1 {
 		w.startedAt = at
--- a/internal/decide/enginespeed/enginespeed_test.go
+++ b/internal/decide/enginespeed/enginespeed_test.go
@@ -37,10 +37,10 @@
 			rng := rand.New(rand.NewPCG(seed, 1))
 			b := enginespeed.New()
 			for range 6 {
-				b.Sample("quick", sample(rng, fast))
-				b.Sample("slow", sample(rng, slow))
+				b.AddSample("quick", sample(rng, fast))
+				b.AddSample("slow", sample(rng, slow))
 			}
-			if b.Step("quick") >= b.Step("slow") {
+			if b.TimePerToken("quick") >= b.TimePerToken("slow") {
 				misranked++
 			}
 		}
@@ -50,12 +50,12 @@
 	It("follows an engine that becomes slower", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", fast)
+			b.AddSample("i-1", fast)
 		}
 		for range 60 {
-			b.Sample("i-1", slow)
+			b.AddSample("i-1", slow)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically(">", fast+(slow-fast)/2))
+		Expect(b.TimePerToken("i-1")).To(BeNumerically(">", fast+(slow-fast)/2))
 	})
 
 	// A host is paused for seconds and then receives all events of the pause at
@@ -64,39 +64,39 @@
 	It("ignores events that arrive all at once after a pause", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", fast)
+			b.AddSample("i-1", fast)
 		}
 		for range 20 {
-			b.Sample("i-1", time.Microsecond)
+			b.AddSample("i-1", time.Microsecond)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically("~", fast, time.Microsecond))
+		Expect(b.TimePerToken("i-1")).To(BeNumerically("~", fast, time.Microsecond))
 	})
 
 	It("is known from other hosts before the first local event", func() {
 		b := enginespeed.New()
-		Expect(b.Step("i-1")).To(BeZero())
-		Expect(b.Usual()).To(BeZero())
-		b.Heard("i-1", slow)
-		b.Heard("i-2", fast)
-		b.Heard("i-3", fast)
-		Expect(b.Step("i-1")).To(Equal(slow))
-		Expect(b.Usual()).To(Equal(fast))
+		Expect(b.TimePerToken("i-1")).To(BeZero())
+		Expect(b.Median()).To(BeZero())
+		b.SetRemote("i-1", slow)
+		b.SetRemote("i-2", fast)
+		b.SetRemote("i-3", fast)
+		Expect(b.TimePerToken("i-1")).To(Equal(slow))
+		Expect(b.Median()).To(Equal(fast))
 		b.Retain(func(target string) bool { return target != "i-1" })
-		Expect(b.Step("i-1")).To(BeZero())
+		Expect(b.TimePerToken("i-1")).To(BeZero())
 	})
 
 	It("is published when it is new or has changed", func() {
 		b := enginespeed.New()
-		Expect(b.Sample("i-1", slow)).To(BeTrue())
-		Expect(b.Sample("i-1", slow)).To(BeFalse())
-		Expect(b.Sample("i-1", fast/2)).To(BeTrue())
+		Expect(b.AddSample("i-1", slow)).To(BeTrue())
+		Expect(b.AddSample("i-1", slow)).To(BeFalse())
+		Expect(b.AddSample("i-1", fast/2)).To(BeTrue())
 	})
 
 	It("is measured over a window of events", func() {
 		var w enginespeed.Window
 		windows := 0
 		for n := range 1 + 3*enginespeed.WindowEvents {
-			if mean, ok := w.Event(time.Duration(n) * 30 * time.Millisecond); ok {
+			if mean, ok := w.Add(time.Duration(n) * 30 * time.Millisecond); ok {
 				windows++
 				Expect(mean).To(Equal(30 * time.Millisecond))
 			}
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -130,7 +130,7 @@
 // eligible returns the targets of a service that accept a request now.
 func (l *Loads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
 	var out targetCandidates
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Usual()
+	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Median()
 	for _, t := range view.Pool(req.Service) {
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
@@ -167,7 +167,7 @@
 	all := own.Plus(others)
 	c := placement.Candidate{
 		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.Tokens, Copies: all.Copies, Unread: all.Unread,
-		Step: cmp.Or(l.speeds.Step(t.ID), defaultStep),
+		Step: cmp.Or(l.speeds.TimePerToken(t.ID), defaultStep),
 	}
 	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
 		c.Memory = s.Engine.MemoryTokens
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -251,7 +251,7 @@
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Event(gen.gaps.last); full && gen.service.Engine != nil {
+		if mean, full := window.Add(gen.gaps.last); full && gen.service.Engine != nil {
 			gen.g.cfg.Loads.RecordStep(stream.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -30,7 +30,7 @@
 	// need alerts, while loads concern only the hosts that choose among the
 	// same targets.
 	alerts *loadshare.Board
-	speeds *enginespeed.Board
+	speeds *enginespeed.Estimator
 	// accusers holds the target failures that other hosts reported.
 	accusers  *failurereports.Tracker
 	coldBound ColdBound
@@ -129,7 +129,7 @@
 // learnSpeeds merges the engine speeds contained in counts.
 func (l *Loads) learnSpeeds(counts []loadshare.Count) {
 	for _, c := range counts {
-		l.speeds.Heard(c.Target, c.Step)
+		l.speeds.SetRemote(c.Target, c.Step)
 	}
 }
 
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -135,7 +135,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
-	sums, defaultStep := l.hostLoads.Sums(l.now()), l.speeds.Usual()
+	sums, defaultStep := l.hostLoads.Sums(l.now()), l.speeds.Median()
 	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Minus(r.load), defaultStep)
 	best := others.choose(l.rng, req)
 	if best == nil || placement.Delay(best.Candidate, req.work())+minDelaySaving > placement.Delay(here, req.work()) {
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -117,7 +117,7 @@
 // refresh returns those of the sampled targets that still accept work, with
 // their current load.
 func (l *Loads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Usual()
+	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Median()
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
 		if !alerts[candidate.target.ID].Leaving && l.withinColdShare(view, candidate.target) && l.withinRate(candidate.target.ID) {
@@ -159,8 +159,8 @@
 func (l *Loads) RecordStep(target string, perToken time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.speeds.Sample(target, perToken) {
-		l.hostLoads.SetStep(l.now(), target, l.speeds.Step(target))
+	if l.speeds.AddSample(target, perToken) {
+		l.hostLoads.SetStep(l.now(), target, l.speeds.TimePerToken(target))
 		wake.Signal(l.loadsChanged)
 	}
 }
