--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -292,7 +292,7 @@
 	a.addLease(now, l, ask.Holder, r.Account, t, memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	l.charged = cost
 	t.cache.insert(ask.Prefix)
-	if a.health.Standing(now, t.address) == health.Trial {
+	if a.health.Status(now, t.address) == health.Trial {
 		a.health.BeginTrial(now, t.address)
 	}
 	a.queue.Recycle(r)
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -38,7 +38,7 @@
 	var best *target
 	bestScore := 0.0
 	for _, t := range a.targetOrder {
-		standing := a.health.Standing(now, t.address)
+		standing := a.health.Status(now, t.address)
 		if standing == health.Ejected || t.leaving || slices.Contains(avoid, t.address) {
 			continue
 		}
@@ -61,11 +61,11 @@
 // which lies between -2 and 2. A target on trial is preferred for one request,
 // so that a recovered target returns to service; a doubtful target is used only
 // if no good one has capacity.
-func standingBonus(standing health.Standing) float64 {
+func standingBonus(standing health.Status) float64 {
 	switch standing {
 	case health.Trial:
 		return standingWeight
-	case health.Doubtful:
+	case health.Degraded:
 		return -standingWeight
 	default:
 		return 0
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -226,7 +226,7 @@
 		return
 	}
 	ok := s.Outcome == OutcomeDone || s.Outcome == OutcomeCallerLeft
-	a.health.Result(now, t.address, ok, t.healthSample(s), a.random.Float64())
+	a.health.RecordResult(now, t.address, ok, t.healthSample(s), a.random.Float64())
 }
 
 // healthSample returns the evidence of the target's speed. For an engine it is
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -127,10 +127,10 @@
 	}
 	if t.reported && r.Incarnation != t.report.Incarnation {
 		t.cache.clear()
-		a.health.Restarted(t.address)
+		a.health.Reset(t.address)
 	}
 	t.normalizedStep = step
-	a.health.Observe(now, t.address, step, a.random.Float64())
+	a.health.RecordStepTime(now, t.address, step, a.random.Float64())
 	t.cache.update(r.CachedPrefixes, r.EvictedPrefixes)
 	r.CachedPrefixes, r.EvictedPrefixes = nil, nil
 	if taken > t.reportTakenAt {
