--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -97,8 +97,8 @@
 // String returns the reason as used in metrics.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// Situation is the state at the time when a second call would be sent.
-type Situation struct {
+// Conditions is the state at the time when a second call would be sent.
+type Conditions struct {
 	// Repeatable is set if the service's table row allows a call to run twice.
 	Repeatable bool
 	// Backlog is the queueing time of the pool.
@@ -131,9 +131,9 @@
 	}
 }
 
-// Begin records a first call and returns the delay after which to ask for a
+// StartCall records a first call and returns the delay after which to ask for a
 // second one; ok is false if the call is not to be hedged.
-func (h *Hedger) Begin(repeatable bool) (delay time.Duration, ok bool) {
+func (h *Hedger) StartCall(repeatable bool) (delay time.Duration, ok bool) {
 	if !repeatable {
 		return 0, false
 	}
@@ -142,9 +142,9 @@
 	return delay, delay > 0
 }
 
-// Second decides whether the second call may be sent now, and takes it from the
+// AllowSecond decides whether the second call may be sent now, and takes it from the
 // budget. The caller uses the first complete answer and cancels the other call.
-func (h *Hedger) Second(now time.Duration, s Situation) Refusal {
+func (h *Hedger) AllowSecond(now time.Duration, s Conditions) Refusal {
 	switch {
 	case !s.Repeatable:
 		return NotRepeatable
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -32,37 +32,37 @@
 
 var _ = Describe("a hedger", func() {
 	It("waits for the p95 once there are enough samples", func() {
-		_, ok := hedge.New(0, hedge.Config{}).Begin(true)
+		_, ok := hedge.New(0, hedge.Config{}).StartCall(true)
 		Expect(ok).To(BeFalse())
 		h := newWarmHedger()
-		delay, ok := h.Begin(true)
+		delay, ok := h.StartCall(true)
 		Expect(ok).To(BeTrue())
 		Expect(delay).To(BeNumerically("~", 95*ms, 2*ms))
-		_, ok = h.Begin(false)
+		_, ok = h.StartCall(false)
 		Expect(ok).To(BeFalse())
 		for i := range 400 { // the old samples leave the window
 			h.Observe(time.Duration(i)*100*ms, 4*ms)
 		}
-		delay, _ = h.Begin(true)
+		delay, _ = h.StartCall(true)
 		Expect(delay).To(BeNumerically("~", 4*ms, ms))
 	})
 
 	It("is kept per service as long as the table contains it", func() {
 		s := hedge.NewSet(hedge.Config{})
-		lookup := s.Of(0, "lookup")
-		Expect(s.Of(0, "lookup")).To(BeIdenticalTo(lookup))
-		Expect(s.Of(0, "gate")).NotTo(BeIdenticalTo(lookup))
+		lookup := s.ForService(0, "lookup")
+		Expect(s.ForService(0, "lookup")).To(BeIdenticalTo(lookup))
+		Expect(s.ForService(0, "gate")).NotTo(BeIdenticalTo(lookup))
 		s.Retain(func(service string) bool { return service == "gate" })
-		Expect(s.Of(0, "lookup")).NotTo(BeIdenticalTo(lookup))
+		Expect(s.ForService(0, "lookup")).NotTo(BeIdenticalTo(lookup))
 	})
 
-	DescribeTable("refuses", func(s hedge.Situation, want hedge.Refusal) {
-		Expect(newWarmHedger().Second(0, s)).To(Equal(want))
+	DescribeTable("refuses", func(s hedge.Conditions, want hedge.Refusal) {
+		Expect(newWarmHedger().AllowSecond(0, s)).To(Equal(want))
 	},
-		Entry(nil, hedge.Situation{OtherTargets: 1}, hedge.NotRepeatable),
-		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
-		Entry(nil, hedge.Situation{Repeatable: true}, hedge.NoOtherTarget),
-		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1}, hedge.None),
+		Entry(nil, hedge.Conditions{OtherTargets: 1}, hedge.NotRepeatable),
+		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
+		Entry(nil, hedge.Conditions{Repeatable: true}, hedge.NoOtherTarget),
+		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1}, hedge.None),
 	)
 
 	// All targets become slow together. Every lookup is then late, and sending
@@ -107,12 +107,12 @@
 		}
 		first := call()
 		times[i] = first
-		delay, ok := h.Begin(true)
+		delay, ok := h.StartCall(true)
 		if strategy == fixedDelay {
 			delay, ok = 10*ms, true
 		}
 		late := strategy != withoutHedging && ok && first > delay
-		if late && (strategy == fixedDelay || h.Second(now, hedge.Situation{Repeatable: true, OtherTargets: 3}) == hedge.None) {
+		if late && (strategy == fixedDelay || h.AllowSecond(now, hedge.Conditions{Repeatable: true, OtherTargets: 3}) == hedge.None) {
 			secondCalls++
 			times[i] = min(first, delay+call())
 		}
@@ -126,7 +126,7 @@
 	h := newWarmHedger()
 	b.ReportAllocs()
 	for range b.N {
-		h.Begin(true)
+		h.StartCall(true)
 		h.Observe(0, ms)
 	}
 }
--- a/internal/decide/hedge/set.go
+++ b/internal/decide/hedge/set.go
@@ -21,9 +21,9 @@
 	return s
 }
 
-// Of returns the hedger of a service and creates it if there is none. Call it
+// ForService returns the hedger of a service and creates it if there is none. Call it
 // only for services in the table: each name is kept until Retain removes it.
-func (s *Set) Of(now time.Duration, service string) *Hedger {
+func (s *Set) ForService(now time.Duration, service string) *Hedger {
 	if h := (*s.services.Load())[service]; h != nil {
 		return h
 	}
--- a/internal/entry/plain/lookup.go
+++ b/internal/entry/plain/lookup.go
@@ -93,8 +93,8 @@
 // hedged sends the call, and a second time to another target when the answer
 // is late and the budget allows it. The first whole answer counts.
 func (l *Lookups) hedged(ctx context.Context, call Call, avoid []string, first bool) result {
-	hedger := l.Hedges.Of(l.now(), call.Service.Name)
-	delay, ok := hedger.Begin(first)
+	hedger := l.Hedges.ForService(l.now(), call.Service.Name)
+	delay, ok := hedger.StartCall(first)
 	if !ok {
 		return l.observed(ctx, call, avoid, hedger)
 	}
@@ -144,7 +144,7 @@
 		return "", false
 	}
 	backlog, others := l.Board.Situation(call.Service.Name, target)
-	refusal := hedger.Second(l.now(), hedge.Situation{Repeatable: true, Backlog: backlog, OtherTargets: others})
+	refusal := hedger.AllowSecond(l.now(), hedge.Conditions{Repeatable: true, Backlog: backlog, OtherTargets: others})
 	return target, refusal == hedge.None
 }
 
