--- a/internal/decide/admission/outputlengths.go
+++ b/internal/decide/admission/outputlengths.go
@@ -1,6 +1,6 @@
 package admission
 
-import "filbertdeck/internal/decide/lengths"
+import "filbertdeck/internal/decide/outputlength"
 
 // outputLengthModel learns the distribution of output lengths, per service and
 // over all services.
@@ -10,24 +10,24 @@
 // tokens and a long one to end soon, so that engines run half empty or run out
 // of memory during decoding.
 type outputLengthModel struct {
-	all       *lengths.Distribution
-	byService map[string]*lengths.Distribution
+	all       *outputlength.Distribution
+	byService map[string]*outputlength.Distribution
 }
 
 func newOutputLengthModel() outputLengthModel {
-	return outputLengthModel{all: lengths.New(0), byService: map[string]*lengths.Distribution{}}
+	return outputLengthModel{all: outputlength.New(0), byService: map[string]*outputlength.Distribution{}}
 }
 
 // forService returns a service's distribution. The distribution over all
 // services is used when the service is unknown, as for requests that a previous
 // owner granted.
-func (o *outputLengthModel) forService(service string) *lengths.Distribution {
+func (o *outputLengthModel) forService(service string) *outputlength.Distribution {
 	if service == "" {
 		return o.all
 	}
 	d := o.byService[service]
 	if d == nil {
-		d = lengths.New(0)
+		d = outputlength.New(0)
 		o.byService[service] = d
 	}
 	return d
@@ -43,16 +43,16 @@
 // recordProgress records that an output grew from one length to another without
 // ending.
 func (o *outputLengthModel) recordProgress(service string, from, to int) {
-	o.all.Progress(from, to)
+	o.all.RecordProgress(from, to)
 	if service != "" {
-		o.forService(service).Progress(from, to)
+		o.forService(service).RecordProgress(from, to)
 	}
 }
 
 // recordFinished records the length of an output that ended by itself.
 func (o *outputLengthModel) recordFinished(service string, produced int) {
-	o.all.Finished(produced)
+	o.all.RecordFinished(produced)
 	if service != "" {
-		o.forService(service).Finished(produced)
+		o.forService(service).RecordFinished(produced)
 	}
 }
--- a/internal/decide/memory/memory.go
+++ b/internal/decide/memory/memory.go
@@ -20,7 +20,7 @@
 import (
 	"math"
 
-	"filbertdeck/internal/decide/lengths"
+	"filbertdeck/internal/decide/outputlength"
 )
 
 const (
@@ -60,7 +60,7 @@
 }
 
 // Predict sets g to the predicted memory of one generation.
-func (g *Growth) Predict(d *lengths.Distribution, gen Generation) {
+func (g *Growth) Predict(d *outputlength.Distribution, gen Generation) {
 	survivedSoFar := d.Survival(gen.Produced)
 	for i := range horizonCount {
 		ahead := horizonTokens[i]
--- a/internal/decide/memory/memory_test.go
+++ b/internal/decide/memory/memory_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/lengths"
+	"filbertdeck/internal/decide/outputlength"
 )
 
 func TestMemory(t *testing.T) {
@@ -19,11 +19,11 @@
 
 // constantLength returns a distribution in which every output has the given
 // length.
-func constantLength(length int) *lengths.Distribution {
-	d := lengths.New(0)
+func constantLength(length int) *outputlength.Distribution {
+	d := outputlength.New(0)
 	for range 3000 {
-		d.Progress(0, length-1)
-		d.Finished(length)
+		d.RecordProgress(0, length-1)
+		d.RecordFinished(length)
 	}
 	d.Refresh()
 	return d
@@ -31,7 +31,7 @@
 
 // admittedCount returns how many new generations the rule admits to an empty
 // engine.
-func admittedCount(d *lengths.Distribution, gen Generation, untracked float64) int {
+func admittedCount(d *outputlength.Distribution, gen Generation, untracked float64) int {
 	var load Load
 	var g Growth
 	g.Predict(d, gen)
--- a/internal/decide/lengths/lengths.go
+++ b/internal/decide/outputlength/outputlength.go
@@ -1,4 +1,4 @@
-// Package lengths estimates the distribution of output lengths while generations
+// Package outputlength estimates the distribution of output lengths while generations
 // run.
 //
 // The length of an output is not known in advance, and the mix of lengths shifts
@@ -23,7 +23,7 @@
 // expected endings therefore scales the hazard (proportional hazards), but only
 // down: underestimating lengths causes preemptions, overestimating them costs a
 // little throughput for a while.
-package lengths
+package outputlength
 
 import (
 	"math"
@@ -95,9 +95,9 @@
 	return d
 }
 
-// Progress records that a generation grew between two numbers of tokens and still
+// RecordProgress records that a generation grew between two numbers of tokens and still
 // runs.
-func (d *Distribution) Progress(from, to int) {
+func (d *Distribution) RecordProgress(from, to int) {
 	if to <= from {
 		return
 	}
@@ -133,9 +133,9 @@
 	return upperBound / d.expectedEndings
 }
 
-// Finished records that a generation ended by itself with the given number of
+// RecordFinished records that a generation ended by itself with the given number of
 // tokens. Its progress up to that point must have been recorded.
-func (d *Distribution) Finished(tokens int) {
+func (d *Distribution) RecordFinished(tokens int) {
 	b := bucketOf(tokens)
 	d.finished[b] += d.weight
 	d.needsRefresh = true
