--- a/internal/decide/loadshare/loadshare.go
+++ b/internal/decide/targetload/targetload.go
@@ -1,4 +1,4 @@
-// Package loadshare sums the load that all hosts place on each target.
+// Package targetload sums the load that all hosts place on each target.
 //
 // It is made for eight hosts that send long generations to nine engines, about
 // four at a time per host. A target's own load report is half a second old and
@@ -17,7 +17,7 @@
 //
 // Types in this package are not safe for concurrent use. Times are on the
 // monotonic clock.
-package loadshare
+package targetload
 
 import (
 	"slices"
@@ -35,23 +35,23 @@
 	expireAfter = 3 * RefreshInterval
 )
 
-// Count is the load of one host on one target.
-type Count struct {
+// HostLoad is the load of one host on one target.
+type HostLoad struct {
 	Host, Target string
 	// Version increases with each count of the host, also across restarts.
 	Version uint64
 	Load
 	// Leaving is set if the target told the host that it is about to stop.
 	Leaving bool
-	// Step is the host's estimate of the time per token of a generation that runs
+	// TimePerToken is the host's estimate of the time per token of a generation that runs
 	// alone on the target; 0 if unknown.
-	Step time.Duration
-	// Rate is the last rate limit that the target advertised to the host; nil if
+	TimePerToken time.Duration
+	// AdvertisedRate is the last rate limit that the target advertised to the host; nil if
 	// it never advertised one.
-	Rate *targetrate.Advertisement
-	// Failures changes with each request of the host that failed because of the
+	AdvertisedRate *targetrate.Advertisement
+	// FailureSeq changes with each request of the host that failed because of the
 	// target; 0 if none did.
-	Failures uint32
+	FailureSeq uint32
 }
 
 // Load is the load on a target. Loads can be added.
@@ -59,26 +59,26 @@
 	Running int
 	// Memory in tokens that the requests occupy or will occupy, and the tokens of
 	// those prompts that have not produced a first event yet.
-	Tokens, Unread int
-	// Copies is the number of tokens in backups that the target stores or will
+	ReservedTokens, UnreadTokens int
+	// BackupTokens is the number of tokens in backups that the target stores or will
 	// store.
-	Copies int
+	BackupTokens int
 }
 
-// Plus returns the sum of two loads.
-func (l Load) Plus(other Load) Load {
-	return Load{l.Running + other.Running, l.Tokens + other.Tokens, l.Unread + other.Unread, l.Copies + other.Copies}
+// Add returns the sum of two loads.
+func (l Load) Add(other Load) Load {
+	return Load{l.Running + other.Running, l.ReservedTokens + other.ReservedTokens, l.UnreadTokens + other.UnreadTokens, l.BackupTokens + other.BackupTokens}
 }
 
-// Minus returns the difference of two loads.
-func (l Load) Minus(other Load) Load {
-	return Load{l.Running - other.Running, l.Tokens - other.Tokens, l.Unread - other.Unread, l.Copies - other.Copies}
+// Sub returns the difference of two loads.
+func (l Load) Sub(other Load) Load {
+	return Load{l.Running - other.Running, l.ReservedTokens - other.ReservedTokens, l.UnreadTokens - other.UnreadTokens, l.BackupTokens - other.BackupTokens}
 }
 
 type entryKey struct{ host, target string }
 
 type entry struct {
-	Count
+	HostLoad
 	receivedAt time.Duration
 	// sentTo has the bits of the peers that hold this version, because it was
 	// sent to them or received from them.
@@ -87,8 +87,8 @@
 	versionSentToOwner uint64
 }
 
-// Board holds the counts known to one host.
-type Board struct {
+// Table holds the counts known to one host.
+type Table struct {
 	self        string
 	version     uint64
 	failureSeq  uint32
@@ -99,20 +99,20 @@
 
 // New returns an empty board for the host self. start must be higher than any
 // version that an earlier process of the host used, such as the time of day.
-func New(self string, start uint64) *Board {
-	return &Board{self: self, version: start, counts: map[entryKey]entry{}, peers: newPeerBits()}
+func New(self string, start uint64) *Table {
+	return &Table{self: self, version: start, counts: map[entryKey]entry{}, peers: newPeerBits()}
 }
 
-// SetOwn sets this host's load on a target.
-func (b *Board) SetOwn(now time.Duration, target string, load Load) {
-	c := b.Own(target)
+// SetLocalLoad sets this host's load on a target.
+func (b *Table) SetLocalLoad(now time.Duration, target string, load Load) {
+	c := b.Local(target)
 	c.Load = load
 	b.setLocal(now, c)
 }
 
 // SetLeaving records that a target told this host that it is about to stop.
-func (b *Board) SetLeaving(now time.Duration, target string) {
-	c := b.Own(target)
+func (b *Table) SetLeaving(now time.Duration, target string) {
+	c := b.Local(target)
 	if c.Leaving {
 		return
 	}
@@ -120,94 +120,94 @@
 	b.setLocal(now, c)
 }
 
-// SetStep sets this host's estimate of the time per token on a target.
-func (b *Board) SetStep(now time.Duration, target string, timePerToken time.Duration) {
-	c := b.Own(target)
-	c.Step = timePerToken
+// SetTimePerToken sets this host's estimate of the time per token on a target.
+func (b *Table) SetTimePerToken(now time.Duration, target string, timePerToken time.Duration) {
+	c := b.Local(target)
+	c.TimePerToken = timePerToken
 	b.setLocal(now, c)
 }
 
 // AddFailure records a request of this host that failed because of a target. The
 // numbers run over all targets, so that a count created again after it expired
 // does not repeat a number.
-func (b *Board) AddFailure(now time.Duration, target string) {
+func (b *Table) AddFailure(now time.Duration, target string) {
 	b.failureSeq++
-	c := b.Own(target)
-	c.Failures = b.failureSeq
+	c := b.Local(target)
+	c.FailureSeq = b.failureSeq
 	b.setLocal(now, c)
 }
 
 // SetRate sets the rate limit that a target advertised to this host.
-func (b *Board) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
-	c := b.Own(target)
-	c.Rate = &rate
+func (b *Table) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
+	c := b.Local(target)
+	c.AdvertisedRate = &rate
 	b.setLocal(now, c)
 }
 
-// Own returns this host's count of a target, or an empty one.
-func (b *Board) Own(target string) Count {
-	c := b.counts[entryKey{b.self, target}].Count
+// Local returns this host's count of a target, or an empty one.
+func (b *Table) Local(target string) HostLoad {
+	c := b.counts[entryKey{b.self, target}].HostLoad
 	c.Host, c.Target = b.self, target
 	return c
 }
 
 // setLocal stores this host's count of a target under a new version.
-func (b *Board) setLocal(now time.Duration, c Count) {
+func (b *Table) setLocal(now time.Duration, c HostLoad) {
 	b.version++
 	c.Version = b.version
 	k := entryKey{c.Host, c.Target}
-	b.counts[k] = entry{Count: c, receivedAt: now, versionSentToOwner: b.counts[k].versionSentToOwner}
+	b.counts[k] = entry{HostLoad: c, receivedAt: now, versionSentToOwner: b.counts[k].versionSentToOwner}
 }
 
-// OwnNews returns this host's own counts that changed since the last call or are
+// OwnerUpdates returns this host's own counts that changed since the last call or are
 // due to be resent, and marks them as sent to the owners of their targets.
-func (b *Board) OwnNews(now time.Duration) []Count {
+func (b *Table) OwnerUpdates(now time.Duration) []HostLoad {
 	b.refresh(now)
 	b.expire(now)
-	var updates []Count
+	var updates []HostLoad
 	for k, c := range b.counts {
 		if k.host != b.self || c.versionSentToOwner == c.Version {
 			continue
 		}
 		c.versionSentToOwner = c.Version
 		b.counts[k] = c
-		updates = append(updates, c.Count)
+		updates = append(updates, c.HostLoad)
 	}
 	return updates
 }
 
-// TakeAll replaces the counts of a target with the complete answer of its owner.
+// ReplaceTarget replaces the counts of a target with the complete answer of its owner.
 // Other hosts' counts that are missing from the answer have ended.
-func (b *Board) TakeAll(now time.Duration, target string, counts []Count) {
+func (b *Table) ReplaceTarget(now time.Duration, target string, counts []HostLoad) {
 	for k := range b.counts {
-		fromHost := func(c Count) bool { return c.Host == k.host }
+		fromHost := func(c HostLoad) bool { return c.Host == k.host }
 		if k.target == target && k.host != b.self && !slices.ContainsFunc(counts, fromHost) {
 			delete(b.counts, k)
 		}
 	}
-	b.Take(now, "", counts)
+	b.Merge(now, "", counts)
 }
 
-// Of returns the counts of one target, including this host's own, leaving out
+// ForTarget returns the counts of one target, including this host's own, leaving out
 // empty ones.
-func (b *Board) Of(now time.Duration, target string) []Count {
-	var counts []Count
+func (b *Table) ForTarget(now time.Duration, target string) []HostLoad {
+	var counts []HostLoad
 	for k, c := range b.counts {
 		if k.target == target && !c.isZero() && (k.host == b.self || now-c.receivedAt < expireAfter) {
-			counts = append(counts, c.Count)
+			counts = append(counts, c.HostLoad)
 		}
 	}
 	return counts
 }
 
 // isZero reports whether a count carries no more information than a missing one.
-func (c Count) isZero() bool {
-	return c.Load == Load{} && c.Step == 0 && !c.Leaving && c.Failures == 0 && c.Rate == nil
+func (c HostLoad) isZero() bool {
+	return c.Load == Load{} && c.TimePerToken == 0 && !c.Leaving && c.FailureSeq == 0 && c.AdvertisedRate == nil
 }
 
-// Take merges counts received from a peer. An empty peer name means that the
+// Merge merges counts received from a peer. An empty peer name means that the
 // sender is not tracked as a peer.
-func (b *Board) Take(now time.Duration, peer string, counts []Count) {
+func (b *Table) Merge(now time.Duration, peer string, counts []HostLoad) {
 	var bit uint64
 	if peer != "" {
 		bit = b.bit(peer)
@@ -219,7 +219,7 @@
 			// supersede it, even if the clock was set back in the meantime.
 			if c.Version > b.version {
 				b.version = c.Version
-				b.SetOwn(now, c.Target, b.counts[k].Load)
+				b.SetLocalLoad(now, c.Target, b.counts[k].Load)
 			}
 			continue
 		}
@@ -229,7 +229,7 @@
 			// Hosts that query a target send their own count of it, which is mostly
 			// empty. Keeping these counts would fill answers and memory.
 		case !found || c.Version > current.Version:
-			b.counts[k] = entry{Count: c, receivedAt: now, sentTo: bit}
+			b.counts[k] = entry{HostLoad: c, receivedAt: now, sentTo: bit}
 		case c.Version == current.Version:
 			current.sentTo |= bit
 			if peer == "" {
@@ -241,27 +241,27 @@
 	}
 }
 
-// News returns the counts that were neither sent to a peer nor received from it,
+// PeerUpdates returns the counts that were neither sent to a peer nor received from it,
 // and marks them as sent.
-func (b *Board) News(now time.Duration, peer string) []Count {
+func (b *Table) PeerUpdates(now time.Duration, peer string) []HostLoad {
 	b.refresh(now)
 	b.expire(now)
 	bit := b.bit(peer)
-	var updates []Count
+	var updates []HostLoad
 	for k, c := range b.counts {
 		if k.host == peer || c.sentTo&bit != 0 {
 			continue
 		}
 		c.sentTo |= bit
 		b.counts[k] = c
-		updates = append(updates, c.Count)
+		updates = append(updates, c.HostLoad)
 	}
 	return updates
 }
 
 // bit returns the bit of a peer. If the bit was reassigned from another peer, it
 // is cleared in all counts, because the new peer may hold none of them.
-func (b *Board) bit(peer string) uint64 {
+func (b *Table) bit(peer string) uint64 {
 	bit, reassigned := b.peers.bit(peer)
 	if !reassigned {
 		return bit
@@ -284,9 +284,9 @@
 	Leaving bool
 }
 
-// Sums returns the totals of every target in one pass. Summing per target would
+// Totals returns the totals of every target in one pass. Summing per target would
 // read all counts again for each target of a service.
-func (b *Board) Sums(now time.Duration) map[string]Total {
+func (b *Table) Totals(now time.Duration) map[string]Total {
 	sums := make(map[string]Total)
 	for k, c := range b.counts {
 		local := k.host == b.self
@@ -295,7 +295,7 @@
 		}
 		sum := sums[k.target]
 		if !local {
-			sum.Others = sum.Others.Plus(c.Load)
+			sum.Others = sum.Others.Add(c.Load)
 		}
 		if c.Running > 0 {
 			sum.Hosts++
@@ -307,20 +307,20 @@
 }
 
 // refresh resends this host's counts of running requests every RefreshInterval.
-func (b *Board) refresh(now time.Duration) {
+func (b *Table) refresh(now time.Duration) {
 	if now-b.lastRefresh < RefreshInterval {
 		return
 	}
 	b.lastRefresh = now
 	for k, c := range b.counts {
 		if k.host == b.self && c.Running > 0 && now-c.receivedAt >= RefreshInterval {
-			b.SetOwn(now, k.target, c.Load)
+			b.SetLocalLoad(now, k.target, c.Load)
 		}
 	}
 }
 
 // expire removes the counts that were not resent in time.
-func (b *Board) expire(now time.Duration) {
+func (b *Table) expire(now time.Duration) {
 	for k, c := range b.counts {
 		if now-c.receivedAt >= expireAfter {
 			delete(b.counts, k)
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"filbertdeck/internal/decide/coldlimit"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
@@ -130,7 +130,7 @@
 // eligible returns the targets of a service that accept a request now.
 func (l *Loads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
 	var out targetCandidates
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Median()
+	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	for _, t := range view.Pool(req.Service) {
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
@@ -162,11 +162,11 @@
 // newCandidate returns the placement candidate for a target. others is the load
 // that other hosts have there, defaultStep the time per token assumed for
 // engines without measurements.
-func (l *Loads) newCandidate(view *directory.View, t *directory.Seen, locality Locality, others loadshare.Load, defaultStep time.Duration) placement.Candidate {
+func (l *Loads) newCandidate(view *directory.View, t *directory.Seen, locality Locality, others targetload.Load, defaultStep time.Duration) placement.Candidate {
 	own := l.loadOf(t.ID)
-	all := own.Plus(others)
+	all := own.Add(others)
 	c := placement.Candidate{
-		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.Tokens, Copies: all.Copies, Unread: all.Unread,
+		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.ReservedTokens, Copies: all.BackupTokens, Unread: all.UnreadTokens,
 		Step: cmp.Or(l.speeds.TimePerToken(t.ID), defaultStep),
 	}
 	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -10,8 +10,8 @@
 	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/enginespeed"
 	"filbertdeck/internal/decide/failurereports"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
@@ -25,11 +25,11 @@
 
 	mu        sync.Mutex
 	byTarget  map[string]*targetLoad
-	hostLoads *loadshare.Board
+	hostLoads *targetload.Table
 	// alerts holds which targets broke requests or are about to stop. All hosts
 	// need alerts, while loads concern only the hosts that choose among the
 	// same targets.
-	alerts *loadshare.Board
+	alerts *targetload.Table
 	speeds *enginespeed.Estimator
 	// accusers holds the target failures that other hosts reported.
 	accusers  *failurereports.Tracker
@@ -54,7 +54,7 @@
 
 // targetLoad is the load of one target from this host.
 type targetLoad struct {
-	loadshare.Load
+	targetload.Load
 	// failedAt is the time of the last failure there that was the target's
 	// fault.
 	failedAt time.Duration
@@ -71,7 +71,7 @@
 	start := uint64(time.Now().UnixMicro())
 	return &Loads{
 		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
-		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
+		hostLoads: targetload.New(host, start), alerts: targetload.New(host, start), speeds: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
 		loadsChanged: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
@@ -101,54 +101,54 @@
 
 // News returns the loads that another host has not been sent yet; none when
 // loads are sent to owners.
-func (l *Loads) News(host string) []loadshare.Count {
+func (l *Loads) News(host string) []targetload.HostLoad {
 	if l.ByOwners() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.News(l.now(), host)
+	return l.hostLoads.PeerUpdates(l.now(), host)
 }
 
 // OwnNews returns this host's loads that the owners of their targets have not
 // been sent yet.
-func (l *Loads) OwnNews() []loadshare.Count {
+func (l *Loads) OwnNews() []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.OwnNews(l.now())
+	return l.hostLoads.OwnerUpdates(l.now())
 }
 
 // Take merges loads received from another host.
-func (l *Loads) Take(host string, counts []loadshare.Count) {
+func (l *Loads) Take(host string, counts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hostLoads.Take(l.now(), host, counts)
+	l.hostLoads.Merge(l.now(), host, counts)
 	l.learnSpeeds(counts)
 }
 
 // learnSpeeds merges the engine speeds contained in counts.
-func (l *Loads) learnSpeeds(counts []loadshare.Count) {
+func (l *Loads) learnSpeeds(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		l.speeds.SetRemote(c.Target, c.Step)
+		l.speeds.SetRemote(c.Target, c.TimePerToken)
 	}
 }
 
 // Alerts returns the alerts that another host has not been sent yet.
-func (l *Loads) Alerts(host string) []loadshare.Count {
+func (l *Loads) Alerts(host string) []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.alerts.News(l.now(), host)
+	return l.alerts.PeerUpdates(l.now(), host)
 }
 
 // TakeAlerts merges alerts received from another host.
-func (l *Loads) TakeAlerts(host string, alerts []loadshare.Count) {
+func (l *Loads) TakeAlerts(host string, alerts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alerts.Take(l.now(), host, alerts)
+	l.alerts.Merge(l.now(), host, alerts)
 	l.mergeRates(alerts)
 	for _, c := range alerts {
 		if c.Host != l.address {
-			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.Failures)
+			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.FailureSeq)
 		}
 		if c.Leaving {
 			wake.Signal(l.targetLeaving)
@@ -162,7 +162,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, t := range l.byTarget {
-		if _, known := view.Target(id); !known && t.Load == (loadshare.Load{}) {
+		if _, known := view.Target(id); !known && t.Load == (targetload.Load{}) {
 			delete(l.byTarget, id)
 		}
 	}
@@ -176,11 +176,11 @@
 }
 
 // setLoad sets this host's load at a target.
-func (l *Loads) setLoad(target string, load loadshare.Load) {
+func (l *Loads) setLoad(target string, load targetload.Load) {
 	t := l.loadOf(target)
-	plain := t.Tokens+t.Copies == 0 && load.Tokens+load.Copies == 0
+	plain := t.ReservedTokens+t.BackupTokens == 0 && load.ReservedTokens+load.BackupTokens == 0
 	t.Load = load
-	l.hostLoads.SetOwn(l.now(), target, load)
+	l.hostLoads.SetLocalLoad(l.now(), target, load)
 	if plain {
 		// Requests of plain services end within milliseconds, so their loads
 		// would be out of date when other hosts receive them.
@@ -203,7 +203,7 @@
 type Reservation struct {
 	loads    *Loads
 	targetID string
-	load     loadshare.Load
+	load     targetload.Load
 	// entry is the target's directory entry and candidate its load, both as of
 	// the selection.
 	entry     *directory.Seen
@@ -218,39 +218,39 @@
 }
 
 func (l *Loads) reserve(target string, p call.Prompt) *Reservation {
-	return l.reserveLoad(target, loadshare.Load{Running: 1, Tokens: expectedTokens(p), Unread: p.Tokens})
+	return l.reserveLoad(target, targetload.Load{Running: 1, ReservedTokens: expectedTokens(p), UnreadTokens: p.Tokens})
 }
 
-func (l *Loads) reserveLoad(target string, load loadshare.Load) *Reservation {
+func (l *Loads) reserveLoad(target string, load targetload.Load) *Reservation {
 	if load.Running > 0 {
 		l.loadOf(target).coldGate.RecordSend(l.now())
 		l.rates.Send(target)
 	}
-	l.setLoad(target, l.loadOf(target).Plus(load))
+	l.setLoad(target, l.loadOf(target).Add(load))
 	return &Reservation{loads: l, targetID: target, load: load}
 }
 
 // PromptRead records that the engine has read the prompt.
 func (r *Reservation) PromptRead() {
 	load := r.load
-	load.Unread = 0
+	load.UnreadTokens = 0
 	r.setLoad(load)
 }
 
 // Release removes the load. It may be called more than once, and on nil.
 func (r *Reservation) Release() {
 	if r != nil {
-		r.setLoad(loadshare.Load{})
+		r.setLoad(targetload.Load{})
 	}
 }
 
-func (r *Reservation) setLoad(to loadshare.Load) {
+func (r *Reservation) setLoad(to targetload.Load) {
 	r.loads.mu.Lock()
 	defer r.loads.mu.Unlock()
 	if r.load == to {
 		return
 	}
-	r.loads.setLoad(r.targetID, r.loads.loadOf(r.targetID).Minus(r.load).Plus(to))
+	r.loads.setLoad(r.targetID, r.loads.loadOf(r.targetID).Sub(r.load).Add(to))
 	r.load = to
 }
 
@@ -271,13 +271,13 @@
 }
 
 // isLeavingLocked is Leaving for callers that hold mu.
-func (l *Loads) isLeavingLocked(target string) bool { return l.alerts.Sums(l.now())[target].Leaving }
+func (l *Loads) isLeavingLocked(target string) bool { return l.alerts.Totals(l.now())[target].Leaving }
 
 // HostsUsing returns the number of hosts that have load at a target.
 func (l *Loads) HostsUsing(target string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.Sums(l.now())[target].Hosts
+	return l.hostLoads.Totals(l.now())[target].Hosts
 }
 
 // Parameters of the expected output.
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 )
 
@@ -27,7 +27,7 @@
 // chooses. This only improves placement and no guarantee depends on it: without
 // an answer, or when two hosts both act as owner, targets are chosen by the
 // counts that this host has.
-type AskOwner func(target Owned, own []loadshare.Count) ([]loadshare.Count, bool)
+type AskOwner func(target Owned, own []targetload.HostLoad) ([]targetload.HostLoad, bool)
 
 const (
 	// maxOwnerQueries limits the owners queried one after the other for one
@@ -44,13 +44,13 @@
 
 // Answer merges the counts of another host and returns all counts known here
 // for the same targets.
-func (l *Loads) Answer(counts []loadshare.Count) []loadshare.Count {
+func (l *Loads) Answer(counts []targetload.HostLoad) []targetload.HostLoad {
 	l.Take("", counts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []loadshare.Count
+	var all []targetload.HostLoad
 	for _, c := range counts {
-		all = append(all, l.hostLoads.Of(l.now(), c.Target)...)
+		all = append(all, l.hostLoads.ForTarget(l.now(), c.Target)...)
 	}
 	return all
 }
@@ -83,15 +83,15 @@
 // counts it returns; false without an answer.
 func (l *Loads) queryOwner(t *directory.Seen) bool {
 	l.mu.Lock()
-	own := l.hostLoads.Own(t.ID)
+	own := l.hostLoads.Local(t.ID)
 	l.mu.Unlock()
-	counts, answered := l.ownerQuery(Owned{t.ID, t.DataCentre}, []loadshare.Count{own})
+	counts, answered := l.ownerQuery(Owned{t.ID, t.DataCentre}, []targetload.HostLoad{own})
 	if !answered {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hostLoads.TakeAll(l.now(), t.ID, counts)
+	l.hostLoads.ReplaceTarget(l.now(), t.ID, counts)
 	l.learnSpeeds(counts)
 	return true
 }
@@ -135,8 +135,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
-	sums, defaultStep := l.hostLoads.Sums(l.now()), l.speeds.Median()
-	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Minus(r.load), defaultStep)
+	sums, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
+	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Sub(r.load), defaultStep)
 	best := others.choose(l.rng, req)
 	if best == nil || placement.Delay(best.Candidate, req.work())+minDelaySaving > placement.Delay(here, req.work()) {
 		return nil
--- a/internal/gateway/owner_query_test.go
+++ b/internal/gateway/owner_query_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/gateway"
 )
@@ -64,7 +64,9 @@
 			all := fleet(seed)
 			owner := all[0]
 			for _, l := range all[1:] {
-				l.AskOwners(func(_ gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) { return owner.Answer(own), true })
+				l.AskOwners(func(_ gateway.Owned, own []targetload.HostLoad) ([]targetload.HostLoad, bool) {
+					return owner.Answer(own), true
+				})
 			}
 			if maxOnOneEngine(all) > maxAllowed {
 				withQueries++
@@ -83,7 +85,7 @@
 		l := fleet(1)[0]
 		var mu sync.Mutex
 		queries := map[string]int{}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.AskOwners(func(target gateway.Owned, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			queries[target.ID]++
@@ -103,7 +105,7 @@
 	It("cause no owner queries in a small fleet or for plain services", func() {
 		l := fleet(1)[0]
 		queries := 0
-		l.AskOwners(func(gateway.Owned, []loadshare.Count) ([]loadshare.Count, bool) { queries++; return nil, true })
+		l.AskOwners(func(gateway.Owned, []targetload.HostLoad) ([]targetload.HostLoad, bool) { queries++; return nil, true })
 		_, _, ok := l.Acquire(view(), gateway.PlacementRequest{Service: "llm", Locality: gateway.PreferLocal})
 		Expect(ok).To(BeTrue())
 		l.CountHosts(func() int { return 6 })
@@ -127,15 +129,15 @@
 		v := directory.NewView(1, cfg, targets, nil)
 		l := fleet(1)[0]
 		l.BoundCold(gateway.ColdBound{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
-		loaded := func(target string) loadshare.Count {
-			return loadshare.Count{Host: "host-9", Target: target, Version: 1, Load: loadshare.Load{Running: 9, Tokens: 40_000, Unread: 9000}}
+		loaded := func(target string) targetload.HostLoad {
+			return targetload.HostLoad{Host: "host-9", Target: target, Version: 1, Load: targetload.Load{Running: 9, ReservedTokens: 40_000, UnreadTokens: 9000}}
 		}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.AskOwners(func(target gateway.Owned, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			if target.ID == "cold" {
 				return nil, true
 			}
 			l.Hold("cold", call.Prompt{Tokens: 10})
-			return []loadshare.Count{loaded("warm-1"), loaded("warm-2")}, true
+			return []targetload.HostLoad{loaded("warm-1"), loaded("warm-2")}, true
 		})
 		t, _, ok := l.Acquire(v, gateway.PlacementRequest{Service: "llm", Prompt: prompt, Locality: gateway.PreferLocal})
 		Expect(ok).To(BeTrue())
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
@@ -117,7 +117,7 @@
 // refresh returns those of the sampled targets that still accept work, with
 // their current load.
 func (l *Loads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Median()
+	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
 		if !alerts[candidate.target.ID].Leaving && l.withinColdShare(view, candidate.target) && l.withinRate(candidate.target.ID) {
@@ -152,7 +152,7 @@
 		return nil, nil, false
 	}
 	backupTarget := eligible[i].target
-	return backupTarget, l.reserveLoad(backupTarget.ID, loadshare.Load{Copies: expectedTokens(p)}), true
+	return backupTarget, l.reserveLoad(backupTarget.ID, targetload.Load{BackupTokens: expectedTokens(p)}), true
 }
 
 // RecordStep records the time that an engine took for one token of a stream.
@@ -160,7 +160,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.speeds.AddSample(target, perToken) {
-		l.hostLoads.SetStep(l.now(), target, l.speeds.TimePerToken(target))
+		l.hostLoads.SetTimePerToken(l.now(), target, l.speeds.TimePerToken(target))
 		wake.Signal(l.loadsChanged)
 	}
 }
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
@@ -40,10 +40,10 @@
 }
 
 // mergeRates merges rates that targets advertised to other hosts.
-func (l *Loads) mergeRates(counts []loadshare.Count) {
+func (l *Loads) mergeRates(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		if c.Rate != nil && c.Host != l.address {
-			l.rates.Merge(c.Target, *c.Rate)
+		if c.AdvertisedRate != nil && c.Host != l.address {
+			l.rates.Merge(c.Target, *c.AdvertisedRate)
 		}
 	}
 }
--- a/internal/gatewayhost/fleet.go
+++ b/internal/gatewayhost/fleet.go
@@ -16,9 +16,9 @@
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/controller/gossip"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/poison"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -150,13 +150,13 @@
 }
 
 // toWire gives counts as they are told at a time on the steady clock.
-func toWire(counts []loadshare.Count, now time.Duration) []*filbertv1.TargetLoad {
+func toWire(counts []targetload.HostLoad, now time.Duration) []*filbertv1.TargetLoad {
 	out := make([]*filbertv1.TargetLoad, len(counts))
 	for i, c := range counts {
 		out[i] = &filbertv1.TargetLoad{
-			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.Tokens), Unread: count(c.Unread), Leaving: c.Leaving,
-			StepUs: count(int(c.Step.Microseconds())), Copies: count(c.Copies), Failures: c.Failures,
-			Rate: toWireRate(c.Rate, now),
+			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.ReservedTokens), Unread: count(c.UnreadTokens), Leaving: c.Leaving,
+			StepUs: count(int(c.TimePerToken.Microseconds())), Copies: count(c.BackupTokens), Failures: c.FailureSeq,
+			Rate: toWireRate(c.AdvertisedRate, now),
 		}
 	}
 	return out
@@ -179,13 +179,13 @@
 
 func count(n int) uint32 { return uint32(max(n, 0)) }
 
-func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []loadshare.Count {
-	counts := make([]loadshare.Count, len(loads))
+func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []targetload.HostLoad {
+	counts := make([]targetload.HostLoad, len(loads))
 	for i, l := range loads {
-		counts[i] = loadshare.Count{
+		counts[i] = targetload.HostLoad{
 			Host: l.GetHost(), Target: l.GetTarget(), Version: l.GetVersion(), Leaving: l.GetLeaving(),
-			Step: time.Duration(l.GetStepUs()) * time.Microsecond, Failures: l.GetFailures(), Rate: fromWireRate(l.GetRate(), now),
-			Load: loadshare.Load{Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Unread: int(l.GetUnread()), Copies: int(l.GetCopies())},
+			TimePerToken: time.Duration(l.GetStepUs()) * time.Microsecond, FailureSeq: l.GetFailures(), AdvertisedRate: fromWireRate(l.GetRate(), now),
+			Load: targetload.Load{Running: int(l.GetRunning()), ReservedTokens: int(l.GetTokens()), UnreadTokens: int(l.GetUnread()), BackupTokens: int(l.GetCopies())},
 		}
 	}
 	return counts
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -16,7 +16,7 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -94,7 +94,7 @@
 }
 
 // ask is a gateway.AskOwner.
-func (o *owners) ask(target gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) {
+func (o *owners) ask(target gateway.Owned, own []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 	owner, known := o.answering(target)
 	if !known {
 		return nil, false
@@ -197,8 +197,8 @@
 
 // tell tells the owners of targets what this host has running there by now. A
 // datagram that is lost leaves them wrong until the load is told again.
-func (o *owners) tell(counts []loadshare.Count, dataCentre func(target string) string) {
-	batches := map[string][]loadshare.Count{}
+func (o *owners) tell(counts []targetload.HostLoad, dataCentre func(target string) string) {
+	batches := map[string][]targetload.HostLoad{}
 	for _, c := range counts {
 		for _, owner := range o.size.owners(gateway.Owned{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
 			batches[owner] = append(batches[owner], c)
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -15,8 +15,8 @@
 	"filbertdeck/internal/call"
 	"filbertdeck/internal/controller/gossip"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/membership"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 )
@@ -86,16 +86,16 @@
 	second, _ := startOwners(t, addresses[2], addresses)
 	target := targetOwnedBy(t, owner, addresses[0])
 	firstLoads.Hold(target.ID, call.Prompt{Tokens: 3000})
-	own := loadshare.Count{Host: addresses[1], Target: target.ID, Version: 7, Load: loadshare.Load{Running: 1, Tokens: 3000, Unread: 3000}}
-	if _, ok := first.ask(target, []loadshare.Count{own}); !ok {
+	own := targetload.HostLoad{Host: addresses[1], Target: target.ID, Version: 7, Load: targetload.Load{Running: 1, ReservedTokens: 3000, UnreadTokens: 3000}}
+	if _, ok := first.ask(target, []targetload.HostLoad{own}); !ok {
 		t.Fatal("the owner did not answer the first host")
 	}
-	counts, ok := second.ask(target, []loadshare.Count{{Host: addresses[2], Target: target.ID, Version: 1, Load: loadshare.Load{Running: 1}}})
+	counts, ok := second.ask(target, []targetload.HostLoad{{Host: addresses[2], Target: target.ID, Version: 1, Load: targetload.Load{Running: 1}}})
 	if !ok {
 		t.Fatal("the owner did not answer the second host")
 	}
 	for _, c := range counts {
-		if c.Host == addresses[1] && c.Running == 1 && c.Unread == 3000 {
+		if c.Host == addresses[1] && c.Running == 1 && c.UnreadTokens == 3000 {
 			return
 		}
 	}
@@ -159,8 +159,8 @@
 // Guards against an advertised rate that grows younger on its way and overrules a
 // newer one.
 func TestRatesKeepTheirAgeBetweenHosts(t *testing.T) {
-	told := toWire([]loadshare.Count{{Target: "i-1", Rate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
-	heard := fromWire(told, time.Minute)[0].Rate
+	told := toWire([]targetload.HostLoad{{Target: "i-1", AdvertisedRate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
+	heard := fromWire(told, time.Minute)[0].AdvertisedRate
 	if heard == nil || !heard.Limited || heard.PerSecond != 3.4 || heard.At != time.Minute-2*time.Second {
 		t.Fatalf("heard %+v, want a rate of 3.4 from two seconds before", heard)
 	}
