--- a/internal/gatewayhost/roles.go
+++ b/internal/gatewayhost/roles.go
@@ -86,7 +86,7 @@
 }
 
 func (r *roles) rank(view *membership.View) ranks {
-	all := membership.Rank(rankKey, view.Live(""))
+	all := membership.Rank(rankKey, view.LiveAddresses(""))
 	if len(all) <= smallFleet {
 		return ranks{known: true, nearby: all, heads: all, small: true}
 	}
--- a/internal/gatewayhost/size.go
+++ b/internal/gatewayhost/size.go
@@ -98,9 +98,9 @@
 }
 
 func rankOwners(view *membership.View, target gateway.Owned) []string {
-	live := view.Live(target.DataCentre)
+	live := view.LiveAddresses(target.DataCentre)
 	if len(live) == 0 {
-		live = view.Live("")
+		live = view.LiveAddresses("")
 	}
 	ranked := membership.Rank(target.ID, live)
 	return ranked[:min(len(ranked), copiesOfCounts)]
