--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/decide/fairqueue"
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 	"filbertdeck/internal/decide/slowstart"
 )
 
@@ -28,7 +28,7 @@
 	Seed uint64
 	// Memory is the rule for admission by memory; the zero value is the default
 	// rule.
-	Memory memory.Rule
+	Memory memoryforecast.AdmissionRule
 	// SlowStart holds the parameters for targets that have just started.
 	SlowStart slowstart.Config
 }
@@ -112,8 +112,8 @@
 	if cfg.QueueLimit == 0 {
 		cfg.QueueLimit = defaultQueueLimit
 	}
-	if cfg.Memory == (memory.Rule{}) {
-		cfg.Memory = memory.DefaultRule()
+	if cfg.Memory == (memoryforecast.AdmissionRule{}) {
+		cfg.Memory = memoryforecast.DefaultRule()
 	}
 	cfg.SlowStart.LeaseFor = cfg.LeaseDuration
 	return &Allocator{
@@ -289,7 +289,7 @@
 	l := a.leases.create()
 	l.service = ask.Service
 	l.fingerprint, l.exclusive, l.suspect = ask.Fingerprint, restriction.exclusive, restriction.restricted()
-	a.addLease(now, l, ask.Holder, r.Account, t, memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	a.addLease(now, l, ask.Holder, r.Account, t, memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	l.charged = cost
 	t.cache.insert(ask.Prefix)
 	if a.health.Status(now, t.address) == health.Trial {
@@ -344,7 +344,7 @@
 	for _, t := range a.targetOrder {
 		s.Targets = append(s.Targets, TargetSnapshot{
 			Address: t.address, State: t.gate.State(now), Running: len(t.leases),
-			PredictedTokens: int(t.load.Now()), Report: t.report,
+			PredictedTokens: int(t.load.InUse()), Report: t.report,
 		})
 	}
 	return s
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"filbertdeck/internal/decide/fairqueue"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 const (
@@ -236,7 +236,7 @@
 	l.fingerprint, l.service = ask.Fingerprint, ask.Service
 	account := a.queueAccount(ask.Account)
 	a.queue.AddRunning(account, 0)
-	gen := memory.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
+	gen := memoryforecast.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
 	a.addLease(now, l, ask.Holder, account, t, gen)
 	a.grant(l, ask.Request, ask.AdoptTokens)
 }
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 const (
@@ -32,8 +32,8 @@
 	if restriction.mustWait {
 		return nil
 	}
-	var growth memory.Growth
-	growth.Predict(a.outputLengths.forService(ask.Service), memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	var growth memoryforecast.Forecast
+	growth.Predict(a.outputLengths.forService(ask.Service), memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	avoid := a.effectiveAvoidList(ask)
 	var best *target
 	bestScore := 0.0
@@ -89,7 +89,7 @@
 }
 
 // headroom returns the part of the target that remains free with the ask on it.
-func (a *Allocator) headroom(t *target, ask *Ask, growth *memory.Growth) (room float64, fits bool) {
+func (a *Allocator) headroom(t *target, ask *Ask, growth *memoryforecast.Forecast) (room float64, fits bool) {
 	if t.report.MemoryTokens == 0 {
 		used := len(t.leases) + t.unknownRequests
 		return 1 - float64(used+1)/float64(t.capacity()), true
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -186,7 +186,7 @@
 		total += len(t.leases)
 		sum, suspects, unconfirmed := 0.0, 0, 0
 		for _, l := range t.leases {
-			sum += l.growth.Now()
+			sum += l.growth.InUse()
 			if l.suspect {
 				suspects++
 			}
@@ -194,9 +194,9 @@
 				unconfirmed++
 			}
 		}
-		if sum > t.load.Now()+1e-3 || suspects != t.suspectLeases || unconfirmed != t.unconfirmed {
+		if sum > t.load.InUse()+1e-3 || suspects != t.suspectLeases || unconfirmed != t.unconfirmed {
 			s.t.Fatalf("%s: memory %g of %g, suspects %d/%d, unconfirmed %d/%d",
-				t.address, sum, t.load.Now(), suspects, t.suspectLeases, unconfirmed, t.unconfirmed)
+				t.address, sum, t.load.InUse(), suspects, t.suspectLeases, unconfirmed, t.unconfirmed)
 		}
 	}
 	if total != listed || total != len(s.allocator.leases.byID) {
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -5,7 +5,7 @@
 
 	"filbertdeck/internal/decide/fairqueue"
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 // lease is one active admission.
@@ -15,8 +15,8 @@
 	account *fairqueue.Account[Ask]
 	target  *target
 	service string
-	gen     memory.Generation
-	growth  memory.Growth
+	gen     memoryforecast.Generation
+	growth  memoryforecast.Forecast
 	granted time.Duration
 	// progressAt is when gen.Produced was last reported.
 	progressAt time.Duration
@@ -115,7 +115,7 @@
 }
 
 // addLease registers a lease with its target.
-func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memory.Generation) {
+func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memoryforecast.Generation) {
 	l.holder, l.account, l.target, l.gen = holder, account, t, gen
 	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
@@ -154,7 +154,7 @@
 	l.service = r.Service
 	account := a.queueAccount(r.Account)
 	a.queue.AddRunning(account, 0)
-	a.addLease(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
+	a.addLease(now, l, holder, account, t, memoryforecast.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
 	if r.ProducedTokens > 0 {
 		t.recordFirstToken(now, l)
 	}
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 	"filbertdeck/internal/decide/slowstart"
 )
 
@@ -43,7 +43,7 @@
 	// size.
 	normalizedStep time.Duration
 	leases         []*lease
-	load           memory.Load
+	load           memoryforecast.Load
 	// unattributedTokens is the memory in use, and unknownRequests the number
 	// of requests, in the last report beyond those of the allocator's own
 	// leases at that time.
@@ -242,15 +242,15 @@
 	if t.unknownRequests == 0 {
 		return
 	}
-	var g memory.Growth
-	g.Predict(o.all, memory.Generation{Prompt: int(t.unattributedTokens) / t.unknownRequests})
-	t.load.AddAlike(&g, t.unknownRequests)
+	var g memoryforecast.Forecast
+	g.Predict(o.all, memoryforecast.Generation{Prompt: int(t.unattributedTokens) / t.unknownRequests})
+	t.load.AddN(&g, t.unknownRequests)
 	t.unattributedTokens = 0
 }
 
 // extrapolate estimates the progress of a generation at a time: one token per
 // step since its last progress report.
-func (t *target) extrapolate(l *lease, at time.Duration) memory.Generation {
+func (t *target) extrapolate(l *lease, at time.Duration) memoryforecast.Generation {
 	gen := l.gen
 	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
 		gen.Produced += int((at - l.progressAt) / step)
--- a/internal/decide/memory/memory.go
+++ b/internal/decide/memoryforecast/memoryforecast.go
@@ -1,4 +1,4 @@
-// Package memory predicts how an engine's memory fills as the generations in its
+// Package memoryforecast predicts how an engine's memory fills as the generations in its
 // batch grow, and decides whether one more fits.
 //
 // An engine keeps the keys and values of every token of its running generations.
@@ -15,7 +15,7 @@
 // to be independent, so variances add. The sums are updated by adding and
 // removing single generations, so a decision costs the same for any number of
 // running generations.
-package memory
+package memoryforecast
 
 import (
 	"math"
@@ -43,14 +43,14 @@
 
 const horizonCount = len(horizonTokens)
 
-// Growth is the predicted memory of one generation: its mean, in tokens, and
+// Forecast is the predicted memory of one generation: its mean, in tokens, and
 // variance, in tokens squared, at each horizon.
-type Growth struct {
+type Forecast struct {
 	mean, variance [horizonCount]float64
 }
 
-// Now returns the memory in use now, in tokens.
-func (g *Growth) Now() float64 { return g.mean[0] }
+// InUse returns the memory in use now, in tokens.
+func (g *Forecast) InUse() float64 { return g.mean[0] }
 
 // Generation is a running generation or a candidate. Sizes are in tokens.
 type Generation struct {
@@ -60,7 +60,7 @@
 }
 
 // Predict sets g to the predicted memory of one generation.
-func (g *Growth) Predict(d *outputlength.Distribution, gen Generation) {
+func (g *Forecast) Predict(d *outputlength.Distribution, gen Generation) {
 	survivedSoFar := d.Survival(gen.Produced)
 	for i := range horizonCount {
 		ahead := horizonTokens[i]
@@ -79,19 +79,19 @@
 
 // Load is the predicted memory of one engine, the sum over its generations.
 type Load struct {
-	sum Growth
+	sum Forecast
 }
 
 // Add adds a generation.
-func (l *Load) Add(g *Growth) {
+func (l *Load) Add(g *Forecast) {
 	for i := range horizonCount {
 		l.sum.mean[i] += g.mean[i]
 		l.sum.variance[i] += g.variance[i]
 	}
 }
 
-// AddAlike adds count generations with the same predicted memory.
-func (l *Load) AddAlike(g *Growth, count int) {
+// AddN adds count generations with the same predicted memory.
+func (l *Load) AddN(g *Forecast, count int) {
 	n := float64(count)
 	for i := range horizonCount {
 		l.sum.mean[i] += n * g.mean[i]
@@ -100,7 +100,7 @@
 }
 
 // Remove removes a generation that was added with the same growth.
-func (l *Load) Remove(g *Growth) {
+func (l *Load) Remove(g *Forecast) {
 	for i := range horizonCount {
 		l.sum.mean[i] -= g.mean[i]
 		l.sum.variance[i] = math.Max(0, l.sum.variance[i]-g.variance[i])
@@ -109,13 +109,13 @@
 
 // Reset sets the sum to zero. Computing the sum anew from time to time keeps
 // rounding errors of many additions and removals from accumulating.
-func (l *Load) Reset() { l.sum = Growth{} }
+func (l *Load) Reset() { l.sum = Forecast{} }
 
-// Now returns the memory in use now, in tokens.
-func (l *Load) Now() float64 { return l.sum.mean[0] }
+// InUse returns the memory in use now, in tokens.
+func (l *Load) InUse() float64 { return l.sum.mean[0] }
 
-// Rule holds the parameters of the admission rule.
-type Rule struct {
+// AdmissionRule holds the parameters of the admission rule.
+type AdmissionRule struct {
 	// Deviations is z, the number of standard deviations kept free.
 	Deviations float64
 	// Watermark is the usable fraction of the memory, 0 to 1.
@@ -123,15 +123,15 @@
 }
 
 // DefaultRule returns the default parameters, which suit every mix of lengths.
-func DefaultRule() Rule {
-	return Rule{Deviations: DefaultDeviations, Watermark: DefaultWatermark}
+func DefaultRule() AdmissionRule {
+	return AdmissionRule{Deviations: DefaultDeviations, Watermark: DefaultWatermark}
 }
 
 // Headroom returns the smallest fraction of the memory, over all horizons, that
 // stays free below the watermark if the candidate is added. It is negative if the
 // candidate does not fit. untracked is memory in use by generations that are not
 // part of the sum, and capacity the size of the engine's memory, both in tokens.
-func (r Rule) Headroom(l *Load, candidate *Growth, untracked, capacity float64) float64 {
+func (r AdmissionRule) Headroom(l *Load, candidate *Forecast, untracked, capacity float64) float64 {
 	limit := r.Watermark*capacity - untracked
 	minFree := math.Inf(1)
 	for i := range horizonCount {
--- a/internal/decide/memory/memory_test.go
+++ b/internal/decide/memoryforecast/memoryforecast_test.go
@@ -1,4 +1,4 @@
-package memory
+package memoryforecast
 
 import (
 	"math/rand/v2"
@@ -33,7 +33,7 @@
 // engine.
 func admittedCount(d *outputlength.Distribution, gen Generation, untracked float64) int {
 	var load Load
-	var g Growth
+	var g Forecast
 	g.Predict(d, gen)
 	for n := 0; ; n++ {
 		if DefaultRule().Headroom(&load, &g, untracked, capacity) < 0 {
@@ -69,7 +69,7 @@
 		rng := rand.New(rand.NewPCG(3, 4))
 		d := constantLength(300)
 		var load Load
-		running := make([]Growth, 200)
+		running := make([]Forecast, 200)
 		for i := range running {
 			running[i].Predict(d, Generation{Prompt: rng.IntN(2000), Produced: rng.IntN(400)})
 			load.Add(&running[i])
@@ -87,7 +87,7 @@
 func BenchmarkHeadroom(b *testing.B) {
 	d := constantLength(300)
 	var load Load
-	var g Growth
+	var g Forecast
 	b.ReportAllocs()
 	for range b.N {
 		g.Predict(d, Generation{Prompt: 400, Max: 4096})
