--- a/internal/decide/migration/migration.go
+++ b/internal/decide/migration/migration.go
@@ -46,10 +46,10 @@
 	return Config{Notice: 1500 * time.Millisecond, CompletionMargin: 0.5, CopyWaitFactor: 0.5}
 }
 
-// Stays reports whether a generation finishes before the engine stops and does
+// CompletesInTime reports whether a generation finishes before the engine stops and does
 // not have to be migrated. remaining is the longest time that it can still run,
 // untilStop the time until the engine stops.
-func (c Config) Stays(remaining, untilStop time.Duration) bool {
+func (c Config) CompletesInTime(remaining, untilStop time.Duration) bool {
 	return remaining < time.Duration(float64(untilStop)*c.CompletionMargin)
 }
 
@@ -64,19 +64,19 @@
 	return time.Duration(bits / linkMbps * float64(time.Microsecond))
 }
 
-// Wait returns how long a generation waits before its copy is requested.
-func (c Config) Wait(copyTime time.Duration) time.Duration {
+// CopyDelay returns how long a generation waits before its copy is requested.
+func (c Config) CopyDelay(copyTime time.Duration) time.Duration {
 	return time.Duration(float64(copyTime) * c.CopyWaitFactor)
 }
 
 // unknownRemaining is the remaining time if nothing is known about it.
 const unknownRemaining = time.Duration(1<<63 - 1)
 
-// MostLeft returns the longest time that a generation can still run. maxEvents is
+// MaxRemaining returns the longest time that a generation can still run. maxEvents is
 // the maximum number of events, 0 if unknown, and events the number produced in
 // the time elapsed since the first one. Clients' length estimates are too
 // inaccurate for this.
-func MostLeft(maxEvents, events int, elapsed time.Duration) time.Duration {
+func MaxRemaining(maxEvents, events int, elapsed time.Duration) time.Duration {
 	if maxEvents == 0 || events < 2 {
 		return unknownRemaining
 	}
--- a/internal/decide/migration/migration_test.go
+++ b/internal/decide/migration/migration_test.go
@@ -24,17 +24,17 @@
 
 	// Copying it would delay the copies of generations that have long to run.
 	It("stays if it is certain to finish before the engine stops", func() {
-		remaining := migration.MostLeft(10, 4, 3*40*time.Millisecond)
+		remaining := migration.MaxRemaining(10, 4, 3*40*time.Millisecond)
 		Expect(remaining).To(Equal(6 * 40 * time.Millisecond))
-		Expect(migration.Default().Stays(remaining, notice)).To(BeTrue())
+		Expect(migration.Default().CompletesInTime(remaining, notice)).To(BeTrue())
 	})
 
 	// The client's estimate says that the generation is about to finish.
 	// Estimates are off by a factor of three, and a generation that stays too
 	// long is cut off.
 	DescribeTable("is migrated if that is not certain", func(maxEvents, events int) {
-		remaining := migration.MostLeft(maxEvents, events, time.Duration(events)*40*time.Millisecond)
-		Expect(migration.Default().Stays(remaining, notice)).To(BeFalse())
+		remaining := migration.MaxRemaining(maxEvents, events, time.Duration(events)*40*time.Millisecond)
+		Expect(migration.Default().CompletesInTime(remaining, notice)).To(BeFalse())
 	},
 		Entry("long to run", 556, 50),
 		Entry("finishes too close to the stop", 40, 20),
@@ -54,7 +54,7 @@
 		for i := range queue {
 			copyTime := migration.CopyTime(1500+rng.IntN(4500), 18_432, 2700)
 			noticeDelay := time.Duration(rng.IntN(30)) * time.Millisecond
-			queue[i] = request{noticeDelay + c.Wait(copyTime), copyTime}
+			queue[i] = request{noticeDelay + c.CopyDelay(copyTime), copyTime}
 		}
 		slices.SortFunc(queue, func(a, b request) int { return cmp.Compare(a.at, b.at) })
 		linkFreeAt, completed := time.Duration(0), 0
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -68,7 +68,7 @@
 		return
 	}
 	e := gen.service.Engine
-	wake.Sleep(ctx, gen.g.cfg.Migration.Wait(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
+	wake.Sleep(ctx, gen.g.cfg.Migration.CopyDelay(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
 	exclude := []string{from.ID}
 	for gen.waitForFirstEvent(ctx) && gen.isAt(from) {
 		var done bool
@@ -217,5 +217,5 @@
 		return false
 	}
 	maxEvents := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
-	return gen.g.cfg.Migration.Stays(migration.MostLeft(maxEvents, progress.events, progress.last-progress.first), leavesIn)
+	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(maxEvents, progress.events, progress.last-progress.first), leavesIn)
 }
