--- a/internal/controller/published/controller.go
+++ b/internal/controller/published/controller.go
@@ -190,14 +190,14 @@
 		if err != nil {
 			return err
 		}
-		c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Whole(now, records, at) })
+		c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplySnapshot(now, records, at) })
 		return nil
 	}
 	records, at, err := c.watch(ctx, begun)
 	if err != nil {
 		return err
 	}
-	c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Changes(now, records, at) })
+	c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplyChanges(now, records, at) })
 	return nil
 }
 
@@ -279,8 +279,8 @@
 		c.cfg.Log.Info("configuration in force", "version", view.Config.Version, "revision", view.Revision, "routes", len(view.Config.Routes))
 	}
 	c.out.Publish(view)
-	c.publishAgainAt(now, c.mirror.NextChange(now))
-	if left := c.mirror.Left(); len(left) > 0 {
+	c.publishAgainAt(now, c.mirror.NextViewChange(now))
+	if left := c.mirror.TakeDeparted(); len(left) > 0 {
 		c.cfg.Log.Info("targets leave", "targets", left, "revision", view.Revision, "source", source, "age", c.ageAt(now))
 	}
 }
@@ -309,7 +309,7 @@
 	defer c.mu.Unlock()
 	gone := err != nil && failure.KindOf(err) != failure.KindHistoryGone
 	if gone {
-		c.mirror.StoreLost()
+		c.mirror.StoreFailed()
 		c.failedAt = c.cfg.Now()
 	}
 	if gone == c.lost {
--- a/internal/controller/published/news.go
+++ b/internal/controller/published/news.go
@@ -96,7 +96,7 @@
 	if records := c.mirror.Delta(lacks.records); len(records) > mostRecords {
 		n.Withheld = true
 	} else {
-		n.From, n.Records = c.mirror.Base(lacks.records), c.encode(records)
+		n.From, n.Records = c.mirror.DeltaBase(lacks.records), c.encode(records)
 	}
 	n.Delta = c.doc.deltaFrom(lacks.config, shortDelta)
 	if len(n.Records) > 0 || n.Delta != nil {
@@ -162,12 +162,12 @@
 func (c *Controller) takeChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
 	switch {
 	case from == 0 && to > 0:
-		return c.mirror.Whole(now, records, to)
+		return c.mirror.ApplySnapshot(now, records, to)
 	case from <= c.mirror.Revision():
-		return c.mirror.Merge(now, records, to)
+		return c.mirror.MergeFromPeer(now, records, to)
 	}
 	// What was published between is missing here.
-	return c.mirror.Merge(now, records, 0)
+	return c.mirror.MergeFromPeer(now, records, 0)
 }
 
 // takeDelta takes a short change of the configuration. One that doesn't fit is
@@ -189,7 +189,7 @@
 		return false
 	}
 	record := directory.Record{Key: directory.ConfigKey, Revision: c.doc.revision(), Config: cfg}
-	return c.mirror.Changes(now, []directory.Record{record}, 0)
+	return c.mirror.ApplyChanges(now, []directory.Record{record}, 0)
 }
 
 // Holds gives the store's revision at the configuration in force, 0 for none,
@@ -225,7 +225,7 @@
 
 // packRecords compresses what leads from a revision to what is held here.
 func (c *Controller) packRecords(after uint64) ([]byte, error) {
-	from, to := c.mirror.Base(after), c.mirror.Revision()
+	from, to := c.mirror.DeltaBase(after), c.mirror.Revision()
 	if c.packed.from == from && c.packed.to == to {
 		return c.packed.bytes, nil
 	}
@@ -312,7 +312,7 @@
 		c.currentAt = at
 	}
 	c.confirmed = true
-	c.mirror.Confirm(c.currentAt)
+	c.mirror.ConfirmUpToDate(c.currentAt)
 }
 
 // RejectedFor is how long a call that the store rejected counts against a host
