--- a/internal/entry/plain/lookup.go
+++ b/internal/entry/plain/lookup.go
@@ -8,7 +8,7 @@
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/decide/hedge"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
@@ -59,7 +59,7 @@
 
 // run tries targets until one answers. Sending the call again is safe here:
 // the service's row says that its calls may be repeated.
-func (l *Lookups) run(ctx context.Context, call Call) (*once.Answer, error) {
+func (l *Lookups) run(ctx context.Context, call Call) (*idempotency.Answer, error) {
 	key := retrybudget.Key{Account: call.Account.Name, Service: call.Service.Name}
 	l.Budget.First(l.now(), key)
 	var avoid []string
@@ -85,7 +85,7 @@
 
 // result is one sending's end; target is empty when none was found.
 type result struct {
-	answer *once.Answer
+	answer *idempotency.Answer
 	target string
 	err    error
 }
@@ -164,7 +164,7 @@
 	return result{answer: answer, target: lease.Target, err: err}
 }
 
-func (l *Lookups) send(ctx context.Context, call Call, lease *admit.Lease) (*once.Answer, error) {
+func (l *Lookups) send(ctx context.Context, call Call, lease *admit.Lease) (*idempotency.Answer, error) {
 	req, err := call.request(lease.Target)
 	if err != nil {
 		return nil, err
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -11,7 +11,7 @@
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/decide/admission"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
 	"filbertdeck/internal/table"
 )
@@ -25,8 +25,8 @@
 	doc      *rollout.Document
 	join     *rollout.Join
 	ready    bool
-	hosts    once.HostList
-	register *once.Register
+	hosts    idempotency.HostList
+	register *idempotency.Registry
 	allocs   map[string]*admission.Allocator
 	waiting  map[uint64]func(admission.Decision)
 	leases   map[admission.LeaseID]*lease
@@ -66,8 +66,8 @@
 	h.inc++
 	h.up, h.wake, h.stopping, h.ready, h.serving = true, 0, false, false, 0
 	h.doc, h.join = rollout.NewDocument(), rollout.NewJoin(w.now)
-	h.hosts = once.HostList{}
-	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.inc}})
+	h.hosts = idempotency.HostList{}
+	h.register = idempotency.New(idempotency.Config{Self: idempotency.Process{Address: h.name, Incarnation: h.inc}})
 	h.allocs, h.waiting, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
 	h.answered = map[*host]time.Duration{}
 	h.watch()
@@ -99,8 +99,8 @@
 	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
 	h.take(delta)
 	h.join.Service()
-	h.hosts = once.HostList{Revision: s.hostsRev, Live: s.hosts, Confirmed: asked}
-	h.register.SetHosts(h.w.now, h.hosts)
+	h.hosts = idempotency.HostList{Revision: s.hostsRev, LiveHosts: s.hosts, ConfirmedAt: asked}
+	h.register.ConfirmHosts(h.w.now, h.hosts)
 	h.checkReady()
 	if !h.ready {
 		return // it would admit by what may be an old table
@@ -192,7 +192,7 @@
 		t.Drained[h.row("drain")] = true
 	}
 	var live []configservice.Host
-	for _, name := range h.hosts.Live {
+	for _, name := range h.hosts.LiveHosts {
 		if i := slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == name }); i >= 0 {
 			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
 		}
--- a/test/faults/serve_test.go
+++ b/test/faults/serve_test.go
@@ -6,7 +6,7 @@
 
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/delivery"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
 )
@@ -28,7 +28,7 @@
 	})
 	h.w.step(s.call, stepAccepted, h.proc, func() {
 		if s.call.kind.booking() {
-			h.booking(s, once.Call{}, s.finish)
+			h.booking(s, idempotency.Call{}, s.finish)
 		} else {
 			h.generate(s)
 		}
@@ -308,23 +308,23 @@
 }
 
 // booking decides who runs a call that may run once, and has it run.
-func (h *host) booking(s *sending, call once.Call, reply func(*failure.Error)) {
+func (h *host) booking(s *sending, call idempotency.Call, reply func(*failure.Error)) {
 	key, err := s.call.parsedKey()
 	if err != nil {
 		reply(failure.From(err))
 		return
 	}
-	call.Account, call.Key, call.Fingerprint, call.Wall = s.call.account, key, 1, epoch.Add(h.w.now)
+	call.Account, call.Key, call.Fingerprint, call.WallTime = s.call.account, key, 1, epoch.Add(h.w.now)
 	if h.w.naive.runAnywhere {
 		h.execute(s, key, reply)
 		return
 	}
 	switch d := h.register.Begin(h.w.now, call); d.Action {
-	case once.Run:
+	case idempotency.Run:
 		h.execute(s, key, reply)
-	case once.Replay:
+	case idempotency.Replay:
 		reply(nil)
-	case once.Forward:
+	case idempotency.Forward:
 		h.forward(s, d.Owner, reply)
 	default:
 		reply(d.Err)
@@ -333,7 +333,7 @@
 
 const forwardLimit = 8 * time.Second
 
-func (h *host) forward(s *sending, to once.Process, reply func(*failure.Error)) {
+func (h *host) forward(s *sending, to idempotency.Process, reply func(*failure.Error)) {
 	owner := h.w.host(to.Address)
 	answered := false
 	answer := func(err *failure.Error) {
@@ -342,7 +342,7 @@
 			reply(err)
 		}
 	}
-	lost := func() { answer(once.OwnerUnreachable(failure.New(failure.KindOwnerLost, "no answer"))) }
+	lost := func() { answer(idempotency.OwnerUnreachable(failure.New(failure.KindOwnerLost, "no answer"))) }
 	c := h.w.dial(h.proc, owner.proc, lost)
 	if c == nil {
 		lost()
@@ -350,18 +350,18 @@
 	}
 	revision := h.hosts.Revision
 	c.send(1, func() {
-		call := once.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
+		call := idempotency.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
 		owner.booking(s, call, func(err *failure.Error) { c.send(0, func() { answer(err) }) })
 	})
 	h.w.after(h.proc, forwardLimit, lost)
 }
 
-func (h *host) execute(s *sending, key once.Key, reply func(*failure.Error)) {
+func (h *host) execute(s *sending, key idempotency.Key, reply func(*failure.Error)) {
 	w, account := h.w, s.call.account
 	h.admit(s, "orders", nil, func(l *lease, d admission.Decision) {
 		notRun := func(err *failure.Error) {
 			h.settle(l, admission.OutcomeNotRun)
-			h.register.NotRun(account, key)
+			h.register.MarkNotRun(account, key)
 			reply(err)
 		}
 		if l == nil {
@@ -379,7 +379,7 @@
 			}
 			over = true
 			h.settle(l, admission.OutcomeTargetFailed)
-			h.register.Lost(account, key)
+			h.register.MarkLost(account, key)
 			err := failure.New(failure.KindOutcomeUnknown, "no answer").Unknown()
 			if w.naive.sayNo {
 				err.Executed = failure.ExecutedNo
@@ -407,7 +407,7 @@
 				over = true
 				c.close(0)
 				h.settle(l, admission.OutcomeDone)
-				h.register.Finish(account, key, &once.Answer{Status: 200})
+				h.register.MarkFinished(account, key, &idempotency.Answer{Status: 200})
 				w.step(s.call, stepLast, h.proc, func() { reply(nil) })
 			})
 		})
