--- a/internal/decide/slowstart/gate.go
+++ b/internal/decide/slowstart/gate.go
@@ -40,7 +40,7 @@
 // this allocator as the pool's owner. Call it for each list that is read, even if
 // the answer is unchanged.
 func (g *Gate) SetOwner(now time.Duration, revision uint64, owner bool) {
-	g.tenure.Set(now, revision, owner)
+	g.tenure.SetOwner(now, revision, owner)
 }
 
 // Confirm records that the current host list was the newest one at the given
@@ -143,8 +143,8 @@
 // coldRoom returns at most one, and only if a report confirms every grant made by
 // this allocator. The package comment explains why this limits the whole fleet.
 func (g *Gate) coldRoom(now time.Duration, soleOwner bool) int {
-	fresh := g.reportedAt > now-g.cfg.ReportTTL && g.reportedAt > g.tenure.Began()
-	if !g.tenure.Owner() || !fresh || len(g.leases.unconfirmed) > 0 {
+	fresh := g.reportedAt > now-g.cfg.ReportTTL && g.reportedAt > g.tenure.StartedAt()
+	if !g.tenure.IsOwner() || !fresh || len(g.leases.unconfirmed) > 0 {
 		return 0
 	}
 	capacity := g.warmup.capacity()
@@ -165,6 +165,6 @@
 // isSoleOwner reports whether no other allocator grants to this target and the
 // report was made after the last grant of an earlier owner arrived.
 func (g *Gate) isSoleOwner(now time.Duration) bool {
-	cfg := ownership.Config{ConfirmFor: g.cfg.ConfirmationTTL, ActFor: g.cfg.LeaseFor}
-	return g.tenure.Sole(now, cfg) && g.reportedAt > g.tenure.SoleFrom(cfg)
+	cfg := ownership.Config{ConfirmationTTL: g.cfg.ConfirmationTTL, ActionTTL: g.cfg.LeaseFor}
+	return g.tenure.IsExclusive(now, cfg) && g.reportedAt > g.tenure.ExclusiveFrom(cfg)
 }
