--- a/internal/decide/placement/backup.go
+++ b/internal/decide/placement/backup.go
@@ -12,7 +12,7 @@
 	maxFleetLoadForBackups = 0.4
 )
 
-// RoomForCopies reports whether the engines together have enough memory for
+// HasRoomForBackups reports whether the engines together have enough memory for
 // backups of the generations that they run.
 //
 // It covers traffic that fills three quarters of the memory of all engines while
@@ -21,19 +21,19 @@
 // generations migrated from the leaving engines come on top, and memory runs out:
 // generations are preempted in the middle of their streams, their prompts are
 // read again, and they finish late.
-func RoomForCopies(candidates []Candidate) bool {
+func HasRoomForBackups(candidates []Candidate) bool {
 	capacity, reserved := 0, 0
 	for _, c := range candidates {
-		capacity += c.Memory
-		reserved += c.Tokens
+		capacity += c.MemoryTokens
+		reserved += c.ReservedTokens
 	}
 	return float64(reserved) <= maxFleetLoadForBackups*float64(capacity)
 }
 
-// ChooseKeeper returns the index of the engine that stores a backup of the given
+// ChooseBackupEngine returns the index of the engine that stores a backup of the given
 // number of tokens, or -1 if no engine has room. draw, in [0, 1), breaks ties.
-func ChooseKeeper(candidates []Candidate, tokens int, draw float64) int {
-	i := Choose(candidates, tokens, draw)
+func ChooseBackupEngine(candidates []Candidate, tokens int, draw float64) int {
+	i := ChooseLeastLoaded(candidates, tokens, draw)
 	if i < 0 || LoadWith(candidates[i], tokens) > maxBackupEngineLoad {
 		return -1
 	}
--- a/internal/decide/placement/delay.go
+++ b/internal/decide/placement/delay.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Work is the size of a generation in tokens, with its latency objective.
-type Work struct {
+// Workload is the size of a generation in tokens, with its latency objective.
+type Workload struct {
 	// Lengths of the prompt and of the expected output.
-	Prompt, Output int
-	// Within is the objective for the time to the first token; 0 if there is
+	PromptTokens, OutputTokens int
+	// FirstTokenObjective is the objective for the time to the first token; 0 if there is
 	// none.
-	Within time.Duration
+	FirstTokenObjective time.Duration
 }
 
 // Cost model of an engine that runs its generations in one batch. Ratios are
@@ -42,7 +42,7 @@
 	delayPerPenalty = 5 * time.Second
 )
 
-// Delay returns the time that a generation takes on an engine plus the time that
+// MarginalDelay returns the time that a generation takes on an engine plus the time that
 // it adds to the generations already running there.
 //
 // It covers long generations of about half a minute beside short answers, both
@@ -54,19 +54,19 @@
 // measures the loss to callers, and the result is what one choice adds to it. As
 // a result long generations go to fast engines, and short answers go to engines
 // where few generations are delayed while their prompts are read.
-func Delay(c Candidate, w Work) time.Duration {
-	timePerToken := c.Step
+func MarginalDelay(c Candidate, w Workload) time.Duration {
+	timePerToken := c.TimePerToken
 	if timePerToken <= 0 {
 		timePerToken = defaultTimePerToken
 	}
 	tokenTime := float64(timePerToken)
-	prefill := float64(c.Unread+w.Prompt) * promptTokenCost * tokenTime
+	prefill := float64(c.UnreadTokens+w.PromptTokens) * promptTokenCost * tokenTime
 	if c.Running > 0 {
 		// Chunks of the prompt alternate with the steps of the other generations.
 		prefill *= 2
 	}
-	decode := float64(w.Output) * tokenTime * (1 + batchedGenerationCost*float64(c.Running))
-	slowdown := float64(c.Running) * tokenTime * (promptTokenCost*float64(w.Prompt) + batchedGenerationCost*float64(w.Output))
+	decode := float64(w.OutputTokens) * tokenTime * (1 + batchedGenerationCost*float64(c.Running))
+	slowdown := float64(c.Running) * tokenTime * (promptTokenCost*float64(w.PromptTokens) + batchedGenerationCost*float64(w.OutputTokens))
 	return time.Duration(prefill+decode+slowdown) + lateFirstTokenDelay(time.Duration(prefill), w) + memoryPressureDelay(c, w) + time.Duration(c.Penalty*float64(delayPerPenalty))
 }
 
@@ -74,23 +74,25 @@
 // Prompts that other hosts sent a moment ago are not known yet, so reading may
 // take twice as long as estimated. A late answer is weighed like one sixth of an
 // answer in time.
-func lateFirstTokenDelay(prefill time.Duration, w Work) time.Duration {
-	if w.Within <= 0 {
+func lateFirstTokenDelay(prefill time.Duration, w Workload) time.Duration {
+	if w.FirstTokenObjective <= 0 {
 		return 0
 	}
-	return lateFirstTokenFactor * max(prefill-w.Within/2, 0)
+	return lateFirstTokenFactor * max(prefill-w.FirstTokenObjective/2, 0)
 }
 
 // memoryPressureDelay returns the cost of the load on an engine's memory and
 // slots.
-func memoryPressureDelay(c Candidate, w Work) time.Duration {
+func memoryPressureDelay(c Candidate, w Workload) time.Duration {
 	load := float64(c.Running+1) / float64(max(c.Slots, 1))
-	if c.Memory > 0 {
-		load = max(load, float64(c.Tokens+c.Copies+w.Prompt+w.Output)/float64(c.Memory))
+	if c.MemoryTokens > 0 {
+		load = max(load, float64(c.ReservedTokens+c.BackupTokens+w.PromptTokens+w.OutputTokens)/float64(c.MemoryTokens))
 	}
 	return time.Duration(max(load-memoryPressureThreshold, 0) * float64(fullMemoryDelay))
 }
 
-// Crowded reports whether the given number of additional tokens would load an
+// PreemptionLikely reports whether the given number of additional tokens would load an
 // engine so much that generations are likely to be preempted.
-func Crowded(c Candidate, tokens int) bool { return memoryPressureDelay(c, Work{Prompt: tokens}) > 0 }
+func PreemptionLikely(c Candidate, tokens int) bool {
+	return memoryPressureDelay(c, Workload{PromptTokens: tokens}) > 0
+}
--- a/internal/decide/placement/delay_test.go
+++ b/internal/decide/placement/delay_test.go
@@ -20,10 +20,10 @@
 
 var _ = Describe("the engine of a generation", func() {
 	engine := func(running, tokens, unread int, step time.Duration) placement.Candidate {
-		return placement.Candidate{Running: running, Slots: 24, Tokens: tokens, Unread: unread, Memory: 34_000, Step: step}
+		return placement.Candidate{Running: running, Slots: 24, ReservedTokens: tokens, UnreadTokens: unread, MemoryTokens: 34_000, TimePerToken: step}
 	}
-	long := placement.Work{Prompt: 3000, Output: 900}
-	short := placement.Work{Prompt: 2200, Output: 16}
+	long := placement.Workload{PromptTokens: 3000, OutputTokens: 900}
+	short := placement.Workload{PromptTokens: 2200, OutputTokens: 16}
 
 	// One engine in three is slower. A long generation of half a minute takes a
 	// third longer there, even if that engine has a little less load.
@@ -50,15 +50,15 @@
 	// that.
 	It("is not one whose memory is nearly full", func() {
 		full, free := engine(7, 28_000, 0, fastTokenTime), engine(3, 12_000, 0, slowTokenTime)
-		Expect(placement.Crowded(full, 3900)).To(BeTrue())
-		Expect(placement.Crowded(free, 3900)).To(BeFalse())
+		Expect(placement.PreemptionLikely(full, 3900)).To(BeTrue())
+		Expect(placement.PreemptionLikely(free, 3900)).To(BeFalse())
 		Expect(placement.ChooseEngine([]placement.Candidate{full, free}, long, 0)).To(Equal(1))
 	})
 
 	It("has room for the backups that it stores", func() {
 		backupEngine := engine(3, 12_000, 0, fastTokenTime)
-		backupEngine.Copies = 16_000
-		Expect(placement.Crowded(backupEngine, 3900)).To(BeTrue())
+		backupEngine.BackupTokens = 16_000
+		Expect(placement.PreemptionLikely(backupEngine, 3900)).To(BeTrue())
 	})
 
 	It("is chosen by load while all speeds are unknown", func() {
@@ -73,16 +73,16 @@
 	// its generation; if backups are made regardless, they fill the engines that
 	// join, and running generations are preempted and computed again.
 	It("are made only while engines have room for them beside the running generations", func() {
-		lightlyLoaded := []placement.Candidate{{Tokens: 9000, Memory: 34_000}, {Tokens: 14_000, Memory: 34_000}}
-		heavilyLoaded := []placement.Candidate{{Tokens: 29_000, Memory: 34_000}, {Tokens: 1000, Memory: 34_000}}
-		Expect(placement.RoomForCopies(lightlyLoaded)).To(BeTrue())
-		Expect(placement.RoomForCopies(heavilyLoaded)).To(BeFalse())
+		lightlyLoaded := []placement.Candidate{{ReservedTokens: 9000, MemoryTokens: 34_000}, {ReservedTokens: 14_000, MemoryTokens: 34_000}}
+		heavilyLoaded := []placement.Candidate{{ReservedTokens: 29_000, MemoryTokens: 34_000}, {ReservedTokens: 1000, MemoryTokens: 34_000}}
+		Expect(placement.HasRoomForBackups(lightlyLoaded)).To(BeTrue())
+		Expect(placement.HasRoomForBackups(heavilyLoaded)).To(BeFalse())
 	})
 
 	It("are stored by an engine that is at most half full with them", func() {
-		list := []placement.Candidate{{Slots: 24, Tokens: 9000, Copies: 9000, Memory: 34_000}, {Slots: 24, Tokens: 12_000, Memory: 34_000}}
-		Expect(placement.ChooseKeeper(list, 3900, 0)).To(Equal(1))
-		Expect(placement.ChooseKeeper(list[:1], 3900, 0)).To(Equal(-1))
+		list := []placement.Candidate{{Slots: 24, ReservedTokens: 9000, BackupTokens: 9000, MemoryTokens: 34_000}, {Slots: 24, ReservedTokens: 12_000, MemoryTokens: 34_000}}
+		Expect(placement.ChooseBackupEngine(list, 3900, 0)).To(Equal(1))
+		Expect(placement.ChooseBackupEngine(list[:1], 3900, 0)).To(Equal(-1))
 	})
 })
 
@@ -135,11 +135,11 @@
 }
 
 func (e *simulatedEngine) candidate() placement.Candidate {
-	c := placement.Candidate{Slots: 48, Memory: 34_346, Step: time.Duration(7.5 * e.slowdown * float64(time.Millisecond))}
+	c := placement.Candidate{Slots: 48, MemoryTokens: 34_346, TimePerToken: time.Duration(7.5 * e.slowdown * float64(time.Millisecond))}
 	for _, r := range slices.Concat(e.decoding, e.prefilling) {
 		c.Running++
-		c.Tokens += r.prompt + r.output
-		c.Unread += max(r.unreadPrompt, 0)
+		c.ReservedTokens += r.prompt + r.output
+		c.UnreadTokens += max(r.unreadPrompt, 0)
 	}
 	return c
 }
@@ -147,7 +147,7 @@
 // meanLongInProgress simulates two minutes of long and short generations on nine
 // engines, of which three are 30% slower, and returns the mean number of long
 // generations in progress.
-func meanLongInProgress(seed uint64, choose func([]placement.Candidate, placement.Work) int) float64 {
+func meanLongInProgress(seed uint64, choose func([]placement.Candidate, placement.Workload) int) float64 {
 	const seconds, longRate, shortRate = 120, 3.43, 4.84
 	rng := rand.New(rand.NewPCG(seed, 7))
 	engines := make([]*simulatedEngine, 9)
@@ -175,7 +175,7 @@
 			for i, e := range engines {
 				list[i] = e.candidate()
 			}
-			e := engines[choose(list, placement.Work{Prompt: r.prompt, Output: r.output})]
+			e := engines[choose(list, placement.Workload{PromptTokens: r.prompt, OutputTokens: r.output})]
 			e.prefilling = append(e.prefilling, r)
 		}
 		for _, e := range engines {
@@ -197,10 +197,10 @@
 	It("are in progress for less time when placed by the delay that a choice adds", func() {
 		byLoad, byDelay := 0.0, 0.0
 		for seed := range uint64(6) {
-			byLoad += meanLongInProgress(seed, func(list []placement.Candidate, w placement.Work) int {
-				return placement.Choose(list, w.Prompt+w.Output, 0)
+			byLoad += meanLongInProgress(seed, func(list []placement.Candidate, w placement.Workload) int {
+				return placement.ChooseLeastLoaded(list, w.PromptTokens+w.OutputTokens, 0)
 			})
-			byDelay += meanLongInProgress(seed, func(list []placement.Candidate, w placement.Work) int {
+			byDelay += meanLongInProgress(seed, func(list []placement.Candidate, w placement.Workload) int {
 				return placement.ChooseEngine(list, w, 0)
 			})
 		}
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -25,17 +25,17 @@
 	// Running is the known number of running requests of all hosts.
 	Running int
 	Slots   int
-	// Memory in tokens: what requests of all hosts occupy or will occupy, and the
+	// MemoryTokens in tokens: what requests of all hosts occupy or will occupy, and the
 	// capacity, which is 0 for plain services.
-	Tokens, Memory int
-	// Copies is the number of tokens in the backups that the target stores.
-	Copies int
-	// Unread is the number of tokens in prompts that have not produced a first
+	ReservedTokens, MemoryTokens int
+	// BackupTokens is the number of tokens in the backups that the target stores.
+	BackupTokens int
+	// UnreadTokens is the number of tokens in prompts that have not produced a first
 	// event yet.
-	Unread int
-	// Step is the time per token of a generation that runs alone on the engine; 0
+	UnreadTokens int
+	// TimePerToken is the time per token of a generation that runs alone on the engine; 0
 	// if unknown.
-	Step time.Duration
+	TimePerToken time.Duration
 	// Penalty is added to the load. A target that failed recently or is in
 	// another data centre is chosen only if the others have a load higher by this
 	// amount.
@@ -44,13 +44,13 @@
 
 // Penalties of targets in another data centre, in units of load.
 const (
-	// RemoteCharge only decides between targets of about equal load, because the
+	// RemotePenalty only decides between targets of about equal load, because the
 	// events of a generation are small.
-	RemoteCharge = 0.03
-	// RemoteCopyCharge applies to generations that are migrated. A copy within
+	RemotePenalty = 0.03
+	// RemoteMigrationPenalty applies to generations that are migrated. A copy within
 	// the data centre takes half the time, and a load higher by a quarter costs
 	// less than an interruption that exceeds its limit.
-	RemoteCopyCharge = 0.25
+	RemoteMigrationPenalty = 0.25
 )
 
 // promptTokensPerLoadUnit is the number of unread prompt tokens that counts like
@@ -64,9 +64,9 @@
 // full.
 func LoadWith(c Candidate, tokens int) float64 {
 	load := float64(c.Running+1) / float64(max(c.Slots, 1))
-	if c.Memory > 0 {
-		load = max(load, float64(c.Tokens+c.Copies+tokens)/float64(c.Memory))
-		load += float64(c.Unread) / promptTokensPerLoadUnit
+	if c.MemoryTokens > 0 {
+		load = max(load, float64(c.ReservedTokens+c.BackupTokens+tokens)/float64(c.MemoryTokens))
+		load += float64(c.UnreadTokens) / promptTokensPerLoadUnit
 	}
 	return load + c.Penalty
 }
@@ -83,17 +83,17 @@
 	minSampleSize = 3
 )
 
-// Exact reports whether there are so few hosts that each knows nearly all recent
+// KnowsRecentChoices reports whether there are so few hosts that each knows nearly all recent
 // choices of the others.
-func Exact(hosts int) bool { return hosts <= fullScanMaxHosts }
+func KnowsRecentChoices(hosts int) bool { return hosts <= fullScanMaxHosts }
 
-// Sample returns the number of targets that a host compares. Dozens of hosts
+// SampleSize returns the number of targets that a host compares. Dozens of hosts
 // place more prompts per second than there are engines, and each learns of the
 // others' choices a quarter of a second later. If all of them chose the least
 // loaded of all targets, a dozen prompts would go to the same one before any host
 // knew. Choosing the less loaded of a few random targets spreads them.
-func Sample(targets, hosts int) int {
-	if Exact(hosts) {
+func SampleSize(targets, hosts int) int {
+	if KnowsRecentChoices(hosts) {
 		return targets
 	}
 	return min(max(targets*fullScanMaxHosts/hosts, minSampleSize), targets)
@@ -104,21 +104,21 @@
 // two datagrams.
 const maxQueriedTargets = 12
 
-// Asked returns the number of targets to query.
-func Asked(targets int) int { return min(targets, maxQueriedTargets) }
+// QueriedTargets returns the number of targets to query.
+func QueriedTargets(targets int) int { return min(targets, maxQueriedTargets) }
 
-// Choose returns the index of the least loaded candidate for a request with the
+// ChooseLeastLoaded returns the index of the least loaded candidate for a request with the
 // given number of tokens, or -1 if there are no candidates. draw, in [0, 1),
 // breaks ties, so that hosts with the same information choose different targets.
-func Choose(candidates []Candidate, tokens int, draw float64) int {
+func ChooseLeastLoaded(candidates []Candidate, tokens int, draw float64) int {
 	return lowestScore(candidates, draw, func(c Candidate) float64 { return LoadWith(c, tokens) })
 }
 
 // ChooseEngine returns the index of the engine on which a generation adds the
 // least delay to all generations, its own included, or -1 if there are no
 // candidates. draw, in [0, 1), breaks ties.
-func ChooseEngine(candidates []Candidate, w Work, draw float64) int {
-	return lowestScore(candidates, draw, func(c Candidate) float64 { return float64(Delay(c, w)) })
+func ChooseEngine(candidates []Candidate, w Workload, draw float64) int {
+	return lowestScore(candidates, draw, func(c Candidate) float64 { return float64(MarginalDelay(c, w)) })
 }
 
 // lowestScore returns the index of the candidate with the lowest score, starting
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -64,17 +64,17 @@
 // AvoidDataCentre prefers targets outside a data centre, so that its loss does
 // not take the copy as well.
 func AvoidDataCentre(dataCentre string) Locality {
-	return Locality{remotePenalty: placement.RemoteCharge, excluded: dataCentre, excludedPenalty: placement.RemoteCopyCharge}
+	return Locality{remotePenalty: placement.RemotePenalty, excluded: dataCentre, excludedPenalty: placement.RemoteMigrationPenalty}
 }
 
 // PreferLocal prefers this host's data centre only between targets of about
 // equal load.
-var PreferLocal = Locality{remotePenalty: placement.RemoteCharge}
+var PreferLocal = Locality{remotePenalty: placement.RemotePenalty}
 
 // PreferDataCentre prefers a data centre unless its targets are much more
 // loaded: copies to another data centre take twice as long.
 func PreferDataCentre(dataCentre string) Locality {
-	return Locality{preferred: dataCentre, remotePenalty: placement.RemoteCopyCharge}
+	return Locality{preferred: dataCentre, remotePenalty: placement.RemoteMigrationPenalty}
 }
 
 // coldRate returns the requests per second that a target takes while it is
@@ -166,11 +166,11 @@
 	own := l.loadOf(t.ID)
 	all := own.Add(others)
 	c := placement.Candidate{
-		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.ReservedTokens, Copies: all.BackupTokens, Unread: all.UnreadTokens,
-		Step: cmp.Or(l.speeds.TimePerToken(t.ID), defaultStep),
+		ID: t.ID, Running: all.Running, Slots: t.Slots, ReservedTokens: all.ReservedTokens, BackupTokens: all.BackupTokens, UnreadTokens: all.UnreadTokens,
+		TimePerToken: cmp.Or(l.speeds.TimePerToken(t.ID), defaultStep),
 	}
 	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
-		c.Memory = s.Engine.MemoryTokens
+		c.MemoryTokens = s.Engine.MemoryTokens
 	}
 	if l.now()-own.failedAt < failurePenaltyDuration {
 		c.Penalty = min(float64(own.failures)*penaltyPerFailure, maxFailurePenalty)
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -134,7 +134,7 @@
 		gen.setTarget(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
 			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
-			"running", reservation.candidate.Running, "promised", reservation.candidate.Tokens, "unread", reservation.candidate.Unread, "step", reservation.candidate.Step)
+			"running", reservation.candidate.Running, "promised", reservation.candidate.ReservedTokens, "unread", reservation.candidate.UnreadTokens, "step", reservation.candidate.TimePerToken)
 		stream, err := gen.openStream(gen.newSend(target), target, reservation, selection)
 		if err == nil {
 			gen.setStream(stream)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -97,7 +97,7 @@
 // small fleet all hosts send their loads to each other. In a large one each
 // load would pass through every host although few choose among the same targets
 // at that moment, and the traffic of a host would grow with the fleet.
-func (l *Loads) ByOwners() bool { return !placement.Exact(l.hostCount()) }
+func (l *Loads) ByOwners() bool { return !placement.KnowsRecentChoices(l.hostCount()) }
 
 // News returns the loads that another host has not been sent yet; none when
 // loads are sent to owners.
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -138,7 +138,7 @@
 	sums, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
 	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Sub(r.load), defaultStep)
 	best := others.choose(l.rng, req)
-	if best == nil || placement.Delay(best.Candidate, req.work())+minDelaySaving > placement.Delay(here, req.work()) {
+	if best == nil || placement.MarginalDelay(best.Candidate, req.work())+minDelaySaving > placement.MarginalDelay(here, req.work()) {
 		return nil
 	}
 	return l.reserveCandidate(best, req.Prompt)
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -33,8 +33,8 @@
 }
 
 // work returns the work that a generation causes at an engine.
-func (req PlacementRequest) work() placement.Work {
-	return placement.Work{Prompt: req.Prompt.Tokens, Output: expectedOutputTokens(req.Prompt), Within: req.FirstEventLimit}
+func (req PlacementRequest) work() placement.Workload {
+	return placement.Workload{PromptTokens: req.Prompt.Tokens, OutputTokens: expectedOutputTokens(req.Prompt), FirstTokenObjective: req.FirstEventLimit}
 }
 
 // Acquire chooses a target for a request and reserves it until the reservation
@@ -93,10 +93,10 @@
 
 // sampleSize returns how many of a number of targets to consider.
 func (l *Loads) sampleSize(targets int) int {
-	if l.ownerQuery != nil && !placement.Exact(l.hostCount()) {
-		return placement.Asked(targets)
+	if l.ownerQuery != nil && !placement.KnowsRecentChoices(l.hostCount()) {
+		return placement.QueriedTargets(targets)
 	}
-	return placement.Sample(targets, l.hostCount())
+	return placement.SampleSize(targets, l.hostCount())
 }
 
 // reserveBest reserves the best of the sampled targets; nil when there is none.
@@ -108,7 +108,7 @@
 	if best == nil {
 		return nil, others
 	}
-	if others && placement.Crowded(best.Candidate, expectedTokens(req.Prompt)) {
+	if others && placement.PreemptionLikely(best.Candidate, expectedTokens(req.Prompt)) {
 		return nil, true
 	}
 	return l.reserveCandidate(best, req.Prompt), false
@@ -144,10 +144,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	eligible := l.refresh(view, req, sampled)
-	if !placement.RoomForCopies(eligible.placementCandidates()) {
+	if !placement.HasRoomForBackups(eligible.placementCandidates()) {
 		return nil, nil, false
 	}
-	i := placement.ChooseKeeper(eligible.placementCandidates(), expectedTokens(p), l.rng.Float64())
+	i := placement.ChooseBackupEngine(eligible.placementCandidates(), expectedTokens(p), l.rng.Float64())
 	if i < 0 {
 		return nil, nil, false
 	}
@@ -186,7 +186,7 @@
 func (c targetCandidates) choose(rng *rand.Rand, req PlacementRequest) *targetCandidate {
 	i := -1
 	if req.Prompt.Tokens == 0 {
-		i = placement.Choose(c.placementCandidates(), 0, rng.Float64())
+		i = placement.ChooseLeastLoaded(c.placementCandidates(), 0, rng.Float64())
 	} else {
 		i = placement.ChooseEngine(c.placementCandidates(), req.work(), rng.Float64())
 	}
