--- a/internal/decide/admission/poison.go
+++ b/internal/decide/admission/poison.go
@@ -61,14 +61,14 @@
 	if fingerprint == 0 {
 		return poisonRestriction{}
 	}
-	r := s.detector.Rule(now, fingerprint)
-	suspected := r.Verdict == poison.Apart || r.Verdict == poison.Alone
+	r := s.detector.Assess(now, fingerprint)
+	suspected := r.Verdict == poison.Isolated || r.Verdict == poison.Exclusive
 	// Identical suspects run one at a time: run on two targets at once they
 	// could crash both before the first crash is known.
 	duplicateRunning := suspected && s.runningByFingerprint[fingerprint] > 0
 	return poisonRestriction{
-		rejected: r.Verdict == poison.Guilty, wait: r.Wait, mustWait: r.Wait > 0 || duplicateRunning,
-		exclusive: r.Verdict == poison.Alone, separate: r.Verdict == poison.Apart,
+		rejected: r.Verdict == poison.Blocked, wait: r.Delay, mustWait: r.Delay > 0 || duplicateRunning,
+		exclusive: r.Verdict == poison.Exclusive, separate: r.Verdict == poison.Isolated,
 	}
 }
 
@@ -90,7 +90,7 @@
 
 func (s *poisonGuard) requestFinished(now time.Duration, fingerprint uint64) {
 	if fingerprint != 0 {
-		s.detector.Finished(now, fingerprint)
+		s.detector.AddCompletion(now, fingerprint)
 	}
 }
 
@@ -106,7 +106,7 @@
 			fingerprints = append(fingerprints, l.fingerprint)
 		}
 	}
-	s.detector.Crashed(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
+	s.detector.AddCrash(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
 }
 
 // PoisonEvidence returns the latest crashes for gossip, at most limit of them.
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -75,7 +75,7 @@
 func (s *Suspects) isPoison(fp uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Rule(s.now(), fp).Verdict == poison.Guilty
+	return s.detector.Assess(s.now(), fp).Verdict == poison.Blocked
 }
 
 // beginRequest records that a request runs at a target. The returned function
@@ -99,7 +99,7 @@
 		delete(s.running, target)
 	}
 	if finished {
-		s.detector.Finished(s.now(), fp)
+		s.detector.AddCompletion(s.now(), fp)
 	}
 }
 
@@ -126,7 +126,7 @@
 		if failure.KindOf(err) == failure.KindTargetFailed {
 			// The detector expects the most recently started request first.
 			slices.Reverse(suspects)
-			s.detector.Crashed(s.now(), id, suspects)
+			s.detector.AddCrash(s.now(), id, suspects)
 			wake.Signal(s.changed)
 		}
 	})
