--- a/internal/controller/published/controller.go
+++ b/internal/controller/published/controller.go
@@ -14,7 +14,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/decide/mirror"
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/wake"
@@ -89,7 +89,7 @@
 	peers    map[string]*peer
 	// packed are the records that were given away last.
 	packed  packedDelta
-	silence silence.Detector
+	silence storeoutage.Detector
 	// announced is the newest revision of the configuration that a peer holds.
 	announced uint64
 }
@@ -205,7 +205,7 @@
 // before the call is given up.
 func (c *Controller) watch(ctx context.Context, begun time.Duration) ([]directory.Record, uint64, error) {
 	c.mu.Lock()
-	patience := c.silence.Patience()
+	patience := c.silence.AnswerTimeout()
 	c.mu.Unlock()
 	late := time.AfterFunc(watchWait+patience, func() {
 		c.mu.Lock()
@@ -216,7 +216,7 @@
 	records, at, err := c.cfg.Source.Watch(ctx, c.watchFrom(), watchWait)
 	if err == nil && len(records) == 0 {
 		c.mu.Lock()
-		c.silence.Answered(c.cfg.Now() - begun - watchWait)
+		c.silence.RecordAnswer(c.cfg.Now() - begun - watchWait)
 		c.mu.Unlock()
 	}
 	return records, at, err
--- a/internal/controller/published/news.go
+++ b/internal/controller/published/news.go
@@ -83,7 +83,7 @@
 		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
 		Reading: c.reading && !c.lost && c.confirmed, StoreRejects: c.rejectedAt(now), Config: c.doc.rows.Head(),
 	}
-	if due, ever := c.silence.Due(); ever && c.silence.Suspect(c.currentAt) {
+	if due, ever := c.silence.LastOverdue(); ever && c.silence.IsSuspect(c.currentAt) {
 		n.Overdue = max(now-due, time.Millisecond)
 	}
 	p := c.peers[address]
@@ -351,14 +351,14 @@
 func (c *Controller) Suspects() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Suspect(c.currentAt)
+	return c.silence.IsSuspect(c.currentAt)
 }
 
 // overdue notes an answer of the store that was due at a time and has not come,
 // as a peer said or, with an empty name, this host saw. It is called with the
 // lock held.
 func (c *Controller) overdue(due time.Duration, peer string) {
-	if !c.silence.Overdue(due) || !c.silence.Suspect(c.currentAt) {
+	if !c.silence.RecordOverdue(due) || !c.silence.IsSuspect(c.currentAt) {
 		return
 	}
 	c.cfg.Log.Info("store suspected to be silent", "overdue_for", c.cfg.Now()-due, "peer", peer, "age", c.cfg.Now()-c.currentAt)
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 )
 
@@ -109,7 +109,7 @@
 		return last
 	}
 	for _, t := range g.generations.targets() {
-		if silence.Asks(!last.disconnected, g.cfg.Loads.HostsUsing(t.ID), rand.Float64()) {
+		if storeoutage.ShouldAsk(!last.disconnected, g.cfg.Loads.HostsUsing(t.ID), rand.Float64()) {
 			go g.checkTarget(ctx, t)
 		}
 	}
