--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -115,7 +115,7 @@
 	if cfg.Memory == (memoryforecast.AdmissionRule{}) {
 		cfg.Memory = memoryforecast.DefaultRule()
 	}
-	cfg.SlowStart.LeaseFor = cfg.LeaseDuration
+	cfg.SlowStart.LeaseDuration = cfg.LeaseDuration
 	return &Allocator{
 		cfg:           cfg,
 		random:        rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -169,7 +169,7 @@
 	if l.gen.Produced == 0 {
 		l.target.recordFirstToken(now, l)
 	}
-	l.target.gate.Progress(now, uint64(l.id))
+	l.target.gate.RecordProgress(now, uint64(l.id))
 	survived := produced
 	if endOfOutput {
 		survived--
@@ -220,7 +220,7 @@
 		a.poison.requestFinished(now, l.fingerprint)
 	case OutcomeTargetCrashed:
 		a.poison.targetCrashed(now, t)
-		t.gate.Suspect(now)
+		t.gate.MarkSuspect(now)
 	case OutcomeNotRun:
 		// The request did not reach the target and is no evidence of its health.
 		return
@@ -248,7 +248,7 @@
 	// The time to the first token is not passed to slow start, which takes a
 	// late one for a cold start: every long prompt or slow call would make a
 	// warm target cold for seconds.
-	l.target.gate.Ended(now, uint64(l.id), finished, 0)
+	l.target.gate.RecordEnd(now, uint64(l.id), finished, 0)
 	l.target.remove(now, l, finished)
 	a.poison.leaseEnded(l.fingerprint)
 	a.leases.remove(l)
--- a/internal/decide/admission/ownership.go
+++ b/internal/decide/admission/ownership.go
@@ -16,7 +16,7 @@
 }
 
 // applyTo passes the ownership on to a target's slow-start gate.
-func (o *ownership) applyTo(g *slowstart.Gate) {
+func (o *ownership) applyTo(g *slowstart.Limiter) {
 	if !o.received {
 		return
 	}
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -34,7 +34,7 @@
 type target struct {
 	address string
 	leaving bool
-	gate    *slowstart.Gate
+	gate    *slowstart.Limiter
 	report  Report
 	// reportTakenAt is when the report was taken, by the allocator's clock.
 	reportTakenAt time.Duration
@@ -118,7 +118,7 @@
 	}
 	step := a.stepTimes.normalize(r.StepTime, r.Running)
 	t.gate.Observe(now, slowstart.Report{
-		Age: r.Age, Incarnation: r.Incarnation, Bears: r.Capacity,
+		Age: r.Age, Incarnation: r.Incarnation, Capacity: r.Capacity,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
 	taken := now - r.Age
@@ -153,7 +153,7 @@
 	if l.gen.Produced == 0 {
 		t.unconfirmed++
 	}
-	t.gate.Granted(now, uint64(l.id))
+	t.gate.RecordGrant(now, uint64(l.id))
 }
 
 func (t *target) remove(now time.Duration, l *lease, finished bool) {
@@ -180,7 +180,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(true)
 	}
-	t.gate.Started(now, uint64(l.id))
+	t.gate.RecordStart(now, uint64(l.id))
 }
 
 // confirm removes a lease from the unconfirmed ones; served tells whether the
--- a/internal/decide/slowstart/config.go
+++ b/internal/decide/slowstart/config.go
@@ -14,9 +14,9 @@
 	// seconds, starting a plain service a few. Default 2 s: four reports at the
 	// 500 ms lag of the users' engines.
 	ReportTTL time.Duration
-	// LeaseFor is the duration of a lease without renewal. A grant that is not
+	// LeaseDuration is the duration of a lease without renewal. A grant that is not
 	// covered by a report can reach the target until its lease ends. Default 3 s.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// ConfirmationTTL is how long one confirmation of the host list is valid.
 	// Default 4 s, see package ownership.
 	ConfirmationTTL time.Duration
@@ -56,7 +56,7 @@
 
 func (c Config) withDefaults() Config {
 	c.ReportTTL = cmp.Or(c.ReportTTL, defaultReportTTL)
-	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseDuration)
+	c.LeaseDuration = cmp.Or(c.LeaseDuration, defaultLeaseDuration)
 	c.ConfirmationTTL = cmp.Or(c.ConfirmationTTL, defaultConfirmationTTL)
 	c.MaxOwners = cmp.Or(c.MaxOwners, defaultMaxOwners)
 	c.WarmCapacity = cmp.Or(c.WarmCapacity, defaultWarmCapacity)
@@ -73,9 +73,9 @@
 	Age time.Duration
 	// Incarnation changes when the target restarts.
 	Incarnation uint64
-	// Bears is the number of concurrent requests that the target can take now; 0
+	// Capacity is the number of concurrent requests that the target can take now; 0
 	// if unknown.
-	Bears            int
+	Capacity         int
 	Running, Waiting int
 	// StepTime is the mean time of a batch step; 0 if unknown.
 	StepTime time.Duration
--- a/internal/decide/slowstart/gate.go
+++ b/internal/decide/slowstart/gate.go
@@ -10,10 +10,10 @@
 // unlimitedRoom is the limit of a warm target that does not report its capacity.
 const unlimitedRoom = 1 << 20
 
-// Gate limits the requests that one allocator grants to one target. It is not
+// Limiter limits the requests that one allocator grants to one target. It is not
 // safe for concurrent use. Times count from any fixed start, the same for all
 // calls.
-type Gate struct {
+type Limiter struct {
 	cfg    Config
 	tenure ownership.Tenure
 	leases leaseTracker
@@ -28,10 +28,10 @@
 }
 
 // New returns a gate without a report, which has no room until it receives one.
-func New(cfg Config) *Gate {
+func New(cfg Config) *Limiter {
 	cfg = cfg.withDefaults()
-	return &Gate{
-		cfg: cfg, leases: leaseTracker{leaseDuration: cfg.LeaseFor}, warmup: newWarmupTracker(cfg),
+	return &Limiter{
+		cfg: cfg, leases: leaseTracker{leaseDuration: cfg.LeaseDuration}, warmup: newWarmupTracker(cfg),
 		reportedAt: math.MinInt64,
 	}
 }
@@ -39,18 +39,18 @@
 // SetOwner records whether the published host list of the given revision names
 // this allocator as the pool's owner. Call it for each list that is read, even if
 // the answer is unchanged.
-func (g *Gate) SetOwner(now time.Duration, revision uint64, owner bool) {
+func (g *Limiter) SetOwner(now time.Duration, revision uint64, owner bool) {
 	g.tenure.SetOwner(now, revision, owner)
 }
 
 // Confirm records that the current host list was the newest one at the given
 // time: the start of a read from the configuration service, or the send time of
 // gossip from peers that know no newer list.
-func (g *Gate) Confirm(at time.Duration) { g.tenure.Confirm(at) }
+func (g *Limiter) Confirm(at time.Duration) { g.tenure.Confirm(at) }
 
 // Observe records a report received at now. Reports may arrive late or out of
 // order; one made before the latest is dropped.
-func (g *Gate) Observe(now time.Duration, r Report) {
+func (g *Limiter) Observe(now time.Duration, r Report) {
 	madeAt := now - r.Age
 	if madeAt <= g.reportedAt {
 		return
@@ -61,31 +61,31 @@
 	g.leases.confirmThrough(madeAt, r.Incarnation)
 }
 
-// Granted records a grant. A lease that another allocator granted and that became
+// RecordGrant records a grant. A lease that another allocator granted and that became
 // known by a renewal is recorded in the same way, and also as started once it has
 // produced tokens.
-func (g *Gate) Granted(now time.Duration, lease uint64) {
+func (g *Limiter) RecordGrant(now time.Duration, lease uint64) {
 	g.leases.add(now, lease, g.report.Incarnation)
 }
 
-// Started records that the target was seen to work on the lease.
-func (g *Gate) Started(now time.Duration, lease uint64) { g.leases.resolve(now, lease) }
+// RecordStart records that the target was seen to work on the lease.
+func (g *Limiter) RecordStart(now time.Duration, lease uint64) { g.leases.resolve(now, lease) }
 
-// Progress records that the target produced a token for the lease at the given
+// RecordProgress records that the target produced a token for the lease at the given
 // time; for a renewal, use the send time of the previous one. It proves that the
 // incarnation that started the lease is still running. A lease counts only once a
 // report confirms it, because an earlier one may have started on an incarnation
 // that is not known yet.
-func (g *Gate) Progress(at time.Duration, lease uint64) {
+func (g *Limiter) RecordProgress(at time.Duration, lease uint64) {
 	if g.hasReport && g.leases.confirmedBy(lease, g.report.Incarnation) {
 		g.lastAlive = max(g.lastAlive, at)
 	}
 }
 
-// Ended removes a lease. finished is set if the target completed it. firstToken
+// RecordEnd removes a lease. finished is set if the target completed it. firstToken
 // is the time to the first token; it is 0 if there was none or if it depends on
 // the request, because a long prompt would be mistaken for a cold start.
-func (g *Gate) Ended(now time.Duration, lease uint64, finished bool, firstToken time.Duration) {
+func (g *Limiter) RecordEnd(now time.Duration, lease uint64, finished bool, firstToken time.Duration) {
 	sameIncarnation := g.leases.grantedOn(lease, g.report.Incarnation)
 	running := g.leases.leaseCount()
 	g.leases.resolve(now, lease)
@@ -95,16 +95,16 @@
 	}
 }
 
-// Suspect treats the target as cold until reports show otherwise, because its
+// MarkSuspect treats the target as cold until reports show otherwise, because its
 // connections broke or it failed while running requests.
-func (g *Gate) Suspect(now time.Duration) {
+func (g *Limiter) MarkSuspect(now time.Duration) {
 	g.warmup.suspect()
 	g.hasReport = false
 	g.reportedAt = max(g.reportedAt, now)
 }
 
 // State returns the target's state.
-func (g *Gate) State(now time.Duration) State {
+func (g *Limiter) State(now time.Duration) State {
 	if !g.hasReport || g.lastAlive <= now-g.cfg.ReportTTL {
 		return Unknown
 	}
@@ -112,7 +112,7 @@
 }
 
 // Room returns the number of requests that may be granted now.
-func (g *Gate) Room(now time.Duration) int {
+func (g *Limiter) Room(now time.Duration) int {
 	g.leases.expire(now)
 	state := g.State(now)
 	soleOwner := g.isSoleOwner(now)
@@ -128,11 +128,11 @@
 
 // warmRoom counts every unconfirmed grant as arrived and grants at most one burst
 // per report.
-func (g *Gate) warmRoom() int {
+func (g *Limiter) warmRoom() int {
 	limit := unlimitedRoom
 	burst := g.cfg.Burst
-	if g.report.Bears > 0 {
-		limit = g.report.Bears
+	if g.report.Capacity > 0 {
+		limit = g.report.Capacity
 		burst = max(burst, limit/4)
 	}
 	inUse := max(g.report.load()+len(g.leases.unconfirmed), g.leases.leaseCount())
@@ -142,7 +142,7 @@
 
 // coldRoom returns at most one, and only if a report confirms every grant made by
 // this allocator. The package comment explains why this limits the whole fleet.
-func (g *Gate) coldRoom(now time.Duration, soleOwner bool) int {
+func (g *Limiter) coldRoom(now time.Duration, soleOwner bool) int {
 	fresh := g.reportedAt > now-g.cfg.ReportTTL && g.reportedAt > g.tenure.StartedAt()
 	if !g.tenure.IsOwner() || !fresh || len(g.leases.unconfirmed) > 0 {
 		return 0
@@ -164,7 +164,7 @@
 
 // isSoleOwner reports whether no other allocator grants to this target and the
 // report was made after the last grant of an earlier owner arrived.
-func (g *Gate) isSoleOwner(now time.Duration) bool {
-	cfg := ownership.Config{ConfirmationTTL: g.cfg.ConfirmationTTL, ActionTTL: g.cfg.LeaseFor}
+func (g *Limiter) isSoleOwner(now time.Duration) bool {
+	cfg := ownership.Config{ConfirmationTTL: g.cfg.ConfirmationTTL, ActionTTL: g.cfg.LeaseDuration}
 	return g.tenure.IsExclusive(now, cfg) && g.reportedAt > g.tenure.ExclusiveFrom(cfg)
 }
--- a/internal/decide/slowstart/gate_test.go
+++ b/internal/decide/slowstart/gate_test.go
@@ -25,7 +25,7 @@
 )
 
 var _ = Describe("a gate", func() {
-	var g *slowstart.Gate
+	var g *slowstart.Limiter
 	BeforeEach(func() {
 		g = slowstart.New(slowstart.Config{})
 		g.SetOwner(0, 1, true)
@@ -33,7 +33,7 @@
 	// roomAfterReport passes a report made age before now to the gate and returns
 	// the gate's room.
 	roomAfterReport := func(now, age time.Duration, incarnation uint64, capacity, running int) int {
-		g.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Bears: capacity, Running: running, StepTime: 20 * ms})
+		g.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Capacity: capacity, Running: running, StepTime: 20 * ms})
 		return g.Room(now)
 	}
 
@@ -41,7 +41,7 @@
 		Expect(g.Room(0)).To(Equal(0))
 		Expect(roomAfterReport(100*ms, 0, 1, 32, 0)).To(Equal(8), "a burst of a quarter of the capacity")
 		Expect(roomAfterReport(200*ms, 0, 1, 32, 31)).To(Equal(1))
-		g.Granted(200*ms, 1)
+		g.RecordGrant(200*ms, 1)
 		Expect(g.Room(200 * ms)).To(Equal(0))
 		Expect(roomAfterReport(210*ms, 150*ms, 1, 32, 0)).To(Equal(0), "a report made before the last one")
 		Expect(g.Room(2200 * ms)).To(Equal(0))
@@ -63,23 +63,23 @@
 		Entry("incarnation", func(now time.Duration) { roomAfterReport(now, 0, 2, 2, 0) }),
 		Entry("drop of the capacity", func(now time.Duration) { roomAfterReport(now, 0, 1, 20, 0) }),
 		Entry("step time", func(now time.Duration) {
-			g.Observe(now, slowstart.Report{Incarnation: 1, Bears: 64, Running: 4, StepTime: 200 * ms})
+			g.Observe(now, slowstart.Report{Incarnation: 1, Capacity: 64, Running: 4, StepTime: 200 * ms})
 		}),
 		Entry("first token", func(now time.Duration) {
 			for i := range uint64(20) {
-				g.Granted(now, i)
-				g.Ended(now, i, true, 100*ms+time.Duration(i/19)*sec)
+				g.RecordGrant(now, i)
+				g.RecordEnd(now, i, true, 100*ms+time.Duration(i/19)*sec)
 			}
 			roomAfterReport(now, 0, 1, 64, 0)
 		}),
-		Entry("broken connections", func(now time.Duration) { g.Suspect(now) }),
+		Entry("broken connections", func(now time.Duration) { g.MarkSuspect(now) }),
 	)
 
 	It("grants one request per report that confirms the previous grant", func() {
 		Expect(roomAfterReport(6*sec, 0, 1, 4, 0)).To(Equal(1))
-		g.Granted(6*sec, 1)
+		g.RecordGrant(6*sec, 1)
 		Expect(roomAfterReport(6100*ms, 0, 1, 4, 0)).To(Equal(0), "not seen to start yet")
-		g.Started(6200*ms, 1)
+		g.RecordStart(6200*ms, 1)
 		Expect(roomAfterReport(6300*ms, 150*ms, 1, 4, 1)).To(Equal(0), "the report is older than the start")
 		Expect(roomAfterReport(6400*ms, 0, 1, 4, 1)).To(Equal(1))
 		g.SetOwner(6400*ms, 9, true)
@@ -106,17 +106,17 @@
 	It("fills a small settled target, and accepts its tokens as proof that it is running", func() {
 		for now := 6 * sec; now <= 20*sec; now += 200 * ms {
 			g.Confirm(now)
-			g.Granted(now, uint64(now))
-			g.Started(now, uint64(now))
+			g.RecordGrant(now, uint64(now))
+			g.RecordStart(now, uint64(now))
 			roomAfterReport(now+tick, 0, 1, 6, 1)
-			g.Ended(now+2*tick, uint64(now), true, 50*ms)
+			g.RecordEnd(now+2*tick, uint64(now), true, 50*ms)
 		}
 		Expect(g.State(20 * sec)).To(Equal(slowstart.Settled))
 		Expect(g.Room(20*sec)).To(Equal(4), "one burst")
-		g.Granted(20*sec+tick, 7)
-		g.Started(20*sec+2*tick, 7)
+		g.RecordGrant(20*sec+tick, 7)
+		g.RecordStart(20*sec+2*tick, 7)
 		roomAfterReport(20*sec+4*tick, 0, 1, 6, 1)
-		g.Progress(24*sec, 7)
+		g.RecordProgress(24*sec, 7)
 		Expect(g.State(25 * sec)).To(Equal(slowstart.Settled))
 	})
 
@@ -127,17 +127,17 @@
 		for i := uint64(1000); i < 1030; i++ { // one at a time, which does not show a higher capacity
 			now += 100 * ms
 			roomAfterReport(now, 0, 1, 0, 0)
-			g.Granted(now, i)
-			g.Ended(now, i, true, 0)
+			g.RecordGrant(now, i)
+			g.RecordEnd(now, i, true, 0)
 		}
 		Expect(g.State(now)).To(Equal(slowstart.Cold))
 		for i := uint64(0); g.State(now) != slowstart.Warm && i < 500; i++ {
 			now += 100 * ms
 			roomAfterReport(now, 0, 1, 0, int(i%8))
-			g.Granted(now, i)
-			g.Started(now, i)
+			g.RecordGrant(now, i)
+			g.RecordStart(now, i)
 			if i >= 8 {
-				g.Ended(now, i-8, true, 0)
+				g.RecordEnd(now, i-8, true, 0)
 			}
 		}
 		Expect(roomAfterReport(now+ms, 0, 1, 0, 1)).To(Equal(4))
@@ -181,9 +181,9 @@
 // capacity doubles every two seconds from one to 32.
 func (s *simulation) capacity() int { return 1 << min(5, max(0, s.now-s.upAt)/(2*sec)) }
 
-func (s *simulation) arrive(g *slowstart.Gate, lease uint64) {
+func (s *simulation) arrive(g *slowstart.Limiter, lease uint64) {
 	if s.now < s.upAt {
-		s.schedule(100*ms, func() { g.Ended(s.now, lease, false, 0); g.Suspect(s.now) })
+		s.schedule(100*ms, func() { g.RecordEnd(s.now, lease, false, 0); g.MarkSuspect(s.now) })
 		return
 	}
 	if capacity := s.capacity(); capacity < 16 {
@@ -193,10 +193,10 @@
 		}
 	}
 	s.running[lease] = true
-	s.schedule(600*ms, func() { g.Started(s.now, lease) })
+	s.schedule(600*ms, func() { g.RecordStart(s.now, lease) })
 	s.schedule(3*sec, func() {
 		delete(s.running, lease)
-		s.schedule(3*sec, func() { g.Ended(s.now, lease, true, 100*ms) })
+		s.schedule(3*sec, func() { g.RecordEnd(s.now, lease, true, 100*ms) })
 	})
 }
 
@@ -214,7 +214,7 @@
 			g.Confirm(s.now)
 		}
 		if s.now >= s.upAt && s.IntN(10) == 0 {
-			madeAt, r := s.now, slowstart.Report{Incarnation: s.incarnation, Bears: s.capacity(), Running: len(s.running)}
+			madeAt, r := s.now, slowstart.Report{Incarnation: s.incarnation, Capacity: s.capacity(), Running: len(s.running)}
 			s.schedule(700*ms, func() {
 				r.Age, lastReport = s.now-madeAt, r
 				g.Observe(s.now, r)
@@ -222,16 +222,16 @@
 		}
 		room := g.Room(s.now)
 		if naive {
-			room = lastReport.Bears - lastReport.Running
+			room = lastReport.Capacity - lastReport.Running
 		}
 		for range max(0, room) {
 			lease += maxOwners
 			id := lease + i
-			g.Granted(s.now, id)
+			g.RecordGrant(s.now, id)
 			if s.IntN(10) > 0 {
 				s.schedule(150*ms, func() { s.arrive(g, id) })
 			} else { // lost; the lease expires
-				s.schedule(3*sec, func() { g.Ended(s.now, id, false, 0) })
+				s.schedule(3*sec, func() { g.RecordEnd(s.now, id, false, 0) })
 			}
 		}
 	}
@@ -266,7 +266,7 @@
 
 func BenchmarkRoom(b *testing.B) {
 	g := slowstart.New(slowstart.Config{})
-	g.Observe(sec, slowstart.Report{Bears: 32, Running: 4})
+	g.Observe(sec, slowstart.Report{Capacity: 32, Running: 4})
 	b.ReportAllocs()
 	for range b.N {
 		g.Room(sec)
--- a/internal/decide/slowstart/warmup.go
+++ b/internal/decide/slowstart/warmup.go
@@ -60,11 +60,11 @@
 	if !w.hasReport || r.Incarnation != w.incarnation {
 		w.restart(madeAt, r.Incarnation)
 	}
-	dropped := float64(r.Bears) < capacityDropRatio*float64(w.reportedCapacity)
-	if r.Bears != w.reportedCapacity {
+	dropped := float64(r.Capacity) < capacityDropRatio*float64(w.reportedCapacity)
+	if r.Capacity != w.reportedCapacity {
 		w.capacitySince = madeAt
 	}
-	w.reportedCapacity = r.Bears
+	w.reportedCapacity = r.Capacity
 	jumped := w.stepJumped(r)
 	switch {
 	case dropped, jumped:
