--- a/internal/decide/targetrate/targetrate.go
+++ b/internal/decide/targetrate/targetrate.go
@@ -60,8 +60,8 @@
 	At time.Duration
 }
 
-// Holders returns how many of the hosts share a rate.
-func Holders(perSecond float64, hosts int) int {
+// HolderCount returns how many of the hosts share a rate.
+func HolderCount(perSecond float64, hosts int) int {
 	return max(min(hosts, maxHolders, int(totalBurst(perSecond))), 1)
 }
 
@@ -80,7 +80,7 @@
 // shareOf returns the share of the host with the given rank, which is zero for
 // most hosts.
 func shareOf(perSecond float64, rank, hosts int) share {
-	holders := Holders(perSecond, hosts)
+	holders := HolderCount(perSecond, hosts)
 	if rank < 0 || rank >= holders {
 		return share{}
 	}
@@ -88,8 +88,8 @@
 	return share{perSecond: max(perSecond, minRate) / n, burst: math.Floor(totalBurst(perSecond) / n)}
 }
 
-// Board holds the rate limits that targets advertised and this host's tokens.
-type Board struct{ targets map[string]*target }
+// Limiter holds the rate limits that targets advertised and this host's tokens.
+type Limiter struct{ targets map[string]*target }
 
 // target is the state of a target that advertised a limit.
 type target struct {
@@ -103,11 +103,11 @@
 }
 
 // New returns an empty board.
-func New() *Board { return &Board{targets: map[string]*target{}} }
+func New() *Limiter { return &Limiter{targets: map[string]*target{}} }
 
 // Observe records what a target advertised in an answer to this host. It reports
 // whether the advertisement should be passed on to other hosts.
-func (b *Board) Observe(id string, a Advertisement) (announce bool) {
+func (b *Limiter) Observe(id string, a Advertisement) (announce bool) {
 	t := b.targets[id]
 	if t == nil && !a.Limited {
 		return false
@@ -123,7 +123,7 @@
 
 // Merge records what a target advertised to another host. Older advertisements
 // are ignored.
-func (b *Board) Merge(id string, a Advertisement) {
+func (b *Limiter) Merge(id string, a Advertisement) {
 	t := b.targets[id]
 	if t == nil && !a.Limited || t != nil && a.At <= t.latest.At {
 		return
@@ -132,7 +132,7 @@
 }
 
 // set stores a target's last advertisement.
-func (b *Board) set(id string, a Advertisement) *target {
+func (b *Limiter) set(id string, a Advertisement) *target {
 	t := b.targets[id]
 	if t == nil {
 		t = &target{}
@@ -143,7 +143,7 @@
 }
 
 // Limited returns the number of targets that advertise a limit.
-func (b *Board) Limited() int {
+func (b *Limiter) Limited() int {
 	n := 0
 	for _, t := range b.targets {
 		if t.latest.Limited {
@@ -153,8 +153,8 @@
 	return n
 }
 
-// Advertised returns a target's last advertisement; false if it has no limit.
-func (b *Board) Advertised(id string) (Advertisement, bool) {
+// Limit returns a target's last advertisement; false if it has no limit.
+func (b *Limiter) Limit(id string) (Advertisement, bool) {
 	t := b.targets[id]
 	if t == nil || !t.latest.Limited {
 		return Advertisement{}, false
@@ -164,14 +164,14 @@
 
 // Stale reports whether a target's limit is so old that the target may take more
 // by now.
-func (b *Board) Stale(now time.Duration, id string) bool {
-	a, limited := b.Advertised(id)
+func (b *Limiter) Stale(now time.Duration, id string) bool {
+	a, limited := b.Limit(id)
 	return limited && now-a.At >= staleAfter
 }
 
-// Open reports whether this host, with its rank among the given number of hosts,
+// Allows reports whether this host, with its rank among the given number of hosts,
 // may send a request to a target now.
-func (b *Board) Open(now time.Duration, id string, rank, hosts int) bool {
+func (b *Limiter) Allows(now time.Duration, id string, rank, hosts int) bool {
 	t := b.targets[id]
 	if t == nil || !t.latest.Limited {
 		return true
@@ -182,8 +182,8 @@
 
 // Wait returns the time until this host may send a request to a target. A host
 // without a share waits for the mean interval between requests to the target.
-func (b *Board) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
-	if b.Open(now, id, rank, hosts) {
+func (b *Limiter) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
+	if b.Allows(now, id, rank, hosts) {
 		return 0
 	}
 	t := b.targets[id]
@@ -196,15 +196,15 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Send takes a token for a request sent to a target.
-func (b *Board) Send(id string) {
+// TakeToken takes a token for a request sent to a target.
+func (b *Limiter) TakeToken(id string) {
 	if t := b.targets[id]; t != nil && t.latest.Limited {
 		t.tokens--
 	}
 }
 
-// Borrowed adds a token that another host lent.
-func (b *Board) Borrowed(id string) {
+// AddBorrowed adds a token that another host lent.
+func (b *Limiter) AddBorrowed(id string) {
 	if t := b.targets[id]; t != nil && t.latest.Limited {
 		t.tokens++
 	}
@@ -212,16 +212,16 @@
 
 // Lend takes a token for another host. It reports whether there was one and the
 // target's limit is known.
-func (b *Board) Lend(now time.Duration, id string, rank, hosts int) bool {
-	if _, limited := b.Advertised(id); !limited || !b.Open(now, id, rank, hosts) {
+func (b *Limiter) Lend(now time.Duration, id string, rank, hosts int) bool {
+	if _, limited := b.Limit(id); !limited || !b.Allows(now, id, rank, hosts) {
 		return false
 	}
-	b.Send(id)
+	b.TakeToken(id)
 	return true
 }
 
 // Retain removes the targets for which known returns false.
-func (b *Board) Retain(known func(id string) bool) {
+func (b *Limiter) Retain(known func(id string) bool) {
 	for id := range b.targets {
 		if !known(id) {
 			delete(b.targets, id)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -37,7 +37,7 @@
 	// rates holds the rate limits that targets advertised. borrowRate borrows
 	// one request of another host's share of a rate; nil when none can be
 	// borrowed.
-	rates      *targetrate.Board
+	rates      *targetrate.Limiter
 	borrowRate BorrowRate
 	// ownerQuery queries the host that has the newest counts of a target; nil
 	// for none.
@@ -224,7 +224,7 @@
 func (l *Loads) reserveLoad(target string, load targetload.Load) *Reservation {
 	if load.Running > 0 {
 		l.loadOf(target).coldGate.RecordSend(l.now())
-		l.rates.Send(target)
+		l.rates.TakeToken(target)
 	}
 	l.setLoad(target, l.loadOf(target).Add(load))
 	return &Reservation{loads: l, targetID: target, load: load}
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -31,7 +31,7 @@
 	if perSecond != nil {
 		advertisement.Limited, advertisement.PerSecond = true, *perSecond
 	}
-	before, _ := l.rates.Advertised(target)
+	before, _ := l.rates.Limit(target)
 	if l.rates.Observe(target, advertisement) {
 		l.alerts.SetRate(l.now(), target, advertisement)
 		wake.Signal(l.alertsChanged)
@@ -76,11 +76,11 @@
 // withinRate reports whether this host may send one more request within the
 // target's advertised rate.
 func (l *Loads) withinRate(target string) bool {
-	if _, limited := l.rates.Advertised(target); !limited {
+	if _, limited := l.rates.Limit(target); !limited {
 		return true
 	}
 	rank, hosts := l.rank(target)
-	return l.rates.Open(l.now(), target, rank, hosts)
+	return l.rates.Allows(l.now(), target, rank, hosts)
 }
 
 // ReserveWithinRate counts a request at a target that was chosen before and may
@@ -107,15 +107,15 @@
 // borrow borrows one request to a target; false when no host lends one.
 func (l *Loads) borrow(target string) bool {
 	l.mu.Lock()
-	advertisement, limited := l.rates.Advertised(target)
+	advertisement, limited := l.rates.Limit(target)
 	_, hosts := l.rank(target)
 	l.mu.Unlock()
-	if !limited || l.borrowRate == nil || !l.borrowRate(target, targetrate.Holders(advertisement.PerSecond, hosts)) {
+	if !limited || l.borrowRate == nil || !l.borrowRate(target, targetrate.HolderCount(advertisement.PerSecond, hosts)) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rates.Borrowed(target)
+	l.rates.AddBorrowed(target)
 	return true
 }
 
@@ -141,7 +141,7 @@
 	}
 	var out []string
 	for _, t := range view.Pool(req.Service) {
-		_, limited := l.rates.Advertised(t.ID)
+		_, limited := l.rates.Limit(t.ID)
 		if limited && l.acceptsIgnoringRate(view, req, t) && !l.withinRate(t.ID) && filter(t.ID) {
 			out = append(out, t.ID)
 		}
