--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -41,7 +41,7 @@
 
 // selectionState returns the state from which a target is selected now.
 func (g *Gateway) selectionState() *selectionState {
-	return &selectionState{view: g.view(), viewAge: g.cfg.Age(), selectedAt: time.Now()}
+	return &selectionState{view: g.view(), viewAge: g.cfg.ViewAge(), selectedAt: time.Now()}
 }
 
 // recordSend records that the first byte is sent.
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -100,7 +100,7 @@
 func (g *Gateway) relayGeneration(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
 	g.generations.add(gen)
 	defer g.generations.remove(gen)
 	stream, err := gen.start()
@@ -199,7 +199,7 @@
 		defer timer.Stop()
 	}
 	newBackup := gen.placeBackup(s, target)
-	end := gen.g.cfg.Suspects.beginRequest(target, gen.fingerprint)
+	end := gen.g.cfg.CrashEvidence.beginRequest(target, gen.fingerprint)
 	resp, answer, err := gen.g.send(ctx, s, selection)
 	if answer.Leaving && gen.movable() {
 		gen.g.checkClosingTarget(target)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -120,9 +120,9 @@
 	views    *blackboard.Writer[directory.View]
 	cfg      *directory.Config
 	client   *http.Client
-	loads    *gateway.Loads
+	loads    *gateway.TargetLoads
 	gateway  *gateway.Gateway
-	suspects *gateway.Suspects
+	suspects *gateway.CrashEvidence
 	targets  []*directory.Seen
 	// disconnected is set while the gateway has no access to the published
 	// state.
@@ -147,16 +147,16 @@
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	gw := &fixture{views: views, cfg: testConfig(), loads: gateway.NewLoads("host-1", "dc-1", now), suspects: gateway.NewSuspects(now)}
+	gw := &fixture{views: views, cfg: testConfig(), loads: gateway.NewTargetLoads("host-1", "dc-1", now), suspects: gateway.NewCrashEvidence(now)}
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
-		Loads: gw.loads, Suspects: gw.suspects, Budget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Blind: gw.disconnected.Load, Current: func() bool { return !gw.disconnected.Load() }, Age: func() time.Duration { return 0 },
+		Loads: gw.loads, CrashEvidence: gw.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
+		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	gw.gateway = g
 	ctx, cancel := context.WithCancel(context.Background())
-	go g.Run(ctx)
+	go g.MoveGenerations(ctx)
 	server := httptest.NewServer(g)
 	DeferCleanup(func() { cancel(); server.CloseClientConnections(); server.Close() })
 	gw.url, gw.client = server.URL, server.Client()
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -61,8 +61,8 @@
 	return slices.Collect(maps.Values(seen))
 }
 
-// Run moves generations off leaving targets until ctx is done.
-func (g *Gateway) Run(ctx context.Context) {
+// MoveGenerations moves generations off leaving targets until ctx is done.
+func (g *Gateway) MoveGenerations(ctx context.Context) {
 	ticker := time.NewTicker(disconnectedCheckInterval)
 	defer ticker.Stop()
 	var round healthCheckRound
@@ -101,7 +101,7 @@
 // or a peer answers, and after the first round only some of an engine's hosts
 // check it: what one learns reaches the others a tenth of a second later.
 func (g *Gateway) checkTargets(ctx context.Context, last healthCheckRound) healthCheckRound {
-	if !g.cfg.Blind() {
+	if !g.cfg.Disconnected() {
 		return healthCheckRound{}
 	}
 	now := g.cfg.Now()
@@ -161,7 +161,7 @@
 
 // beginMove begins a move if the generation's target leaves and no move was
 // begun.
-func (gen *generation) beginMove(view *directory.View, loads *Loads) (*directory.Seen, *move, bool) {
+func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.Seen, *move, bool) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.target == nil || gen.move != nil || !gen.movable() {
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -45,7 +45,7 @@
 // When all targets are at their advertised rates, or an advertisement is so old
 // that its target may accept more, it borrows one request from a host that
 // shares the rate.
-func (l *Loads) Acquire(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) Acquire(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
 	l.borrowForService(view, req, l.isStale)
 	t, reservation, ok := l.acquireWithinShare(view, req)
 	if !ok && l.borrowForService(view, req, anyAge) {
@@ -56,7 +56,7 @@
 
 // acquireWithinShare is Acquire without borrowing from other hosts' shares of a
 // rate.
-func (l *Loads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
 	sampled, firstCount := l.sample(view, req)
 	answered := l.queryOwners(req, sampled[:firstCount])
 	reservation, crowded := l.reserveBest(view, req, sampled[:firstCount], firstCount < len(sampled))
@@ -75,7 +75,7 @@
 
 // sample draws the targets to consider: the first ones are considered at once,
 // the rest when the best of them is crowded.
-func (l *Loads) sample(view *directory.View, req PlacementRequest) (sampled targetCandidates, firstCount int) {
+func (l *TargetLoads) sample(view *directory.View, req PlacementRequest) (sampled targetCandidates, firstCount int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	eligible := l.eligible(view, req)
@@ -92,7 +92,7 @@
 }
 
 // sampleSize returns how many of a number of targets to consider.
-func (l *Loads) sampleSize(targets int) int {
+func (l *TargetLoads) sampleSize(targets int) int {
 	if l.ownerQuery != nil && !placement.KnowsRecentChoices(l.hostCount()) {
 		return placement.QueriedTargets(targets)
 	}
@@ -101,7 +101,7 @@
 
 // reserveBest reserves the best of the sampled targets; nil when there is none.
 // With others left to consider it reserves nothing when the best is crowded.
-func (l *Loads) reserveBest(view *directory.View, req PlacementRequest, sampled targetCandidates, others bool) (r *Reservation, crowded bool) {
+func (l *TargetLoads) reserveBest(view *directory.View, req PlacementRequest, sampled targetCandidates, others bool) (r *Reservation, crowded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	best := l.refresh(view, req, sampled).choose(l.rng, req)
@@ -116,7 +116,7 @@
 
 // refresh returns those of the sampled targets that still accept work, with
 // their current load.
-func (l *Loads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
+func (l *TargetLoads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
 	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
@@ -128,7 +128,7 @@
 }
 
 // reserveCandidate reserves the target that was chosen for a request.
-func (l *Loads) reserveCandidate(candidate *targetCandidate, p call.Prompt) *Reservation {
+func (l *TargetLoads) reserveCandidate(candidate *targetCandidate, p call.Prompt) *Reservation {
 	reservation := l.reserve(candidate.target.ID, p)
 	reservation.entry, reservation.candidate = candidate.target, candidate.Candidate
 	return reservation
@@ -136,7 +136,7 @@
 
 // ReserveBackup chooses a target that keeps a backup of a generation running at
 // another target, and reserves memory there; false when none has room.
-func (l *Loads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.Seen) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.Seen) (*directory.Seen, *Reservation, bool) {
 	req := PlacementRequest{Service: primary.Service, Locality: AvoidDataCentre(primary.DataCentre), Exclude: []string{primary.ID}}
 	sampled, firstCount := l.sample(view, req)
 	sampled = sampled[:firstCount]
@@ -156,7 +156,7 @@
 }
 
 // RecordStep records the time that an engine took for one token of a stream.
-func (l *Loads) RecordStep(target string, perToken time.Duration) {
+func (l *TargetLoads) RecordStep(target string, perToken time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.speeds.AddSample(target, perToken) {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -29,7 +29,7 @@
 // it is complete: a truncated answer must not look complete, and a repeatable
 // request can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
 	var exclude []string
 	var lastErr error
 	var answer *completeAnswer
@@ -135,7 +135,7 @@
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.Budget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.Retry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.metrics.retries.Inc(1)
@@ -145,7 +145,7 @@
 // attempt sends a request to one target. The error says whether the request
 // ran; an answer without error is the target's own, even when it is a failure.
 func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
-	end := g.cfg.Suspects.beginRequest(target, x.fingerprint)
+	end := g.cfg.CrashEvidence.beginRequest(target, x.fingerprint)
 	answer, err := g.fetch(ctx, x, target, selection)
 	g.recordFailure(ctx, target, err)
 	end(err == nil)
@@ -236,7 +236,7 @@
 		g.cfg.Loads.RecordUnreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.notStopping(target) {
-		g.cfg.Suspects.checkForCrash(target, g.dial)
+		g.cfg.CrashEvidence.checkForCrash(target, g.dial)
 	}
 	g.cfg.Loads.RecordBrokenRequest(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
--- a/internal/gateway/rate_test.go
+++ b/internal/gateway/rate_test.go
@@ -23,7 +23,7 @@
 		var gateways []*fixture
 		for i := range hosts {
 			gw := startGateway()
-			gw.loads.BoundCold(gateway.ColdBound{Rank: func(string) (int, int) { return i, hosts }})
+			gw.loads.SetColdRateLimit(gateway.ColdRateLimit{Rank: func(string) (int, int) { return i, hosts }})
 			gateways = append(gateways, gw)
 			for _, t := range targets {
 				gw.add(t.directoryEntry("app", "dc-1"))
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -190,10 +190,10 @@
 // it, after the last event that the caller has. A request that crashes engines
 // is not continued, since it would crash one after the other.
 func (gen *generation) startNewRun(from *directory.Seen, cause error) (*engineStream, error) {
-	if gen.attempts >= gen.route.Attempts || gen.g.cfg.Suspects.isPoison(gen.fingerprint) {
+	if gen.attempts >= gen.route.Attempts || gen.g.cfg.CrashEvidence.isPoison(gen.fingerprint) {
 		return nil, cause
 	}
-	if !gen.g.cfg.Budget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, cause
 	}
 	selection := gen.g.selectionState()
--- a/internal/gatewayhost/fleet.go
+++ b/internal/gatewayhost/fleet.go
@@ -42,8 +42,8 @@
 type fleet struct {
 	published *published.Controller
 	roles     *roles
-	loads     *gateway.Loads
-	suspects  *gateway.Suspects
+	loads     *gateway.TargetLoads
+	suspects  *gateway.CrashEvidence
 	fetcher   *fetcher
 	now       Clock
 	urgent    chan struct{}
@@ -54,7 +54,7 @@
 }
 
 func newFleet(
-	p *published.Controller, roles *roles, loads *gateway.Loads, suspects *gateway.Suspects, fetcher *fetcher, now Clock,
+	p *published.Controller, roles *roles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
 ) *fleet {
 	f := &fleet{
 		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
@@ -70,11 +70,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.loads.Changed():
-			if f.loads.ByOwners() {
+		case <-f.loads.LoadsChanged():
+			if f.loads.SendsToOwnersOnly() {
 				continue
 			}
-		case <-f.loads.Alerted():
+		case <-f.loads.AlertsChanged():
 		case <-f.published.News():
 			if heads := f.roles.others(); len(heads) > 0 {
 				for _, head := range heads {
@@ -83,7 +83,7 @@
 				wake.Sleep(ctx, tellEvery)
 				continue
 			}
-		case <-f.suspects.News():
+		case <-f.suspects.Changed():
 		}
 		wake.Signal(f.urgent)
 		wake.Sleep(ctx, tellEvery)
@@ -134,19 +134,19 @@
 }
 
 func (f *fleet) supplyLoads(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.News(peer), f.now())
+	return toWire(f.loads.PendingLoads(peer), f.now())
 }
 
 func (f *fleet) takeLoads(peer string, loads []*filbertv1.TargetLoad) {
-	f.loads.Take(peer, fromWire(loads, f.now()))
+	f.loads.MergeLoads(peer, fromWire(loads, f.now()))
 }
 
 func (f *fleet) supplyAlerts(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.Alerts(peer), f.now())
+	return toWire(f.loads.PendingAlerts(peer), f.now())
 }
 
 func (f *fleet) takeAlerts(peer string, alerts []*filbertv1.TargetLoad) {
-	f.loads.TakeAlerts(peer, fromWire(alerts, f.now()))
+	f.loads.MergeAlerts(peer, fromWire(alerts, f.now()))
 }
 
 // toWire gives counts as they are told at a time on the steady clock.
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -36,7 +36,7 @@
 }
 
 // startOwners runs the owners of one host that believes in some members.
-func startOwners(t *testing.T, self string, members []string) (*owners, *gateway.Loads) {
+func startOwners(t *testing.T, self string, members []string) (*owners, *gateway.TargetLoads) {
 	t.Helper()
 	board := &gossip.Board{}
 	out, err := board.Members.Claim()
@@ -50,7 +50,7 @@
 	out.Publish(view)
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	loads := gateway.NewLoads(self, "dc-1", now)
+	loads := gateway.NewTargetLoads(self, "dc-1", now)
 	s := &Settings{}
 	s.Deployment.ListenPeers = self
 	o := newOwners(s, loads, newFleetSize(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
@@ -64,16 +64,16 @@
 }
 
 // targetOwnedBy gives a target whose owner is a host.
-func targetOwnedBy(t *testing.T, o *owners, host string) gateway.Owned {
+func targetOwnedBy(t *testing.T, o *owners, host string) gateway.TargetRef {
 	t.Helper()
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"} {
-		target := gateway.Owned{ID: id}
+		target := gateway.TargetRef{ID: id}
 		if o.size.owners(target)[0] == host {
 			return target
 		}
 	}
 	t.Fatal("no target is owned by", host)
-	return gateway.Owned{}
+	return gateway.TargetRef{}
 }
 
 // Two hosts choose the same engine within a few milliseconds, before gossip
@@ -85,7 +85,7 @@
 	first, firstLoads := startOwners(t, addresses[1], addresses)
 	second, _ := startOwners(t, addresses[2], addresses)
 	target := targetOwnedBy(t, owner, addresses[0])
-	firstLoads.Hold(target.ID, call.Prompt{Tokens: 3000})
+	firstLoads.Reserve(target.ID, call.Prompt{Tokens: 3000})
 	own := targetload.HostLoad{Host: addresses[1], Target: target.ID, Version: 7, Load: targetload.Load{Running: 1, ReservedTokens: 3000, UnreadTokens: 3000}}
 	if _, ok := first.ask(target, []targetload.HostLoad{own}); !ok {
 		t.Fatal("the owner did not answer the first host")
