--- a/internal/decide/pools/choose.go
+++ b/internal/decide/pools/choose.go
@@ -6,190 +6,204 @@
 	"time"
 )
 
-// Config holds the figures of a choice; the zero value of a field means its
+// Config holds the parameters of pool selection. A zero field means its
 // default.
 type Config struct {
-	// FarPenalty is what a pool in another data centre costs. Default 50 ms:
-	// its round trips cost 3 ms, but its data centre has its own callers, and a
-	// backlog that lasts shorter than the news is old says little.
-	FarPenalty time.Duration
-	// AffinityWorth is what a cached prefix saves. Default 100 ms, the prompt
-	// of a few hundred tokens at some thousand a second.
-	AffinityWorth time.Duration
-	// PerSent is what each request that this entry sent since the news adds to
-	// a backlog. Default 5 ms.
-	PerSent time.Duration
-	// Unknown stands for the backlog of a pool without news. Default 200 ms:
-	// such a pool is tried, but after those known to be free.
-	Unknown time.Duration
-	// NewsFor is how long a gossiped backlog counts. Default 5 s.
+	// RemotePenalty is added to the score of a pool in another data centre.
+	// Default 50 ms: its round trips take only 3 ms, but its data centre serves
+	// its own callers too, and a backlog shorter than the age of its report is
+	// not reliable.
+	RemotePenalty time.Duration
+	// AffinityBonus is subtracted from the score of the pool that ranks first
+	// for a cached prefix. Default 100 ms, the time to process a prompt of a
+	// few hundred tokens at some thousand tokens a second.
+	AffinityBonus time.Duration
+	// PendingRequestCost is added to the backlog for each request that this
+	// entry has sent since the last report. Default 5 ms.
+	PendingRequestCost time.Duration
+	// UnknownBacklog is assumed for a pool without a current report. Default
+	// 200 ms: such a pool is tried, but only after pools that are known to be
+	// free.
+	UnknownBacklog time.Duration
+	// NewsFor is how long a gossiped backlog is used. Default 5 s.
 	NewsFor time.Duration
 }
 
 const (
-	defaultFarPenalty    = 50 * time.Millisecond
-	defaultAffinityWorth = 100 * time.Millisecond
-	defaultPerSent       = 5 * time.Millisecond
-	defaultUnknown       = 200 * time.Millisecond
-	defaultNewsFor       = 5 * time.Second
+	defaultRemotePenalty      = 50 * time.Millisecond
+	defaultAffinityBonus      = 100 * time.Millisecond
+	defaultPendingRequestCost = 5 * time.Millisecond
+	defaultUnknownBacklog     = 200 * time.Millisecond
+	defaultBacklogMaxAge      = 5 * time.Second
 )
 
 func (c Config) withDefaults() Config {
-	c.FarPenalty = cmp.Or(c.FarPenalty, defaultFarPenalty)
-	c.AffinityWorth = cmp.Or(c.AffinityWorth, defaultAffinityWorth)
-	c.PerSent = cmp.Or(c.PerSent, defaultPerSent)
-	c.Unknown = cmp.Or(c.Unknown, defaultUnknown)
-	c.NewsFor = cmp.Or(c.NewsFor, defaultNewsFor)
+	c.RemotePenalty = cmp.Or(c.RemotePenalty, defaultRemotePenalty)
+	c.AffinityBonus = cmp.Or(c.AffinityBonus, defaultAffinityBonus)
+	c.PendingRequestCost = cmp.Or(c.PendingRequestCost, defaultPendingRequestCost)
+	c.UnknownBacklog = cmp.Or(c.UnknownBacklog, defaultUnknownBacklog)
+	c.NewsFor = cmp.Or(c.NewsFor, defaultBacklogMaxAge)
 	return c
 }
 
-// View is what an entry knows of one pool. A slice of views is a snapshot that
-// requests read without a lock.
+// View is what an entry knows of one pool. Requests read a slice of views as a
+// snapshot, without a lock.
 type View struct {
 	ID         string
 	DataCentre string
-	// Key stands for ID in ranks: see NewView.
-	Key uint64
-	// Control is the address of the process to ask.
+	// HashKey is the mixed hash of ID, for ranking. It is set when the view is
+	// created.
+	HashKey uint64
+	// Control is the address of the control process that admits for the pool.
 	Control string
-	// Backlog is the gossiped wait, heard at NewsAt; Heard is false without
-	// news.
-	Backlog time.Duration
-	NewsAt  time.Duration
-	Heard   bool
-	// Sent counts this entry's asks since the news that are not decided yet.
+	// Backlog is the gossiped wait and BacklogAt the time of its receipt. The
+	// third field is false if no report was received.
+	Backlog   time.Duration
+	BacklogAt time.Duration
+	Heard     bool
+	// Sent counts the requests that this entry has sent to the pool since the
+	// last report and that the pool has not answered yet.
 	Sent int
-	// Share of new work that the data centre takes: 1, less while it returns,
-	// 0 once it is taken out (see package drain).
+	// Share is the fraction of new requests that the data centre accepts: 1 in
+	// normal operation, less while it returns to service, 0 once it is drained
+	// (see package drain).
 	Share float64
 }
 
-// NewView returns a view of a pool without news, in full service.
+// NewView returns the view of a pool without a backlog report, at full share.
 func NewView(pool Pool, control string) View {
-	return View{ID: pool.ID, DataCentre: pool.DataCentre, Key: mix(hash(pool.ID)), Control: control, Share: 1}
+	return View{ID: pool.ID, DataCentre: pool.DataCentre, HashKey: mix(hash(pool.ID)), Control: control, Share: 1}
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that pool selection depends on.
 type Request struct {
-	// DataCentre is the entry's own.
+	// DataCentre is the data centre of the entry.
 	DataCentre string
 	// Affinity is the hash of the prompt's first blocks, or the fingerprint of
-	// a request without prefix. Equal requests have the same candidates, so a
-	// request that crashes targets meets the same few allocators.
+	// a request without a prefix. Equal requests have the same affinity
+	// candidates, so that a request that crashes targets is repeated to the
+	// same few allocators.
 	Affinity uint64
-	// Cached says that Affinity stands for a prefix worth finding again.
+	// Cached reports whether the affinity stands for a prefix that a target may
+	// have cached.
 	Cached bool
-	// Avoid lists pools that this request was refused by or could not reach.
+	// Avoid lists the IDs of the pools that refused this request or were
+	// unreachable.
 	Avoid []string
 }
 
-// Draw holds the random numbers of one choice.
+// Draw holds the random numbers for one selection.
 type Draw struct {
+	// Other selects the random candidates.
 	Other uint64
-	// Share is in [0, 1).
+	// Share is in [0, 1), and excludes pools whose share is not above it.
 	Share float64
 }
 
-// Choose gives the index of the pool to ask, -1 when there is none. Pools are
-// filtered (taken out, avoided, beyond their share), three candidates in the
-// entry's data centre and one elsewhere are scored, the least score is picked.
+// Choose returns the index of the pool to ask for admission, or -1 if there is
+// none. It excludes pools that are drained, avoided or beyond their share, and
+// returns the one with the lowest score of up to four candidates: three in the
+// entry's data centre and one elsewhere.
 //
-// When only returning data centres are left, they take all the work: refusing
-// it would be worse than a quick return.
+// If all remaining pools are in data centres that are returning to service,
+// they get all requests regardless of their share: refusing requests would be
+// worse than a fast return.
 func Choose(now time.Duration, cfg Config, views []View, r Request, d Draw) int {
 	cfg = cfg.withDefaults()
-	if best := choose(now, &cfg, views, &r, d); best >= 0 {
+	if best := chooseBest(now, &cfg, views, &r, d); best >= 0 {
 		return best
 	}
 	d.Share = 0
-	return choose(now, &cfg, views, &r, d)
+	return chooseBest(now, &cfg, views, &r, d)
 }
 
-func choose(now time.Duration, cfg *Config, views []View, r *Request, d Draw) int {
+func chooseBest(now time.Duration, cfg *Config, views []View, r *Request, d Draw) int {
 	c := candidates(views, r, d)
-	best, least := -1, time.Duration(0)
+	best, bestScore := -1, time.Duration(0)
 	for n, i := range c {
 		if i < 0 {
 			continue
 		}
 		score := score(now, cfg, &views[i], r)
 		if r.Cached && n == 0 {
-			score -= cfg.AffinityWorth
+			score -= cfg.AffinityBonus
 		}
-		if best < 0 || score < least {
-			best, least = i, score
+		if best < 0 || score < bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// candidates gives the first and the second by affinity and one at random, all
-// in the entry's data centre, and one at random elsewhere; -1 for none. Random
-// ones are those that rank first for a random number, which takes one pass.
+// candidates returns the indexes of the two pools that rank first for the
+// affinity, of a random one, all in the entry's data centre, and of a random
+// one elsewhere; -1 where there is none. The random ones are those that rank
+// first for a random number, so that one pass over the views suffices.
 func candidates(views []View, r *Request, d Draw) [4]int {
-	first, second, other, far := champion{at: -1}, champion{at: -1}, champion{at: -1}, champion{at: -1}
+	first, second, randomLocal, randomRemote := topRanked{index: -1}, topRanked{index: -1}, topRanked{index: -1}, topRanked{index: -1}
 	for i := range views {
 		v := &views[i]
-		if !usable(v, r, d) {
+		if !isEligible(v, r, d) {
 			continue
 		}
-		random := mix(d.Other ^ v.Key)
+		randomRank := mix(d.Other ^ v.HashKey)
 		if v.DataCentre != r.DataCentre {
-			far.offer(i, random)
+			randomRemote.consider(i, randomRank)
 			continue
 		}
-		other.offer(i, random)
-		byAffinity := mix(r.Affinity ^ v.Key)
-		if beaten := first; first.offer(i, byAffinity) {
-			second = beaten
+		randomLocal.consider(i, randomRank)
+		affinityRank := mix(r.Affinity ^ v.HashKey)
+		if previousFirst := first; first.consider(i, affinityRank) {
+			second = previousFirst
 		} else {
-			second.offer(i, byAffinity)
+			second.consider(i, affinityRank)
 		}
 	}
-	return [4]int{first.at, second.at, other.at, far.at}
+	return [4]int{first.index, second.index, randomLocal.index, randomRemote.index}
 }
 
-// champion is the view with the highest rank so far.
-type champion struct {
-	at   int
-	rank uint64
+// topRanked is the view with the highest rank so far; index is -1 if there is
+// none.
+type topRanked struct {
+	index int
+	rank  uint64
 }
 
-func (c *champion) offer(i int, rank uint64) bool {
-	if c.at >= 0 && rank <= c.rank {
+func (t *topRanked) consider(i int, rank uint64) bool {
+	if t.index >= 0 && rank <= t.rank {
 		return false
 	}
-	c.at, c.rank = i, rank
+	t.index, t.rank = i, rank
 	return true
 }
 
-func usable(v *View, r *Request, d Draw) bool {
-	avoided := len(r.Avoid) > 0 && slices.Contains(r.Avoid, v.ID)
-	return d.Share < v.Share && !avoided
+func isEligible(v *View, r *Request, d Draw) bool {
+	excluded := len(r.Avoid) > 0 && slices.Contains(r.Avoid, v.ID)
+	return d.Share < v.Share && !excluded
 }
 
 func score(now time.Duration, cfg *Config, v *View, r *Request) time.Duration {
-	s := cfg.Unknown
-	if v.Heard && now-v.NewsAt < cfg.NewsFor {
-		s = v.Backlog
+	total := cfg.UnknownBacklog
+	if v.Heard && now-v.BacklogAt < cfg.NewsFor {
+		total = v.Backlog
 	}
-	s += time.Duration(v.Sent) * cfg.PerSent
+	total += time.Duration(v.Sent) * cfg.PendingRequestCost
 	if v.DataCentre != r.DataCentre {
-		s += cfg.FarPenalty
+		total += cfg.RemotePenalty
 	}
-	return s
+	return total
 }
 
-// Subset gives the pools of a data centre that an entry keeps sessions with:
-// the n that rank first for the entry. At the target size a service has some
-// eighty pools in a data centre; with a session to each, pings alone would
-// use up an entry's budget of bytes. Different entries get different subsets,
-// and a change of pools moves few sessions.
+// Subset returns the pools of a data centre that an entry keeps sessions with:
+// the n that rank first for the entry. At the target scale a service has some
+// eighty pools in a data centre; with a session to each of them, pings alone
+// would use up the entry's network budget. Different entries get different
+// subsets, and adding or removing a pool changes few sessions.
 func Subset(entry string, pools []Pool, n int) []Pool {
 	out := slices.Clone(pools)
-	key := hash(entry)
+	entryHash := hash(entry)
 	slices.SortFunc(out, func(a, b Pool) int {
-		if rank(key, hash(a.ID)) > rank(key, hash(b.ID)) {
+		if rank(entryHash, hash(a.ID)) > rank(entryHash, hash(b.ID)) {
 			return -1
 		}
 		return 1
--- a/internal/decide/pools/doc.go
+++ b/internal/decide/pools/doc.go
@@ -1,33 +1,41 @@
-// Package pools divides a service's targets into pools, names the processes
-// that admit for a pool, and chooses the pool that an entry asks.
+// Package pools divides a service's targets into pools, ranks the control
+// processes that may admit requests for a pool, and selects the pool that an
+// entry process asks for admission.
 //
-// Load pattern: a thousand entries see the same gossiped backlogs, up to some
-// seconds old. Targets and hosts come and go all day. Requests of one client
-// share long prompt prefixes that one or two targets have cached.
+// All functions depend on published values only, so that all processes reach
+// the same result without exchanging messages.
 //
-// What happens without it: every entry asks the pool with the least backlog.
-// It gets the whole fleet's requests until the news changes, then another one
-// does; backlogs swing between nothing and seconds. Numbering pools by the
-// position of their targets in a list moves most targets to another pool when
-// one leaves, and with it their allocators' knowledge. Requests spread without
-// regard to prefixes compute each of them on every target.
+// Targets and hosts are added and removed all day. Numbering pools by the
+// position of their targets in a list would move most targets to another pool
+// whenever one leaves, and the new pool's allocator has no history of them.
+// Therefore targets are assigned to pools, and processes ranked for pools, by
+// rendezvous hashing: a change moves only the assignments that depend on the
+// added or removed member.
 //
-// How it works: everything here is a function of published values, so that all
-// processes come to the same answer without a message. Targets join pools and
-// processes rank for pools by rendezvous hashing: a change moves only what it
-// concerns. An entry compares a few candidates only: the two pools that rank
-// first for the request's prefix, and one at random. Two choices suffice to
-// keep backlogs even; choices that differ by request and entry keep entries
-// from moving together; what the entry itself sent since the news counts.
+// A thousand entries see the same gossiped backlogs, which are up to a few
+// seconds old. If every entry selected the pool with the smallest backlog, that
+// pool would receive the requests of the whole fleet until the next report, and
+// then another one would; backlogs would oscillate between zero and several
+// seconds. An entry therefore compares only a few candidates: the two pools
+// that rank first for the request's prompt prefix, and random ones. Two choices
+// suffice to keep backlogs even. Candidates differ by request and entry, so
+// that entries do not move together, and an entry adds the requests that it has
+// sent since the last report to the reported backlog.
+//
+// Requests of one client share long prompt prefixes that one or two targets
+// have cached. Distributing requests without regard to prefixes would make
+// every target compute each of them, so the prefix selects the first
+// candidates.
 package pools
 
 import "github.com/cespare/xxhash/v2"
 
-// rank is the rendezvous weight of a member for a key: a member's rank does not
-// depend on which other members there are.
+// rank returns the rendezvous weight of a member for a key. It does not depend
+// on the other members.
 func rank(key, member uint64) uint64 { return mix(key ^ mix(member)) }
 
-// mix spreads a 64-bit number over all bits (the finalizer of splitmix64).
+// mix distributes the entropy of a 64-bit number over all bits (the finalizer
+// of splitmix64).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/decide/pools/owner.go
+++ b/internal/decide/pools/owner.go
@@ -7,46 +7,47 @@
 
 // Host is a published host that runs a control process.
 type Host struct {
-	// Control is the control process's address.
+	// Control is the address of the control process.
 	Control    string
 	DataCentre string
-	// Leaving hosts own nothing, unless all hosts leave.
+	// Leaving hosts own nothing, unless all hosts are leaving.
 	Leaving bool
 }
 
-// Ranked gives the control processes that may admit for a pool, the owner
-// first: live hosts of the pool's data centre, then live hosts elsewhere, then
-// leaving ones, each group by rendezvous hash. The owner's loss makes the
-// second the owner and changes no other pool.
-func Ranked(pool Pool, hosts []Host) []Host {
+// RankHosts returns the hosts whose control processes may admit for a pool, the
+// owner first: hosts of the pool's data centre that are not leaving, then those
+// of other data centres, then leaving ones, each group by rendezvous hash. If
+// the owner is lost, the second host becomes the owner, and no other pool is
+// affected.
+func RankHosts(pool Pool, hosts []Host) []Host {
 	out, key := slices.Clone(hosts), hash(pool.ID)
-	slices.SortFunc(out, func(a, b Host) int { return compare(key, pool.DataCentre, a, b) })
+	slices.SortFunc(out, func(a, b Host) int { return compareHosts(key, pool.DataCentre, a, b) })
 	return out
 }
 
-// Owner gives the first of Ranked; ok is false without hosts.
+// Owner returns the first host of RankHosts. ok is false if there are no hosts.
 func Owner(pool Pool, hosts []Host) (owner Host, ok bool) {
-	return firstFor(hash(pool.ID), pool.DataCentre, hosts)
+	return highestRankedHost(hash(pool.ID), pool.DataCentre, hosts)
 }
 
-// AccountOwner gives the control process that leases an account's limits. Use
-// Accounts for many of them.
+// AccountOwner returns the host whose control process leases an account's
+// limits. For many accounts, use the index in account_index.go instead.
 func AccountOwner(account string, hosts []Host) (owner Host, ok bool) {
-	return firstFor(accountKey(account), "", hosts)
+	return highestRankedHost(accountKey(account), "", hosts)
 }
 
 func accountKey(account string) uint64 { return hash("account/" + account) }
 
-func firstFor(key uint64, dc string, hosts []Host) (Host, bool) {
+func highestRankedHost(key uint64, dc string, hosts []Host) (Host, bool) {
 	if len(hosts) == 0 {
 		return Host{}, false
 	}
-	return slices.MinFunc(hosts, func(a, b Host) int { return compare(key, dc, a, b) }), true
+	return slices.MinFunc(hosts, func(a, b Host) int { return compareHosts(key, dc, a, b) }), true
 }
 
-// compare orders two hosts for a key, the better first.
-func compare(key uint64, dc string, a, b Host) int {
-	if c := cmp.Compare(tier(dc, a), tier(dc, b)); c != 0 {
+// compareHosts orders two hosts by their rank for a key, the higher one first.
+func compareHosts(key uint64, dc string, a, b Host) int {
+	if c := cmp.Compare(hostTier(dc, a), hostTier(dc, b)); c != 0 {
 		return c
 	}
 	return cmp.Or(
@@ -55,7 +56,7 @@
 	)
 }
 
-func tier(dc string, h Host) int {
+func hostTier(dc string, h Host) int {
 	switch {
 	case h.Leaving:
 		return 2
--- a/internal/decide/pools/pools_test.go
+++ b/internal/decide/pools/pools_test.go
@@ -34,8 +34,9 @@
 	return out
 }
 
-// members maps each target to its pool; naive pools are four in a row.
-func members(ts []pools.Target, naive bool) map[string]string {
+// poolByTarget maps each target to its pool. If consecutive is set, pools are
+// four targets in a row instead.
+func poolByTarget(ts []pools.Target, consecutive bool) map[string]string {
 	out := map[string]string{}
 	for _, p := range pools.Partition("report", ts) {
 		for _, a := range p.Targets {
@@ -43,19 +44,20 @@
 		}
 	}
 	for i, t := range ts {
-		if naive {
+		if consecutive {
 			out[t.Address] = fmt.Sprint(i / 4)
 		}
 	}
 	return out
 }
 
-// moved is the mean number of targets that change their pool when one leaves.
-func moved(n int, naive bool) float64 {
+// meanMoved returns the mean number of targets that change their pool when one
+// of n leaves.
+func meanMoved(n int, consecutive bool) float64 {
 	all, count := targets(n), 0
-	before := members(all, naive)
+	before := poolByTarget(all, consecutive)
 	for i := range all {
-		for a, p := range members(slices.Delete(slices.Clone(all), i, i+1), naive) {
+		for a, p := range poolByTarget(slices.Delete(slices.Clone(all), i, i+1), consecutive) {
 			if before[a] != p {
 				count++
 			}
@@ -64,49 +66,50 @@
 	return float64(count) / float64(n)
 }
 
-var _ = Describe("a partition", func() {
-	It("covers each target once, in pools of a bounded size, in any order", func() {
+var _ = Describe("Partition", func() {
+	It("assigns each target to one pool of bounded size, independent of input order", func() {
 		for n := 1; n < 200; n++ {
 			ts := append(targets(n-1), pools.Target{Address: "10.2.0.1:80", DataCentre: "west"})
 			want := pools.Partition("report", ts)
 			rand.New(rand.NewPCG(1, uint64(n))).Shuffle(n, func(i, j int) { ts[i], ts[j] = ts[j], ts[i] })
 			Expect(pools.Partition("report", ts)).To(Equal(want))
-			Expect(members(ts, false)).To(HaveLen(n))
+			Expect(poolByTarget(ts, false)).To(HaveLen(n))
 			for _, p := range want {
 				Expect(len(p.Targets)).To(BeNumerically("<=", 6))
 			}
 		}
 	})
 
-	// A target is reclaimed. Each target that moves to another pool meets an
-	// allocator that knows nothing of it and has to start it carefully.
+	// A target that moves to another pool, for example because a target of its
+	// old pool was reclaimed, meets an allocator without any history of it,
+	// which has to ramp it up slowly again.
 	It("moves few targets when one leaves", func() {
-		ours, naive := moved(100, false), moved(100, true)
-		Expect(ours).To(BeNumerically("<", 1))
-		Expect(naive).To(BeNumerically(">", 10))
-		for n := 90; n < 110; n++ { // where the number of pools changes, a pool's targets move and a few more
-			Expect(moved(n, false)).To(BeNumerically("<", 9), fmt.Sprint(n))
+		rendezvous, consecutive := meanMoved(100, false), meanMoved(100, true)
+		Expect(rendezvous).To(BeNumerically("<", 1))
+		Expect(consecutive).To(BeNumerically(">", 10))
+		for n := 90; n < 110; n++ { // where the number of pools changes, the targets of one pool and a few others move
+			Expect(meanMoved(n, false)).To(BeNumerically("<", 9), fmt.Sprint(n))
 		}
-		AddReportEntry("moved of 100", fmt.Sprintf("ours %.2f, four in a row %.2f; ours at 102: %.2f", ours, naive, moved(102, false)))
+		AddReportEntry("moved of 100", fmt.Sprintf("rendezvous hashing %.2f, four in a row %.2f; rendezvous hashing at 102: %.2f", rendezvous, consecutive, meanMoved(102, false)))
 	})
 })
 
-var _ = Describe("an owner", func() {
-	It("is a live host of the pool's data centre, and its loss promotes the second", func() {
+var _ = Describe("the owner of a pool", func() {
+	It("is a live host of the pool's data centre; if it leaves, the second takes over", func() {
 		pool, hs := pools.Pool{ID: "report/east/0", DataCentre: "east"}, hosts(20)
-		ranked := pools.Ranked(pool, hs)
+		ranked := pools.RankHosts(pool, hs)
 		first, _ := pools.Owner(pool, hs)
 		Expect(first).To(Equal(ranked[0]))
 		Expect(first.DataCentre).To(Equal("east"))
 		hs[slices.Index(hs, first)].Leaving = true
 		second, _ := pools.Owner(pool, hs)
 		Expect(second).To(Equal(ranked[1]))
-		Expect(pools.Ranked(pool, hs)[19].Control).To(Equal(first.Control))
+		Expect(pools.RankHosts(pool, hs)[19].Control).To(Equal(first.Control))
 		_, ok := pools.Owner(pool, nil)
 		Expect(ok).To(BeFalse())
 	})
 
-	It("is spread evenly, also for accounts", func() {
+	It("is distributed evenly, also for accounts", func() {
 		counts := map[string]int{}
 		for i := range 2000 {
 			o, _ := pools.AccountOwner(fmt.Sprint(i), hosts(20))
@@ -116,8 +119,8 @@
 	})
 })
 
-// FuzzAccounts changes hosts and accounts at random: the index that looks only
-// at what changed must give the owners that ranking all hosts anew gives.
+// FuzzAccounts changes hosts and accounts at random. The incremental index must
+// give the same owners as ranking all hosts again.
 func FuzzAccounts(f *testing.F) {
 	f.Add([]byte("abcAdBeCfDgEhFaGbHc"))
 	f.Fuzz(func(t *testing.T, ops []byte) {
@@ -142,7 +145,8 @@
 	})
 }
 
-// views gives n pools in each data centre with news of no backlog.
+// views returns n pools in each data centre, all with a reported backlog of
+// zero.
 func views(n int) (out []pools.View) {
 	for _, dc := range []string{"east", "west"} {
 		for i := range n {
@@ -154,36 +158,37 @@
 	return out
 }
 
-var _ = Describe("a choice", func() {
-	here := pools.Request{DataCentre: "east", Affinity: 42, Cached: true}
+var _ = Describe("Choose", func() {
+	localRequest := pools.Request{DataCentre: "east", Affinity: 42, Cached: true}
 	choose := func(vs []pools.View, r pools.Request, d pools.Draw) int {
 		return pools.Choose(0, pools.Config{}, vs, r, d)
 	}
 
-	It("stays in the data centre, with the pool of the prefix, until that is worth less", func() {
+	It("prefers the local pool with the cached prefix until its backlog outweighs the bonus", func() {
 		vs := views(8)
-		home := choose(vs, here, pools.Draw{})
-		Expect(vs[home].DataCentre).To(Equal("east"))
+		preferred := choose(vs, localRequest, pools.Draw{})
+		Expect(vs[preferred].DataCentre).To(Equal("east"))
 		for i := range uint64(10) {
-			Expect(choose(vs, here, pools.Draw{Other: i})).To(Equal(home))
+			Expect(choose(vs, localRequest, pools.Draw{Other: i})).To(Equal(preferred))
 		}
-		vs[home].Backlog = 150 * ms
-		Expect(choose(vs, here, pools.Draw{Other: 5})).NotTo(Equal(home))
+		vs[preferred].Backlog = 150 * ms
+		Expect(choose(vs, localRequest, pools.Draw{Other: 5})).NotTo(Equal(preferred))
 		for i := range 8 {
 			vs[i].Backlog = time.Second
 		}
-		Expect(vs[choose(vs, here, pools.Draw{Other: 3})].DataCentre).To(Equal("west"))
+		Expect(vs[choose(vs, localRequest, pools.Draw{Other: 3})].DataCentre).To(Equal("west"))
 	})
 
-	// Operators take a data centre out while an entry still hears of its short
-	// backlogs. Work sent there would be cut when its hosts go.
-	DescribeTable("keeps to the share of a data centre", func(east, west, draw float64, want string) {
+	// Operators drain a data centre while an entry still receives reports of
+	// its short backlogs. Requests sent there would be aborted when its hosts
+	// stop.
+	DescribeTable("respects the share of a data centre", func(east, west, draw float64, want string) {
 		vs := views(4)
 		for i := range 4 {
 			vs[i].Share, vs[4+i].Share, vs[4+i].Backlog = east, west, time.Minute
 		}
 		for i := range uint64(20) {
-			got := choose(vs, here, pools.Draw{Other: i, Share: draw})
+			got := choose(vs, localRequest, pools.Draw{Other: i, Share: draw})
 			if want == "" {
 				Expect(got).To(Equal(-1))
 				continue
@@ -191,31 +196,31 @@
 			Expect(vs[got].DataCentre).To(Equal(want))
 		}
 	},
-		Entry("out", 0.0, 1.0, 0.0, "west"),
-		Entry("returning, within its share", 0.2, 1.0, 0.1, "east"),
-		Entry("returning, beyond its share", 0.2, 1.0, 0.3, "west"),
-		Entry("returning, and nothing else is left", 0.2, 0.0, 0.3, "east"),
-		Entry("all out", 0.0, 0.0, 0.0, ""),
+		Entry("drained", 0.0, 1.0, 0.0, "west"),
+		Entry("returning to service, within its share", 0.2, 1.0, 0.1, "east"),
+		Entry("returning to service, beyond its share", 0.2, 1.0, 0.3, "west"),
+		Entry("returning to service, with all others drained", 0.2, 0.0, 0.3, "east"),
+		Entry("all drained", 0.0, 0.0, 0.0, ""),
 	)
 
-	It("avoids pools, distrusts old news, and counts what it sent itself", func() {
+	It("skips avoided pools, ignores outdated reports and counts its own pending requests", func() {
 		vs := views(2)[:2]
 		r := pools.Request{DataCentre: "east", Avoid: []string{"east0"}}
 		Expect(choose(vs, r, pools.Draw{})).To(Equal(1))
 		r.Avoid = nil
 		vs[0].Backlog, vs[1].Sent = 50*ms, 20
 		Expect(choose(vs, r, pools.Draw{})).To(Equal(0))
-		vs[0].NewsAt = -time.Minute
+		vs[0].BacklogAt = -time.Minute
 		Expect(choose(vs, r, pools.Draw{})).To(Equal(1))
 	})
 
-	It("keeps backlogs even where the least backlog herds", func() {
-		ours, naive := herd(1, false), herd(1, true)
-		Expect(ours).To(BeNumerically("<", naive/3))
-		AddReportEntry("p99 wait", fmt.Sprint("ours ", ours, ", least backlog ", naive))
+	It("avoids the herding of always selecting the least backlog", func() {
+		scored, leastBacklog := simulateP99Wait(1, false), simulateP99Wait(1, true)
+		Expect(scored).To(BeNumerically("<", leastBacklog/3))
+		AddReportEntry("p99 wait", fmt.Sprint("scored candidates ", scored, ", least backlog ", leastBacklog))
 	})
 
-	It("gives each entry a few pools of its own", func() {
+	It("gives each entry its own subset of pools", func() {
 		all := pools.Partition("report", targets(320))
 		a := pools.Subset("a", all, 8)
 		Expect(a).To(And(HaveLen(8), Not(Equal(pools.Subset("b", all, 8)))))
@@ -223,35 +228,36 @@
 	})
 })
 
-var _ = Describe("news", func() {
-	// Messages cross, and two processes believe that they own a pool. An old
-	// short backlog, or one that changes with each message, would draw requests
-	// to a full pool.
-	It("keeps the latest of one allocator, passes it on a few times, and forgets it", func() {
+var _ = Describe("gossiped backlogs", func() {
+	// Messages arrive out of order, and two processes may consider themselves
+	// the owner of a pool. An outdated short backlog, or one that changes with
+	// each message, would attract requests to a full pool.
+	It("keep the latest report of one allocator, send it a few times and expire it", func() {
 		n := pools.NewNews()
 		item := pools.Item{Pool: "p", Control: "a", Backlog: time.Second, Version: 2}
-		older, rival := pools.Item{Pool: "p", Control: "a", Version: 1}, pools.Item{Pool: "p", Control: "b"}
-		Expect([]bool{n.Hear(0, item), n.Hear(0, older), n.Hear(time.Second, rival)}).To(Equal([]bool{true, false, false}))
+		older, otherProcess := pools.Item{Pool: "p", Control: "a", Version: 1}, pools.Item{Pool: "p", Control: "b"}
+		Expect([]bool{n.Hear(0, item), n.Hear(0, older), n.Hear(time.Second, otherProcess)}).To(Equal([]bool{true, false, false}))
 		for range 3 {
 			Expect(n.Spread(0, 10, 3)).To(Equal([]pools.Item{item}))
 		}
 		Expect(n.Spread(0, 10, 3)).To(BeEmpty())
-		heard := func(now time.Duration) time.Duration {
+		backlogAt := func(now time.Duration) time.Duration {
 			backlog, _ := n.Backlog(now, "p")
 			return backlog
 		}
-		Expect(heard(0)).To(Equal(time.Second))
-		Expect(n.Hear(3*time.Second, rival)).To(BeTrue())
-		Expect(heard(3 * time.Second)).To(BeZero())
+		Expect(backlogAt(0)).To(Equal(time.Second))
+		Expect(n.Hear(3*time.Second, otherProcess)).To(BeTrue())
+		Expect(backlogAt(3 * time.Second)).To(BeZero())
 		n.Spread(time.Minute, 1, 1)
 		_, ok := n.Backlog(time.Minute, "p")
 		Expect(ok).To(BeFalse())
 	})
 })
 
-// herd lets 50 entries send 540 requests a second for a minute to 20 pools that
-// serve 30 a second each. Backlogs are a second old. It gives the p99 wait.
-func herd(seed uint64, naive bool) time.Duration {
+// simulateP99Wait returns the 99th percentile of the wait when 50 entries send
+// 540 requests a second for a minute to 20 pools that serve 30 a second each,
+// with backlogs that are up to a second old.
+func simulateP99Wait(seed uint64, leastBacklogOnly bool) time.Duration {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	vs := views(20)[:20]
 	var queue [20]float64
@@ -262,34 +268,34 @@
 		for i := range queue {
 			queue[i] = max(0, queue[i]-0.3)
 			if now%time.Second == 0 {
-				vs[i].Backlog, vs[i].NewsAt = wait(i), now
+				vs[i].Backlog, vs[i].BacklogAt = wait(i), now
 				clear(sent[:])
 			}
 		}
 		for range 4 + rnd.IntN(4) {
-			own := &sent[rnd.IntN(len(sent))]
-			least := 0
+			sentByEntry := &sent[rnd.IntN(len(sent))]
+			leastLoaded := 0
 			for i := range vs {
-				vs[i].Sent = own[i]
-				if vs[i].Backlog < vs[least].Backlog {
-					least = i
+				vs[i].Sent = sentByEntry[i]
+				if vs[i].Backlog < vs[leastLoaded].Backlog {
+					leastLoaded = i
 				}
 			}
 			r := pools.Request{DataCentre: "east", Affinity: rnd.Uint64(), Cached: rnd.IntN(2) == 0}
-			to := pools.Choose(now, pools.Config{}, vs, r, pools.Draw{Other: rnd.Uint64()})
-			if naive {
-				to = least
+			chosen := pools.Choose(now, pools.Config{}, vs, r, pools.Draw{Other: rnd.Uint64()})
+			if leastBacklogOnly {
+				chosen = leastLoaded
 			}
-			own[to]++
-			waits = append(waits, wait(to))
-			queue[to]++
+			sentByEntry[chosen]++
+			waits = append(waits, wait(chosen))
+			queue[chosen]++
 		}
 	}
 	slices.Sort(waits)
 	return waits[len(waits)*99/100]
 }
 
-// BenchmarkAccounts replaces one host of 3,300 before 11,000 accounts.
+// BenchmarkAccounts replaces one of 3,300 hosts in an index of 11,000 accounts.
 func BenchmarkAccounts(b *testing.B) {
 	index, all, names := pools.NewAccounts(), hosts(3300), make([]string, 11000)
 	for i := range names {
--- a/internal/decide/pools/ranking.go
+++ b/internal/decide/pools/ranking.go
@@ -2,46 +2,48 @@
 
 import "cmp"
 
-// Ranking ranks one list of hosts for many pools. It gives the order of Ranked,
-// its first hosts only: at the target size a plan has 2,500 pools and 3,300
-// hosts, and sorting all hosts for each pool took eight seconds.
+// Ranking ranks one list of hosts for many pools. It gives the same order as
+// RankHosts, but computes only the first hosts: at the target scale a plan has
+// 2,500 pools and 3,300 hosts, and sorting all hosts for each pool took eight
+// seconds.
 type Ranking struct {
 	hosts []rankedHost
-	// live counts the hosts of a data centre that do not leave.
-	live     map[string]int
-	byCentre map[string][]int
+	// liveCount is the number of hosts in each data centre that are not
+	// leaving.
+	liveCount    map[string]int
+	byDataCentre map[string][]int
 }
 
 type rankedHost struct {
 	Host
-	// mixed is the part of the rank that depends on the host alone.
-	mixed uint64
+	// mixedHash is the part of the rank that depends on the host alone.
+	mixedHash uint64
 }
 
-// NewRanking prepares a list of hosts.
+// NewRanking returns a ranking of a list of hosts.
 func NewRanking(hosts []Host) *Ranking {
-	r := &Ranking{hosts: make([]rankedHost, len(hosts)), live: map[string]int{}, byCentre: map[string][]int{}}
+	r := &Ranking{hosts: make([]rankedHost, len(hosts)), liveCount: map[string]int{}, byDataCentre: map[string][]int{}}
 	for i, h := range hosts {
-		r.hosts[i] = rankedHost{Host: h, mixed: mix(hash(h.Control))}
-		r.byCentre[h.DataCentre] = append(r.byCentre[h.DataCentre], i)
+		r.hosts[i] = rankedHost{Host: h, mixedHash: mix(hash(h.Control))}
+		r.byDataCentre[h.DataCentre] = append(r.byDataCentre[h.DataCentre], i)
 		if !h.Leaving {
-			r.live[h.DataCentre]++
+			r.liveCount[h.DataCentre]++
 		}
 	}
 	return r
 }
 
-// First gives the first n of Ranked.
+// First returns the first n hosts of RankHosts.
 func (r *Ranking) First(pool Pool, n int) []Host {
 	best := make([]candidate, 0, n+1)
 	key := hash(pool.ID)
-	if r.live[pool.DataCentre] >= n {
-		for _, i := range r.byCentre[pool.DataCentre] {
-			best = r.offer(best, n, key, pool.DataCentre, i)
+	if r.liveCount[pool.DataCentre] >= n {
+		for _, i := range r.byDataCentre[pool.DataCentre] {
+			best = r.insert(best, n, key, pool.DataCentre, i)
 		}
 	} else {
 		for i := range r.hosts {
-			best = r.offer(best, n, key, pool.DataCentre, i)
+			best = r.insert(best, n, key, pool.DataCentre, i)
 		}
 	}
 	out := make([]Host, len(best))
@@ -56,24 +58,25 @@
 	rank        uint64
 }
 
-// offer keeps the best n candidates in order.
-func (r *Ranking) offer(best []candidate, n int, key uint64, dc string, index int) []candidate {
+// insert adds a host to the sorted list of the best n candidates if it ranks
+// among them.
+func (r *Ranking) insert(best []candidate, n int, key uint64, dc string, index int) []candidate {
 	h := &r.hosts[index]
-	c := candidate{index: index, tier: tier(dc, h.Host), rank: mix(key ^ h.mixed)}
-	at := len(best)
-	for at > 0 && r.before(c, best[at-1]) {
-		at--
+	c := candidate{index: index, tier: hostTier(dc, h.Host), rank: mix(key ^ h.mixedHash)}
+	pos := len(best)
+	for pos > 0 && r.less(c, best[pos-1]) {
+		pos--
 	}
-	if at == n {
+	if pos == n {
 		return best
 	}
 	best = append(best, candidate{})
-	copy(best[at+1:], best[at:])
-	best[at] = c
+	copy(best[pos+1:], best[pos:])
+	best[pos] = c
 	return best[:min(len(best), n)]
 }
 
-func (r *Ranking) before(a, b candidate) bool {
+func (r *Ranking) less(a, b candidate) bool {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier), cmp.Compare(b.rank, a.rank),
 		cmp.Compare(r.hosts[a.index].Control, r.hosts[b.index].Control),
--- a/internal/decide/pools/ranking_test.go
+++ b/internal/decide/pools/ranking_test.go
@@ -21,16 +21,17 @@
 	return out
 }
 
-var _ = Describe("a ranking of many pools", func() {
-	// Two processes rank by the two ways. Where they differ, both believe that
-	// they own a pool, and both fill its cold targets.
-	It("gives the same owners as ranking one pool", func() {
+var _ = Describe("a ranking for many pools", func() {
+	// If the two implementations gave different orders, two processes could
+	// both consider themselves the owner of a pool, and both would send load to
+	// its cold targets.
+	It("gives the same owners as RankHosts", func() {
 		r := rand.New(rand.NewPCG(7, 0))
 		for range 300 {
 			hosts := randomHosts(r, r.IntN(12))
 			ranking := pools.NewRanking(hosts)
 			pool := pools.Pool{ID: fmt.Sprint("reports/", r.IntN(50)), DataCentre: fmt.Sprint("dc", r.IntN(4))}
-			want := pools.Ranked(pool, hosts)
+			want := pools.RankHosts(pool, hosts)
 			Expect(ranking.First(pool, 3)).To(Equal(want[:min(3, len(want))]))
 		}
 	})
@@ -41,7 +42,7 @@
 	pool := pools.Pool{ID: "reports/dc1/7", DataCentre: "dc1"}
 	b.Run("sorted", func(b *testing.B) {
 		for b.Loop() {
-			_ = pools.Ranked(pool, hosts)[:3]
+			_ = pools.RankHosts(pool, hosts)[:3]
 		}
 	})
 	b.Run("first three", func(b *testing.B) {
