--- a/internal/decide/quota/holder.go
+++ b/internal/decide/quota/holder.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// Holder keeps the leases of one pool. It is not safe for concurrent use.
+// Holder manages the leases of one pool. It is not safe for concurrent use.
 type Holder struct {
 	cfg    Config
-	leases map[string]*holding
+	leases map[string]*heldLease
 }
 
-// holding is a lease as its holder sees it.
-type holding struct {
-	grant   Grant
-	asked   time.Duration
-	expires time.Duration
-	// tokens may be below zero: generations of unknown length overdraw.
-	tokens float64
-	filled time.Duration
-	// sent is when the last demand went out, retry the earliest next one.
-	sent, retry time.Duration
+// heldLease is the holder's state of one lease.
+type heldLease struct {
+	grant        Grant
+	grantAskedAt time.Duration
+	expires      time.Duration
+	// tokens is the balance of the token bucket. It may be negative, because
+	// generations of unknown length can use more than was available.
+	tokens     float64
+	refilledAt time.Duration
+	// sentAt is when the last demand was sent, retryAt the earliest time of the
+	// next one.
+	sentAt, retryAt time.Duration
 }
 
 // NewHolder returns a holder without leases.
 func NewHolder(cfg Config) *Holder {
-	return &Holder{cfg: cfg.withDefaults(), leases: map[string]*holding{}}
+	return &Holder{cfg: cfg.withDefaults(), leases: map[string]*heldLease{}}
 }
 
-// Granted takes an answer to a demand that was sent at asked. An answer that was
-// given before the one in force is dropped: the owner no longer counts it. An
-// answer without a lease, of an owner that is new, leaves the lease of the one
-// before in force.
+// Granted applies the answer to a demand that was sent at asked. An answer with
+// a lower serial than the grant in force is dropped, because the owner no
+// longer counts it. An answer without a lease, from a new owner, leaves the
+// lease of the previous owner in force.
 func (h *Holder) Granted(asked time.Duration, g Grant) {
 	l := h.leases[g.Account]
 	if l == nil {
-		l = &holding{filled: asked}
+		l = &heldLease{refilledAt: asked}
 		h.leases[g.Account] = l
 	}
 	if g.LeaseFor == 0 {
-		l.retry = max(l.retry, asked+g.RetryAfter)
+		l.retryAt = max(l.retryAt, asked+g.RetryAfter)
 		return
 	}
 	if g.Serial < l.grant.Serial && asked < l.expires {
 		return
 	}
-	l.asked = asked
-	l.fill(asked, h.cfg.RateBurst)
+	l.grantAskedAt = asked
+	l.refill(asked, h.cfg.RateBurst)
 	l.grant, l.expires = g, asked+g.LeaseFor
 }
 
-// MayStart tells whether a request of the account may start while running of
-// its requests are in progress here.
+// MayStart reports whether a request of the account may start while the given
+// number of its requests are in progress in this pool.
 func (h *Holder) MayStart(now time.Duration, account string, limits Limits, running int) bool {
 	if limits == (Limits{}) {
 		return true
@@ -57,13 +59,14 @@
 	if l == nil || now >= l.expires {
 		return false
 	}
-	l.fill(now, h.cfg.RateBurst)
-	inRunning := limits.Running == 0 || running < l.grant.Running
-	inRate := limits.TokensPerSecond == 0 || (l.grant.TokensPerSecond > 0 && l.tokens >= 0)
-	return inRunning && inRate
+	l.refill(now, h.cfg.RateBurst)
+	withinRunning := limits.Running == 0 || running < l.grant.Running
+	withinRate := limits.TokensPerSecond == 0 || (l.grant.TokensPerSecond > 0 && l.tokens >= 0)
+	return withinRunning && withinRate
 }
 
-// Running is the number of requests that the account's lease allows here.
+// Running returns the number of requests that the account's lease allows in
+// this pool.
 func (h *Holder) Running(now time.Duration, account string) int {
 	l := h.leases[account]
 	if l == nil || now >= l.expires {
@@ -72,29 +75,30 @@
 	return l.grant.Running
 }
 
-// Charge books tokens as they are produced.
+// Charge subtracts produced tokens from the account's token balance.
 func (h *Holder) Charge(now time.Duration, account string, tokens int) {
 	if l := h.leases[account]; l != nil {
-		l.fill(now, h.cfg.RateBurst)
+		l.refill(now, h.cfg.RateBurst)
 		l.tokens -= float64(tokens)
 	}
 }
 
-// RenewAt is when the account's next demand should be sent.
+// RenewAt returns when the account's next demand is due.
 func (h *Holder) RenewAt(account string) time.Duration {
 	l := h.leases[account]
 	if l == nil {
 		return 0
 	}
-	return max(l.retry, l.asked+l.grant.RetryAfter)
+	return max(l.retryAt, l.grantAskedAt+l.grant.RetryAfter)
 }
 
-// fill adds what the rate gives while the lease lives, up to the burst.
-func (l *holding) fill(now, burst time.Duration) {
-	until := min(now, l.expires)
-	if until > l.filled {
-		l.tokens += l.grant.TokensPerSecond * (until - l.filled).Seconds()
+// refill adds tokens at the granted rate until the lease expires, up to the
+// burst.
+func (l *heldLease) refill(now, burst time.Duration) {
+	refillUntil := min(now, l.expires)
+	if refillUntil > l.refilledAt {
+		l.tokens += l.grant.TokensPerSecond * (refillUntil - l.refilledAt).Seconds()
 	}
 	l.tokens = min(l.tokens, l.grant.TokensPerSecond*burst.Seconds())
-	l.filled = max(l.filled, now)
+	l.refilledAt = max(l.refilledAt, now)
 }
--- a/internal/decide/quota/owner.go
+++ b/internal/decide/quota/owner.go
@@ -8,156 +8,165 @@
 	"filbertdeck/internal/decide/ownership"
 )
 
-// Owner leases the limits of the accounts that one process owns. It is not
-// safe for concurrent use. Times count from any fixed start.
+// Owner leases the limits of the accounts that one process owns. It is not safe
+// for concurrent use. Times are durations since any fixed start.
 type Owner struct {
-	cfg       Config
-	accounts  map[string]*account
-	revision  uint64
-	listSince time.Duration
-	listed    bool
-	confirmed time.Duration
-	serial    uint64
+	cfg          Config
+	accounts     map[string]*ownedAccount
+	listRevision uint64
+	listSince    time.Duration
+	listKnown    bool
+	confirmedAt  time.Duration
+	serial       uint64
 }
 
-// serialBits are a serial's lower bits; the list's revision leads, so that the
-// serials of a later owner are higher.
+// serialBits is the number of low bits of a serial that hold a counter. The
+// high bits hold the revision of the host list, so that the serials of a later
+// owner are higher.
 const serialBits = 32
 
-// account is one that this process owns, since its tenure began.
-type account struct {
+// ownedAccount is an account that this process owns, since its tenure began.
+type ownedAccount struct {
 	tenure ownership.Tenure
 	leases map[string]*lease
 }
 
-// lease is what one holder has and wants.
+// lease is the owner's state of one holder: its last demand and the grants that
+// it may have received.
 type lease struct {
 	demand  Demand
-	running issued
-	rate    held
+	running runningGrants
+	rate    rateGrants
 	expires time.Duration
 }
 
-// issued is the grants of running requests that a holder may have received.
-type issued struct {
-	grants []issue
-	last   uint64
-	// inUse is what the holder had in progress by its last demand.
-	inUse int
+// runningGrants holds the grants of requests in progress that a holder may have
+// received.
+type runningGrants struct {
+	grants     []runningGrant
+	lastSerial uint64
+	// inProgress is the number of requests that the holder had in progress by
+	// its last demand.
+	inProgress int
 }
 
-type issue struct {
+type runningGrant struct {
 	serial  uint64
 	running int
-	// over is when even a demand that was sent before the grant's end, and was
-	// late, has arrived: what was started by the grant shows in demands.
-	over time.Duration
+	// countedUntil is when even a delayed demand that was sent before the end
+	// of the grant has arrived. From then on, demands include the requests that
+	// were started by this grant.
+	countedUntil time.Duration
 }
 
-// heard drops the grants before the one that the holder acts on, and those that
-// are over. A serial that was never given here is another owner's, and says
-// nothing.
-func (g *issued) heard(now time.Duration, d Demand) {
-	g.inUse = d.Running
-	known := d.Known
-	if known > g.last {
-		known = 0
+// acknowledge removes the grants before the one that the holder uses, and those
+// past countedUntil. A serial that this owner has not given to the holder comes
+// from another owner and is ignored.
+func (g *runningGrants) acknowledge(now time.Duration, d Demand) {
+	g.inProgress = d.Running
+	knownSerial := d.Known
+	if knownSerial > g.lastSerial {
+		knownSerial = 0
 	}
-	g.grants = slices.DeleteFunc(g.grants, func(i issue) bool { return i.serial < known || i.over <= now })
+	g.grants = slices.DeleteFunc(g.grants, func(grant runningGrant) bool { return grant.serial < knownSerial || grant.countedUntil <= now })
 }
 
-func (g *issued) add(i issue) {
-	g.grants = append(g.grants, i)
-	g.last = i.serial
+func (g *runningGrants) add(grant runningGrant) {
+	g.grants = append(g.grants, grant)
+	g.lastSerial = grant.serial
 }
 
-// most is the largest number that the holder may have in progress.
-func (g *issued) most() float64 {
-	most := g.inUse
-	for _, i := range g.grants {
-		most = max(most, i.running)
+// maxRunning returns the largest number of requests that the holder may have in
+// progress.
+func (g *runningGrants) maxRunning() float64 {
+	maximum := g.inProgress
+	for _, grant := range g.grants {
+		maximum = max(maximum, grant.running)
 	}
-	return float64(most)
+	return float64(maximum)
 }
 
-// held is the rates that a holder may still believe to have. A smaller lease may
-// not reach it, so a larger one counts until its own end, and no longer: were
-// the end moved on with each renewal, a pool that once had the whole rate would
-// be counted with it for as long as it asks, and the others would get nothing.
-type held struct{ grants []rateGrant }
+// rateGrants holds the rates that a holder may still use. The grant of a
+// smaller rate may not reach the holder, so a larger one counts until its own
+// expiry, and no longer: if each renewal extended it, a pool that once had the
+// whole rate would be counted with all of it for as long as it renews, and the
+// other pools would get nothing.
+type rateGrants struct{ grants []rateGrant }
 
 type rateGrant struct {
-	amount float64
-	end    time.Duration
+	tokensPerSecond float64
+	expires         time.Duration
 }
 
-func (h *held) set(now, end time.Duration, amount float64) {
-	h.grants = slices.DeleteFunc(h.grants, func(g rateGrant) bool { return g.end <= now || g.amount <= amount })
-	h.grants = append(h.grants, rateGrant{amount, end})
+func (r *rateGrants) add(now, expires time.Duration, tokensPerSecond float64) {
+	r.grants = slices.DeleteFunc(r.grants, func(g rateGrant) bool { return g.expires <= now || g.tokensPerSecond <= tokensPerSecond })
+	r.grants = append(r.grants, rateGrant{tokensPerSecond, expires})
 }
 
-func (h *held) at(now time.Duration) float64 {
-	most := 0.0
-	for _, g := range h.grants {
-		if now < g.end {
-			most = max(most, g.amount)
+func (r *rateGrants) maxRate(now time.Duration) float64 {
+	maximum := 0.0
+	for _, g := range r.grants {
+		if now < g.expires {
+			maximum = max(maximum, g.tokensPerSecond)
 		}
 	}
-	return most
+	return maximum
 }
 
-// NewOwner returns an owner of nothing.
+// NewOwner returns an owner without accounts.
 func NewOwner(cfg Config) *Owner {
-	return &Owner{cfg: cfg.withDefaults(), accounts: map[string]*account{}}
+	return &Owner{cfg: cfg.withDefaults(), accounts: map[string]*ownedAccount{}}
 }
 
-// SetOwned says which accounts this process owns by the host list of the given
-// revision (see pools.Accounts). Call it for each list that is read and when
-// accounts come and go. An account that is new to the table is owned since the
-// list was first seen: nobody else has leased it by this list. The leases of an
-// account that another process owns now go on at their holders; the next owner
-// waits them out.
+// SetOwned sets the accounts that this process owns by the host list of the
+// given revision (see package pools). It must be called for each host list that
+// is read and whenever accounts are added or removed. An account that is new in
+// the table counts as owned since the host list was first seen, because no
+// other process can have leased it by this list. When an account moves to
+// another process, its leases remain in force at their holders, and the next
+// owner waits until they have expired.
 func (o *Owner) SetOwned(now time.Duration, revision uint64, owned []string) {
-	began := now
-	if revision == o.revision && o.listed {
-		began = o.listSince
+	ownedSince := now
+	if revision == o.listRevision && o.listKnown {
+		ownedSince = o.listSince
 	} else {
-		o.revision, o.listSince, o.listed = revision, now, true
+		o.listRevision, o.listSince, o.listKnown = revision, now, true
 	}
 	old := o.accounts
-	o.accounts = make(map[string]*account, len(owned))
+	o.accounts = make(map[string]*ownedAccount, len(owned))
 	for _, name := range owned {
 		a := old[name]
 		if a == nil {
-			a = &account{leases: map[string]*lease{}}
-			a.tenure.Set(began, revision, true)
+			a = &ownedAccount{leases: map[string]*lease{}}
+			a.tenure.Set(ownedSince, revision, true)
 		}
-		a.tenure.Confirm(o.confirmed)
+		a.tenure.Confirm(o.confirmedAt)
 		a.tenure.Set(now, revision, true)
 		o.accounts[name] = a
 	}
 }
 
-// Confirm says that the host list was the newest at the moment at.
-func (o *Owner) Confirm(at time.Duration) { o.confirmed = max(o.confirmed, at) }
+// Confirm records that the host list was the newest at the given time.
+func (o *Owner) Confirm(at time.Duration) { o.confirmedAt = max(o.confirmedAt, at) }
 
-// Ask takes a demand, which also renews, and leases a part by demand.
+// Ask handles a demand, which also renews the holder's lease, and grants a part
+// of the limits by demand.
 func (o *Owner) Ask(now time.Duration, limits Limits, d Demand) Grant {
 	a := o.accounts[d.Account]
 	if a == nil {
 		return Grant{Account: d.Account, NotOwner: true, RetryAfter: o.cfg.LeaseFor / 3}
 	}
-	l := a.book(now, d, o.cfg.LingerFor)
-	a.tenure.Confirm(o.confirmed)
-	if !a.tenure.Sole(now, o.cfg.tenure()) {
-		return Grant{Account: d.Account, RetryAfter: max(a.tenure.SoleFrom(o.cfg.tenure())-now, o.cfg.LeaseFor/3)}
+	l := a.recordDemand(now, d, o.cfg.SilentHolderGrace)
+	a.tenure.Confirm(o.confirmedAt)
+	if !a.tenure.Sole(now, o.cfg.ownershipConfig()) {
+		return Grant{Account: d.Account, RetryAfter: max(a.tenure.SoleFrom(o.cfg.ownershipConfig())-now, o.cfg.LeaseFor/3)}
 	}
-	end := now + o.cfg.LeaseFor + o.cfg.Margin
-	running := a.runningPart(now, limits.Running, l)
-	rate := a.part(now, limits.TokensPerSecond, l, rateOf)
-	o.serial = max(o.serial, o.revision<<serialBits) + 1
-	l.running.add(issue{o.serial, running, end + o.cfg.LeaseFor})
-	l.rate.set(now, end, rate)
+	end := now + o.cfg.LeaseFor + o.cfg.ExpiryMargin
+	running := a.grantableRunning(now, limits.Running, l)
+	rate := a.grantable(now, limits.TokensPerSecond, l, rateAmounts)
+	o.serial = max(o.serial, o.listRevision<<serialBits) + 1
+	l.running.add(runningGrant{o.serial, running, end + o.cfg.LeaseFor})
+	l.rate.add(now, end, rate)
 	l.expires = end
 	return Grant{
 		Account: d.Account, Running: running, TokensPerSecond: rate,
@@ -165,140 +174,143 @@
 	}
 }
 
-func (a *account) book(now time.Duration, d Demand, linger time.Duration) *lease {
-	a.expire(now, linger)
+func (a *ownedAccount) recordDemand(now time.Duration, d Demand, grace time.Duration) *lease {
+	a.expire(now, grace)
 	l := a.leases[d.Holder]
 	if l == nil {
 		l = &lease{expires: now}
 		a.leases[d.Holder] = l
 	}
 	l.demand = d
-	l.running.heard(now, d)
+	l.running.acknowledge(now, d)
 	l.expires = max(l.expires, now)
 	return l
 }
 
-// Leased is the sum of what all holders may believe to have of an account.
-func (o *Owner) Leased(now time.Duration, name string) Limits {
+// TotalLeased returns the sum of what all holders may use of an account's
+// limits.
+func (o *Owner) TotalLeased(now time.Duration, name string) Limits {
 	a := o.accounts[name]
 	if a == nil {
 		return Limits{}
 	}
-	a.expire(now, o.cfg.LingerFor)
+	a.expire(now, o.cfg.SilentHolderGrace)
 	var sum Limits
 	for _, l := range a.leases {
-		sum.Running += int(l.running.most())
-		sum.TokensPerSecond += l.rate.at(now)
+		sum.Running += int(l.running.maxRunning())
+		sum.TokensPerSecond += l.rate.maxRate(now)
 	}
 	return sum
 }
 
-// Release ends a holder's leases: it said that it holds and runs nothing, and
-// which grant it knew then. A release that was overtaken by a later demand of
-// the same holder says nothing of the lease that this one was given.
+// Release ends a holder's lease after the holder has reported that it neither
+// holds a lease nor has requests in progress. A release that does not name the
+// last grant is ignored: a later demand of the same holder has overtaken it.
 func (o *Owner) Release(r Release) {
 	a := o.accounts[r.Account]
 	if a == nil {
 		return
 	}
-	if l := a.leases[r.Holder]; l != nil && l.running.last == r.Known {
+	if l := a.leases[r.Holder]; l != nil && l.running.lastSerial == r.Known {
 		delete(a.leases, r.Holder)
 	}
 }
 
 // expire ends the leases of silent holders. What they may have in progress
-// still counts, and is forgotten in the end.
-func (a *account) expire(now, linger time.Duration) {
+// remains counted for the grace period.
+func (a *ownedAccount) expire(now, grace time.Duration) {
 	for holder, l := range a.leases {
 		if now < l.expires {
 			continue
 		}
 		l.demand.Waiting, l.demand.TokensPerSecond = 0, 0
-		l.rate = held{}
-		if now >= l.expires+linger {
+		l.rate = rateGrants{}
+		if now >= l.expires+grace {
 			delete(a.leases, holder)
 		}
 	}
 }
 
-// kind picks one of the two limits of a lease: what the holder wants, and what
-// it may have.
-type kind func(l *lease, now time.Duration) (wanted, held float64)
+// amountsFunc returns, for one of the two limits of a lease, the amount that
+// the holder wants and the amount that it may have.
+type amountsFunc func(l *lease, now time.Duration) (wanted, held float64)
 
-func runningOf(l *lease, _ time.Duration) (float64, float64) {
-	return float64(l.demand.Running + l.demand.Waiting), l.running.most()
+func runningAmounts(l *lease, _ time.Duration) (float64, float64) {
+	return float64(l.demand.Running + l.demand.Waiting), l.running.maxRunning()
 }
 
-func rateOf(l *lease, now time.Duration) (float64, float64) {
-	return l.demand.TokensPerSecond, l.rate.at(now)
+func rateAmounts(l *lease, now time.Duration) (float64, float64) {
+	return l.demand.TokensPerSecond, l.rate.maxRate(now)
 }
 
-// part is what a holder gets: its max-min fair part of the limit by demand, and
-// no more than the others leave.
-func (a *account) part(now time.Duration, limit float64, own *lease, of kind) float64 {
+// grantable returns the amount to grant to a holder: its max-min fair share of
+// the limit, and no more than the other holders leave.
+func (a *ownedAccount) grantable(now time.Duration, limit float64, requester *lease, amounts amountsFunc) float64 {
 	free := limit
 	for _, l := range a.leases {
-		if l != own {
-			_, held := of(l, now)
+		if l != requester {
+			_, held := amounts(l, now)
 			free -= held
 		}
 	}
-	wanted, _ := of(own, now)
-	return max(0, min(free, wanted, a.fair(now, limit, of)))
+	wanted, _ := amounts(requester, now)
+	return max(0, min(free, wanted, a.fairLevel(now, limit, amounts)))
 }
 
-// runningPart is part for whole requests. Fair parts of a limit of three among
-// four pools are below one each: rounded down, nobody ever runs anything, and
-// the account waits for ever below its limit. What rounding down leaves goes in
-// ones to the pools that want more, by turns.
-func (a *account) runningPart(now time.Duration, limit int, own *lease) int {
-	level := math.Floor(a.fair(now, float64(limit), runningOf))
-	left, open := float64(limit), []string(nil)
+// grantableRunning is grantable for whole requests. If a limit of three is
+// shared by four pools, the fair shares are below one each; rounded down, no
+// pool could start any request, and the account would wait forever below its
+// limit. The remainder after rounding down is therefore granted in units of one
+// to the pools that want more, in rotation.
+func (a *ownedAccount) grantableRunning(now time.Duration, limit int, requester *lease) int {
+	level := math.Floor(a.fairLevel(now, float64(limit), runningAmounts))
+	remaining, unsatisfied := float64(limit), []string(nil)
 	for holder, l := range a.leases {
-		wanted, _ := runningOf(l, now)
-		left -= min(wanted, level)
+		wanted, _ := runningAmounts(l, now)
+		remaining -= min(wanted, level)
 		if wanted > level {
-			open = append(open, holder)
+			unsatisfied = append(unsatisfied, holder)
 		}
 	}
-	slices.Sort(open)
-	if at := slices.Index(open, own.demand.Holder); at >= 0 {
-		turn := int(now/turnFor) % len(open)
-		if float64((at-turn+len(open))%len(open)) < left {
+	slices.Sort(unsatisfied)
+	if index := slices.Index(unsatisfied, requester.demand.Holder); index >= 0 {
+		rotation := int(now/rotationInterval) % len(unsatisfied)
+		if float64((index-rotation+len(unsatisfied))%len(unsatisfied)) < remaining {
 			level++
 		}
 	}
 	free := float64(limit)
 	for _, l := range a.leases {
-		if l != own {
-			free -= l.running.most()
+		if l != requester {
+			free -= l.running.maxRunning()
 		}
 	}
-	wanted, _ := runningOf(own, now)
+	wanted, _ := runningAmounts(requester, now)
 	return int(max(0, min(free, wanted, level)))
 }
 
-// turnFor is how long a pool keeps a place that is too small to be shared: some
-// generations, so that the next pool's wait is short against what callers wait.
-const turnFor = 5 * time.Second
+// rotationInterval is how long a pool keeps a unit that can't be shared. It is
+// long enough for some generations, and short enough that another pool's wait
+// is short compared with the time that callers wait.
+const rotationInterval = 5 * time.Second
 
-// fair is the level up to which demands are met when the limit is filled evenly
-// among them.
-func (a *account) fair(now time.Duration, limit float64, of kind) float64 {
+// fairLevel returns the max-min fair level: the amount up to which each demand
+// is met.
+func (a *ownedAccount) fairLevel(now time.Duration, limit float64, amounts amountsFunc) float64 {
 	level := 0.0
 	for range len(a.leases) + 1 {
-		open, left := 0, limit
+		unsatisfied, remaining := 0, limit
 		for _, l := range a.leases {
-			if wanted, _ := of(l, now); wanted > level {
-				open++
+			if wanted, _ := amounts(l, now); wanted > level {
+				unsatisfied++
 			} else {
-				left -= wanted
+				remaining -= wanted
 			}
 		}
-		if open == 0 {
+		if unsatisfied == 0 {
 			return limit
 		}
-		next := left / float64(open)
+		next := remaining / float64(unsatisfied)
 		if next <= level {
 			return level
 		}
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -17,10 +17,11 @@
 	RunSpecs(t, "quota")
 }
 
-var row = quota.Limits{Running: 100}
+var accountLimits = quota.Limits{Running: 100}
 
-// soleOwner is an owner that has waited out its predecessor by ten seconds.
-func soleOwner() *quota.Owner {
+// newConfirmedOwner returns an owner that was confirmed 10 s after it became
+// the owner, when all leases of its predecessor have expired.
+func newConfirmedOwner() *quota.Owner {
 	o := quota.NewOwner(quota.Config{})
 	o.SetOwned(0, 1, []string{"park"})
 	o.Confirm(10 * time.Second)
@@ -31,79 +32,80 @@
 	return quota.Demand{Account: "park", Holder: holder, Running: running, Waiting: waiting}
 }
 
-var _ = Describe("an owner", func() {
+var _ = Describe("Owner", func() {
 	const now = 10 * time.Second
 
-	// The holder of all is given less, but the message is lost. It goes on with
-	// what it had, and what it starts by it runs on.
-	It("gives by demand, and makes room for a late comer once the holder knows", func() {
-		o := soleOwner()
-		Expect(o.Ask(now, row, demand("a", 0, 500)).Running).To(Equal(100))
-		Expect(o.Ask(now, row, demand("b", 0, 10)).Running).To(BeZero())
-		less := o.Ask(now+time.Second, row, demand("a", 40, 500))
-		Expect(less.Running).To(Equal(90), "b wants ten")
+	// A holder of the whole limit is granted less, but the message is lost. It
+	// continues to use the larger grant, and the requests that it starts
+	// continue to run.
+	It("grants by demand, and frees capacity for another pool once the holder has acknowledged a smaller grant", func() {
+		o := newConfirmedOwner()
+		Expect(o.Ask(now, accountLimits, demand("a", 0, 500)).Running).To(Equal(100))
+		Expect(o.Ask(now, accountLimits, demand("b", 0, 10)).Running).To(BeZero())
+		reduced := o.Ask(now+time.Second, accountLimits, demand("a", 40, 500))
+		Expect(reduced.Running).To(Equal(90), "b wants ten")
 		o.Confirm(now + 4*time.Second)
-		Expect(o.Ask(now+4*time.Second, row, demand("b", 0, 10)).Running).To(BeZero(), "a may not know yet")
-		knowing := demand("a", 40, 500)
-		knowing.Known = less.Serial
-		o.Ask(now+4*time.Second, row, knowing)
-		Expect(o.Ask(now+4*time.Second, row, demand("b", 0, 10)).Running).To(Equal(10))
-		Expect(o.Leased(now+4*time.Second, "park").Running).To(Equal(100))
+		Expect(o.Ask(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(BeZero(), "a may not have received the smaller grant")
+		acknowledged := demand("a", 40, 500)
+		acknowledged.Known = reduced.Serial
+		o.Ask(now+4*time.Second, accountLimits, acknowledged)
+		Expect(o.Ask(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(Equal(10))
+		Expect(o.TotalLeased(now+4*time.Second, "park").Running).To(Equal(100))
 	})
 
-	// A pool falls silent with generations in progress. They run on, so giving
-	// its part to another pool at once would exceed the row.
-	It("counts a silent holder for a minute, unless it is released", func() {
-		o := soleOwner()
-		o.Ask(now, row, demand("a", 0, 80))
+	// A pool stops renewing with generations in progress. They continue, so
+	// granting its part to another pool at once would exceed the limit.
+	It("counts a silent holder for a minute unless it releases its lease", func() {
+		o := newConfirmedOwner()
+		o.Ask(now, accountLimits, demand("a", 0, 80))
 		o.Confirm(now + 20*time.Second)
-		Expect(o.Ask(now+20*time.Second, row, demand("b", 0, 80)).Running).To(Equal(20))
+		Expect(o.Ask(now+20*time.Second, accountLimits, demand("b", 0, 80)).Running).To(Equal(20))
 		o.Confirm(now + 90*time.Second)
-		c := o.Ask(now+90*time.Second, row, demand("c", 0, 80))
+		c := o.Ask(now+90*time.Second, accountLimits, demand("c", 0, 80))
 		Expect(c.Running).To(Equal(80))
 		o.Confirm(now + 91*time.Second)
 		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial - 1})
-		Expect(o.Ask(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(20), "c was given a lease meanwhile")
+		Expect(o.Ask(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(20), "c has received a later lease")
 		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial})
-		Expect(o.Ask(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(90))
+		Expect(o.Ask(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(90))
 	})
 
-	It("leases nothing while it is new or unconfirmed", func() {
-		o := soleOwner()
-		Expect(o.Ask(5*time.Second, row, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(15*time.Second, row, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(5*time.Second, row, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
-		Expect(o.Ask(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
+	It("grants no leases while it is new or unconfirmed", func() {
+		o := newConfirmedOwner()
+		Expect(o.Ask(5*time.Second, accountLimits, demand("a", 0, 1)).LeaseFor).To(BeZero())
+		Expect(o.Ask(15*time.Second, accountLimits, demand("a", 0, 1)).LeaseFor).To(BeZero())
+		Expect(o.Ask(5*time.Second, accountLimits, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
+		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
 		o.SetOwned(now, 1, []string{"park", "new"})
-		Expect(o.Ask(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an old list")
+		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an unchanged host list")
 		o.SetOwned(now, 2, []string{"park", "third"})
-		Expect(o.Ask(now, row, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseFor).To(BeZero(), "its last owner's leases run on")
-		Expect(o.Ask(now, row, demand("a", 0, 1)).Running).To(Equal(1), "owned before, owned still")
+		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseFor).To(BeZero(), "the previous owner's leases may still be in force")
+		Expect(o.Ask(now, accountLimits, demand("a", 0, 1)).Running).To(Equal(1), "owned under both lists")
 	})
 
-	It("leases rates, which a holder can't overdraw for long", func() {
+	It("leases rates, and a holder that exceeds one stops until it has made up for it", func() {
 		rate := quota.Limits{TokensPerSecond: 90}
-		o, h := soleOwner(), quota.NewHolder(quota.Config{})
+		o, h := newConfirmedOwner(), quota.NewHolder(quota.Config{})
 		g := o.Ask(now, rate, quota.Demand{Account: "park", Holder: "a", TokensPerSecond: 60})
 		Expect(g.TokensPerSecond).To(Equal(60.0))
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeFalse())
 		h.Granted(now, g)
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeTrue())
 		h.Charge(now+time.Second, "park", 150)
-		Expect(h.MayStart(now+2*time.Second, "park", rate, 0)).To(BeFalse(), "30 tokens of debt")
+		Expect(h.MayStart(now+2*time.Second, "park", rate, 0)).To(BeFalse(), "balance of -30 tokens")
 		Expect(h.MayStart(now+2600*time.Millisecond, "park", rate, 0)).To(BeTrue())
 		h.Charge(now+2600*time.Millisecond, "park", 1000)
-		Expect(h.MayStart(now+3*time.Second, "park", rate, 0)).To(BeFalse(), "the lease is over")
+		Expect(h.MayStart(now+3*time.Second, "park", rate, 0)).To(BeFalse(), "the lease has expired")
 		h.Granted(now+20*time.Second, g)
-		Expect(h.MayStart(now+20*time.Second, "park", rate, 0)).To(BeFalse(), "nothing was gained without a lease")
+		Expect(h.MayStart(now+20*time.Second, "park", rate, 0)).To(BeFalse(), "no tokens are added without a lease")
 		Expect(h.MayStart(now, "other", quota.Limits{}, 1000)).To(BeTrue(), "no limits")
 	})
 
-	// The first pool to ask is given the whole rate. When others want a part it
-	// keeps on renewing; if it were counted with the whole for as long as it
-	// does, the account would get a third of its rate.
-	It("shares a rate out again once the larger lease is over", func() {
-		o, rate := soleOwner(), quota.Limits{TokensPerSecond: 90}
+	// The first pool to send a demand is granted the whole rate and keeps
+	// renewing. If it were counted with the whole rate for as long as it
+	// renews, the account would get only a third of its rate.
+	It("redistributes a rate once the larger lease has expired", func() {
+		o, rate := newConfirmedOwner(), quota.Limits{TokensPerSecond: 90}
 		got := map[string]float64{}
 		for at := range 10 {
 			t := now + time.Duration(at)*time.Second
@@ -111,15 +113,16 @@
 			for _, holder := range []string{"a", "b", "c"} {
 				got[holder] = o.Ask(t, rate, quota.Demand{Account: "park", Holder: holder, TokensPerSecond: 90}).TokensPerSecond
 			}
-			Expect(o.Leased(t, "park").TokensPerSecond).To(BeNumerically("<=", 90))
+			Expect(o.TotalLeased(t, "park").TokensPerSecond).To(BeNumerically("<=", 90))
 		}
 		Expect(got).To(Equal(map[string]float64{"a": 30, "b": 30, "c": 30}))
 	})
 
-	// Four pools want three places: a fair part of less than one, rounded down,
-	// would be nobody's, and the account would wait below its limit for ever.
-	It("gives a limit below the number of pools away by turns", func() {
-		o, small, turns := soleOwner(), quota.Limits{Running: 3}, map[string]int{}
+	// Four pools share a limit of three. Fair shares below one, rounded down,
+	// would grant nothing to any pool, and the account would wait forever below
+	// its limit.
+	It("rotates a limit smaller than the number of pools among them", func() {
+		o, limits, granted := newConfirmedOwner(), quota.Limits{Running: 3}, map[string]int{}
 		known := map[string]uint64{}
 		for at := range 40 {
 			t := now + time.Duration(at)*time.Second
@@ -127,16 +130,16 @@
 			for _, holder := range []string{"a", "b", "c", "d"} {
 				d := demand(holder, 0, 5)
 				d.Known = known[holder]
-				g := o.Ask(t, small, d)
+				g := o.Ask(t, limits, d)
 				known[holder] = g.Serial
-				turns[holder] += g.Running
+				granted[holder] += g.Running
 			}
-			Expect(o.Leased(t, "park").Running).To(BeNumerically("<=", 3))
+			Expect(o.TotalLeased(t, "park").Running).To(BeNumerically("<=", 3))
 		}
-		Expect(turns).To(HaveEach(BeNumerically(">=", 20)))
+		Expect(granted).To(HaveEach(BeNumerically(">=", 20)))
 	})
 
-	It("asks in time, sooner when starved, and forgets what it no longer uses", func() {
+	It("sends demands when due, earlier when starved, and drops unused accounts", func() {
 		h := quota.NewHolder(quota.Config{})
 		due := func(now time.Duration, uses ...quota.Use) []quota.Demand { return h.Due(now, "a", uses, 10) }
 		use := quota.Use{Account: "park", Running: 2, Waiting: 6}
@@ -144,7 +147,7 @@
 		Expect(due(100*time.Millisecond, use)).To(BeEmpty())
 		h.Granted(0, quota.Grant{Account: "park", Running: 2, LeaseFor: 3 * time.Second, RetryAfter: time.Second, Serial: 9})
 		h.Granted(1, quota.Grant{Account: "park", Running: 50, LeaseFor: 3 * time.Second, Serial: 8})
-		Expect(h.Running(1, "park")).To(Equal(2), "an answer given before")
+		Expect(h.Running(1, "park")).To(Equal(2), "an outdated grant")
 		Expect(due(300*time.Millisecond, use)).To(HaveLen(1), "starved")
 		use.Waiting = 0
 		Expect(due(700*time.Millisecond, use)).To(BeEmpty())
@@ -153,164 +156,167 @@
 		Expect(h.RenewAt("park")).To(BeZero())
 	})
 
-	It("never leases more than the row, in any seed, unlike counting by gossip", func() {
+	It("never leases more than the limit for any seed, unlike counting by gossip", func() {
 		for seed := range uint64(40) {
 			r := simulate(seed, false, true)
-			Expect(r.leased).To(BeNumerically("<=", row.Running), fmt.Sprint("idle, seed ", seed))
-			Expect(seed%2 == 1 || r.running <= row.Running).To(BeTrue(), fmt.Sprint("idle, seed ", seed))
+			Expect(r.maxLeased).To(BeNumerically("<=", accountLimits.Running), fmt.Sprint("idle, seed ", seed))
+			Expect(seed%2 == 1 || r.maxRunning <= accountLimits.Running).To(BeTrue(), fmt.Sprint("idle, seed ", seed))
 		}
-		used, most, naive := 0.0, [2]int{}, simulate(1, true, false)
+		meanRunning, maxRunning, gossip := 0.0, [2]int{}, simulate(1, true, false)
 		for seed := range uint64(100) {
 			r := simulate(seed, false, false)
-			Expect(r.leased).To(BeNumerically("<=", row.Running), fmt.Sprint("seed ", seed))
-			used += r.used / 100
-			most[seed%2] = max(most[seed%2], r.running)
+			Expect(r.maxLeased).To(BeNumerically("<=", accountLimits.Running), fmt.Sprint("seed ", seed))
+			meanRunning += r.meanRunning / 100
+			maxRunning[seed%2] = max(maxRunning[seed%2], r.maxRunning)
 		}
-		Expect(most[0]).To(BeNumerically("<=", row.Running), "while the owner stays")
-		Expect(used).To(BeNumerically(">", 30), "the quota is used at all")
-		Expect(naive.running).To(BeNumerically(">", row.Running))
-		AddReportEntry("running, limit 100", fmt.Sprintf("leased: mean %.1f, most %d, with owners that change %d; by gossip: mean %.1f, most %d", used, most[0], most[1], naive.used, naive.running))
+		Expect(maxRunning[0]).To(BeNumerically("<=", accountLimits.Running), "while the owner does not change")
+		Expect(meanRunning).To(BeNumerically(">", 30), "the limit is used")
+		Expect(gossip.maxRunning).To(BeNumerically(">", accountLimits.Running))
+		AddReportEntry("running, limit 100", fmt.Sprintf("leased: mean %.1f, maximum %d, with changing owners %d; by gossip: mean %.1f, maximum %d", meanRunning, maxRunning[0], maxRunning[1], gossip.meanRunning, gossip.maxRunning))
 	})
 })
 
-// world is one account that pools share. Messages take up to 400 ms and one in
-// ten is lost; in odd seeds the published owner changes at times, and either
-// owner reads it late. Pools are cut off for ten seconds now and then.
-type world struct {
+// simulation runs one account that eight pools share. Messages take up to 400
+// ms and one in ten is lost. In odd seeds the published owner changes at times,
+// and each owner learns of it late. Pools are disconnected for ten seconds now
+// and then.
+type simulation struct {
 	*rand.Rand
-	now       time.Duration
-	events    map[time.Duration][]func()
-	published int
-	owners    [2]*quota.Owner
-	running   [8]int
-	leased    int
-	// idles lets pools have nothing to do for a while, and release their parts.
-	idles bool
+	now               time.Duration
+	events            map[time.Duration][]func()
+	publishedRevision int
+	owners            [2]*quota.Owner
+	running           [8]int
+	leased            int
+	// allowIdle lets pools have no requests for a while and release their
+	// leases.
+	allowIdle bool
 }
 
-const tick = 50 * time.Millisecond
+const stepInterval = 50 * time.Millisecond
 
-func (w *world) send(f func()) {
-	at := w.now + tick + time.Duration(w.IntN(8))*tick
-	if w.IntN(10) > 0 {
-		w.events[at] = append(w.events[at], f)
+func (s *simulation) send(deliver func()) {
+	at := s.now + stepInterval + time.Duration(s.IntN(8))*stepInterval
+	if s.IntN(10) > 0 {
+		s.events[at] = append(s.events[at], deliver)
 	}
 }
 
-func (w *world) owner(i int) func() {
-	o, list := quota.NewOwner(quota.Config{}), -1
-	w.owners[i] = o
+func (s *simulation) ownerStep(i int) func() {
+	o, seenRevision := quota.NewOwner(quota.Config{}), -1
+	s.owners[i] = o
 	return func() {
-		if w.IntN(40) == 0 {
-			list = w.published
+		if s.IntN(40) == 0 {
+			seenRevision = s.publishedRevision
 			var owned []string
-			if list%2 == i {
+			if seenRevision%2 == i {
 				owned = append(owned, "park")
 			}
-			o.SetOwned(w.now, uint64(list), owned)
+			o.SetOwned(s.now, uint64(seenRevision), owned)
 		}
-		if list == w.published && w.IntN(10) == 0 {
-			o.Confirm(w.now)
+		if seenRevision == s.publishedRevision && s.IntN(10) == 0 {
+			o.Confirm(s.now)
 		}
 	}
 }
 
-// pool asks for what it wants, and starts what it may. A naive pool counts by
-// the others' last news.
-func (w *world) pool(i int, naive bool) func() {
-	h, want, cut := quota.NewHolder(quota.Config{}), 0, time.Duration(0)
-	var news [8]int
+// poolStep returns a step of one pool, which sends demands and starts requests
+// within its lease. With countByGossip it starts requests by the last reported
+// counts of the other pools instead.
+func (s *simulation) poolStep(i int, countByGossip bool) func() {
+	holder, desired, disconnectedUntil := quota.NewHolder(quota.Config{}), 0, time.Duration(0)
+	var reported [8]int
 	return func() {
-		if w.IntN(100) == 0 {
-			want = w.IntN(80)
-			if w.idles {
-				want = max(0, want-10)
+		if s.IntN(100) == 0 {
+			desired = s.IntN(80)
+			if s.allowIdle {
+				desired = max(0, desired-10)
 			}
 		}
-		if w.IntN(1000) == 0 {
-			cut = w.now + 10*time.Second
+		if s.IntN(1000) == 0 {
+			disconnectedUntil = s.now + 10*time.Second
 		}
-		o, asked := w.owners[w.published%2], w.now
-		uses := []quota.Use{{Account: "park", Running: w.running[i], Waiting: max(0, want-w.running[i])}}
-		if w.idles && want == 0 && w.running[i] == 0 {
+		o, asked := s.owners[s.publishedRevision%2], s.now
+		uses := []quota.Use{{Account: "park", Running: s.running[i], Waiting: max(0, desired-s.running[i])}}
+		if s.allowIdle && desired == 0 && s.running[i] == 0 {
 			uses = nil
 		}
-		for _, r := range h.Drop(w.now, fmt.Sprint(i), uses) {
-			if w.now >= cut {
-				w.send(func() { o.Release(r) })
+		for _, r := range holder.Drop(s.now, fmt.Sprint(i), uses) {
+			if s.now >= disconnectedUntil {
+				s.send(func() { o.Release(r) })
 			}
 		}
-		for _, d := range h.Due(w.now, fmt.Sprint(i), uses, 1) {
-			if w.now < cut {
+		for _, d := range holder.Due(s.now, fmt.Sprint(i), uses, 1) {
+			if s.now < disconnectedUntil {
 				continue
 			}
-			w.send(func() {
-				g := o.Ask(w.now, row, d)
-				w.send(func() { h.Granted(asked, g) })
+			s.send(func() {
+				g := o.Ask(s.now, accountLimits, d)
+				s.send(func() { holder.Granted(asked, g) })
 			})
 		}
-		room := h.Running(w.now, "park")
-		w.leased += room
-		if naive {
-			room = row.Running
-			for j := range news {
+		allowed := holder.Running(s.now, "park")
+		s.leased += allowed
+		if countByGossip {
+			allowed = accountLimits.Running
+			for j := range reported {
 				if j != i {
-					room -= news[j]
+					allowed -= reported[j]
 				}
 			}
-			if from := w.IntN(20); from < 8 && w.now >= cut {
-				r := w.running[from]
-				w.send(func() { news[from] = r })
+			if peer := s.IntN(20); peer < 8 && s.now >= disconnectedUntil {
+				reportedRunning := s.running[peer]
+				s.send(func() { reported[peer] = reportedRunning })
 			}
 		}
-		if w.running[i] < min(want, room) {
-			w.running[i]++
-		} else if w.running[i] > 0 && w.IntN(20) == 0 {
-			w.running[i]--
+		if s.running[i] < min(desired, allowed) {
+			s.running[i]++
+		} else if s.running[i] > 0 && s.IntN(20) == 0 {
+			s.running[i]--
 		}
 	}
 }
 
-type figures struct {
-	leased, running int
-	used            float64
+type simulationResult struct {
+	maxLeased, maxRunning int
+	meanRunning           float64
 }
 
-func simulate(seed uint64, naive, idles bool) (f figures) {
-	w := &world{Rand: rand.New(rand.NewPCG(seed, 4)), events: map[time.Duration][]func(){}, idles: idles}
-	steps := []func(){w.owner(0), w.owner(1)}
-	for i := range w.running {
-		steps = append(steps, w.pool(i, naive))
+func simulate(seed uint64, countByGossip, allowIdle bool) (result simulationResult) {
+	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 4)), events: map[time.Duration][]func(){}, allowIdle: allowIdle}
+	steps := []func(){s.ownerStep(0), s.ownerStep(1)}
+	for i := range s.running {
+		steps = append(steps, s.poolStep(i, countByGossip))
 	}
-	for ; w.now < 2*time.Minute; w.now += tick {
-		for _, f := range w.events[w.now] {
-			f()
+	for ; s.now < 2*time.Minute; s.now += stepInterval {
+		for _, deliver := range s.events[s.now] {
+			deliver()
 		}
-		if seed%2 == 1 && w.IntN(400) == 0 {
-			w.published++
+		if seed%2 == 1 && s.IntN(400) == 0 {
+			s.publishedRevision++
 		}
-		w.leased = 0
+		s.leased = 0
 		for _, step := range steps {
 			step()
 		}
-		all := 0
-		for _, r := range w.running {
-			all += r
+		total := 0
+		for _, r := range s.running {
+			total += r
 		}
-		f.leased, f.running = max(f.leased, w.leased), max(f.running, all)
-		f.used += float64(all) / 2400
+		result.maxLeased, result.maxRunning = max(result.maxLeased, s.leased), max(result.maxRunning, total)
+		result.meanRunning += float64(total) / 2400
 	}
-	return f
+	return result
 }
 
 func FuzzSumNeverExceeded(f *testing.F) {
 	f.Add(uint64(1))
-	f.Add(uint64(772)) // what was started before a smaller lease came ran on, uncounted
+	f.Add(uint64(772)) // requests that were started before a smaller lease arrived were not counted
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		for _, idles := range []bool{false, true} {
-			r := simulate(seed, false, idles)
-			if r.leased > row.Running || (seed%2 == 0 && r.running > row.Running) {
-				t.Fatalf("seed %d, idle %v: %d leased, %d running of %d", seed, idles, r.leased, r.running, row.Running)
+		for _, allowIdle := range []bool{false, true} {
+			r := simulate(seed, false, allowIdle)
+			if r.maxLeased > accountLimits.Running || (seed%2 == 0 && r.maxRunning > accountLimits.Running) {
+				t.Fatalf("seed %d, idle %v: %d leased, %d running of %d", seed, allowIdle, r.maxLeased, r.maxRunning, accountLimits.Running)
 			}
 		}
 	})
@@ -321,6 +327,6 @@
 	h.Granted(0, quota.Grant{Account: "park", Running: 5, LeaseFor: time.Hour})
 	b.ReportAllocs()
 	for range b.N {
-		h.MayStart(time.Second, "park", row, 3)
+		h.MayStart(time.Second, "park", accountLimits, 3)
 	}
 }
--- a/internal/decide/quota/schedule.go
+++ b/internal/decide/quota/schedule.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// Use is what one account does in a pool.
+// Use is the usage of one account in a pool.
 type Use struct {
 	Account string
-	// Running requests are in progress, Waiting ones in the queue.
+	// Running is the number of requests in progress, Waiting the number in the
+	// queue.
 	Running, Waiting int
-	// TokensPerSecond is the rate of the last seconds.
+	// TokensPerSecond is the rate over the last seconds.
 	TokensPerSecond float64
 }
 
 const (
-	// headroom is the part of its demand that a holder asks for beyond it, so
-	// that a burst need not wait for a round trip.
-	headroom = 0.25
-	// leastSpare is the least number of requests asked for beyond the demand,
-	// for accounts that use little.
-	leastSpare = 1
-	// leastRate is the least rate asked for, in tokens a second: an account
-	// that produced nothing in the last seconds may start again.
-	leastRate = 50
+	// headroomFraction is the fraction that a holder requests beyond its
+	// demand, so that a burst need not wait for a round trip to the owner.
+	headroomFraction = 0.25
+	// minSpareRequests is the minimum number of requests beyond the demand, for
+	// accounts with little usage.
+	minSpareRequests = 1
+	// minTokensPerSecond is the minimum rate that is requested: an account that
+	// produced no tokens in the last seconds may start again.
+	minTokensPerSecond = 50
 )
 
-// Due gives the demands that should be sent now for the accounts that use this
-// pool, the most urgent first, at most limit of them: one message carries those
-// of an owner. An account that has nothing here, and whose lease is over, is
-// dropped; the owner's lease of it ends by itself.
+// Due returns the demands that should be sent now for the accounts that use
+// this pool, the most urgent first and at most limit of them, because one
+// message carries the demands for an owner. Accounts without usage whose lease
+// has expired are dropped; the owner's lease of such an account expires by
+// itself.
 func (h *Holder) Due(now time.Duration, holder string, uses []Use, limit int) []Demand {
 	h.Drop(now, holder, uses)
 	due := make([]Use, 0, len(uses))
@@ -45,54 +47,57 @@
 	due = due[:min(limit, len(due))]
 	out := make([]Demand, len(due))
 	for i, u := range due {
-		out[i] = u.demand(holder, h.known(u.Account))
-		h.asked(now, u.Account)
+		out[i] = u.demand(holder, h.knownSerial(u.Account))
+		h.recordSent(now, u.Account)
 	}
 	return out
 }
 
-// known is the serial number of the grant in force. After its end it still
-// says which earlier ones can no longer be acted on.
-func (h *Holder) known(account string) uint64 {
+// knownSerial returns the serial number of the grant in force. After the lease
+// has expired, it still tells the owner which earlier grants can no longer be
+// used.
+func (h *Holder) knownSerial(account string) uint64 {
 	if l := h.leases[account]; l != nil {
 		return l.grant.Serial
 	}
 	return 0
 }
 
-func (u Use) demand(holder string, known uint64) Demand {
-	wanted := u.Running + u.Waiting
-	spare := max(leastSpare, int(headroom*float64(wanted)))
+func (u Use) demand(holder string, knownSerial uint64) Demand {
+	total := u.Running + u.Waiting
+	spare := max(minSpareRequests, int(headroomFraction*float64(total)))
 	return Demand{
 		Account: u.Account, Holder: holder, Running: u.Running, Waiting: u.Waiting + spare,
-		TokensPerSecond: max(leastRate, (1+headroom)*u.TokensPerSecond), Known: known,
+		TokensPerSecond: max(minTokensPerSecond, (1+headroomFraction)*u.TokensPerSecond), Known: knownSerial,
 	}
 }
 
-// starved tells whether requests wait for more than the lease allows. Such an
-// account asks again sooner than it would renew, but not in every step: an
-// owner with nothing to give would be asked as often as requests come.
+// starved reports whether requests wait because the lease is used up. The
+// holder then sends the next demand earlier than the renewal is due, but not in
+// every step: otherwise an owner with nothing left to grant would receive
+// demands at the rate of requests.
 func (h *Holder) starved(now time.Duration, u Use) bool {
 	l := h.leases[u.Account]
 	if l == nil || u.Waiting == 0 {
 		return false
 	}
-	return u.Running >= h.Running(now, u.Account) && now-l.sent >= h.cfg.LeaseFor/starvedShare
+	return u.Running >= h.Running(now, u.Account) && now-l.sentAt >= h.cfg.LeaseFor/retriesPerLease
 }
 
-// starvedShare: a starved account asks ten times a lease.
-const starvedShare = 10
+// retriesPerLease is the number of demands per lease duration that a holder may
+// send for a starved account.
+const retriesPerLease = 10
 
-// asked keeps a demand from being sent again before there was time for its
-// answer.
-func (h *Holder) asked(now time.Duration, account string) {
+// recordSent records that a demand was sent and delays the next one, to leave
+// time for the answer.
+func (h *Holder) recordSent(now time.Duration, account string) {
 	l := h.leases[account]
 	if l == nil {
-		l = &holding{filled: now}
+		l = &heldLease{refilledAt: now}
 		h.leases[account] = l
 	}
-	l.sent = now
-	l.retry = max(l.retry, now+h.cfg.LeaseFor/starvedShare)
+	l.sentAt = now
+	l.retryAt = max(l.retryAt, now+h.cfg.LeaseFor/retriesPerLease)
 }
 
 func (h *Holder) expiry(account string) time.Duration {
@@ -102,14 +107,14 @@
 	return 0
 }
 
-// debtLife is how long a debt of tokens is remembered after the lease's end: an
-// account must not shed it by pausing for a moment.
-const debtLife = time.Minute
+// debtRetention is how long a negative token balance is kept after the lease
+// has expired, so that an account can't clear it by a short pause.
+const debtRetention = time.Minute
 
-// Drop forgets the accounts that have nothing here and whose lease is over, and
-// gives the releases that their owners should hear. Without them an owner takes
-// such a holder for one that fell silent, and counts for a minute what it could
-// have had: a small limit would be used up by pools that do nothing.
+// Drop removes the accounts without usage whose lease has expired, and returns
+// the releases to send to their owners. Without a release the owner would treat
+// the holder as silent and count for a minute what it could have had in
+// progress: a small limit would be used up by idle pools.
 func (h *Holder) Drop(now time.Duration, holder string, uses []Use) []Release {
 	used := make(map[string]bool, len(uses))
 	for _, u := range uses {
@@ -117,14 +122,14 @@
 	}
 	var out []Release
 	for account, l := range h.leases {
-		if used[account] || now < l.expires || now < l.retry {
+		if used[account] || now < l.expires || now < l.retryAt {
 			continue
 		}
 		if l.grant.Serial > 0 {
 			out = append(out, Release{Account: account, Holder: holder, Known: l.grant.Serial})
 		}
 		l.grant = Grant{}
-		if l.tokens >= 0 || now >= l.expires+debtLife {
+		if l.tokens >= 0 || now >= l.expires+debtRetention {
 			delete(h.leases, account)
 		}
 	}
@@ -132,5 +137,5 @@
 	return out
 }
 
-// Expires is the end of the account's lease; 0 without one.
+// Expires returns when the account's lease expires; 0 without a lease.
 func (h *Holder) Expires(account string) time.Duration { return h.expiry(account) }
