--- a/internal/decide/retrybudget/budget.go
+++ b/internal/decide/retrybudget/budget.go
@@ -1,23 +1,24 @@
-// Package retrybudget bounds retries to a share of first tries.
+// Package retrybudget limits retries to a fraction of first attempts.
 //
-// Load pattern: a target dies or a pool is overloaded, and a third of all
-// requests fail at once. Each entry tries them again, some twice, and so do
-// the callers.
+// When a target crashes or a pool is overloaded, a third of all requests may
+// fail at once, and each entry and its callers retry them. With three attempts
+// each, a pool at 70% of its capacity that loses a third of it receives up to
+// three times its load. The retries fail as well and cause further retries, so
+// that the targets receive many times the requests that callers sent, for
+// minutes after the fault is over.
 //
-// What happens without it: with three tries each, a pool at 70% of its
-// capacity that loses a third receives up to three times its load; the retries
-// fail as well and are the cause of the next ones. One sees many times more
-// requests at the targets than callers sent, for minutes after the fault is
-// over.
+// The budget has a token bucket per account and service, and one per service.
+// Each first attempt adds a fraction of a token, the configured share, to both;
+// a retry takes one token from both. Thus the failures of one account use up
+// neither the retries of another account nor more than that share of the
+// service. Buckets also refill slowly with time, so that accounts with little
+// traffic, for which the share of a few requests is less than one token, can
+// retry single requests.
 //
-// How it works: a token bucket per account and service, and one per service.
-// Each first try puts Share of a token in, a retry takes a whole one from
-// both. So one account's failures use up neither another account's retries
-// nor more than Share of the service. A trickle allows single retries to
-// accounts with little traffic, for which Share of a few requests is nothing.
-//
-// The budget is kept by each entry for its own requests: shares add up over a
-// fleet without a message. Safe for concurrent use; buckets are atomics.
+// Each entry keeps the budget for its own requests. Because it is a fraction of
+// them, the fleet as a whole keeps to the same fraction without any
+// coordination. Budget and Bucket are safe for concurrent use; the levels of
+// the buckets are atomics.
 package retrybudget
 
 import (
@@ -27,70 +28,74 @@
 	"time"
 )
 
-// Config holds the figures; the zero value of a field means its default.
+// Config holds the parameters of a budget. A zero field means its default.
 type Config struct {
-	// Share of first tries that may be retried. Default 0.1: it covers the
-	// loss of one target of ten at once, and adds at most a tenth to an
-	// overload.
+	// Share is the fraction of first attempts that may be retried. Default 0.1:
+	// it covers the loss of one of ten targets at once, and adds at most a
+	// tenth to an overload.
 	Share float64
-	// Burst is the most tokens that a bucket of an account holds. Default 10.
+	// Burst is the capacity of an account's bucket, in tokens. Default 10.
 	Burst float64
-	// ServiceBurst is the most that a service's holds. Default ten times Burst.
+	// ServiceBurst is the capacity of a service's bucket, in tokens. Default
+	// ten times Burst.
 	ServiceBurst float64
-	// Trickle is added per second, used or not. Default 0.2: an account that
-	// sends a request a minute may always retry it.
+	// Trickle is the number of tokens that an account's bucket gains per second
+	// regardless of traffic; a service's bucket gains ten times as many.
+	// Default 0.2: an account that sends one request a minute can always retry
+	// it.
 	Trickle float64
-	// MaxBuckets bounds the accounts and services that are kept; idle ones go
-	// first. Default 4096, some 600 KB.
+	// MaxBuckets limits the number of buckets for accounts and services; full
+	// ones are evicted first. Default 4096, some 600 KB.
 	MaxBuckets int
 }
 
 const (
-	defaultShare      = 0.1
-	defaultBurst      = 10
-	defaultTrickle    = 0.2
-	defaultMaxBuckets = 4096
-	// serviceBurst is a service's burst in units of an account's.
-	serviceBurst = 10
-	// NoTrickle, as a Config's Trickle, adds nothing with time.
+	defaultRetryRatio      = 0.1
+	defaultBurst           = 10
+	defaultRefillPerSecond = 0.2
+	defaultMaxBuckets      = 4096
+	// serviceBurstFactor is the ratio of a service's default burst and refill
+	// rate to those of an account.
+	serviceBurstFactor = 10
+	// NoTrickle, as the refill rate of a Config, disables the refill over time.
 	NoTrickle = -1
 )
 
 func (c Config) withDefaults() Config {
-	c.Share = cmp.Or(c.Share, defaultShare)
+	c.Share = cmp.Or(c.Share, defaultRetryRatio)
 	c.Burst = cmp.Or(c.Burst, defaultBurst)
-	c.ServiceBurst = cmp.Or(c.ServiceBurst, serviceBurst*c.Burst)
-	c.Trickle = max(cmp.Or(c.Trickle, defaultTrickle), 0)
+	c.ServiceBurst = cmp.Or(c.ServiceBurst, serviceBurstFactor*c.Burst)
+	c.Trickle = max(cmp.Or(c.Trickle, defaultRefillPerSecond), 0)
 	c.MaxBuckets = cmp.Or(c.MaxBuckets, defaultMaxBuckets)
 	return c
 }
 
-// milli is the unit of a bucket: thousandths of a token, so that the level is
-// one atomic integer.
-const milli = 1000
+// unitsPerToken is the resolution of a bucket: its level is counted in
+// thousandths of a token (millitokens), so that it fits in one atomic integer.
+const unitsPerToken = 1000
 
-// Bucket is a token bucket that fills by events and by time. Safe for
-// concurrent use.
+// Bucket is a token bucket that is filled by deposits and over time. It is safe
+// for concurrent use.
 type Bucket struct {
-	burst   atomic.Int64 // milli tokens
-	trickle int64        // milli tokens a second
-	level   atomic.Int64
-	// filled is the time up to which the trickle was added.
-	filled atomic.Int64
-}
-
-// NewBucket returns a full bucket of burst tokens that gains trickle tokens a
-// second.
-func NewBucket(now time.Duration, burst, trickle float64) *Bucket {
-	b := &Bucket{trickle: int64(trickle * milli)}
-	b.burst.Store(int64(burst * milli))
+	burst           atomic.Int64 // millitokens
+	refillPerSecond int64        // millitokens a second
+	level           atomic.Int64
+	// refilledAt is the time up to which the refill over time has been added.
+	refilledAt atomic.Int64
+}
+
+// NewBucket returns a full bucket with a capacity of burst tokens that gains
+// refillPerSecond tokens a second.
+func NewBucket(now time.Duration, burst, refillPerSecond float64) *Bucket {
+	b := &Bucket{refillPerSecond: int64(refillPerSecond * unitsPerToken)}
+	b.burst.Store(int64(burst * unitsPerToken))
 	b.level.Store(b.burst.Load())
-	b.filled.Store(int64(now))
+	b.refilledAt.Store(int64(now))
 	return b
 }
 
-// Deposit adds tokens, up to the burst.
-func (b *Bucket) Deposit(tokens float64) { b.deposit(int64(tokens * milli)) }
+// Deposit adds tokens, up to the capacity.
+func (b *Bucket) Deposit(tokens float64) { b.deposit(int64(tokens * unitsPerToken)) }
 
 func (b *Bucket) deposit(amount int64) {
 	for {
@@ -102,36 +107,38 @@
 	}
 }
 
-// scale changes the burst by a factor; what is above it is lost.
-func (b *Bucket) scale(factor float64) {
+// scaleBurst multiplies the capacity by a factor and discards tokens above it.
+func (b *Bucket) scaleBurst(factor float64) {
 	b.burst.Store(int64(float64(b.burst.Load()) * factor))
 	b.deposit(0)
 }
 
-// Take takes one token, or tells that there is none.
+// Take takes one token and reports whether there was one.
 func (b *Bucket) Take(now time.Duration) bool {
-	b.fill(now)
+	b.refill(now)
 	for {
 		level := b.level.Load()
-		if level < milli {
+		if level < unitsPerToken {
 			return false
 		}
-		if b.level.CompareAndSwap(level, level-milli) {
+		if b.level.CompareAndSwap(level, level-unitsPerToken) {
 			return true
 		}
 	}
 }
 
-// fill adds the trickle. Only the caller that moves the time on adds it.
-func (b *Bucket) fill(now time.Duration) {
-	before := b.filled.Load()
-	gained := int64((now - time.Duration(before)).Seconds() * float64(b.trickle))
-	if gained > 0 && b.filled.CompareAndSwap(before, int64(now)) {
-		b.deposit(gained)
+// refill adds the tokens gained since the last refill. When called
+// concurrently, only the caller that advances refilledAt adds them.
+func (b *Bucket) refill(now time.Duration) {
+	lastRefill := b.refilledAt.Load()
+	refilled := int64((now - time.Duration(lastRefill)).Seconds() * float64(b.refillPerSecond))
+	if refilled > 0 && b.refilledAt.CompareAndSwap(lastRefill, int64(now)) {
+		b.deposit(refilled)
 	}
 }
 
-// Key names an account at a service.
+// Key identifies an account's use of a service; Account is empty for the
+// service as a whole.
 type Key struct{ Account, Service string }
 
 // Budget holds the buckets of one entry.
@@ -139,7 +146,7 @@
 	cfg     Config
 	mu      sync.RWMutex
 	buckets map[Key]*Bucket
-	// hosts share the bursts.
+	// hosts is the number of hosts that share the bursts.
 	hosts float64
 }
 
@@ -148,63 +155,64 @@
 	return &Budget{cfg: cfg.withDefaults(), buckets: map[Key]*Bucket{}, hosts: 1}
 }
 
-// ShareAmong says how many hosts share the bursts, so that all hosts' retries
-// keep to one bound. Buckets that hold more are emptied to their part.
+// ShareAmong sets the number of hosts that share the bursts, so that the
+// retries of all hosts stay within one bound. Tokens above a bucket's new
+// capacity are discarded.
 func (b *Budget) ShareAmong(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := float64(max(hosts, 1))
-	if next == b.hosts {
+	hostCount := float64(max(hosts, 1))
+	if hostCount == b.hosts {
 		return
 	}
 	for _, bucket := range b.buckets {
-		bucket.scale(b.hosts / next)
+		bucket.scaleBurst(b.hosts / hostCount)
 	}
-	b.hosts = next
+	b.hosts = hostCount
 }
 
-// First books a first try.
+// First records a first attempt.
 func (b *Budget) First(now time.Duration, k Key) {
-	b.bucket(now, k).Deposit(b.cfg.Share)
-	b.service(now, k).Deposit(b.cfg.Share)
+	b.bucketFor(now, k).Deposit(b.cfg.Share)
+	b.serviceBucket(now, k).Deposit(b.cfg.Share)
 }
 
-// Retry tells whether a request may be tried once more, and books it. When it
-// may not, the failure is the request's answer.
+// Retry reports whether a request may be retried, and takes the tokens if so.
+// If not, the caller gets the failure as the answer.
 func (b *Budget) Retry(now time.Duration, k Key) bool {
-	own := b.bucket(now, k)
-	if !own.Take(now) {
+	accountBucket := b.bucketFor(now, k)
+	if !accountBucket.Take(now) {
 		return false
 	}
-	if b.service(now, k).Take(now) {
+	if b.serviceBucket(now, k).Take(now) {
 		return true
 	}
-	own.Deposit(1)
+	accountBucket.Deposit(1)
 	return false
 }
 
-// Buckets is the number of buckets that are kept.
-func (b *Budget) Buckets() int {
+// BucketCount returns the number of buckets.
+func (b *Budget) BucketCount() int {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return len(b.buckets)
 }
 
-func (b *Budget) service(now time.Duration, k Key) *Bucket {
-	return b.bucket(now, Key{Service: k.Service})
+func (b *Budget) serviceBucket(now time.Duration, k Key) *Bucket {
+	return b.bucketFor(now, Key{Service: k.Service})
 }
 
-func (b *Budget) bucket(now time.Duration, k Key) *Bucket {
+func (b *Budget) bucketFor(now time.Duration, k Key) *Bucket {
 	b.mu.RLock()
 	bucket := b.buckets[k]
 	b.mu.RUnlock()
 	if bucket != nil {
 		return bucket
 	}
-	return b.create(now, k)
+	return b.createBucket(now, k)
 }
 
-func (b *Budget) create(now time.Duration, k Key) *Bucket {
+func (b *Budget) createBucket(now time.Duration, k Key) *Bucket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if bucket := b.buckets[k]; bucket != nil {
@@ -213,21 +221,21 @@
 	if len(b.buckets) >= b.cfg.MaxBuckets {
 		b.evict(now)
 	}
-	burst, trickle := b.cfg.Burst, b.cfg.Trickle
+	burst, refillPerSecond := b.cfg.Burst, b.cfg.Trickle
 	if k.Account == "" {
-		burst, trickle = b.cfg.ServiceBurst, trickle*serviceBurst
+		burst, refillPerSecond = b.cfg.ServiceBurst, refillPerSecond*serviceBurstFactor
 	}
-	bucket := NewBucket(now, burst/b.hosts, trickle)
+	bucket := NewBucket(now, burst/b.hosts, refillPerSecond)
 	b.buckets[k] = bucket
 	return bucket
 }
 
-// evict forgets full buckets, which say no more than new ones, and, when
-// none is full, an arbitrary eighth. Else accounts that come once each would
-// fill the memory.
+// evict removes full buckets, which are equivalent to new ones, and, if that is
+// not enough, arbitrary ones down to seven eighths of MaxBuckets. Without it,
+// accounts that send a single request each would exhaust the memory.
 func (b *Budget) evict(now time.Duration) {
 	for k, bucket := range b.buckets {
-		bucket.fill(now)
+		bucket.refill(now)
 		if bucket.level.Load() >= bucket.burst.Load() {
 			delete(b.buckets, k)
 		}
--- a/internal/decide/retrybudget/budget_test.go
+++ b/internal/decide/retrybudget/budget_test.go
@@ -22,10 +22,10 @@
 	radio  = retrybudget.Key{Account: "radio", Service: "report"}
 )
 
-var _ = Describe("a budget", func() {
-	// Every request of one account fails. Its retries must neither multiply
-	// the load nor use up those of another account.
-	It("bounds retries to a share of first tries, each account's for itself", func() {
+var _ = Describe("Budget", func() {
+	// If every request of one account fails, its retries must neither multiply
+	// the load nor use up the budget of another account.
+	It("limits retries to a fraction of first attempts, separately for each account", func() {
 		b := retrybudget.New(retrybudget.Config{})
 		retries := 0
 		for range 1000 {
@@ -34,13 +34,13 @@
 				retries++
 			}
 		}
-		Expect(retries).To(BeNumerically("~", 110, 1), "a tenth and the burst")
+		Expect(retries).To(BeNumerically("~", 110, 1), "a tenth of the attempts and the burst")
 		Expect(b.Retry(0, radio)).To(BeTrue())
-		Expect(b.Retry(5*time.Second, clinic)).To(BeTrue(), "the trickle")
+		Expect(b.Retry(5*time.Second, clinic)).To(BeTrue(), "refilled over time")
 		Expect(b.Retry(5*time.Second, clinic)).To(BeFalse())
 	})
 
-	It("bounds a service's retries over all accounts, and its memory", func() {
+	It("limits the retries of a service over all accounts, and the number of buckets", func() {
 		b := retrybudget.New(retrybudget.Config{MaxBuckets: 64})
 		retries := 0
 		for i := range 1000 {
@@ -49,55 +49,56 @@
 			}
 		}
 		Expect(retries).To(Equal(100))
-		for range 9 { // the service's trickle; what the account didn't get is still its own
+		for range 9 { // refill of the service's bucket; tokens that the service's bucket refused went back to the account
 			Expect(b.Retry(5*time.Second, retrybudget.Key{Account: "0", Service: "report"})).To(BeTrue())
 		}
 		for i := range 1000 {
 			b.First(0, retrybudget.Key{Account: fmt.Sprint(i), Service: "report"})
 		}
-		Expect(b.Buckets()).To(BeNumerically("<=", 64))
+		Expect(b.BucketCount()).To(BeNumerically("<=", 64))
 	})
 
-	It("keeps a fault from outliving its cause, unlike retry always", func() {
-		ours, naive := storm(true), storm(false)
-		Expect(ours).To(BeNumerically("<", 1.3))
-		Expect(naive).To(BeNumerically(">", 1.8))
-		AddReportEntry("load after the fault", fmt.Sprintf("budget %.2f, two retries always %.2f", ours, naive))
+	It("prevents an overload from outlasting its cause, unlike unconditional retries", func() {
+		withBudget, alwaysRetry := simulateOverload(true), simulateOverload(false)
+		Expect(withBudget).To(BeNumerically("<", 1.3))
+		Expect(alwaysRetry).To(BeNumerically(">", 1.8))
+		AddReportEntry("load after the fault", fmt.Sprintf("budget %.2f, two unconditional retries %.2f", withBudget, alwaysRetry))
 	})
 })
 
-// storm sends 100 requests a second to targets that bear 110, and 70 for ten
-// seconds. Beyond that they also waste work on what fails. It gives the load
-// over the callers' own requests from ten seconds after the fault on.
-func storm(budgeted bool) float64 {
+// simulateOverload sends 100 requests a second to targets that can serve 110,
+// and 70 for ten seconds. Under overload the targets also waste work on
+// requests that fail. It returns the ratio of the load to the callers' own
+// requests, from ten seconds after the fault on.
+func simulateOverload(budgeted bool) float64 {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	b := retrybudget.New(retrybudget.Config{})
-	var failed [3]int // by the number of tries
-	sent := 0
+	var retriesAllowed [3]int // by the attempt that failed
+	totalLoad := 0
 	for second := range 60 {
-		now, bears := time.Duration(second)*time.Second, 110.0
+		now, capacity := time.Duration(second)*time.Second, 110.0
 		if second >= 10 && second < 20 {
-			bears = 70
+			capacity = 70
 		}
 		for range 100 {
 			b.First(now, clinic)
 		}
-		tries := [3]int{100, failed[0], failed[1]}
-		load := tries[0] + tries[1] + tries[2]
-		served := min(1, bears/float64(load))
-		failed = [3]int{}
-		for n, count := range tries {
+		attempts := [3]int{100, retriesAllowed[0], retriesAllowed[1]}
+		load := attempts[0] + attempts[1] + attempts[2]
+		served := min(1, capacity/float64(load))
+		retriesAllowed = [3]int{}
+		for n, count := range attempts {
 			for range count {
 				if rnd.Float64() >= served*served && n < 2 && (!budgeted || b.Retry(now, clinic)) {
-					failed[n]++
+					retriesAllowed[n]++
 				}
 			}
 		}
 		if second >= 30 {
-			sent += load
+			totalLoad += load
 		}
 	}
-	return float64(sent) / 3000
+	return float64(totalLoad) / 3000
 }
 
 func BenchmarkRetry(b *testing.B) {
