--- a/internal/decide/pools/choose.go
+++ b/internal/decide/pools/choose.go
@@ -56,11 +56,11 @@
 	HashKey uint64
 	// Control is the address of the control process that admits for the pool.
 	Control string
-	// Backlog is the gossiped wait and BacklogAt the time of its receipt. The
-	// third field is false if no report was received.
+	// Backlog is the gossiped wait, received at BacklogAt.
 	Backlog   time.Duration
 	BacklogAt time.Duration
-	Heard     bool
+	// Heard reports whether a backlog has been received.
+	Heard bool
 	// Sent counts the requests that this entry has sent to the pool since the
 	// last report and that the pool has not answered yet.
 	Sent int
