--- a/internal/decide/rollout/document.go
+++ b/internal/decide/rollout/document.go
@@ -5,50 +5,52 @@
 	"strings"
 )
 
-// maxLog bounds the changes that a document remembers for deltas. At 20,000
+// maxLogEntries limits the changes that a document keeps for deltas. At 20,000
 // edits a day it covers more than two hours; a peer that is further behind
 // fetches the whole document.
-const maxLog = 2048
+const maxLogEntries = 2048
 
-// Delta carries a document from any version in [From, To] to To.
+// Delta updates a document from any version in [From, To] to To, the version of
+// its Head.
 type Delta struct {
 	From Version
 	Head
-	// Full says that Rows are all the rows; From means nothing then.
+	// Full is set if Rows are all rows of the document; From is not used then.
 	Full bool
 	Rows []Row
 }
 
-// Verdict says what a delta means to a document.
+// Verdict is the result of comparing a delta with a document.
 type Verdict int
 
-// The verdicts on a delta.
+// Results of comparing a delta with a document.
 const (
-	// VerdictKnown: the document holds this version already.
+	// VerdictKnown means that the document already has this version.
 	VerdictKnown Verdict = iota + 1
-	// VerdictOld: the document holds a newer version, the peer or the service
-	// is behind.
+	// VerdictOld means that the document has a newer version: the peer or the
+	// service is behind.
 	VerdictOld
-	// VerdictTake: the delta leads to a newer version.
+	// VerdictTake means that the delta leads to a newer version and can be
+	// committed.
 	VerdictTake
-	// VerdictGap: the delta starts after this document's version or does not
-	// give its digest; fetch the whole.
+	// VerdictGap means that the delta starts after the document's version or
+	// that its digest does not match; the whole document must be fetched.
 	VerdictGap
-	// VerdictConflict: one version with two contents, and this one's stands.
-	// It comes about only when a restored service counts up to a revision
-	// that was in use before; see docs/design/table.md.
+	// VerdictConflict means that one version has two contents and that this
+	// document's content is retained. This happens only when a restored service
+	// reaches a revision that was already in use; see docs/design/table.md.
 	VerdictConflict
-	// VerdictRefused: this version failed validation here.
+	// VerdictRefused means that this version has failed validation.
 	VerdictRefused
 )
 
-// Document is one document in force on this node. It is not safe for
-// concurrent use.
+// Document is a document in force on this node. It is not safe for concurrent
+// use.
 type Document struct {
 	head Head
 	rows map[string]string
-	// log lists changed rows in the order of versions. Invariant: it holds
-	// every change after logFrom.
+	// log lists the changed rows in the order of versions. Invariant: it
+	// includes every change after logFrom.
 	log     []logEntry
 	logFrom Version
 	refused Refusal
@@ -59,16 +61,16 @@
 	key     string
 }
 
-// NewDocument returns a document without rows at version 0.0.
+// NewDocument returns an empty document at version 0.0.
 func NewDocument() *Document { return &Document{rows: map[string]string{}} }
 
-// Head gives version and digest in force.
+// Head returns the version and the digest in force.
 func (d *Document) Head() Head { return d.head }
 
-// Len counts the rows.
+// Len returns the number of rows.
 func (d *Document) Len() int { return len(d.rows) }
 
-// Rows gives all rows in the order of their keys.
+// Rows returns all rows, sorted by key.
 func (d *Document) Rows() []Row {
 	rows := make([]Row, 0, len(d.rows))
 	for k, t := range d.rows {
@@ -78,8 +80,9 @@
 	return rows
 }
 
-// Judge says what a delta means here, and for VerdictTake gives the rows that
-// it changes, for validation. It changes nothing.
+// Judge compares a delta with the document. If the delta can be committed, it
+// also returns the changed rows, for validation. It does not modify the
+// document.
 func (d *Document) Judge(delta Delta) (Verdict, []Row) {
 	switch c := delta.Version.Compare(d.head.Version); {
 	case c < 0:
@@ -87,28 +90,28 @@
 	case c == 0 && delta.Digest == d.head.Digest:
 		return VerdictKnown, nil
 	case c == 0 && delta.Digest < d.head.Digest:
-		// Two contents of one version: all nodes settle on the larger digest.
-		// Nothing tells which is newer, but that all hold the same matters.
+		// Nothing shows which of two contents of one version is newer, so all
+		// nodes converge on the one with the larger digest.
 		return VerdictConflict, nil
 	case delta.Version == d.refused.Version:
 		return VerdictRefused, nil
 	case !delta.Full && (c == 0 || delta.From.After(d.head.Version)):
 		return VerdictGap, nil
 	}
-	changed := d.changed(delta)
+	changes := d.changedRows(delta)
 	digest := d.head.Digest
-	for _, r := range changed {
+	for _, r := range changes {
 		digest += r.hash() - Row{r.Key, d.rows[r.Key]}.hash()
 	}
 	if digest != delta.Digest {
 		return VerdictGap, nil
 	}
-	return VerdictTake, changed
+	return VerdictTake, changes
 }
 
-// changed gives the rows of a delta that differ from those in force, with the
-// rows that a whole document no longer names.
-func (d *Document) changed(delta Delta) []Row {
+// changedRows returns the rows of a delta that differ from those in force,
+// including the rows that a full delta no longer lists.
+func (d *Document) changedRows(delta Delta) []Row {
 	var out []Row
 	for _, r := range delta.Rows {
 		if d.rows[r.Key] != r.Text {
@@ -118,25 +121,26 @@
 	if !delta.Full {
 		return out
 	}
-	named := make(map[string]bool, len(delta.Rows))
+	listed := make(map[string]bool, len(delta.Rows))
 	for _, r := range delta.Rows {
-		named[r.Key] = true
+		listed[r.Key] = true
 	}
 	for k := range d.rows {
-		if !named[k] {
+		if !listed[k] {
 			out = append(out, Row{Key: k})
 		}
 	}
 	return out
 }
 
-// Commit puts a delta in force whose changed rows Judge returned.
-func (d *Document) Commit(delta Delta, changed []Row) {
+// Commit applies a delta; changes are the changed rows that were returned with
+// the verdict.
+func (d *Document) Commit(delta Delta, changes []Row) {
 	if d.head.Version == (Version{}) {
-		// Nothing is known of what came before the first version.
+		// Changes before the first version are unknown.
 		d.logFrom = delta.Version
 	}
-	for _, r := range changed {
+	for _, r := range changes {
 		if r.Text == "" {
 			delete(d.rows, r.Key)
 		} else {
@@ -146,28 +150,29 @@
 			d.log = append(d.log, logEntry{delta.Version, r.Key})
 		}
 	}
-	d.trim()
+	d.trimLog()
 	d.head = delta.Head
 	if !d.refused.Version.After(d.head.Version) {
 		d.refused = Refusal{}
 	}
 }
 
-// trim forgets the oldest changes past the bound, a version at a time.
-func (d *Document) trim() {
-	if len(d.log) <= maxLog {
+// trimLog removes the oldest changes beyond maxLogEntries, in whole versions.
+func (d *Document) trimLog() {
+	if len(d.log) <= maxLogEntries {
 		return
 	}
-	cut := len(d.log) - maxLog
-	d.logFrom = d.log[cut-1].version
-	for cut < len(d.log) && d.log[cut].version == d.logFrom {
-		cut++
+	removeCount := len(d.log) - maxLogEntries
+	d.logFrom = d.log[removeCount-1].version
+	for removeCount < len(d.log) && d.log[removeCount].version == d.logFrom {
+		removeCount++
 	}
-	d.log = slices.Delete(d.log, 0, cut)
+	d.log = slices.Delete(d.log, 0, removeCount)
 }
 
-// Since gives what a peer at version from lacks; the whole document when the
-// log does not reach back that far or a delta would not be smaller.
+// Since returns the delta for a peer at the given version: the whole document
+// if the log does not reach back that far, or if the changes would have more
+// rows than the document.
 func (d *Document) Since(from Version) Delta {
 	if from == (Version{}) || d.logFrom.After(from) {
 		return d.All()
@@ -179,10 +184,10 @@
 		return -1
 	})
 	delta := Delta{From: from, Head: d.head}
-	named := map[string]bool{}
+	included := map[string]bool{}
 	for _, e := range d.log[start:] {
-		if !named[e.key] {
-			named[e.key] = true
+		if !included[e.key] {
+			included[e.key] = true
 			delta.Rows = append(delta.Rows, Row{e.key, d.rows[e.key]})
 		}
 	}
@@ -192,12 +197,12 @@
 	return delta
 }
 
-// All gives the whole document.
+// All returns the whole document as a delta.
 func (d *Document) All() Delta { return Delta{Head: d.head, Full: true, Rows: d.Rows()} }
 
-// Refuse notes that a version failed validation. The newest refusal stands; a
-// version that is in force or older can't be refused any more. It tells
-// whether that was news.
+// Refuse records that a version failed validation and reports whether this was
+// new. Only the newest refusal is kept. A version that is in force or older
+// can't be refused.
 func (d *Document) Refuse(r Refusal) bool {
 	if !r.Version.After(d.head.Version) || !r.Version.After(d.refused.Version) {
 		return false
@@ -206,6 +211,6 @@
 	return true
 }
 
-// Refused gives the refusal newer than what is in force; the zero value when
-// there is none.
+// Refused returns the refusal of a version newer than the one in force, or the
+// zero value.
 func (d *Document) Refused() Refusal { return d.refused }
--- a/internal/decide/rollout/join.go
+++ b/internal/decide/rollout/join.go
@@ -2,85 +2,87 @@
 
 import "time"
 
-// Figures of joining.
+// Parameters of a new process's start.
 const (
-	// joinPeers is how many peers a new process asks before it serves. An edit
-	// is in force on all but a few nodes within a second or so; that three
-	// peers drawn at random all lack it is then less likely than one in a
-	// million, while waiting for more would hold up the start of a fleet.
-	joinPeers = 3
-	// joinGrace is how long a process with the service's word but fewer peers
-	// waits. A whole fleet that starts at once has no peers that know more
-	// than the service; it must not wait for ever.
-	joinGrace = 3 * time.Second
-	// joinLimit bounds the wait for a version that a peer announced and that
-	// does not arrive: its only holder may have died.
-	joinLimit = 30 * time.Second
+	// minJoinPeers is the number of peers that a new process synchronizes with
+	// before it serves. An edit is in force on all but a few nodes within about
+	// a second, so the probability that three random peers all lack it is below
+	// one in a million. A higher number would delay the start of a fleet.
+	minJoinPeers = 3
+	// joinGracePeriod is how long a process that has read the service but too
+	// few peers waits. When a whole fleet starts at once, no peer knows more
+	// than the service, and the process must not wait forever.
+	joinGracePeriod = 3 * time.Second
+	// joinTimeout limits the wait for a version that a peer announced but that
+	// does not arrive, because its only holder may have crashed.
+	joinTimeout = 30 * time.Second
 )
 
-// Join decides when a new process is ready. Without it a host that is
+// Join decides when a new process is ready to serve. Without it, a host that is
 // replaced while the configuration service is stale or restored would serve
-// from a table older than the one in force: an edit would revert there.
+// from a table older than the one in force, and edits would revert on that
+// host.
 type Join struct {
-	started time.Duration
-	asked   map[string]bool
-	service bool
-	done    bool
+	startedAt   time.Duration
+	syncedPeers map[string]bool
+	serviceRead bool
+	ready       bool
 }
 
-// NewJoin starts at now.
+// NewJoin returns the state of a process that started at now.
 func NewJoin(now time.Duration) *Join {
-	return &Join{started: now, asked: map[string]bool{}}
+	return &Join{startedAt: now, syncedPeers: map[string]bool{}}
 }
 
-// Peer notes that everything a peer holds was taken over.
+// Peer records that everything a peer holds was fetched and applied.
 func (j *Join) Peer(address string) {
-	if len(j.asked) < joinPeers {
-		j.asked[address] = true
+	if len(j.syncedPeers) < minJoinPeers {
+		j.syncedPeers[address] = true
 	}
 }
 
-// Unasked gives those of some peers that are still to be asked: none once
-// enough were.
+// Unasked returns those of the given peers that have not been recorded yet, or
+// none once enough have been.
 func (j *Join) Unasked(peers []string) []string {
 	if j.Confirmed() {
 		return nil
 	}
 	var out []string
-	for _, p := range peers {
-		if !j.asked[p] {
-			out = append(out, p)
+	for _, peer := range peers {
+		if !j.syncedPeers[peer] {
+			out = append(out, peer)
 		}
 	}
 	return out
 }
 
-// Service notes that the service's documents were read.
-func (j *Join) Service() { j.service = true }
+// Service records that the documents were read from the configuration service.
+func (j *Join) Service() { j.serviceRead = true }
 
-// Ready tells whether the process may serve: peers is how many others there
-// are to ask, holds whether a table is in force here, behind whether a peer
-// announced a newer version than the one held. Once ready it stays so.
+// Ready reports whether the process may serve. peers is the number of other
+// processes, hasTable whether a table is in force in this process, and behind
+// whether a peer has announced a newer version than that one. Once ready, the
+// process remains ready.
 //
-// While it is behind the grace does not count: a table of 11,000 rows that is
-// on its way to a busy host takes longer than that, and the host would serve
-// from the old one in the meantime.
-func (j *Join) Ready(now time.Duration, peers int, holds, behind bool) bool {
-	if j.done {
+// The grace period does not apply while the process is behind: the transfer of
+// a table of 11,000 rows to a busy host takes longer than that, and the host
+// would meanwhile serve from the old one.
+func (j *Join) Ready(now time.Duration, peers int, hasTable, behind bool) bool {
+	if j.ready {
 		return true
 	}
-	if behind && now-j.started < joinLimit {
+	if behind && now-j.startedAt < joinTimeout {
 		return false
 	}
-	// Without peers the service's word is all there is.
-	enough := len(j.asked) >= min(joinPeers, peers) && (peers > 0 || j.service)
-	waited := now-j.started >= joinGrace
-	if holds && (enough || waited) {
-		j.done = true
+	// Without peers, the service is the only source.
+	sourcesRead := len(j.syncedPeers) >= min(minJoinPeers, peers) && (peers > 0 || j.serviceRead)
+	graceElapsed := now-j.startedAt >= joinGracePeriod
+	if hasTable && (sourcesRead || graceElapsed) {
+		j.ready = true
 	}
-	return j.done
+	return j.ready
 }
 
-// Confirmed tells whether enough peers were asked, for the operators' view: a
-// process that became ready by waiting can only know what the service says.
-func (j *Join) Confirmed() bool { return len(j.asked) >= joinPeers }
+// Confirmed reports whether enough peers were read, for display to operators: a
+// process that became ready by waiting knows only what the service returns.
+func (j *Join) Confirmed() bool { return len(j.syncedPeers) >= minJoinPeers }
--- a/internal/decide/rollout/restore.go
+++ b/internal/decide/rollout/restore.go
@@ -2,166 +2,170 @@
 
 import "strings"
 
-// This file answers one fault: the configuration service is restored to an
-// older state, and operators go on editing there. Its revisions start again
-// below the one in force, so by the order of versions alone the new edits
-// would wait until the service has counted past it, and would then carry the
-// restored rows along: accepted edits would revert.
+// This file handles a restore of the configuration service to an older state,
+// after which operators continue to edit there. The service's revisions
+// continue below the one in force. By the order of versions alone, new edits
+// would wait until the service has counted past that revision, and would then
+// bring the restored rows with them, so that accepted edits would revert.
 //
-// A stale replica looks the same at first: its revision is lower too. The
-// difference is proven when a revision comes back with another content. The
-// service gives each revision once; a replica that lags shows what was seen
-// before, only a restored service can show something else under a known
-// number. After the proof, versions continue in a new lineage, and what the
-// restore lost is kept on top of the service's rows until operators change the
-// row in question.
-
-// maxHistory bounds the remembered revisions; at 20,000 edits a day it covers
-// five hours of edits before the restore.
-const maxHistory = 4096
-
-// History remembers which content a revision of the service had, in the
-// lineage that was current then.
+// A stale replica looks the same at first, because its revision is lower too. A
+// restore is proven when a known revision appears with different content: the
+// service assigns each revision once, so a lagging replica only returns content
+// that was seen before, and only a restored service can return other content
+// under a known revision. After that proof, versions continue in a new lineage,
+// and the rows that the restore lost are overlaid on the service's rows until
+// operators change the respective row.
+
+// maxHistoryRevisions limits the number of revisions in a history. At 20,000
+// edits a day it covers five hours of edits before the restore.
+const maxHistoryRevisions = 4096
+
+// History records the content of each revision of the service, with the lineage
+// that was current at the time.
 type History struct {
-	seen  map[uint64][]content
-	order []uint64
+	byRevision map[uint64][]revisionContent
+	revisions  []uint64
 }
 
-type content struct {
+type revisionContent struct {
 	section string
 	digest  uint64
 	lineage uint64
 }
 
 // NewHistory returns an empty history.
-func NewHistory() *History { return &History{seen: map[uint64][]content{}} }
+func NewHistory() *History { return &History{byRevision: map[uint64][]revisionContent{}} }
 
-// Record notes what a document held at a version.
+// Record records the content of a document at a version.
 func (h *History) Record(section string, head Head) {
-	c := content{section, head.Digest, head.Version.Epoch}
-	known := h.seen[head.Version.Revision]
-	for _, k := range known {
-		if k == c {
+	recorded := revisionContent{section, head.Digest, head.Version.Epoch}
+	contents := h.byRevision[head.Version.Revision]
+	for _, content := range contents {
+		if content == recorded {
 			return
 		}
 	}
-	if len(known) == 0 {
-		h.order = append(h.order, head.Version.Revision)
+	if len(contents) == 0 {
+		h.revisions = append(h.revisions, head.Version.Revision)
 	}
-	h.seen[head.Version.Revision] = append(known, c)
-	if len(h.order) > maxHistory {
-		delete(h.seen, h.order[0])
-		h.order = h.order[1:]
+	h.byRevision[head.Version.Revision] = append(contents, recorded)
+	if len(h.revisions) > maxHistoryRevisions {
+		delete(h.byRevision, h.revisions[0])
+		h.revisions = h.revisions[1:]
 	}
 }
 
-// Lineage gives the epoch in which this very content was seen at the head's
-// revision, so that a replica of an abandoned lineage is told from the current
-// one; false when it was never seen.
+// Lineage returns the newest epoch in which this content was seen at the head's
+// revision, which distinguishes a replica of an abandoned lineage from one of
+// the current lineage. It returns false if the content was never seen.
 func (h *History) Lineage(section string, head Head) (uint64, bool) {
-	newest, found := uint64(0), false
-	for _, k := range h.seen[head.Version.Revision] {
-		if k.section == section && k.digest == head.Digest {
-			newest, found = max(newest, k.lineage), true
+	lineage, found := uint64(0), false
+	for _, content := range h.byRevision[head.Version.Revision] {
+		if content.section == section && content.digest == head.Digest {
+			lineage, found = max(lineage, content.lineage), true
 		}
 	}
-	return newest, found
+	return lineage, found
 }
 
-// Foreign tells whether the head's revision is known in its lineage with
-// another content than this, which proves that the service was restored.
+// Foreign reports whether the head's revision is known in its lineage but only
+// with other content, which proves that the service was restored.
 func (h *History) Foreign(section string, head Head) bool {
-	other := false
-	for _, k := range h.seen[head.Version.Revision] {
-		if k.lineage != head.Version.Epoch {
+	differs := false
+	for _, content := range h.byRevision[head.Version.Revision] {
+		if content.lineage != head.Version.Epoch {
 			continue
 		}
-		if k.section == section && k.digest == head.Digest {
+		if content.section == section && content.digest == head.Digest {
 			return false
 		}
-		other = true
+		differs = true
 	}
-	return other
+	return differs
 }
 
-// Kept is a row whose edit a restore lost.
+// Kept is a row with an edit that a restore lost.
 type Kept struct {
-	// Baseline is the row as the restored service has it.
+	// Baseline is the row's text in the restored service.
 	Baseline string
-	// Text is the row as it was in force.
+	// Text is the row's text that was in force.
 	Text string
 }
 
-// Overlay holds the kept rows of one document by key.
+// Overlay holds the preserved rows of one document by key.
 type Overlay map[string]Kept
 
-// Lost gives the rows in force that differ from the restored service's.
+// Lost returns the rows in force that differ from those of the restored
+// service.
 func Lost(inForce, restored []Row) Overlay {
 	out := Overlay{}
 	for _, r := range inForce {
 		out[r.Key] = Kept{Text: r.Text}
 	}
 	for _, r := range restored {
-		k := out[r.Key]
-		k.Baseline = r.Text
-		if k.Baseline == k.Text {
+		preserved := out[r.Key]
+		preserved.Baseline = r.Text
+		if preserved.Baseline == preserved.Text {
 			delete(out, r.Key)
 			continue
 		}
-		out[r.Key] = k
+		out[r.Key] = preserved
 	}
 	return out
 }
 
-// Resolve lays the kept rows over the service's. A row that the service shows
-// other than at the restore has been edited since: there the edit counts, and
-// the row is no longer kept, also if it is changed back later.
+// Resolve applies the overlay to the service's rows and returns the resulting
+// rows and the remaining overlay. A row whose text in the service differs from
+// its baseline has been edited since the restore: the edit takes precedence,
+// and the row is removed from the overlay for good, even if it is changed back
+// later.
 func (o Overlay) Resolve(service []Row) ([]Row, Overlay) {
-	left := Overlay{}
+	remaining := Overlay{}
 	rows := make([]Row, 0, len(service))
-	named := make(map[string]bool, len(service))
+	listed := make(map[string]bool, len(service))
 	for _, r := range service {
-		named[r.Key] = true
-		if k, ok := o[r.Key]; ok && k.Baseline == r.Text {
-			left[r.Key] = k
-			r.Text = k.Text
+		listed[r.Key] = true
+		if preserved, ok := o[r.Key]; ok && preserved.Baseline == r.Text {
+			remaining[r.Key] = preserved
+			r.Text = preserved.Text
 		}
 		if r.Text != "" {
 			rows = append(rows, r)
 		}
 	}
-	for key, k := range o {
-		if !named[key] && k.Baseline == "" {
-			left[key] = k
-			rows = append(rows, Row{key, k.Text})
+	for key, preserved := range o {
+		if !listed[key] && preserved.Baseline == "" {
+			remaining[key] = preserved
+			rows = append(rows, Row{key, preserved.Text})
 		}
 	}
-	return rows, left
+	return rows, remaining
 }
 
-// overlaySeparator stands between the parts of an overlay's row; documents'
-// rows hold no such character.
+// overlaySeparator separates the parts of an overlay's row. Rows of documents
+// do not contain this character.
 const overlaySeparator = "\x00"
 
-// OverlayRows gives the overlays of several documents as one document's rows,
-// so that gossip carries them like any other.
+// OverlayRows encodes the overlays of several documents as the rows of one
+// document, so that gossip distributes them like any other document.
 func OverlayRows(overlays map[string]Overlay) []Row {
 	var rows []Row
 	for section, o := range overlays {
-		for key, k := range o {
-			rows = append(rows, Row{section + overlaySeparator + key, k.Baseline + overlaySeparator + k.Text})
+		for key, preserved := range o {
+			rows = append(rows, Row{section + overlaySeparator + key, preserved.Baseline + overlaySeparator + preserved.Text})
 		}
 	}
 	return rows
 }
 
-// OverlaysOf reads what OverlayRows wrote; rows that are none are left out.
+// OverlaysOf decodes overlays from the rows of a document. Rows in another
+// format are skipped.
 func OverlaysOf(rows []Row) map[string]Overlay {
 	out := map[string]Overlay{}
 	for _, r := range rows {
-		section, key, ok := strings.Cut(r.Key, overlaySeparator)
-		baseline, text, ok2 := strings.Cut(r.Text, overlaySeparator)
-		if !ok || !ok2 {
+		section, key, keyOK := strings.Cut(r.Key, overlaySeparator)
+		baseline, text, textOK := strings.Cut(r.Text, overlaySeparator)
+		if !keyOK || !textOK {
 			continue
 		}
 		if out[section] == nil {
--- a/internal/decide/rollout/restore_test.go
+++ b/internal/decide/rollout/restore_test.go
@@ -7,69 +7,69 @@
 	"filbertdeck/internal/decide/rollout"
 )
 
-var _ = Describe("the history of revisions", func() {
+var _ = Describe("a history of revisions", func() {
 	headAt := func(epoch, revision, digest uint64) rollout.Head {
-		return rollout.Head{Version: at(epoch, revision), Digest: digest}
+		return rollout.Head{Version: version(epoch, revision), Digest: digest}
 	}
 	h := rollout.NewHistory()
 	h.Record("table", headAt(0, 10, 1))
 	h.Record("hosts", headAt(0, 11, 2))
 	h.Record("table", headAt(1, 11, 3))
 
-	// A lagging replica shows old revisions as they were; only a restored
-	// service shows something else under a number that was given before.
-	DescribeTable("proves a restore only by another content under a known number",
-		func(section string, head rollout.Head, foreign bool) {
-			Expect(h.Foreign(section, head)).To(Equal(foreign))
+	// A lagging replica returns old revisions with their original content. Only
+	// a restored service returns other content under a known revision.
+	DescribeTable("detects a restore only by other content under a known revision",
+		func(section string, head rollout.Head, restored bool) {
+			Expect(h.Foreign(section, head)).To(Equal(restored))
 		},
-		Entry("the same again", "table", headAt(0, 10, 1), false),
-		Entry("another content", "table", headAt(0, 10, 9), true),
+		Entry("the recorded content", "table", headAt(0, 10, 1), false),
+		Entry("other content", "table", headAt(0, 10, 9), true),
 		Entry("another document", "table", headAt(0, 11, 9), true),
-		Entry("a number never seen", "table", headAt(0, 12, 9), false),
-		Entry("a number of another lineage", "table", headAt(1, 10, 9), false),
+		Entry("an unknown revision", "table", headAt(0, 12, 9), false),
+		Entry("a revision of another lineage", "table", headAt(1, 10, 9), false),
 	)
 
-	It("tells in which lineage a content was seen", func() {
+	It("returns the lineage in which content was seen", func() {
 		lineage, known := h.Lineage("table", headAt(0, 11, 3))
 		Expect([]any{lineage, known}).To(Equal([]any{uint64(1), true}))
 		_, known = h.Lineage("table", headAt(0, 11, 2))
 		Expect(known).To(BeFalse())
 	})
 
-	It("forgets the oldest", func() {
-		long := rollout.NewHistory()
+	It("removes the oldest revisions", func() {
+		history := rollout.NewHistory()
 		for i := range uint64(5000) {
-			long.Record("table", headAt(0, i, i+1))
+			history.Record("table", headAt(0, i, i+1))
 		}
-		Expect(long.Foreign("table", headAt(0, 1, 9))).To(BeFalse())
-		Expect(long.Foreign("table", headAt(0, 4999, 9))).To(BeTrue())
+		Expect(history.Foreign("table", headAt(0, 1, 9))).To(BeFalse())
+		Expect(history.Foreign("table", headAt(0, 4999, 9))).To(BeTrue())
 	})
 })
 
-var _ = Describe("rows that a restore lost", func() {
+var _ = Describe("an overlay of lost rows", func() {
 	inForce := []rollout.Row{{Key: "a", Text: "new"}, {Key: "b", Text: "same"}, {Key: "added", Text: "x"}}
 	restored := []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "same"}, {Key: "removed", Text: "y"}}
 	lost := rollout.Lost(inForce, restored)
 
-	DescribeTable("stay in force until the service shows them changed",
-		func(service, want []rollout.Row, left int) {
+	DescribeTable("keeps lost rows in force until they change in the service",
+		func(service, want []rollout.Row, keptCount int) {
 			rows, overlay := lost.Resolve(service)
 			Expect(rows).To(ConsistOf(want))
-			Expect(overlay).To(HaveLen(left))
+			Expect(overlay).To(HaveLen(keptCount))
 		},
-		Entry("nothing edited", restored, inForce, 3),
-		Entry("the lost row edited", []rollout.Row{{Key: "a", Text: "newer"}, {Key: "b", Text: "same"}, {Key: "removed", Text: "y"}},
+		Entry("no edit", restored, inForce, 3),
+		Entry("lost row edited", []rollout.Row{{Key: "a", Text: "newer"}, {Key: "b", Text: "same"}, {Key: "removed", Text: "y"}},
 			[]rollout.Row{{Key: "a", Text: "newer"}, {Key: "b", Text: "same"}, {Key: "added", Text: "x"}}, 2),
-		Entry("another row edited", []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "edited"}, {Key: "removed", Text: "y"}},
+		Entry("other row edited", []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "edited"}, {Key: "removed", Text: "y"}},
 			[]rollout.Row{{Key: "a", Text: "new"}, {Key: "b", Text: "edited"}, {Key: "added", Text: "x"}}, 3),
-		Entry("the lost addition made again", append([]rollout.Row{{Key: "added", Text: "z"}}, restored...),
+		Entry("lost addition made again", append([]rollout.Row{{Key: "added", Text: "z"}}, restored...),
 			[]rollout.Row{{Key: "a", Text: "new"}, {Key: "b", Text: "same"}, {Key: "added", Text: "z"}}, 2),
-		Entry("the row that the restore brought back removed again", []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "same"}}, inForce, 2),
+		Entry("row that reappeared with the restore removed again", []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "same"}}, inForce, 2),
 	)
 
-	It("travel as rows", func() {
-		back := rollout.OverlaysOf(rollout.OverlayRows(map[string]rollout.Overlay{"table": lost}))
-		Expect(back).To(Equal(map[string]rollout.Overlay{"table": lost}))
+	It("encodes to rows and back", func() {
+		decoded := rollout.OverlaysOf(rollout.OverlayRows(map[string]rollout.Overlay{"table": lost}))
+		Expect(decoded).To(Equal(map[string]rollout.Overlay{"table": lost}))
 		Expect(rollout.OverlaysOf([]rollout.Row{{Key: "x", Text: "y"}})).To(BeEmpty())
 	})
 })
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -20,12 +20,12 @@
 
 type rows map[string]string
 
-func at(epoch, revision uint64) rollout.Version {
+func version(epoch, revision uint64) rollout.Version {
 	return rollout.Version{Epoch: epoch, Revision: revision}
 }
 
-// listing is a whole document as a reader of the service sees it.
-func listing(v rollout.Version, content rows) rollout.Delta {
+// fullDelta returns a whole document as it is read from the service.
+func fullDelta(v rollout.Version, content rows) rollout.Delta {
 	d := rollout.Delta{Full: true}
 	for k, t := range content {
 		d.Rows = append(d.Rows, rollout.Row{Key: k, Text: t})
@@ -34,15 +34,15 @@
 	return d
 }
 
-func offer(d *rollout.Document, delta rollout.Delta) rollout.Verdict {
-	verdict, changed := d.Judge(delta)
+func apply(d *rollout.Document, delta rollout.Delta) rollout.Verdict {
+	verdict, changes := d.Judge(delta)
 	if verdict == rollout.VerdictTake {
-		d.Commit(delta, changed)
+		d.Commit(delta, changes)
 	}
 	return verdict
 }
 
-func content(d *rollout.Document) rows {
+func contentOf(d *rollout.Document) rows {
 	out := rows{}
 	for _, r := range d.Rows() {
 		out[r.Key] = r.Text
@@ -50,87 +50,87 @@
 	return out
 }
 
-var _ = Describe("a document", func() {
+var _ = Describe("Document", func() {
 	var d *rollout.Document
 	BeforeEach(func() {
 		d = rollout.NewDocument()
-		Expect(offer(d, listing(at(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictTake))
+		Expect(apply(d, fullDelta(version(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictTake))
 	})
 
-	// The service goes back to a backup. An operator had cut a runaway account
-	// to a tenth; were the old row taken, that account would flood again, and
-	// the operator would see an accepted edit undone.
-	It("never goes back to an older revision, whoever offers it", func() {
-		Expect(offer(d, listing(at(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictOld))
-		Expect(offer(d, rollout.Delta{From: at(0, 8), Head: rollout.Head{Version: at(0, 9)}})).To(Equal(rollout.VerdictOld))
-		Expect(content(d)).To(Equal(rows{"a": "1", "b": "1"}))
+	// The service is restored from a backup. An operator had cut the limit of a
+	// runaway account to a tenth. If the old row were applied, that account
+	// would overload the service again and an accepted edit would be undone.
+	It("never reverts to an older revision, whatever its source", func() {
+		Expect(apply(d, fullDelta(version(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictOld))
+		Expect(apply(d, rollout.Delta{From: version(0, 8), Head: rollout.Head{Version: version(0, 9)}})).To(Equal(rollout.VerdictOld))
+		Expect(contentOf(d)).To(Equal(rows{"a": "1", "b": "1"}))
 	})
 
-	// After a restore the service counts on from an older revision, and new
-	// edits would wait until it has caught up. The operators raise the epoch.
-	It("takes an edit of a higher epoch though its revision is lower", func() {
-		Expect(offer(d, listing(at(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictTake))
-		Expect(content(d)).To(Equal(rows{"a": "2"}))
-		Expect(offer(d, listing(at(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictOld))
+	// After a restore the service continues from an older revision, and new
+	// edits would be ignored until it has caught up. The operators raise the
+	// epoch.
+	It("applies an edit of a higher epoch despite its lower revision", func() {
+		Expect(apply(d, fullDelta(version(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictTake))
+		Expect(contentOf(d)).To(Equal(rows{"a": "2"}))
+		Expect(apply(d, fullDelta(version(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictOld))
 	})
 
-	DescribeTable("judges deltas", func(delta rollout.Delta, want rollout.Verdict) {
-		before := content(d)
+	DescribeTable("compares deltas", func(delta rollout.Delta, want rollout.Verdict) {
+		before := contentOf(d)
 		verdict, _ := d.Judge(delta)
 		Expect(verdict).To(Equal(want))
-		Expect(content(d)).To(Equal(before))
+		Expect(contentOf(d)).To(Equal(before))
 	},
-		Entry("the same again", listing(at(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictKnown),
-		Entry("a delta that starts later", rollout.Delta{From: at(0, 11), Head: rollout.Head{Version: at(0, 12)}}, rollout.VerdictGap),
-		Entry("a delta whose digest does not come out", rollout.Delta{From: at(0, 10), Head: rollout.Head{Version: at(0, 12), Digest: 1},
+		Entry("the version in force", fullDelta(version(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictKnown),
+		Entry("a delta that starts later", rollout.Delta{From: version(0, 11), Head: rollout.Head{Version: version(0, 12)}}, rollout.VerdictGap),
+		Entry("a delta whose digest does not match", rollout.Delta{From: version(0, 10), Head: rollout.Head{Version: version(0, 12), Digest: 1},
 			Rows: []rollout.Row{{Key: "a", Text: "2"}}}, rollout.VerdictGap),
-		Entry("a listing whose digest does not come out", rollout.Delta{Full: true, Head: rollout.Head{Version: at(0, 12), Digest: 1}}, rollout.VerdictGap),
+		Entry("a full delta whose digest does not match", rollout.Delta{Full: true, Head: rollout.Head{Version: version(0, 12), Digest: 1}}, rollout.VerdictGap),
 	)
 
-	// A restored service reaches a revision that was in use before, with other
-	// content. Nodes that kept different contents would serve differently for
-	// good.
-	It("settles two contents of one version alike on all nodes", func() {
-		one, two := listing(at(0, 20), rows{"a": "x"}), listing(at(0, 20), rows{"a": "y"})
-		e := rollout.NewDocument()
+	// A restored service reaches a revision that was already in use, with other
+	// content. Nodes that kept different contents would differ permanently.
+	It("converges on the same one of two contents of one version", func() {
+		first, second := fullDelta(version(0, 20), rows{"a": "x"}), fullDelta(version(0, 20), rows{"a": "y"})
+		other := rollout.NewDocument()
 		for _, step := range []struct {
 			d     *rollout.Document
 			delta rollout.Delta
-		}{{d, one}, {d, two}, {e, two}, {e, one}} {
-			offer(step.d, step.delta)
+		}{{d, first}, {d, second}, {other, second}, {other, first}} {
+			apply(step.d, step.delta)
 		}
-		Expect(d.Head()).To(Equal(e.Head()))
+		Expect(d.Head()).To(Equal(other.Head()))
 	})
 
-	It("hands a peer only what it lacks, and everything when it is too far behind", func() {
+	It("sends a peer only the missing changes, or the whole document if it is too far behind", func() {
 		for i := range uint64(5) {
-			offer(d, listing(at(0, 11+i), rows{"a": fmt.Sprint(i), "b": "1"}))
+			apply(d, fullDelta(version(0, 11+i), rows{"a": fmt.Sprint(i), "b": "1"}))
 		}
-		delta := d.Since(at(0, 12))
+		delta := d.Since(version(0, 12))
 		Expect(delta.Full).To(BeFalse())
 		Expect(delta.Rows).To(Equal([]rollout.Row{{Key: "a", Text: "4"}}))
-		Expect(d.Since(at(0, 3)).Full).To(BeTrue())
+		Expect(d.Since(version(0, 3)).Full).To(BeTrue())
 		Expect(d.Since(rollout.Version{}).Full).To(BeTrue())
 	})
 
-	It("refuses a version for good, until a newer one is in force", func() {
-		bad := listing(at(0, 11), rows{"a": "bad"})
-		Expect(d.Refuse(rollout.Refusal{Version: at(0, 11), Reason: "weight"})).To(BeTrue())
-		Expect(d.Refuse(rollout.Refusal{Version: at(0, 11), Reason: "weight"})).To(BeFalse(), "known is no news")
-		Expect(d.Refuse(rollout.Refusal{Version: at(0, 10)})).To(BeFalse(), "in force can't be refused")
-		Expect(offer(d, bad)).To(Equal(rollout.VerdictRefused))
-		Expect(offer(d, listing(at(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictTake))
+	It("refuses a version until a newer one is in force", func() {
+		bad := fullDelta(version(0, 11), rows{"a": "bad"})
+		Expect(d.Refuse(rollout.Refusal{Version: version(0, 11), Reason: "weight"})).To(BeTrue())
+		Expect(d.Refuse(rollout.Refusal{Version: version(0, 11), Reason: "weight"})).To(BeFalse(), "already known")
+		Expect(d.Refuse(rollout.Refusal{Version: version(0, 10)})).To(BeFalse(), "the version in force can't be refused")
+		Expect(apply(d, bad)).To(Equal(rollout.VerdictRefused))
+		Expect(apply(d, fullDelta(version(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictTake))
 		Expect(d.Refused()).To(BeZero())
 	})
 })
 
-// service is the configuration service with a history to be stale in or to be
-// restored to.
-type service struct {
+// fakeService is a configuration service that can return any revision of its
+// history, as a stale or restored service does.
+type fakeService struct {
 	history []rows
 }
 
-func (s *service) edit(rng *rand.Rand) {
+func (s *fakeService) edit(rng *rand.Rand) {
 	next := rows{}
 	if n := len(s.history); n > 0 {
 		for k, t := range s.history[n-1] {
@@ -146,15 +146,15 @@
 	s.history = append(s.history, next)
 }
 
-func (s *service) read(revision int) rollout.Delta {
-	return listing(at(0, uint64(revision)), s.history[revision-1])
+func (s *fakeService) read(revision int) rollout.Delta {
+	return fullDelta(version(0, uint64(revision)), s.history[revision-1])
 }
 
-// run lets nodes read a service that is stale at random and gossip deltas at
-// random, and calls check after each step.
-func run(seed uint64, nodes []*rollout.Document, take func(*rollout.Document, rollout.Delta), check func(s *service)) {
+// simulate lets nodes read a service that is stale at random and exchange
+// deltas with random peers, and calls check after each step.
+func simulate(seed uint64, nodes []*rollout.Document, deliver func(*rollout.Document, rollout.Delta), check func(s *fakeService)) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := &service{}
+	s := &fakeService{}
 	s.edit(rng)
 	for range 400 {
 		n := nodes[rng.IntN(len(nodes))]
@@ -162,22 +162,22 @@
 		case 0:
 			s.edit(rng)
 		case 1:
-			take(n, s.read(len(s.history)))
+			deliver(n, s.read(len(s.history)))
 		case 2:
-			take(n, s.read(1+rng.IntN(len(s.history))))
+			deliver(n, s.read(1+rng.IntN(len(s.history))))
 		default:
 			peer := nodes[rng.IntN(len(nodes))]
 			from := n.Head().Version
 			if rng.IntN(5) == 0 {
-				from = at(0, uint64(rng.IntN(len(s.history)+1)))
+				from = version(0, uint64(rng.IntN(len(s.history)+1)))
 			}
-			take(n, peer.Since(from))
+			deliver(n, peer.Since(from))
 		}
 		check(s)
 	}
 	for range 4 {
 		for _, n := range nodes {
-			take(n, s.read(len(s.history)))
+			deliver(n, s.read(len(s.history)))
 		}
 	}
 	check(s)
@@ -192,19 +192,19 @@
 		return nodes
 	}
 
-	It("holds on each node what the service held at that version, and never goes back", func() {
+	It("holds on each node what the service held at that version, and never reverts", func() {
 		for seed := range uint64(100) {
 			nodes := newNodes()
-			last := make([]rollout.Version, len(nodes))
-			run(seed, nodes, func(d *rollout.Document, delta rollout.Delta) { offer(d, delta) }, func(s *service) {
+			lastVersions := make([]rollout.Version, len(nodes))
+			simulate(seed, nodes, func(d *rollout.Document, delta rollout.Delta) { apply(d, delta) }, func(s *fakeService) {
 				for i, n := range nodes {
 					v := n.Head().Version
-					if last[i].After(v) {
-						Fail(fmt.Sprintf("seed %d: node %d went from %v to %v", seed, i, last[i], v))
+					if lastVersions[i].After(v) {
+						Fail(fmt.Sprintf("seed %d: node %d went from %v to %v", seed, i, lastVersions[i], v))
 					}
-					last[i] = v
-					if v.Revision > 0 && !maps.Equal(content(n), s.history[v.Revision-1]) {
-						Fail(fmt.Sprintf("seed %d: node %d holds a mixture at %v", seed, i, v))
+					lastVersions[i] = v
+					if v.Revision > 0 && !maps.Equal(contentOf(n), s.history[v.Revision-1]) {
+						Fail(fmt.Sprintf("seed %d: node %d holds a mixture of revisions at %v", seed, i, v))
 					}
 				}
 			})
@@ -214,54 +214,54 @@
 		}
 	})
 
-	// The naive node puts in force what the service answered last. One stale
-	// replica is enough to take an accepted edit back.
-	It("would go back if the last answer counted", func() {
+	// A node that applied whatever the service returned last would revert an
+	// accepted edit after a single read from a stale replica.
+	It("would revert if nodes applied the last answer", func() {
 		reverted := 0
-		held := map[*rollout.Document]rollout.Version{}
-		naive := func(d *rollout.Document, delta rollout.Delta) {
-			if held[d].After(delta.Version) {
+		lastVersion := map[*rollout.Document]rollout.Version{}
+		applyLastAnswer := func(d *rollout.Document, delta rollout.Delta) {
+			if lastVersion[d].After(delta.Version) {
 				reverted++
 			}
-			held[d] = delta.Version
-			offer(d, delta)
+			lastVersion[d] = delta.Version
+			apply(d, delta)
 		}
-		run(1, newNodes(), naive, func(*service) {})
+		simulate(1, newNodes(), applyLastAnswer, func(*fakeService) {})
 		Expect(reverted).To(BeNumerically(">", 0))
 	})
 })
 
-var _ = DescribeTable("a process is ready",
-	func(ready bool, now time.Duration, peers, asked int, service, holds, behind bool) {
-		j := rollout.NewJoin(0)
-		for i := range asked {
-			j.Peer(fmt.Sprint(i))
+var _ = DescribeTable("a starting process is ready",
+	func(ready bool, now time.Duration, peers, peersRead int, serviceRead, hasTable, behind bool) {
+		join := rollout.NewJoin(0)
+		for i := range peersRead {
+			join.Peer(fmt.Sprint(i))
 		}
-		if service {
-			j.Service()
+		if serviceRead {
+			join.Service()
 		}
-		Expect(j.Ready(now, peers, holds, behind)).To(Equal(ready))
+		Expect(join.Ready(now, peers, hasTable, behind)).To(Equal(ready))
 	},
-	Entry("alone with the service", true, time.Duration(0), 0, 0, true, true, false),
+	Entry("without peers, after reading the service", true, time.Duration(0), 0, 0, true, true, false),
 	Entry("not without a table", false, time.Minute, 7, 3, true, false, false),
-	// A host is replaced while the service is stale. Serving from the service's
-	// word at once would bring an old table back on this host.
-	Entry("not before it has asked peers", false, time.Second, 7, 2, true, true, false),
-	Entry("with three peers", true, time.Second, 7, 3, false, true, false),
-	Entry("with the only peer", true, time.Second, 1, 1, false, true, false),
-	// The newest table is on its way from a peer, and the machine is busy.
+	// A host is replaced while the service is stale. If it served from the
+	// service's table at once, it would serve an old table.
+	Entry("not before it has read enough peers", false, time.Second, 7, 2, true, true, false),
+	Entry("after reading three peers", true, time.Second, 7, 3, false, true, false),
+	Entry("after reading the only peer", true, time.Second, 1, 1, false, true, false),
+	// The newest table is still being transferred from a peer to a busy host.
 	Entry("not while it knows of a newer version", false, 29*time.Second, 7, 3, true, true, true),
-	Entry("when the only holder of a newer version died", true, 30*time.Second, 7, 3, true, true, true),
-	Entry("after a while when no peer is ready", true, 3*time.Second, 7, 0, true, true, false),
+	Entry("after the timeout, when the only holder of a newer version has crashed", true, 30*time.Second, 7, 3, true, true, true),
+	Entry("after the grace period, when no peer is ready", true, 3*time.Second, 7, 0, true, true, false),
 )
 
 func FuzzDeltas(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		nodes := []*rollout.Document{rollout.NewDocument(), rollout.NewDocument(), rollout.NewDocument()}
-		run(seed, nodes, func(d *rollout.Document, delta rollout.Delta) { offer(d, delta) }, func(s *service) {
+		simulate(seed, nodes, func(d *rollout.Document, delta rollout.Delta) { apply(d, delta) }, func(s *fakeService) {
 			for _, n := range nodes {
-				if v := n.Head().Version.Revision; v > 0 && !maps.Equal(content(n), s.history[v-1]) {
+				if v := n.Head().Version.Revision; v > 0 && !maps.Equal(contentOf(n), s.history[v-1]) {
 					t.Fatal("a node holds a mixture of revisions")
 				}
 			}
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is a document's place in the order of edits.
+// Version is the position of a document in the order of edits.
 type Version struct {
-	// Epoch is the operators' number, from the table's own row, and the number
-	// of restores that were recognised since; see EpochOf.
+	// Epoch combines the operators' epoch, from a row of the table itself, and
+	// the number of restores recognised since then.
 	Epoch uint64
-	// Revision is the configuration service's.
+	// Revision is the revision of the configuration service.
 	Revision uint64
 }
 
@@ -21,24 +21,25 @@
 	return cmp.Or(cmp.Compare(v.Epoch, w.Epoch), cmp.Compare(v.Revision, w.Revision))
 }
 
-// After tells whether v is newer than w.
+// After reports whether v is newer than w.
 func (v Version) After(w Version) bool { return v.Compare(w) > 0 }
 
-// restoreBits is the room for recognised restores within an epoch.
+// restoreBits is the number of low bits of an epoch that hold the number of
+// recognised restores.
 const restoreBits = 16
 
-// EpochOf puts the operators' number and the number of recognised restores
-// into one; the operators' leads.
-func EpochOf(operators, restores uint64) uint64 { return operators<<restoreBits | restores }
+// EpochOf combines the operators' epoch, in the high bits, and the number of
+// recognised restores.
+func EpochOf(operatorEpoch, restores uint64) uint64 { return operatorEpoch<<restoreBits | restores }
 
-// Operators gives the operators' part of the epoch.
+// Operators returns the operators' part of the epoch.
 func (v Version) Operators() uint64 { return v.Epoch >> restoreBits }
 
-// Restores gives the number of restores that were recognised in this epoch.
+// Restores returns the number of restores that were recognised in this epoch.
 func (v Version) Restores() uint64 { return v.Epoch & (1<<restoreBits - 1) }
 
-// String gives the version as epoch.revision, with the recognised restores as
-// epoch+restores.revision where there are any.
+// String returns the version as epoch.revision, or as epoch+restores.revision
+// if restores were recognised.
 func (v Version) String() string {
 	if v.Restores() > 0 {
 		return fmt.Sprintf("%d+%d.%d", v.Operators(), v.Restores(), v.Revision)
@@ -46,21 +47,22 @@
 	return fmt.Sprintf("%d.%d", v.Operators(), v.Revision)
 }
 
-// Head is what two nodes compare to learn whether they hold the same.
+// Head is what two nodes compare to find out whether their documents are equal.
 type Head struct {
 	Version Version
-	// Digest is the sum of the rows' hashes, so that one row's change costs
-	// one subtraction and one addition, whatever the number of rows.
+	// Digest is the sum of the rows' hashes, so that updating it for a changed
+	// row costs one subtraction and one addition regardless of the number of
+	// rows.
 	Digest uint64
 }
 
-// Row is one row of a document; Text is empty when the row is gone.
+// Row is one row of a document. Text is empty if the row was deleted.
 type Row struct {
 	Key  string
 	Text string
 }
 
-// hash gives a row's part of the digest; a row that is gone adds nothing.
+// hash returns the row's part of the digest, which is 0 for a deleted row.
 func (r Row) hash() uint64 {
 	if r.Text == "" {
 		return 0
@@ -73,7 +75,7 @@
 	return d.Sum64()
 }
 
-// DigestOf gives the digest of a whole document.
+// DigestOf returns the digest of a whole document.
 func DigestOf(rows []Row) uint64 {
 	var sum uint64
 	for _, r := range rows {
@@ -82,7 +84,7 @@
 	return sum
 }
 
-// Refusal is a version that failed validation.
+// Refusal records a version that failed validation, and the reason.
 type Refusal struct {
 	Version Version
 	Reason  string
