--- a/internal/decide/quota/owner.go
+++ b/internal/decide/quota/owner.go
@@ -138,10 +138,10 @@
 		a := old[name]
 		if a == nil {
 			a = &ownedAccount{leases: map[string]*lease{}}
-			a.tenure.Set(ownedSince, revision, true)
+			a.tenure.SetOwner(ownedSince, revision, true)
 		}
 		a.tenure.Confirm(o.confirmedAt)
-		a.tenure.Set(now, revision, true)
+		a.tenure.SetOwner(now, revision, true)
 		o.accounts[name] = a
 	}
 }
@@ -158,8 +158,8 @@
 	}
 	l := a.recordDemand(now, d, o.cfg.SilentHolderGrace)
 	a.tenure.Confirm(o.confirmedAt)
-	if !a.tenure.Sole(now, o.cfg.ownershipConfig()) {
-		return Grant{Account: d.Account, RetryAfter: max(a.tenure.SoleFrom(o.cfg.ownershipConfig())-now, o.cfg.LeaseFor/3)}
+	if !a.tenure.IsExclusive(now, o.cfg.ownershipConfig()) {
+		return Grant{Account: d.Account, RetryAfter: max(a.tenure.ExclusiveFrom(o.cfg.ownershipConfig())-now, o.cfg.LeaseFor/3)}
 	}
 	end := now + o.cfg.LeaseFor + o.cfg.ExpiryMargin
 	running := a.grantableRunning(now, limits.Running, l)
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -85,7 +85,7 @@
 }
 
 func (c Config) ownershipConfig() ownership.Config {
-	return ownership.Config{ConfirmFor: c.ConfirmationTTL, ActFor: c.LeaseFor + c.ExpiryMargin}
+	return ownership.Config{ConfirmationTTL: c.ConfirmationTTL, ActionTTL: c.LeaseFor + c.ExpiryMargin}
 }
 
 // Limits are the limits in an account's row; 0 means no limit.
