--- a/internal/controller/configwatch/board.go
+++ b/internal/controller/configwatch/board.go
@@ -1,10 +1,11 @@
-// Package configwatch keeps the published documents in force on this node:
-// the operators' table, the drain list, the hosts and the targets. It is the
-// only writer of the blackboard sections that hold them.
+// Package configwatch holds the published documents in force on this node: the
+// operators' table, the drain list, the hosts and the targets. It is the only
+// writer of the blackboard sections that hold them.
 //
-// Two sources feed it: the configuration service, watched only by the few
-// processes picked as readers, and peers by gossip. Both hand it deltas, and
-// the rules of internal/decide/rollout say which of them count.
+// Documents come from two sources: the configuration service, which only the
+// few processes selected as readers watch, and peers, by gossip. Both deliver
+// deltas, and the rules of internal/decide/rollout decide which of them are
+// applied.
 package configwatch
 
 import (
@@ -31,17 +32,17 @@
 	SectionKept Section = "kept"
 )
 
-// Sections lists them in the order in which they are put in force: who may be
-// asked comes before what is asked.
+// Sections lists the documents in the order in which they are put in force:
+// hosts and targets come before the table that refers to them.
 var Sections = []Section{SectionHosts, SectionTargets, SectionDrain, SectionKept, SectionTable}
 
-// Board is this controller's part of the blackboard.
+// Board holds the blackboard sections that this package writes.
 type Board struct {
 	// Table is the operators' table with the drain list and the services'
 	// targets filled in; nil until a table is in force.
 	Table blackboard.Section[table.Table]
 	Hosts blackboard.Section[Hosts]
-	// Targets holds the published targets of every service, also of those
+	// Targets holds the published targets of every service, including services
 	// that the table does not name.
 	Targets blackboard.Section[Targets]
 	Rollout blackboard.Section[State]
@@ -50,14 +51,14 @@
 // Hosts is the published list of hosts.
 type Hosts struct {
 	Version rollout.Version
-	// List is in the order of control addresses. Snapshots that differ only in
+	// List is sorted by control address. Snapshots that differ only in
 	// ConfirmedAt share it.
 	List []configservice.Host
-	// ConfirmedAt is a time (with its monotonic part) at which the
-	// configuration service certainly held this list; zero when it never was
-	// confirmed. It is taken before the question was sent, so it errs only
-	// towards the past. A service that is stale without showing it, because
-	// nothing has changed since it went stale, can't be told from a fresh one.
+	// ConfirmedAt is a time, with its monotonic part, at which the
+	// configuration service is known to have held this list; zero if it was
+	// never confirmed. It is taken before the request is sent, so it can only
+	// be too early. A stale service whose data has not changed since it became
+	// stale can't be distinguished from a current one.
 	ConfirmedAt time.Time
 }
 
@@ -67,39 +68,43 @@
 	ByService map[string][]configservice.Target
 }
 
-// State tells operators what is in force here and why something is not.
+// State shows operators which documents are in force here and why others are
+// not.
 type State struct {
 	Documents []DocumentState
 	Service   ServiceState
-	// Ready is set once the newest state of peers was taken over.
+	// Ready is set once this process may serve.
 	Ready bool
-	// PeersAsked tells whether enough peers vouched for it; otherwise this
-	// process became ready with the configuration service's word alone.
+	// PeersAsked reports whether enough peers confirmed the documents in force;
+	// if false and Ready is set, the process became ready on the configuration
+	// service's data alone.
 	PeersAsked bool
 }
 
-// DocumentState is one document's state.
+// DocumentState is the state of one document.
 type DocumentState struct {
 	Section Section
 	Head    rollout.Head
 	Rows    int
-	// Since is when this version was put in force here.
+	// Since is the time at which this version was put in force here.
 	Since time.Time
-	// Refused is a newer version that failed validation; zero without one.
+	// Refused is a newer version that failed validation; zero if there is none.
 	Refused rollout.Refusal
 }
 
-// ServiceState is what this process last saw of the configuration service.
+// ServiceState is the state of the configuration service as this process last
+// saw it.
 type ServiceState struct {
-	// Reader tells whether this process watches the service.
+	// Reader reports whether this process watches the service.
 	Reader bool
-	// AnsweredAt is when it last answered; zero when never.
+	// AnsweredAt is the time of the last answer; zero if there was none.
 	AnsweredAt time.Time
-	// Revision is the store's in that answer.
+	// Revision is the service's revision in that answer.
 	Revision uint64
-	// Behind is set while it answers with a state older than what is in force
-	// (stale or restored); edits made to it now are not taken.
+	// Behind is set while the service's answers are older than the documents in
+	// force (stale or restored); edits made to it in that state are not
+	// applied.
 	Behind bool
-	// Failure is the kind of the last failure, empty after an answer.
+	// Failure is the kind of the last failure; empty after an answer.
 	Failure string
 }
--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -25,8 +25,8 @@
 	RunSpecs(t, "configwatch")
 }
 
-// service is a configuration service in memory.
-type service struct {
+// fakeService is an in-memory configuration service.
+type fakeService struct {
 	mu       sync.Mutex
 	revision uint64
 	values   map[string]configservice.Value
@@ -35,11 +35,11 @@
 	changed  chan struct{}
 }
 
-func newService() *service {
-	return &service{values: map[string]configservice.Value{}, changed: make(chan struct{})}
+func newFakeService() *fakeService {
+	return &fakeService{values: map[string]configservice.Value{}, changed: make(chan struct{})}
 }
 
-func (s *service) set(change func()) {
+func (s *fakeService) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -47,26 +47,26 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *service) put(key, text string) {
-	s.set(func() {
+func (s *fakeService) put(key, text string) {
+	s.update(func() {
 		s.revision++
 		s.values[key] = configservice.Value{Key: key, Revision: s.revision, Text: text}
 	})
 }
 
-func (s *service) remove(key string) {
-	s.set(func() { s.revision++; delete(s.values, key) })
+func (s *fakeService) remove(key string) {
+	s.update(func() { s.revision++; delete(s.values, key) })
 }
 
-// backup gives a function that restores the present state.
-func (s *service) backup() func() {
+// backup returns a function that restores the current state.
+func (s *fakeService) backup() func() {
 	revision, values := s.revision, maps.Clone(s.values)
-	return func() { s.set(func() { s.revision, s.values = revision, maps.Clone(values) }) }
+	return func() { s.update(func() { s.revision, s.values = revision, maps.Clone(values) }) }
 }
 
-func (s *service) fail(err error) { s.set(func() { s.err = err }) }
+func (s *fakeService) setError(err error) { s.update(func() { s.err = err }) }
 
-func (s *service) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error) {
+func (s *fakeService) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error) {
 	s.mu.Lock()
 	changed := s.changed
 	if s.revision == after && s.err == nil && wait > 0 {
@@ -75,7 +75,7 @@
 		case <-changed:
 		case <-time.After(min(wait, 50*time.Millisecond)):
 		case <-ctx.Done():
-			return configservice.Answer{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "cut")
+			return configservice.Answer{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "watch cancelled")
 		}
 		s.mu.Lock()
 	}
@@ -84,22 +84,22 @@
 	if s.err != nil {
 		return configservice.Answer{}, s.err
 	}
-	a := configservice.Answer{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
+	answer := configservice.Answer{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
 	for _, v := range s.values {
 		if v.Revision > after && strings.HasPrefix(v.Key, prefix) {
-			a.Values = append(a.Values, v)
+			answer.Values = append(answer.Values, v)
 		}
 	}
-	return a, nil
+	return answer, nil
 }
 
-const head = "kind,name,weight,type\n"
+const tableHeader = "kind,name,weight,type\n"
 
-func weight(w int) string {
-	return fmt.Sprintf("%sservice,reports,,generation\naccount,clinic,%d,\n", head, w)
+func tableWithWeight(weight int) string {
+	return fmt.Sprintf("%sservice,reports,,generation\naccount,clinic,%d,\n", tableHeader, weight)
 }
 
-func hosts(names ...string) string {
+func hostsJSON(names ...string) string {
 	var list []string
 	for i, n := range names {
 		list = append(list, fmt.Sprintf(`{"name":%q,"data_centre":"north","entry":"10.0.0.%d:80","control":"10.0.0.%d:81","state":"live"}`, n, i+1, i+1))
@@ -109,12 +109,12 @@
 
 var _ = Describe("a reader", func() {
 	var (
-		svc   *service
-		board *configwatch.Board
-		store *configwatch.Store
-		watch *configwatch.Watcher
+		svc     *fakeService
+		board   *configwatch.Board
+		store   *configwatch.Store
+		watcher *configwatch.Watcher
 	)
-	inForce := func() float64 {
+	weightInForce := func() float64 {
 		if t := board.Table.Get(); t != nil && t.Accounts["clinic"] != nil {
 			return t.Accounts["clinic"].Weight
 		}
@@ -124,23 +124,23 @@
 		docs := board.Rollout.Get().Documents
 		return docs[slices.Index(configwatch.Sections, configwatch.SectionTable)]
 	}
-	behind := func() bool { return board.Rollout.Get().Service.Behind }
+	isServiceBehind := func() bool { return board.Rollout.Get().Service.Behind }
 
 	BeforeEach(func() {
-		svc, board = newService(), &configwatch.Board{}
-		svc.put("hosts", hosts("h1", "h2"))
-		svc.put("table/0001", weight(1))
+		svc, board = newFakeService(), &configwatch.Board{}
+		svc.put("hosts", hostsJSON("h1", "h2"))
+		svc.put("table/0001", tableWithWeight(1))
 		svc.put("targets", `{"targets":[{"service":"reports","address":"10.1.0.1:1","data_centre":"north","state":"leaving"}]}`)
 		var err error
 		store, err = configwatch.NewStore(board, configwatch.StoreConfig{})
 		Expect(err).NotTo(HaveOccurred())
-		watch = configwatch.NewWatcher(svc, store)
+		watcher = configwatch.NewWatcher(svc, store)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { defer close(done); watch.Run(ctx) }()
+		go func() { defer close(done); watcher.Run(ctx) }()
 		DeferCleanup(func() { cancel(); <-done })
-		watch.SetReader(true)
-		Eventually(inForce, "5s", "5ms").Should(Equal(1.0))
+		watcher.SetReader(true)
+		Eventually(weightInForce, "5s", "5ms").Should(Equal(1.0))
 	})
 
 	It("publishes table, targets, drain list and hosts as one state", func() {
@@ -154,88 +154,88 @@
 		Eventually(func() bool { return board.Table.Get().Drained["south"] }, "5s", "5ms").Should(BeFalse())
 	})
 
-	It("keeps the table in force when an edit has faults, and tells why", func() {
-		svc.put("table/0001", weight(-1))
-		refused := func() string { return tableState().Refused.Reason }
-		Eventually(refused, "5s", "5ms").Should(ContainSubstring("weight"))
-		Expect(inForce()).To(Equal(1.0))
-		svc.put("table/0001", weight(3))
-		Eventually(inForce, "5s", "5ms").Should(Equal(3.0))
-		Expect(refused()).To(BeEmpty())
+	It("keeps the table in force when an edit is invalid, and reports the reason", func() {
+		svc.put("table/0001", tableWithWeight(-1))
+		refusalReason := func() string { return tableState().Refused.Reason }
+		Eventually(refusalReason, "5s", "5ms").Should(ContainSubstring("weight"))
+		Expect(weightInForce()).To(Equal(1.0))
+		svc.put("table/0001", tableWithWeight(3))
+		Eventually(weightInForce, "5s", "5ms").Should(Equal(3.0))
+		Expect(refusalReason()).To(BeEmpty())
 	})
 
-	It("does not take every table away when its pages vanish", func() {
+	It("keeps the table in force when all of its pages are removed", func() {
 		svc.remove("table/0001")
 		Eventually(func() uint64 { return tableState().Refused.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
-		Expect(inForce()).To(Equal(1.0))
+		Expect(weightInForce()).To(Equal(1.0))
 	})
 
-	// The platform restores its service from a backup. The edit that cut an
-	// account's weight is not in it; the operator would see it undone, and
-	// later edits of other values would carry the old table along.
-	It("outlives a restore, and takes up edits again once the epoch is raised", func() {
+	// Guards against a restore from a backup that lacks an accepted edit: the
+	// edit must not be reverted, and later edits of other values must not bring
+	// the old table back.
+	It("keeps its state across a restore, and applies edits again once the epoch is raised", func() {
 		restore := svc.backup()
-		svc.put("table/0001", weight(5))
-		Eventually(inForce, "5s", "5ms").Should(Equal(5.0))
+		svc.put("table/0001", tableWithWeight(5))
+		Eventually(weightInForce, "5s", "5ms").Should(Equal(5.0))
 		restore()
-		Eventually(behind, "5s", "5ms").Should(BeTrue())
+		Eventually(isServiceBehind, "5s", "5ms").Should(BeTrue())
 		for range 5 {
 			svc.put("targets", `{"targets":[]}`)
 		}
-		confirmed := store.ConfirmedAt()
-		Consistently(inForce, "200ms", "5ms").Should(Equal(5.0))
-		Expect(store.ConfirmedAt()).To(Equal(confirmed), "a restored service confirms nothing")
-		svc.put("table/0001", weight(7)+"epoch,1,,\n")
-		Eventually(inForce, "5s", "5ms").Should(Equal(7.0))
-		Eventually(behind, "5s", "5ms").Should(BeFalse())
+		confirmedAt := store.ConfirmedAt()
+		Consistently(weightInForce, "200ms", "5ms").Should(Equal(5.0))
+		Expect(store.ConfirmedAt()).To(Equal(confirmedAt), "a restored service must not confirm the host list")
+		svc.put("table/0001", tableWithWeight(7)+"epoch,1,,\n")
+		Eventually(weightInForce, "5s", "5ms").Should(Equal(7.0))
+		Eventually(isServiceBehind, "5s", "5ms").Should(BeFalse())
 	})
 
-	It("keeps serving while the service is down, and reads it whole afterwards", func() {
-		confirmed := store.ConfirmedAt()
-		svc.fail(failure.New(failure.KindConfigUnreadable, "down"))
+	It("keeps the table in force while the service is down, and reads the whole state afterwards", func() {
+		confirmedAt := store.ConfirmedAt()
+		svc.setError(failure.New(failure.KindConfigUnreadable, "down"))
 		Eventually(func() string { return board.Rollout.Get().Service.Failure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
-		Expect(inForce()).To(Equal(1.0))
-		svc.put("table/0001", weight(2))
-		svc.fail(nil)
-		Eventually(inForce, "10s", "5ms").Should(Equal(2.0))
-		Eventually(store.ConfirmedAt, "5s", "5ms").Should(BeTemporally(">", confirmed))
+		Expect(weightInForce()).To(Equal(1.0))
+		svc.put("table/0001", tableWithWeight(2))
+		svc.setError(nil)
+		Eventually(weightInForce, "10s", "5ms").Should(Equal(2.0))
+		Eventually(store.ConfirmedAt, "5s", "5ms").Should(BeTemporally(">", confirmedAt))
 	})
 
-	It("stops calling when the role goes", func() {
-		watch.SetReader(false)
+	It("stops calling when it is no longer a reader", func() {
+		watcher.SetReader(false)
 		time.Sleep(100 * time.Millisecond)
 		svc.mu.Lock()
-		before := svc.calls
+		callsBefore := svc.calls
 		svc.mu.Unlock()
-		svc.put("table/0001", weight(9))
-		Consistently(inForce, "200ms", "10ms").Should(Equal(1.0))
-		Expect(svc.calls).To(Equal(before))
+		svc.put("table/0001", tableWithWeight(9))
+		Consistently(weightInForce, "200ms", "10ms").Should(Equal(1.0))
+		Expect(svc.calls).To(Equal(callsBefore))
 	})
 
-	It("takes the same from a peer's delta as from the service", func() {
+	It("publishes the same state from a peer's delta as from the service", func() {
 		otherBoard := &configwatch.Board{}
 		other, err := configwatch.NewStore(otherBoard, configwatch.StoreConfig{})
 		Expect(err).NotTo(HaveOccurred())
 		for _, s := range configwatch.Sections {
-			want := rollout.VerdictTake
+			expected := rollout.VerdictTake
 			if s == configwatch.SectionDrain || s == configwatch.SectionKept {
-				want = rollout.VerdictKnown
+				expected = rollout.VerdictKnown
 			}
-			Expect(other.Offer(s, store.Since(s, rollout.Version{}))).To(Equal(want), string(s))
+			Expect(other.Apply(s, store.DeltaSince(s, rollout.Version{}))).To(Equal(expected), string(s))
 		}
 		Expect(otherBoard.Table.Get()).To(Equal(board.Table.Get()))
-		svc.put("table/0001", weight(4))
-		Eventually(inForce, "5s", "5ms").Should(Equal(4.0))
-		delta := store.Since(configwatch.SectionTable, other.Head(configwatch.SectionTable).Version)
+		svc.put("table/0001", tableWithWeight(4))
+		Eventually(weightInForce, "5s", "5ms").Should(Equal(4.0))
+		delta := store.DeltaSince(configwatch.SectionTable, other.Head(configwatch.SectionTable).Version)
 		Expect(delta.Rows).To(HaveLen(1))
-		Expect(other.Offer(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictTake))
+		Expect(other.Apply(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictTake))
 		Expect(otherBoard.Table.Get().Accounts["clinic"].Weight).To(Equal(4.0))
 	})
 })
 
-// BenchmarkStore reports what a node holds at the target size (11,000
-// accounts, 10,000 targets, 3,300 hosts) and what one row's change costs it,
-// from the delta to the published snapshot.
+// BenchmarkStore reports the memory of a node at the target size (11,000
+// accounts, 10,000 targets, 3,300 hosts) and the cost of changing one row, from
+// the delta to the published snapshot.
 func BenchmarkStore(b *testing.B) {
 	rows := map[configwatch.Section]func(i int) rollout.Row{
 		configwatch.SectionTable: func(i int) rollout.Row {
@@ -264,28 +264,28 @@
 		for i := range all {
 			all[i] = rows[name](i)
 		}
-		store.Offer(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.DigestOf(all)}})
+		store.Apply(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.DigestOf(all)}})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	for name, row := range rows {
+	for name, rowAt := range rows {
 		b.Run("one row of "+string(name), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				head, old := store.Head(name), row(7)
-				text := old.Text + " "
-				if held := store.Since(name, rollout.Version{Revision: head.Version.Revision}); held.Full {
-					b.Fatal("the log does not reach back")
+				head, oldRow := store.Head(name), rowAt(7)
+				text := oldRow.Text + " "
+				if delta := store.DeltaSince(name, rollout.Version{Revision: head.Version.Revision}); delta.Full {
+					b.Fatal("the change log does not reach back far enough")
 				}
-				next := rollout.Row{Key: old.Key, Text: text}
+				newRow := rollout.Row{Key: oldRow.Key, Text: text}
 				if head.Version.Revision%2 == 0 {
-					next, old = old, next
+					newRow, oldRow = oldRow, newRow
 				}
-				delta := rollout.Delta{From: head.Version, Rows: []rollout.Row{next}, Head: rollout.Head{
+				delta := rollout.Delta{From: head.Version, Rows: []rollout.Row{newRow}, Head: rollout.Head{
 					Version: rollout.Version{Revision: head.Version.Revision + 1},
-					Digest:  head.Digest - rollout.DigestOf([]rollout.Row{old}) + rollout.DigestOf([]rollout.Row{next}),
+					Digest:  head.Digest - rollout.DigestOf([]rollout.Row{oldRow}) + rollout.DigestOf([]rollout.Row{newRow}),
 				}}
-				if v := store.Offer(name, delta); v != rollout.VerdictTake {
+				if v := store.Apply(name, delta); v != rollout.VerdictTake {
 					b.Fatal(v)
 				}
 			}
--- a/internal/controller/configwatch/export_test.go
+++ b/internal/controller/configwatch/export_test.go
@@ -2,19 +2,22 @@
 
 import "context"
 
-// Session is one reader's uninterrupted view, driven call by call.
-type Session struct {
-	w     *Watcher
-	seen  *reading
-	whole bool
+// ReadSession is one uninterrupted watch by a reader. Each call is made
+// explicitly.
+type ReadSession struct {
+	watcher  *Watcher
+	observed *observedState
+	fullRead bool
 }
 
-// NewSession starts with a whole reading.
-func NewSession(w *Watcher) *Session { return &Session{w: w, seen: newReading(), whole: true} }
+// NewReadSession returns a session whose first call reads the whole state.
+func NewReadSession(watcher *Watcher) *ReadSession {
+	return &ReadSession{watcher: watcher, observed: newObservedState(), fullRead: true}
+}
 
-// Step makes one call.
-func (s *Session) Step() error {
-	err := s.w.step(context.Background(), s.seen, s.whole)
-	s.whole = err != nil
+// ReadOnce makes one call to the service.
+func (s *ReadSession) ReadOnce() error {
+	err := s.watcher.readOnce(context.Background(), s.observed, s.fullRead)
+	s.fullRead = err != nil
 	return err
 }
--- a/internal/controller/configwatch/publish.go
+++ b/internal/controller/configwatch/publish.go
@@ -8,11 +8,12 @@
 	"filbertdeck/internal/table"
 )
 
-// publish puts what a document's new version changes on the blackboard.
+// publish updates the blackboard sections that a document's new version
+// affects.
 func (s *Store) publish(name Section) {
 	switch name {
 	case SectionHosts:
-		s.listHosts()
+		s.sortHosts()
 		s.publishHosts()
 	case SectionTargets:
 		s.publishTargets()
@@ -21,42 +22,42 @@
 		s.publishTable()
 	}
 	s.publishState()
-	s.wake()
+	s.notifyChanged()
 }
 
-// listHosts puts the list of hosts in order after a change.
-func (s *Store) listHosts() {
-	s.hostList = make([]configservice.Host, 0, len(s.hosts))
-	for _, k := range slices.Sorted(maps.Keys(s.hosts)) {
-		s.hostList = append(s.hostList, s.hosts[k])
+// sortHosts rebuilds the sorted list of hosts after a change.
+func (s *Store) sortHosts() {
+	s.sortedHosts = make([]configservice.Host, 0, len(s.hosts))
+	for _, key := range slices.Sorted(maps.Keys(s.hosts)) {
+		s.sortedHosts = append(s.sortedHosts, s.hosts[key])
 	}
 }
 
-// publishHosts is called with each confirmation, about once a second; the list
-// itself is shared between snapshots.
+// publishHosts is called with each confirmation, about once a second; snapshots
+// share the list itself.
 func (s *Store) publishHosts() {
-	s.out.hosts.Publish(&Hosts{
-		Version: s.docs[SectionHosts].Head().Version, List: s.hostList, ConfirmedAt: s.confirmed,
+	s.writers.hosts.Publish(&Hosts{
+		Version: s.docs[SectionHosts].Head().Version, List: s.sortedHosts, ConfirmedAt: s.hostsConfirmedAt,
 	})
 }
 
-// publishTargets keeps the targets in the table's form as well, so that an
-// edit of the table does not work through 10,000 of them again.
+// publishTargets also stores the targets in the table's representation, so that
+// an edit of the table does not have to convert 10,000 targets again.
 func (s *Store) publishTargets() {
-	by := map[string][]configservice.Target{}
+	byService := map[string][]configservice.Target{}
 	s.tableTargets = map[string][]table.Target{}
-	for _, k := range slices.Sorted(maps.Keys(s.targets)) {
-		t := s.targets[k]
-		by[t.Service] = append(by[t.Service], t)
-		s.tableTargets[t.Service] = append(s.tableTargets[t.Service], table.Target{
-			Address: t.Address, DataCentre: t.DataCentre, Leaving: t.State == configservice.StateLeaving,
+	for _, key := range slices.Sorted(maps.Keys(s.targets)) {
+		target := s.targets[key]
+		byService[target.Service] = append(byService[target.Service], target)
+		s.tableTargets[target.Service] = append(s.tableTargets[target.Service], table.Target{
+			Address: target.Address, DataCentre: target.DataCentre, Leaving: target.State == configservice.StateLeaving,
 		})
 	}
-	s.out.targets.Publish(&Targets{Version: s.docs[SectionTargets].Head().Version, ByService: by})
+	s.writers.targets.Publish(&Targets{Version: s.docs[SectionTargets].Head().Version, ByService: byService})
 }
 
-// publishTable merges drain list and targets into the table, so that a reader
-// of one snapshot sees one state.
+// publishTable merges the drain list and the targets into the table, so that
+// one snapshot shows one consistent state.
 func (s *Store) publishTable() {
 	if s.table == nil {
 		return
@@ -65,16 +66,16 @@
 	for _, r := range s.docs[SectionDrain].Rows() {
 		drained = append(drained, r.Key)
 	}
-	s.out.table.Publish(s.table.With(drained, s.tableTargets))
+	s.writers.table.Publish(s.table.With(drained, s.tableTargets))
 }
 
 func (s *Store) publishState() {
-	state := &State{Service: s.service, Ready: s.ready, PeersAsked: s.join.Confirmed()}
+	state := &State{Service: s.serviceState, Ready: s.ready, PeersAsked: s.join.Confirmed()}
 	for _, name := range Sections {
-		d := s.docs[name]
+		doc := s.docs[name]
 		state.Documents = append(state.Documents, DocumentState{
-			Section: name, Head: d.Head(), Rows: d.Len(), Since: d.since, Refused: d.Refused(),
+			Section: name, Head: doc.Head(), Rows: doc.Len(), Since: doc.inForceSince, Refused: doc.Refused(),
 		})
 	}
-	s.out.rollout.Publish(state)
+	s.writers.rollout.Publish(state)
 }
--- a/internal/controller/configwatch/restore_test.go
+++ b/internal/controller/configwatch/restore_test.go
@@ -14,181 +14,184 @@
 	"filbertdeck/internal/decide/rollout"
 )
 
-// weights is the operators' table as a map.
-type weights map[string]int
+// tableWeights maps account names to the weights in the operators' table.
+type tableWeights map[string]int
 
-func (w weights) csv() string {
+func (w tableWeights) csv() string {
 	var b strings.Builder
-	b.WriteString(head + "service,reports,,generation\n")
-	for _, k := range slices.Sorted(maps.Keys(w)) {
-		fmt.Fprintf(&b, "account,%s,%d,\n", k, w[k])
+	b.WriteString(tableHeader + "service,reports,,generation\n")
+	for _, account := range slices.Sorted(maps.Keys(w)) {
+		fmt.Fprintf(&b, "account,%s,%d,\n", account, w[account])
 	}
 	return b.String()
 }
 
-// reader is one reader with its own store, driven call by call.
-type reader struct {
+// testReader is a reader with its own store. Each call is made explicitly.
+type testReader struct {
 	board   configwatch.Board
 	store   *configwatch.Store
-	session *configwatch.Session
+	session *configwatch.ReadSession
 }
 
-func newReader(svc *service) *reader {
-	r := &reader{}
+func newTestReader(svc *fakeService) *testReader {
+	r := &testReader{}
 	var err error
 	r.store, err = configwatch.NewStore(&r.board, configwatch.StoreConfig{})
 	Expect(err).NotTo(HaveOccurred())
-	r.session = configwatch.NewSession(configwatch.NewWatcher(svc, r.store))
+	r.session = configwatch.NewReadSession(configwatch.NewWatcher(svc, r.store))
 	return r
 }
 
-func (r *reader) step() { Expect(r.session.Step()).To(Succeed()) }
+func (r *testReader) readOnce() { Expect(r.session.ReadOnce()).To(Succeed()) }
 
-func (r *reader) weights() weights {
-	out := weights{}
+func (r *testReader) weights() tableWeights {
+	weights := tableWeights{}
 	for name, a := range r.board.Table.Get().Accounts {
-		out[name] = int(a.Weight)
+		weights[name] = int(a.Weight)
 	}
-	return out
+	return weights
 }
 
-// bring gives another store everything that r's holds, as gossip would.
-func (r *reader) bring(to *configwatch.Store) {
+// copyTo applies everything that r's store holds to another store, as gossip
+// does.
+func (r *testReader) copyTo(dst *configwatch.Store) {
 	for _, s := range configwatch.Sections {
-		to.Offer(s, r.store.Since(s, to.Head(s).Version))
+		dst.Apply(s, r.store.DeltaSince(s, dst.Head(s).Version))
 	}
 }
 
-var _ = Describe("a restored service on which operators go on editing", func() {
-	var svc *service
-	var r *reader
+var _ = Describe("a restored service that operators continue to edit", func() {
+	var svc *fakeService
+	var r *testReader
 	var restore func()
 
-	// The table holds clinic and radio; after the backup, clinic was cut to 9
-	// and the data centre south was taken out.
+	// The table holds the accounts clinic and radio. After the backup, the
+	// weight of clinic is set to 9 and the data centre south is drained.
 	BeforeEach(func() {
-		svc = newService()
-		svc.put("hosts", hosts("h1"))
-		svc.put("table/0001", weights{"clinic": 1, "radio": 1}.csv())
-		r = newReader(svc)
-		r.step()
+		svc = newFakeService()
+		svc.put("hosts", hostsJSON("h1"))
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 1}.csv())
+		r = newTestReader(svc)
+		r.readOnce()
 		restore = svc.backup()
-		svc.put("table/0001", weights{"clinic": 9, "radio": 1}.csv())
-		r.step()
+		svc.put("table/0001", tableWeights{"clinic": 9, "radio": 1}.csv())
+		r.readOnce()
 		svc.put("drain", "south\n")
-		r.step()
+		r.readOnce()
 		restore()
-		r.step()
-		Expect(r.weights()).To(Equal(weights{"clinic": 9, "radio": 1}))
+		r.readOnce()
+		Expect(r.weights()).To(Equal(tableWeights{"clinic": 9, "radio": 1}))
 	})
 
-	// The operator edits another row of the restored table, not knowing that
-	// the earlier edit is lost. Both edits were accepted: both must be in force,
-	// and the data centre must stay out.
-	It("takes the new edit and keeps the lost ones", func() {
-		svc.put("table/0001", weights{"clinic": 1, "radio": 4}.csv())
-		r.step()
-		Expect(r.weights()).To(Equal(weights{"clinic": 9, "radio": 4}))
+	// Guards against the loss of accepted edits when an operator edits another
+	// row of the restored table without knowing that the earlier edit is lost.
+	// Both edits must be in force, and the data centre must stay drained.
+	It("applies the new edit and keeps the lost ones in force", func() {
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 4}.csv())
+		r.readOnce()
+		Expect(r.weights()).To(Equal(tableWeights{"clinic": 9, "radio": 4}))
 		Expect(r.board.Table.Get().Drained).To(HaveKey("south"))
 		Expect(r.store.Head(configwatch.SectionTable).Version.String()).To(Equal("0+1.3"))
-		svc.put("table/0001", weights{"clinic": 2, "radio": 4}.csv())
-		r.step()
-		svc.put("table/0001", weights{"clinic": 1, "radio": 4}.csv())
-		r.step()
+		svc.put("table/0001", tableWeights{"clinic": 2, "radio": 4}.csv())
+		r.readOnce()
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 4}.csv())
+		r.readOnce()
 		Expect(r.weights()["clinic"]).To(Equal(1), "once edited, the row is no longer kept")
 	})
 
-	It("brings other nodes, readers among them, to the same", func() {
-		other := newReader(svc)
-		svc.put("table/0001", weights{"clinic": 1, "radio": 4}.csv())
-		r.step()
-		r.bring(other.store)
-		other.step()
-		svc.put("table/0001", weights{"clinic": 1, "radio": 5}.csv())
-		other.step()
-		r.step()
+	It("brings other nodes, including readers, to the same state", func() {
+		other := newTestReader(svc)
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 4}.csv())
+		r.readOnce()
+		r.copyTo(other.store)
+		other.readOnce()
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 5}.csv())
+		other.readOnce()
+		r.readOnce()
 		for _, s := range configwatch.Sections {
 			Expect(other.store.Head(s)).To(Equal(r.store.Head(s)), string(s))
 		}
-		Expect(other.weights()).To(Equal(weights{"clinic": 9, "radio": 5}))
+		Expect(other.weights()).To(Equal(tableWeights{"clinic": 9, "radio": 5}))
 	})
 
-	It("goes by the service's rows alone once the epoch is raised", func() {
-		svc.put("table/0001", weights{"clinic": 1, "radio": 4}.csv())
-		r.step()
-		svc.put("table/0001", weights{"clinic": 1, "radio": 4}.csv()+"epoch,1,,\n")
-		r.step()
-		Expect(r.weights()).To(Equal(weights{"clinic": 1, "radio": 4}))
-		Expect(r.store.Since(configwatch.SectionKept, rollout.Version{}).Rows).To(BeEmpty())
-		Expect(r.board.Table.Get().Drained).To(BeEmpty(), "the drain list goes by the service as well")
+	It("drops the kept rows once the epoch is raised", func() {
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 4}.csv())
+		r.readOnce()
+		svc.put("table/0001", tableWeights{"clinic": 1, "radio": 4}.csv()+"epoch,1,,\n")
+		r.readOnce()
+		Expect(r.weights()).To(Equal(tableWeights{"clinic": 1, "radio": 4}))
+		Expect(r.store.DeltaSince(configwatch.SectionKept, rollout.Version{}).Rows).To(BeEmpty())
+		Expect(r.board.Table.Get().Drained).To(BeEmpty(), "the drain list follows the service as well")
 	})
 
-	// A replica of the service lags and replays old edits one by one. It looks
-	// like a restore followed by edits; taking them would revert newer ones.
-	It("does not take a lagging replica for a restored service", func() {
-		svc.put("table/0001", weights{"clinic": 9, "radio": 1}.csv())
-		r.step()
+	// Guards against taking a lagging replica that replays old edits one by one
+	// for a restored service with new edits, which would revert newer edits.
+	It("does not mistake a lagging replica for a restored service", func() {
+		svc.put("table/0001", tableWeights{"clinic": 9, "radio": 1}.csv())
+		r.readOnce()
 		svc.put("drain", "south\n")
-		r.step()
-		Expect(r.weights()).To(Equal(weights{"clinic": 9, "radio": 1}))
+		r.readOnce()
+		Expect(r.weights()).To(Equal(tableWeights{"clinic": 9, "radio": 1}))
 		Expect(r.store.Head(configwatch.SectionTable).Version).To(Equal(rollout.Version{Revision: 3}))
 	})
 })
 
-var _ = Describe("the documents in force against perfect knowledge", func() {
-	// play makes random edits with one restore among them, and calls check with
-	// what the last accepted edit of each row says.
-	play := func(seed uint64, check func(r *reader, accepted weights, service weights)) {
+var _ = Describe("the documents in force compared with the accepted edits", func() {
+	// runRandomEdits makes random edits with one restore among them. After each
+	// step it calls check with the weights of the last accepted edit of each
+	// row and the weights that the service holds.
+	runRandomEdits := func(seed uint64, check func(r *testReader, accepted tableWeights, served tableWeights)) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		svc := newService()
-		svc.put("hosts", hosts("h1"))
-		accepted, saved := weights{}, weights{}
+		svc := newFakeService()
+		svc.put("hosts", hostsJSON("h1"))
+		accepted, backup := tableWeights{}, tableWeights{}
 		for i := range 5 {
 			accepted[fmt.Sprint("a", i)] = 1
 		}
-		held := maps.Clone(accepted)
-		svc.put("table/0001", held.csv())
-		r := newReader(svc)
-		r.step()
+		served := maps.Clone(accepted)
+		svc.put("table/0001", served.csv())
+		r := newTestReader(svc)
+		r.readOnce()
 		var restore func()
-		backupAt := rng.IntN(15)
-		restoreAt := backupAt + 2 + rng.IntN(10)
+		backupStep := rng.IntN(15)
+		restoreStep := backupStep + 2 + rng.IntN(10)
 		for i := range 40 {
 			switch {
-			case i == backupAt:
-				restore, saved = svc.backup(), maps.Clone(held)
-			case i == restoreAt:
+			case i == backupStep:
+				restore, backup = svc.backup(), maps.Clone(served)
+			case i == restoreStep:
 				restore()
-				held = maps.Clone(saved)
+				served = maps.Clone(backup)
 			default:
 				key := fmt.Sprint("a", rng.IntN(8))
-				if _, there := held[key]; there && rng.IntN(4) == 0 {
-					delete(held, key)
+				if _, exists := served[key]; exists && rng.IntN(4) == 0 {
+					delete(served, key)
 					delete(accepted, key)
 				} else {
-					held[key] = 10 + i
+					served[key] = 10 + i
 					accepted[key] = 10 + i
 				}
-				svc.put("table/0001", held.csv())
+				svc.put("table/0001", served.csv())
 			}
-			r.step()
-			check(r, accepted, held)
+			r.readOnce()
+			check(r, accepted, served)
 		}
 	}
 
 	It("has in force the last accepted edit of each row, across a restore", func() {
 		for seed := range uint64(50) {
-			play(seed, func(r *reader, accepted, _ weights) {
+			runRandomEdits(seed, func(r *testReader, accepted, _ tableWeights) {
 				Expect(r.weights()).To(Equal(accepted), "seed %d", seed)
 			})
 		}
 	})
 
-	// The naive reader puts in force what the service shows.
-	It("would revert edits if the service's word counted", func() {
+	// Shows that the check above can fail: a reader that applied the service's
+	// state as it is would revert edits.
+	It("would revert edits if the service's state were applied as it is", func() {
 		reverted := 0
-		play(1, func(_ *reader, accepted, held weights) {
-			if !maps.Equal(accepted, held) {
+		runRandomEdits(1, func(_ *testReader, accepted, served tableWeights) {
+			if !maps.Equal(accepted, served) {
 				reverted++
 			}
 		})
--- a/internal/controller/configwatch/store.go
+++ b/internal/controller/configwatch/store.go
@@ -15,61 +15,63 @@
 	"filbertdeck/internal/blackboard"
 )
 
-// Store holds the documents in force and publishes them. It is safe for
-// concurrent use; readers of the blackboard never wait for it.
+// Store holds the documents in force and publishes them on the blackboard. It
+// is safe for concurrent use; readers of the blackboard never wait for it.
 type Store struct {
-	log     *slog.Logger
-	metrics metrics.Registry
-	now     func() time.Time
-	start   time.Time
+	log       *slog.Logger
+	metrics   metrics.Registry
+	now       func() time.Time
+	startedAt time.Time
 
-	mu       sync.Mutex
-	docs     map[Section]*document
-	table    *table.Table
-	hosts    map[string]configservice.Host
-	hostList []configservice.Host
-	targets  map[string]configservice.Target
-	// tableTargets are the targets as the table's services have them.
-	tableTargets map[string][]table.Target
-	confirmed    time.Time
-	service      ServiceState
-	join         *rollout.Join
-	ready        bool
-	asked        bool
-	peers        int
-	changed      chan struct{}
-	out          writers
+	mu          sync.Mutex
+	docs        map[Section]*document
+	table       *table.Table
+	hosts       map[string]configservice.Host
+	sortedHosts []configservice.Host
+	targets     map[string]configservice.Target
+	// tableTargets holds the targets of each service in the table
+	// representation.
+	tableTargets     map[string][]table.Target
+	hostsConfirmedAt time.Time
+	serviceState     ServiceState
+	join             *rollout.Join
+	ready            bool
+	peersConfirmed   bool
+	peerCount        int
+	changed          chan struct{}
+	writers          sectionWriters
 
 	history *rollout.History
-	// overlays were worked out here at a recognised restore; they count for
-	// overlayEpoch until the document of kept rows is in force in it.
-	overlays     map[string]rollout.Overlay
-	overlayEpoch uint64
+	// overlays holds the rows lost in a restore that this process detected.
+	// They apply in overlaysEpoch until the document of kept rows is in force
+	// in that epoch.
+	overlays      map[string]rollout.Overlay
+	overlaysEpoch uint64
 }
 
 type document struct {
 	*rollout.Document
-	since time.Time
-	// announced is the newest version that a peer is known to hold.
-	announced rollout.Version
+	inForceSince time.Time
+	// newestAtPeers is the newest version that a peer is known to hold.
+	newestAtPeers rollout.Version
 }
 
-type writers struct {
+type sectionWriters struct {
 	table   *blackboard.Writer[table.Table]
 	hosts   *blackboard.Writer[Hosts]
 	targets *blackboard.Writer[Targets]
 	rollout *blackboard.Writer[State]
 }
 
-// StoreConfig holds what a Store works with; zero fields have defaults.
+// StoreConfig holds the dependencies of a Store; zero fields have defaults.
 type StoreConfig struct {
 	Log     *slog.Logger
 	Metrics metrics.Registry
-	// Now gives the time; time.Now by default.
+	// Now returns the current time; time.Now by default.
 	Now func() time.Time
 }
 
-// NewStore claims the board's sections.
+// NewStore returns a store and claims the board's sections.
 func NewStore(board *Board, cfg StoreConfig) (*Store, error) {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -80,14 +82,14 @@
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	out, err := claim(board)
+	writers, err := claimSections(board)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, start: cfg.Now(),
+		log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, startedAt: cfg.Now(),
 		docs: map[Section]*document{}, hosts: map[string]configservice.Host{},
-		targets: map[string]configservice.Target{}, join: rollout.NewJoin(0), out: out,
+		targets: map[string]configservice.Target{}, join: rollout.NewJoin(0), writers: writers,
 		history: rollout.NewHistory(),
 	}
 	for _, name := range Sections {
@@ -97,23 +99,23 @@
 	return s, nil
 }
 
-func claim(board *Board) (w writers, err error) {
-	if w.table, err = board.Table.Claim(); err != nil {
-		return w, err
+func claimSections(board *Board) (writers sectionWriters, err error) {
+	if writers.table, err = board.Table.Claim(); err != nil {
+		return writers, err
 	}
-	if w.hosts, err = board.Hosts.Claim(); err != nil {
-		return w, err
+	if writers.hosts, err = board.Hosts.Claim(); err != nil {
+		return writers, err
 	}
-	if w.targets, err = board.Targets.Claim(); err != nil {
-		return w, err
+	if writers.targets, err = board.Targets.Claim(); err != nil {
+		return writers, err
 	}
-	w.rollout, err = board.Rollout.Claim()
-	return w, err
+	writers.rollout, err = board.Rollout.Claim()
+	return writers, err
 }
 
-// Offer takes a delta from the service or a peer, puts it in force when the
-// rules say so, and tells what it meant.
-func (s *Store) Offer(name Section, delta rollout.Delta) rollout.Verdict {
+// Apply judges a delta from the service or a peer, puts it in force if the
+// rollout rules allow it, and returns the verdict.
+func (s *Store) Apply(name Section, delta rollout.Delta) rollout.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	doc, ok := s.docs[name]
@@ -122,18 +124,19 @@
 	}
 	verdict, changed := doc.Judge(delta)
 	if verdict != rollout.VerdictTake {
-		s.count(name, verdict)
+		s.countVerdict(name, verdict)
 		return verdict
 	}
-	if err := s.prepare(name, delta, changed); err != nil {
-		s.refuse(name, rollout.Refusal{Version: delta.Version, Reason: err.Error()})
+	if err := s.applyRows(name, delta, changed); err != nil {
+		s.recordRefusalLocked(name, rollout.Refusal{Version: delta.Version, Reason: err.Error()})
 		return rollout.VerdictRefused
 	}
 	doc.Commit(delta, changed)
-	doc.since = s.now()
+	doc.inForceSince = s.now()
 	if name != SectionKept && s.docs[SectionKept].Len() == 0 {
-		// Rows in force are the service's rows as they are. Kept rows have no
-		// revision of the service's own and prove nothing.
+		// Without kept rows, the rows in force are exactly those that the
+		// service held. The kept rows themselves have no revision in the
+		// service and say nothing about its history.
 		s.history.Record(string(name), delta.Head)
 	}
 	s.metrics.GetOrRegister("rollout."+string(name)+".taken", metrics.NewCounter).(metrics.Counter).Inc(1)
@@ -142,21 +145,21 @@
 	return verdict
 }
 
-// prepare validates the changed rows and keeps their parsed form. A document
-// that it refuses leaves everything as it was.
-func (s *Store) prepare(name Section, delta rollout.Delta, changed []rollout.Row) error {
+// applyRows validates the changed rows and stores their parsed form. If it
+// returns an error, the stored rows are unchanged.
+func (s *Store) applyRows(name Section, delta rollout.Delta, changed []rollout.Row) error {
 	switch name {
 	case SectionTable:
-		return s.prepareTable(delta, changed)
+		return s.applyTableRows(delta, changed)
 	case SectionHosts:
-		return prepareRows(s.hosts, changed, configservice.HostFromRow)
+		return updateParsedRows(s.hosts, changed, configservice.HostFromRow)
 	case SectionTargets:
-		return prepareRows(s.targets, changed, configservice.TargetFromRow)
+		return updateParsedRows(s.targets, changed, configservice.TargetFromRow)
 	}
 	return nil
 }
 
-func (s *Store) prepareTable(delta rollout.Delta, changed []rollout.Row) error {
+func (s *Store) applyTableRows(delta rollout.Delta, changed []rollout.Row) error {
 	base := s.table
 	if base == nil {
 		base = &table.Table{
@@ -168,8 +171,8 @@
 	for i, r := range changed {
 		changes[i] = table.Change(r)
 	}
-	next, faults := base.Apply(delta.Version.Operators(), delta.Version.Revision, changes)
-	if err := faults.Err(); err != nil {
+	next, problems := base.Apply(delta.Version.Operators(), delta.Version.Revision, changes)
+	if err := problems.Err(); err != nil {
 		return err
 	}
 	next.Restores = delta.Version.Restores()
@@ -177,36 +180,37 @@
 	return nil
 }
 
-func prepareRows[T any](into map[string]T, changed []rollout.Row, parse func(string) (T, bool)) error {
+func updateParsedRows[T any](dst map[string]T, changed []rollout.Row, parse func(string) (T, bool)) error {
 	parsed := make(map[string]T, len(changed))
 	for _, r := range changed {
 		if r.Text == "" {
 			continue
 		}
-		v, ok := parse(r.Text)
+		value, ok := parse(r.Text)
 		if !ok {
 			return failure.New(failure.KindConfigUnreadable, "row %q is malformed", r.Key)
 		}
-		parsed[r.Key] = v
+		parsed[r.Key] = value
 	}
 	for _, r := range changed {
-		delete(into, r.Key)
+		delete(dst, r.Key)
 	}
-	for k, v := range parsed {
-		into[k] = v
+	for key, value := range parsed {
+		dst[key] = value
 	}
 	return nil
 }
 
-// Refuse notes that the service holds a version that fails validation; also
-// taken from peers, so that every node names the same refusal.
-func (s *Store) Refuse(name Section, r rollout.Refusal) bool {
+// RecordRefusal records that a version of a document failed validation, here or
+// at a peer, so that every node reports the same refusal. It reports whether
+// the refusal is new.
+func (s *Store) RecordRefusal(name Section, r rollout.Refusal) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refuse(name, r)
+	return s.recordRefusalLocked(name, r)
 }
 
-func (s *Store) refuse(name Section, r rollout.Refusal) bool {
+func (s *Store) recordRefusalLocked(name Section, r rollout.Refusal) bool {
 	doc, ok := s.docs[name]
 	if !ok || !doc.Refuse(r) {
 		return false
@@ -214,11 +218,11 @@
 	s.metrics.GetOrRegister("rollout."+string(name)+".refused", metrics.NewCounter).(metrics.Counter).Inc(1)
 	s.log.Warn("revision refused", "document", name, "version", r.Version.String(), "reason", r.Reason)
 	s.publishState()
-	s.wake()
+	s.notifyChanged()
 	return true
 }
 
-// Head gives a document's version and digest.
+// Head returns a document's version and digest.
 func (s *Store) Head(name Section) rollout.Head {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,8 +233,8 @@
 	return doc.Head()
 }
 
-// Refused gives the newest refusal of a document.
-func (s *Store) Refused(name Section) rollout.Refusal {
+// LatestRefusal returns the newest refusal of a document.
+func (s *Store) LatestRefusal(name Section) rollout.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	doc, ok := s.docs[name]
@@ -240,8 +244,9 @@
 	return doc.Refused()
 }
 
-// Since gives what a peer at version from lacks of a document.
-func (s *Store) Since(name Section, from rollout.Version) rollout.Delta {
+// DeltaSince returns the changes of a document that a peer at version from
+// lacks.
+func (s *Store) DeltaSince(name Section, from rollout.Version) rollout.Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	doc, ok := s.docs[name]
@@ -251,24 +256,24 @@
 	return doc.Since(from)
 }
 
-// All gives a whole document.
-func (s *Store) All(name Section) rollout.Delta { return s.Since(name, rollout.Version{}) }
+// FullDelta returns a whole document.
+func (s *Store) FullDelta(name Section) rollout.Delta { return s.DeltaSince(name, rollout.Version{}) }
 
-// Confirmed notes that the service held the host list in force at a time; an
-// earlier time than the one known is no news.
-func (s *Store) Confirmed(at time.Time) {
+// ConfirmHosts records that the service held the host list in force at a time.
+// A time before the last recorded one has no effect.
+func (s *Store) ConfirmHosts(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !at.After(s.confirmed) {
+	if !at.After(s.hostsConfirmedAt) {
 		return
 	}
-	s.confirmed = at
+	s.hostsConfirmedAt = at
 	if len(s.hosts) > 0 {
 		s.publishHosts()
 	}
 }
 
-// Changed returns a channel that is closed at the next news: a version put in
+// Changed returns a channel that is closed the next time a version is put in
 // force or refused.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
@@ -279,23 +284,24 @@
 	return s.changed
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyChanged() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-func (s *Store) count(name Section, v rollout.Verdict) {
-	word, ok := verdictNames[v]
+func (s *Store) countVerdict(name Section, v rollout.Verdict) {
+	counterName, ok := verdictCounters[v]
 	if ok {
-		s.metrics.GetOrRegister("rollout."+string(name)+"."+word, metrics.NewCounter).(metrics.Counter).Inc(1)
+		s.metrics.GetOrRegister("rollout."+string(name)+"."+counterName, metrics.NewCounter).(metrics.Counter).Inc(1)
 	}
 }
 
-// verdictNames are the counters of deltas that were not taken; known ones are
-// too ordinary to count.
-var verdictNames = map[rollout.Verdict]string{
+// verdictCounters holds the last part of the names of the counters of deltas
+// that were not applied. Deltas whose version is already in force are routine
+// and are not counted.
+var verdictCounters = map[rollout.Verdict]string{
 	rollout.VerdictOld: "older", rollout.VerdictGap: "gap",
 	rollout.VerdictConflict: "conflict", rollout.VerdictRefused: "refused_again",
 }
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -14,171 +14,175 @@
 	"filbertdeck/internal/wake"
 )
 
-// Figures of the watch.
+// Timing of calls to the configuration service.
 const (
-	// watchWait is how long a watch waits. It bounds the age of a confirmation
-	// of the host list. Thirty readers (three in each of ten data centres)
-	// that ask once a second take 30 of the service's 2,000 calls.
+	// watchWait is how long the service may hold a watch open. It bounds the
+	// age of the host list's confirmation. Thirty readers (three in each of ten
+	// data centres) that call once a second use 30 of the service's 2,000 calls
+	// a second.
 	watchWait = time.Second
-	// Retries double from the first to the last pause, each drawn at random
-	// from half of it up, so that readers don't come back in step after the
-	// service was down.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 5 * time.Second
-	// breather keeps a service that answers watches at once from being asked
-	// in a tight loop.
-	breather = 20 * time.Millisecond
+	// The retry delay doubles from minRetryDelay to maxRetryDelay. Each wait is
+	// drawn at random between half of the delay and the whole, so that readers
+	// do not retry in step after an outage of the service.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
+	// minCallPause is the pause after each successful call. It prevents a tight
+	// loop when the service answers watches immediately.
+	minCallPause = 20 * time.Millisecond
 )
 
-// Source is the configuration service; *configservice.Client is one.
+// Source is the configuration service; *configservice.Client implements it.
 type Source interface {
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error)
 }
 
-// Watcher reads the configuration service into the store while this process
-// is one of its data centre's readers.
+// Watcher reads the configuration service into the store while this process is
+// one of its data centre's readers.
 type Watcher struct {
 	source Source
 	store  *Store
 	calls  metrics.Counter
 
-	mu     sync.Mutex
-	reader bool
-	wake   chan struct{}
-	// cancel ends the call in progress when the role goes.
-	cancel context.CancelFunc
+	mu          sync.Mutex
+	reader      bool
+	roleChanged chan struct{}
+	// cancelRead cancels the call in progress when this process stops being a
+	// reader.
+	cancelRead context.CancelFunc
 }
 
-// NewWatcher returns a watcher that is no reader yet.
+// NewWatcher returns a watcher that is not a reader yet.
 func NewWatcher(source Source, store *Store) *Watcher {
 	return &Watcher{
-		source: source, store: store, wake: make(chan struct{}, 1),
+		source: source, store: store, roleChanged: make(chan struct{}, 1),
 		calls: metrics.GetOrRegisterCounter("configwatch.calls", store.metrics),
 	}
 }
 
-// SetReader gives or takes the role of a reader.
-func (w *Watcher) SetReader(on bool) {
+// SetReader makes this process a reader of the service, or ends that role.
+func (w *Watcher) SetReader(isReader bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.reader == on {
+	if w.reader == isReader {
 		return
 	}
-	w.reader = on
-	w.store.setService(func(s *ServiceState) { s.Reader = on })
-	w.store.log.Info("role of reader changed", "reader", on)
-	if !on && w.cancel != nil {
-		w.cancel()
+	w.reader = isReader
+	w.store.updateServiceState(func(s *ServiceState) { s.Reader = isReader })
+	w.store.log.Info("role of reader changed", "reader", isReader)
+	if !isReader && w.cancelRead != nil {
+		w.cancelRead()
 	}
-	wake.Signal(w.wake)
+	wake.Signal(w.roleChanged)
 }
 
-// Run watches until ctx is done.
+// Run reads the service while this process is a reader, until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		turn, ok := w.turn(ctx)
+		readCtx, ok := w.readerContext(ctx)
 		if !ok {
 			select {
 			case <-ctx.Done():
-			case <-w.wake:
+			case <-w.roleChanged:
 			}
 			continue
 		}
-		w.watch(turn)
+		w.readUntilDone(readCtx)
 	}
 }
 
-// turn gives a context that lasts as long as the role does.
-func (w *Watcher) turn(ctx context.Context) (context.Context, bool) {
+// readerContext returns a context that is cancelled when this process stops
+// being a reader; false if it is not a reader.
+func (w *Watcher) readerContext(ctx context.Context) (context.Context, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.reader {
 		return nil, false
 	}
-	turn, cancel := context.WithCancel(ctx)
-	w.cancel = cancel
-	return turn, true
+	readCtx, cancel := context.WithCancel(ctx)
+	w.cancelRead = cancel
+	return readCtx, true
 }
 
-// watch reads the whole state, then its changes, until ctx is done.
-func (w *Watcher) watch(ctx context.Context) {
-	seen := newReading()
-	pause := firstPause
-	whole := true
+// readUntilDone reads the whole state, then its changes, until ctx is done.
+func (w *Watcher) readUntilDone(ctx context.Context) {
+	observed := newObservedState()
+	retryDelay := minRetryDelay
+	fullRead := true
 	for ctx.Err() == nil {
-		err := w.step(ctx, seen, whole)
-		// After a failure nothing is known of what happened meanwhile: the
-		// service may have been restored and edited past the revision seen
-		// here. Only a whole reading is free of the old state.
-		whole = err != nil && failure.KindOf(err) != failure.KindOverloaded
+		err := w.readOnce(ctx, observed, fullRead)
+		// After a failure the service may have been restored and edited past
+		// the revision seen here. Only a full read is free of the old state. A
+		// call refused for overload does not require one.
+		fullRead = err != nil && failure.KindOf(err) != failure.KindOverloaded
 		if err == nil {
-			pause = firstPause
-			wake.Sleep(ctx, breather)
+			retryDelay = minRetryDelay
+			wake.Sleep(ctx, minCallPause)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		w.store.setService(func(s *ServiceState) { s.Failure = string(failure.KindOf(err)) })
-		wait := max(pause/2+rand.N(pause/2), failure.From(err).RetryAfter)
+		w.store.updateServiceState(func(s *ServiceState) { s.Failure = string(failure.KindOf(err)) })
+		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.From(err).RetryAfter)
 		wake.Sleep(ctx, wait)
-		pause = min(2*pause, lastPause)
+		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
 }
 
-// step makes one call and hands what it shows to the store.
-func (w *Watcher) step(ctx context.Context, seen *reading, whole bool) error {
-	after, wait := seen.revision, watchWait
-	if whole || after == 0 {
-		after, wait, whole = 0, 0, true
+// readOnce makes one call and applies the answer to the store.
+func (w *Watcher) readOnce(ctx context.Context, observed *observedState, fullRead bool) error {
+	after, wait := observed.revision, watchWait
+	if fullRead || after == 0 {
+		after, wait, fullRead = 0, 0, true
 	}
-	asked := w.store.now()
+	requestedAt := w.store.now()
 	w.calls.Inc(1)
-	a, err := w.source.Watch(ctx, "", after, wait)
+	answer, err := w.source.Watch(ctx, "", after, wait)
 	if err != nil {
 		return err
 	}
-	if a.Revision < after {
-		// The service is stale or was restored: what changed after the
-		// revision asked for says nothing about it. Read it whole.
-		whole, asked = true, w.store.now()
+	if answer.Revision < after {
+		// The service is stale or was restored, so its changes after the
+		// requested revision are meaningless. Read the whole state.
+		fullRead, requestedAt = true, w.store.now()
 		w.calls.Inc(1)
-		if a, err = w.source.Watch(ctx, "", 0, 0); err != nil {
+		if answer, err = w.source.Watch(ctx, "", 0, 0); err != nil {
 			return err
 		}
 	}
-	w.hand(seen, seen.take(a, whole), whole, asked)
+	w.applyAnswer(observed, observed.apply(answer, fullRead), fullRead, requestedAt)
 	return nil
 }
 
-// hand offers the touched documents and notes what the answer shows.
-func (w *Watcher) hand(seen *reading, touched []Section, whole bool, asked time.Time) {
+// applyAnswer applies the touched documents to the store and records what the
+// answer shows about the service.
+func (w *Watcher) applyAnswer(observed *observedState, touched []Section, fullRead bool, requestedAt time.Time) {
 	rows := map[Section][]rollout.Row{}
-	for _, obs := range seen.observe(touched) {
-		obs.whole = whole
+	for _, obs := range observed.observations(touched) {
+		obs.fullRead = fullRead
 		rows[obs.section] = obs.delta.Rows
-		w.offer(seen, obs)
+		w.offerObservation(observed, obs)
 	}
-	if whole {
-		w.store.remember(seen, rows)
+	if fullRead {
+		w.store.updateBaseline(observed, rows)
 	} else {
-		w.store.remember(seen, nil)
+		w.store.updateBaseline(observed, nil)
 	}
-	w.store.answered(seen, asked)
+	w.store.recordAnswer(observed, requestedAt)
 }
 
-func (w *Watcher) offer(seen *reading, obs observation) {
-	if obs.dropped > 0 {
-		metrics.GetOrRegisterCounter("configwatch."+string(obs.section)+".dropped_entries", w.store.metrics).Inc(int64(obs.dropped))
+func (w *Watcher) offerObservation(observed *observedState, obs observation) {
+	if obs.droppedEntries > 0 {
+		metrics.GetOrRegisterCounter("configwatch."+string(obs.section)+".dropped_entries", w.store.metrics).Inc(int64(obs.droppedEntries))
 	}
-	deltas := w.store.place(seen, obs)
-	seen.heads[obs.section] = deltas[len(deltas)-1].delta.Head
-	if obs.fault != nil {
+	deltas := w.store.assignVersion(observed, obs)
+	observed.heads[obs.section] = deltas[len(deltas)-1].delta.Head
+	if obs.invalid != nil {
 		version := deltas[0].delta.Version
-		w.store.Refuse(obs.section, rollout.Refusal{Version: version, Reason: obs.fault.Error()})
+		w.store.RecordRefusal(obs.section, rollout.Refusal{Version: version, Reason: obs.invalid.Error()})
 		return
 	}
-	for _, d := range deltas {
-		w.store.Offer(d.section, d.delta)
+	for _, delta := range deltas {
+		w.store.Apply(delta.section, delta.delta)
 	}
 }
--- a/internal/controller/gossip/calls.go
+++ b/internal/controller/gossip/calls.go
@@ -11,13 +11,13 @@
 	"filbertdeck/internal/decide/membership"
 )
 
-// probe exchanges news with a peer and hands the answer to the core.
-func (c *Controller) probe(ctx context.Context, a membership.Action) {
+// probe exchanges messages with a peer and passes the result to the core.
+func (c *Controller) probe(ctx context.Context, action membership.Action) {
 	c.metrics.probes.Inc(1)
-	msg := c.message(a.To, a.Updates)
-	asked := time.Now()
+	msg := c.buildMessage(action.To, action.Updates)
+	sentAt := time.Now()
 	var reply *filbertv1.GossipMessage
-	err := c.peers.call(ctx, a.To, a.Timeout, func(ctx context.Context, peer filbertv1.GossipClient) (err error) {
+	err := c.peers.call(ctx, action.To, action.Timeout, func(ctx context.Context, peer filbertv1.GossipClient) (err error) {
 		c.metrics.sent.Inc(int64(proto.Size(msg)))
 		reply, err = peer.Exchange(ctx, msg)
 		return err
@@ -25,37 +25,39 @@
 	if err != nil {
 		c.metrics.probesFailed.Inc(1)
 		c.mu.Lock()
-		c.core.Failed(c.now(), a.Probe)
+		c.core.Failed(c.now(), action.Probe)
 		c.mu.Unlock()
 		return
 	}
 	c.metrics.received.Inc(int64(proto.Size(reply)))
 	c.mu.Lock()
-	c.core.Acked(c.now(), a.Probe, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
+	c.core.Acked(c.now(), action.Probe, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
 	c.mu.Unlock()
-	heads, behind := c.take(reply, asked)
+	heads, behind := c.handleMessage(reply, sentAt)
 	if behind {
-		c.pull(ctx, a.To)
+		c.pull(ctx, action.To)
 	}
-	c.takeConfirmed(reply, heads, asked)
-	c.takeJoin(reply, heads)
+	c.confirmHosts(reply, heads, sentAt)
+	c.recordSyncedPeer(reply, heads)
 }
 
-// takeConfirmed takes over when the host list was confirmed. The age in an
-// answer counts from a moment after the question was sent, so counting it
-// from the question errs towards the past. The age in a message that comes
-// unasked proves nothing: the message may have lain in a paused process.
-func (c *Controller) takeConfirmed(reply *filbertv1.GossipMessage, heads peerHeads, asked time.Time) {
+// confirmHosts takes over the time at which a peer's host list was confirmed.
+// The age in an answer is relative to a time after the request was sent, so
+// counting it from the request can only give a time that is too early. The age
+// in a message that was not requested is not used: the message may have been
+// delayed in a paused process.
+func (c *Controller) confirmHosts(reply *filbertv1.GossipMessage, heads peerHeads, requestSentAt time.Time) {
 	ms := reply.GetHostsConfirmedMs()
-	// Only a peer with the same list vouches for ours.
+	// Only a peer with the same list can confirm the one held here.
 	if ms == 0 || heads == nil || heads[configwatch.SectionHosts].Head != c.cfg.Store.Head(configwatch.SectionHosts) {
 		return
 	}
-	c.cfg.Store.Confirmed(asked.Add(-time.Duration(ms) * time.Millisecond))
+	c.cfg.Store.ConfirmHosts(requestSentAt.Add(-time.Duration(ms) * time.Millisecond))
 }
 
-// takeJoin notes that all that a ready peer holds is held here too.
-func (c *Controller) takeJoin(reply *filbertv1.GossipMessage, heads peerHeads) {
+// recordSyncedPeer records that this process holds everything that a ready peer
+// holds.
+func (c *Controller) recordSyncedPeer(reply *filbertv1.GossipMessage, heads peerHeads) {
 	if !reply.GetReady() || heads == nil {
 		return
 	}
@@ -64,14 +66,14 @@
 			return
 		}
 	}
-	c.cfg.Store.PeerTaken(reply.GetFrom().GetAddress())
+	c.cfg.Store.RecordSyncedPeer(reply.GetFrom().GetAddress())
 }
 
-func (c *Controller) probeVia(ctx context.Context, a membership.Action) {
+func (c *Controller) probeIndirectly(ctx context.Context, action membership.Action) {
 	reached := false
-	// The relay needs the probe's time for itself.
-	err := c.peers.call(ctx, a.To, 2*a.Timeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
-		reply, err := peer.ProbeFor(ctx, &filbertv1.ProbeForRequest{Address: a.Target})
+	// The relay needs the probe's timeout for its own call.
+	err := c.peers.call(ctx, action.To, 2*action.Timeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
+		reply, err := peer.ProbeFor(ctx, &filbertv1.ProbeForRequest{Address: action.Target})
 		reached = reply.GetReached()
 		return err
 	})
@@ -79,16 +81,16 @@
 		return
 	}
 	c.mu.Lock()
-	c.core.ViaReached(a.Probe)
+	c.core.ViaReached(action.Probe)
 	c.mu.Unlock()
 }
 
-func (c *Controller) sync(ctx context.Context, a membership.Action) {
+func (c *Controller) syncMembers(ctx context.Context, action membership.Action) {
 	c.metrics.syncs.Inc(1)
 	c.mu.Lock()
 	msg := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.All())}
 	c.mu.Unlock()
-	_ = c.peers.call(ctx, a.To, syncTimeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
+	_ = c.peers.call(ctx, action.To, syncTimeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
 		c.metrics.sent.Inc(int64(proto.Size(msg)))
 		reply, err := peer.Sync(ctx, msg)
 		if err != nil {
@@ -102,14 +104,14 @@
 	})
 }
 
-// pull fetches what a peer holds and this process lacks, one pull from a peer
-// at a time.
+// pull fetches the documents of which a peer holds newer versions, with at most
+// one pull from a peer at a time.
 func (c *Controller) pull(ctx context.Context, address string) {
 	c.mu.Lock()
-	busy := c.pulling[address]
+	inProgress := c.pulling[address]
 	c.pulling[address] = true
 	c.mu.Unlock()
-	if busy {
+	if inProgress {
 		return
 	}
 	defer func() {
@@ -119,13 +121,13 @@
 	}()
 	c.metrics.pulls.Inc(1)
 	_ = c.peers.call(ctx, address, pullTimeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
-		reply, err := peer.Pull(ctx, &filbertv1.PullRequest{Heads: c.ownHeads()})
+		reply, err := peer.Pull(ctx, &filbertv1.PullRequest{Heads: c.localHeads()})
 		if err != nil {
 			return err
 		}
 		c.metrics.received.Inc(int64(proto.Size(reply)))
 		for _, d := range reply.GetDeltas() {
-			c.offer(d)
+			c.applyDelta(d)
 		}
 		return nil
 	})
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -1,13 +1,13 @@
-// Package gossip carries what control processes tell each other: members,
-// rows of the documents in force, refusals, and what other controllers hand
-// in. The decisions are in internal/decide/membership and
-// internal/decide/rollout; this package does the I/O over grpc and is the only
-// writer of the blackboard's section of members.
+// Package gossip exchanges state between control processes: the member list,
+// rows of the documents in force, refused versions, and the updates of other
+// controllers. internal/decide/membership and internal/decide/rollout make the
+// decisions; this package does the I/O over gRPC and is the only writer of the
+// blackboard's section of members.
 //
-// Every call has a timeout of its own. A connection that something between
-// the two hosts has lost track of stays open and answers nothing; a call that
-// runs into its timeout therefore closes its connection, and the next one
-// dials anew.
+// Every call has its own timeout. If a firewall or router between two hosts
+// loses track of a connection, the connection stays open but carries no data. A
+// call that times out therefore takes its connection out of use, and the next
+// call opens a new one.
 package gossip
 
 import (
@@ -29,110 +29,117 @@
 	"filbertdeck/internal/wake"
 )
 
-// Figures of the controller.
+// Timing and limits of the controller.
 const (
-	// tickEvery drives the core; five ticks fall within a probe's timeout.
-	tickEvery = 100 * time.Millisecond
-	// pushPause keeps a burst of edits from being sent one by one: edits
-	// within it go out together.
-	pushPause = 50 * time.Millisecond
+	// tickInterval is the time between two ticks of the membership core; five
+	// ticks fit into a probe's timeout.
+	tickInterval = 100 * time.Millisecond
+	// minPushInterval is the minimum time between two pushes. Edits that follow
+	// each other more closely are sent together.
+	minPushInterval = 50 * time.Millisecond
 	// pullTimeout bounds the transfer of whole documents, 3 MB at the target
 	// size.
 	pullTimeout = 5 * time.Second
-	// askPause is the time between two questions of a new process to members
-	// that have not vouched: three of them fit into the grace of a start.
-	askPause = 500 * time.Millisecond
+	// unsyncedProbeInterval is the time between two probes of a new process to
+	// members that have not confirmed its documents; three of them fit into the
+	// startup grace period.
+	unsyncedProbeInterval = 500 * time.Millisecond
 	// syncTimeout bounds the exchange of member lists, 130 KB at the target
 	// size.
 	syncTimeout = 2 * time.Second
-	// maxCalls bounds calls in progress, so that a fleet of silent peers can't
-	// pile up goroutines.
-	maxCalls = 64
+	// maxConcurrentCalls bounds the calls in progress, so that a fleet of
+	// unresponsive peers does not accumulate goroutines.
+	maxConcurrentCalls = 64
 )
 
-// Hooks let other controllers pass their news through gossip without this
-// package knowing what it means. Nil functions carry nothing. Supply is asked
-// for each message and must return quickly; Take gets what a peer supplied.
+// Hooks let other controllers exchange data through gossip messages without
+// this package knowing its meaning. Nil functions are skipped. Functions that
+// supply data are called for each message and must return quickly; the others
+// receive what a peer supplied.
 type Hooks struct {
 	SupplyPools  func() []*filbertv1.PoolNews
 	TakePools    func([]*filbertv1.PoolNews)
 	SupplyPoison func() []*filbertv1.PoisonNews
 	TakePoison   func([]*filbertv1.PoisonNews)
-	// SupplyLoads is asked for each message to a neighbour: counts change
-	// hundreds of times a second in a large fleet, and those that only ask a
-	// reader of the store get them from their own neighbours already.
-	// SupplyPublished is asked for each message to a peer.
+	// SupplyLoads is called only for messages to neighbours: in a large fleet
+	// the counts change hundreds of times a second, and processes that only ask
+	// a reader of the store already get them from their own neighbours.
+	// SupplyPublished is called for each message to any peer.
 	SupplyLoads func(peer string) []*filbertv1.TargetLoad
 	TakeLoads   func(peer string, loads []*filbertv1.TargetLoad)
-	// SupplyAlerts, like SupplyLoads, is asked for each message to a neighbour.
+	// SupplyAlerts, like SupplyLoads, is called only for messages to
+	// neighbours.
 	SupplyAlerts    func(peer string) []*filbertv1.TargetLoad
 	TakeAlerts      func(peer string, alerts []*filbertv1.TargetLoad)
 	SupplyPublished func(peer string) *filbertv1.PublishedNews
-	// TakePublished gets the time at which the question was asked that the news
-	// answer; zero when they came unasked.
-	TakePublished func(peer string, news *filbertv1.PublishedNews, asked time.Time)
-	// GiveBulk answers a peer's Fetch.
+	// TakePublished receives the time at which the request was sent that the
+	// news answers; zero for news that was not requested.
+	TakePublished func(peer string, news *filbertv1.PublishedNews, requestSentAt time.Time)
+	// GiveBulk answers a peer's Fetch call.
 	GiveBulk func(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply
-	// Urgent is received from when there is news to supply that shouldn't wait
-	// for the next probes.
+	// Urgent receives a value when there are updates that should not wait for
+	// the next probes.
 	Urgent <-chan struct{}
 }
 
-// Board is this controller's part of the blackboard.
+// Board holds the blackboard section that this package writes.
 type Board struct {
 	Members blackboard.Section[membership.View]
 }
 
-// Config holds what the controller works with; Store, Hosts and Credentials
-// are required.
+// Config holds the settings and dependencies of a Controller; Store, Hosts and
+// Credentials are required.
 type Config struct {
-	// Membership carries this process's address, incarnation and data centre,
-	// and the figures of the probes.
+	// Membership holds this process's address, incarnation and data centre, and
+	// the timing of the probes.
 	Membership membership.Config
-	// Seeds are known from the settings, for the time before the published
-	// list was read.
+	// Seeds are the peers from the settings, used until the published host list
+	// is available.
 	Seeds []membership.Peer
 	// Store holds the documents in force.
 	Store *configwatch.Store
-	// Hosts is the published list.
+	// Hosts is the published host list.
 	Hosts *blackboard.Section[configwatch.Hosts]
 	// Credentials secure the connections to peers.
 	Credentials credentials.TransportCredentials
-	// SetReader gives or takes the role of watching the configuration service.
+	// SetReader is called with whether this process is to watch the
+	// configuration service.
 	SetReader func(bool)
 	Hooks     Hooks
 	Log       *slog.Logger
 	Metrics   metrics.Registry
 }
 
-// Controller runs membership and the spreading of documents.
+// Controller runs the membership protocol and distributes the documents.
 type Controller struct {
 	filbertv1.UnimplementedGossipServer
 
-	cfg     Config
-	log     *slog.Logger
-	metrics counters
-	members *blackboard.Writer[membership.View]
-	start   time.Time
-	peers   *peers
-	calls   chan struct{}
-	// seeds is received from when the seeds were replaced.
-	seeds chan struct{}
+	cfg       Config
+	log       *slog.Logger
+	metrics   metricCounters
+	members   *blackboard.Writer[membership.View]
+	startedAt time.Time
+	peers     *connectionPool
+	callSlots chan struct{}
+	// seedsChanged receives a value when the seeds were replaced.
+	seedsChanged chan struct{}
 
-	mu       sync.Mutex
-	core     *membership.Core
-	heads    map[string]peerHeads
-	pulling  map[string]bool
-	version  uint64
-	known    int
-	lastPush time.Time
-	// asked is when a member was last asked to vouch; Run alone uses it.
-	asked time.Time
-	// published is the list that the core was last given; Run alone uses it.
-	published *configwatch.Hosts
+	mu          sync.Mutex
+	core        *membership.Core
+	heads       map[string]peerHeads
+	pulling     map[string]bool
+	viewVersion uint64
+	knownPeers  int
+	lastPush    time.Time
+	// lastUnsyncedProbe is the time of the last probe by probeUnsyncedPeer;
+	// only Run uses it.
+	lastUnsyncedProbe time.Time
+	// lastHosts is the host list last passed to the core; only Run uses it.
+	lastHosts *configwatch.Hosts
 }
 
-// peerHeads is what a peer was last known to hold.
+// peerHeads holds the versions of the documents that a peer was last known to
+// hold.
 type peerHeads map[configwatch.Section]peerHead
 
 type peerHead struct {
@@ -141,14 +148,14 @@
 	refused rollout.Version
 }
 
-type counters struct {
+type metricCounters struct {
 	sent, received, fetchSent, probes, probesFailed, pulls, syncs, redials metrics.Counter
 }
 
 // New returns a controller and claims the section of members.
 func New(cfg Config, board *Board) (*Controller, error) {
 	if cfg.Store == nil || cfg.Hosts == nil || cfg.Credentials == nil {
-		return nil, failure.New(failure.KindInternal, "gossip needs store, hosts and credentials")
+		return nil, failure.New(failure.KindInternal, "gossip: store, hosts and credentials are required")
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -159,69 +166,69 @@
 	if cfg.SetReader == nil {
 		cfg.SetReader = func(bool) {}
 	}
-	w, err := board.Members.Claim()
+	writer, err := board.Members.Claim()
 	if err != nil {
 		return nil, err
 	}
 	c := &Controller{
-		cfg: cfg, log: cfg.Log, metrics: newCounters(cfg.Metrics), members: w, start: time.Now(),
-		calls: make(chan struct{}, maxCalls), seeds: make(chan struct{}, 1), core: membership.New(cfg.Membership),
+		cfg: cfg, log: cfg.Log, metrics: newCounters(cfg.Metrics), members: writer, startedAt: time.Now(),
+		callSlots: make(chan struct{}, maxConcurrentCalls), seedsChanged: make(chan struct{}, 1), core: membership.New(cfg.Membership),
 		heads: map[string]peerHeads{}, pulling: map[string]bool{},
 	}
-	c.peers = newPeers(cfg.Credentials, c.metrics)
-	c.publishedChanged()
+	c.peers = newConnectionPool(cfg.Credentials, c.metrics)
+	c.updateKnownPeers()
 	return c, nil
 }
 
-func newCounters(r metrics.Registry) counters {
-	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("gossip."+name, r) }
-	return counters{
-		sent: c("bytes_sent"), received: c("bytes_received"), fetchSent: c("fetch_bytes_sent"), probes: c("probes"),
-		probesFailed: c("probes_failed"), pulls: c("pulls"), syncs: c("syncs"), redials: c("redials"),
+func newCounters(registry metrics.Registry) metricCounters {
+	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("gossip."+name, registry) }
+	return metricCounters{
+		sent: counter("bytes_sent"), received: counter("bytes_received"), fetchSent: counter("fetch_bytes_sent"), probes: counter("probes"),
+		probesFailed: counter("probes_failed"), pulls: counter("pulls"), syncs: counter("syncs"), redials: counter("redials"),
 	}
 }
 
-// now counts from the controller's start, on the monotonic clock.
-func (c *Controller) now() time.Duration { return time.Since(c.start) }
+// now returns the monotonic time since the controller's start.
+func (c *Controller) now() time.Duration { return time.Since(c.startedAt) }
 
-// Run probes and spreads until ctx is done, then closes the connections.
+// Run runs the protocol until ctx is done, then closes the connections.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	defer c.peers.close()
-	news, hosts := c.cfg.Store.Changed(), c.cfg.Hosts.Changed()
-	c.publishedChanged()
+	storeChanged, hostsChanged := c.cfg.Store.Changed(), c.cfg.Hosts.Changed()
+	c.updateKnownPeers()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			c.tick(ctx)
-		case <-hosts:
-			// The next channel is taken before the change is worked in: a change
-			// that comes meanwhile must not be missed.
-			hosts = c.cfg.Hosts.Changed()
-			c.publishedChanged()
-		case <-c.seeds:
-			c.publishedChanged()
-		case <-news:
-			news = c.cfg.Store.Changed()
-			c.push(ctx)
+		case <-hostsChanged:
+			// The next channel is taken before the list is read, so that a
+			// change in between is not missed.
+			hostsChanged = c.cfg.Hosts.Changed()
+			c.updateKnownPeers()
+		case <-c.seedsChanged:
+			c.updateKnownPeers()
+		case <-storeChanged:
+			storeChanged = c.cfg.Store.Changed()
+			c.pushDocuments(ctx)
 		case <-c.cfg.Hooks.Urgent:
-			c.pushNews(ctx)
+			c.probeNeighbours(ctx)
 		}
 	}
 }
 
-// Leave tells the neighbours that this process stops by plan, so that nobody
-// waits for it to be found dead.
+// Leave announces a planned stop to the neighbours, so that no process has to
+// detect it as a failure.
 func (c *Controller) Leave(ctx context.Context) {
 	c.mu.Lock()
 	actions := c.core.Leave()
 	c.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, a := range actions {
-		wg.Go(func() { c.probe(ctx, a) })
+	for _, action := range actions {
+		wg.Go(func() { c.probe(ctx, action) })
 	}
 	wg.Wait()
 }
@@ -230,88 +237,89 @@
 	c.mu.Lock()
 	actions := c.core.Tick(c.now())
 	view := c.core.View()
-	changed := view.Version != c.version
-	c.version = view.Version
-	known := c.known
+	changed := view.Version != c.viewVersion
+	c.viewVersion = view.Version
+	knownPeers := c.knownPeers
 	c.mu.Unlock()
 	if changed {
 		c.members.Publish(view)
-		c.peers.keep(view.Neighbours)
-		c.forgetHeads(view.Neighbours)
+		c.peers.setNeighbours(view.Neighbours)
+		c.pruneHeads(view.Neighbours)
 		c.cfg.SetReader(view.IsReader())
-		c.cfg.Store.Peers(max(known, len(view.Live(""))-1))
+		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.Live(""))-1))
 	}
 	c.cfg.Store.Ready()
-	c.askMore(ctx, view)
-	for _, a := range actions {
-		c.spawn(func() { c.perform(ctx, a) })
+	c.probeUnsyncedPeer(ctx, view)
+	for _, action := range actions {
+		c.spawn(func() { c.perform(ctx, action) })
 	}
 }
 
-// spawn runs a call, or drops it when too many are in progress; the core
-// notices that as a probe without an answer.
+// spawn runs a call in the background, or drops it when too many are in
+// progress; the core treats a dropped probe as one without an answer.
 func (c *Controller) spawn(call func()) {
 	select {
-	case c.calls <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-c.calls }()
+		defer func() { <-c.callSlots }()
 		call()
 	}()
 }
 
-func (c *Controller) perform(ctx context.Context, a membership.Action) {
-	switch a.Kind {
+func (c *Controller) perform(ctx context.Context, action membership.Action) {
+	switch action.Kind {
 	case membership.ActionProbe:
-		c.probe(ctx, a)
+		c.probe(ctx, action)
 	case membership.ActionProbeVia:
-		c.probeVia(ctx, a)
+		c.probeIndirectly(ctx, action)
 	case membership.ActionSync:
-		c.sync(ctx, a)
+		c.syncMembers(ctx, action)
 	}
 }
 
-// SetSeeds replaces the seeds of the settings.
+// SetSeeds replaces the seeds from the settings.
 func (c *Controller) SetSeeds(seeds []membership.Peer) {
 	c.mu.Lock()
 	c.cfg.Seeds = seeds
 	c.mu.Unlock()
-	wake.Signal(c.seeds)
+	wake.Signal(c.seedsChanged)
 }
 
-// publishedChanged hands the published list and the seeds to the core. A
-// snapshot that only confirms the list again, as one does each second, is
-// passed over: working out neighbours for 3,300 members takes milliseconds.
-func (c *Controller) publishedChanged() {
+// updateKnownPeers passes the published host list, or the seeds if there is
+// none, to the core. A snapshot that only confirms the same list, published
+// about once a second, is skipped: computing the neighbours among 3,300 members
+// takes milliseconds.
+func (c *Controller) updateKnownPeers() {
 	c.mu.Lock()
-	list := append([]membership.Peer(nil), c.cfg.Seeds...)
+	knownList := append([]membership.Peer(nil), c.cfg.Seeds...)
 	c.mu.Unlock()
 	if hosts := c.cfg.Hosts.Get(); hosts != nil {
-		if c.published != nil && c.published.Version == hosts.Version && slices.Equal(c.published.List, hosts.List) {
+		if c.lastHosts != nil && c.lastHosts.Version == hosts.Version && slices.Equal(c.lastHosts.List, hosts.List) {
 			return
 		}
-		c.published = hosts
-		// The list says more of a seed than the settings do.
-		list = list[:0]
+		c.lastHosts = hosts
+		// The host list has more information about a seed than the settings do.
+		knownList = knownList[:0]
 		for _, h := range hosts.List {
-			list = append(list, membership.Peer{
+			knownList = append(knownList, membership.Peer{
 				Address: h.Control, DataCentre: h.DataCentre, Leaving: h.State != "live",
 			})
 		}
 	}
-	others := 0
-	for _, p := range list {
+	peerCount := 0
+	for _, p := range knownList {
 		if p.Address != c.cfg.Membership.Self.Address && !p.Leaving {
-			others++
+			peerCount++
 		}
 	}
 	c.mu.Lock()
-	c.core.Published(c.now(), list)
-	c.known = others
+	c.core.Published(c.now(), knownList)
+	c.knownPeers = peerCount
 	c.mu.Unlock()
-	c.cfg.Store.Peers(others)
+	c.cfg.Store.SetPeerCount(peerCount)
 }
 
 func (c *Controller) probeTimeout() time.Duration {
--- a/internal/controller/gossip/convert.go
+++ b/internal/controller/gossip/convert.go
@@ -20,17 +20,17 @@
 	}
 }
 
-func toMembers(ms []membership.Member) []*filbertv1.Member {
-	out := make([]*filbertv1.Member, len(ms))
-	for i, m := range ms {
+func toMembers(members []membership.Member) []*filbertv1.Member {
+	out := make([]*filbertv1.Member, len(members))
+	for i, m := range members {
 		out[i] = toMember(m)
 	}
 	return out
 }
 
-func fromMembers(ms []*filbertv1.Member) []membership.Member {
-	out := make([]membership.Member, len(ms))
-	for i, m := range ms {
+func fromMembers(members []*filbertv1.Member) []membership.Member {
+	out := make([]membership.Member, len(members))
+	for i, m := range members {
 		out[i] = fromMember(m)
 	}
 	return out
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -29,7 +29,7 @@
 	RunSpecs(t, "gossip")
 }
 
-// node is one control process's gossip, in this process.
+// node is the gossip part of one control process, run within the test process.
 type node struct {
 	address string
 	store   *configwatch.Store
@@ -40,25 +40,25 @@
 	stop    func()
 }
 
-// nodeConfig holds what a test changes of a node.
+// nodeConfig holds the settings of a node that tests change.
 type nodeConfig struct {
-	every time.Duration
-	hooks gossip.Hooks
-	// creds secure the connections; plain text without.
+	probeInterval time.Duration
+	hooks         gossip.Hooks
+	// creds secure the connections; plain text if nil.
 	creds      credentials.TransportCredentials
 	dataCentre string
-	// now is the clock of the node's documents; nil means the machine's.
+	// now is the clock of the node's documents; the system clock if nil.
 	now func() time.Time
-	// rings is the number of neighbours; 0 means the default.
-	rings int
-	// watch gives the node a watch of the configuration service, and returns
-	// what sets the watch's role.
-	watch func(*configwatch.Store) func(bool)
-	// onReader is called within a tick, when the node's role is worked out.
-	onReader func(*node)
+	// ringCount is the number of neighbours; 0 means the default.
+	ringCount int
+	// startWatch starts a watch of the configuration service for the node, and
+	// returns the function that sets whether the node is a reader.
+	startWatch func(*configwatch.Store) func(bool)
+	// onSetReader is called within a tick when the node's role is set.
+	onSetReader func(*node)
 }
 
-// listen gives a listener on a free port and its address.
+// listen returns a listener on a free port and its address.
 func listen() (net.Listener, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,8 +67,8 @@
 	return l, l.Addr().String()
 }
 
-// startNode serves on l under an address, which differs from l's when a proxy
-// stands before it.
+// startNode starts a node that serves on l. The address differs from l's when a
+// proxy is in front of it.
 func startNode(l net.Listener, address string, seeds []string, cfg nodeConfig) *node {
 	n := &node{address: address}
 	if cfg.creds == nil {
@@ -79,24 +79,24 @@
 		panic(err)
 	}
 	setReader := func(bool) {}
-	if cfg.watch != nil {
-		setReader = cfg.watch(n.store)
+	if cfg.startWatch != nil {
+		setReader = cfg.startWatch(n.store)
 	}
-	var list []membership.Peer
+	var seedPeers []membership.Peer
 	for _, s := range seeds {
-		list = append(list, membership.Peer{Address: s, DataCentre: "north"})
+		seedPeers = append(seedPeers, membership.Peer{Address: s, DataCentre: "north"})
 	}
 	n.ctl, err = gossip.New(gossip.Config{
 		Membership: membership.Config{
 			Self:       membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
-			ProbeEvery: cmp.Or(cfg.every, probeEvery), Rings: cfg.rings,
+			ProbeEvery: cmp.Or(cfg.probeInterval, defaultProbeInterval), Rings: cfg.ringCount,
 		},
-		Seeds: list, Store: n.store, Hosts: &n.docs.Hosts, Credentials: cfg.creds,
-		SetReader: func(on bool) {
-			n.reader.Store(on)
-			setReader(on)
-			if cfg.onReader != nil {
-				cfg.onReader(n)
+		Seeds: seedPeers, Store: n.store, Hosts: &n.docs.Hosts, Credentials: cfg.creds,
+		SetReader: func(isReader bool) {
+			n.reader.Store(isReader)
+			setReader(isReader)
+			if cfg.onSetReader != nil {
+				cfg.onSetReader(n)
 			}
 		}, Hooks: cfg.hooks,
 	}, &n.board)
@@ -113,8 +113,8 @@
 	return n
 }
 
-// probeEvery is shorter than in service, so that the tests are.
-const probeEvery = 100 * time.Millisecond
+// defaultProbeInterval is shorter than in production to shorten the tests.
+const defaultProbeInterval = 100 * time.Millisecond
 
 // startFleet starts n nodes that know each other's addresses.
 func startFleet(n int, wrap func(net.Listener) net.Listener, cfg nodeConfig) []*node {
@@ -130,17 +130,17 @@
 	return nodes
 }
 
-func fleet(n int) []*node {
+func startPlainFleet(n int) []*node {
 	nodes := startFleet(n, func(l net.Listener) net.Listener { return l }, nodeConfig{})
-	for _, x := range nodes {
-		DeferCleanup(x.stop)
+	for _, n := range nodes {
+		DeferCleanup(n.stop)
 	}
 	return nodes
 }
 
-// edit puts a table of some accounts in force on one node; the account named
-// changed has the weight.
-func (n *node) edit(revision uint64, accounts int, weight int) {
+// putTable puts a table with some accounts in force on one node; the first
+// account has the given weight.
+func (n *node) putTable(revision uint64, accounts int, weight int) {
 	rows := []rollout.Row{}
 	for i := range accounts {
 		w := 1
@@ -150,36 +150,37 @@
 		name := fmt.Sprintf("member-%05d", i)
 		rows = append(rows, rollout.Row{Key: "account/" + name, Text: fmt.Sprintf("account,%s,%d,20,500,0,%064x,,,,,,", name, w, i+1)})
 	}
-	n.store.Offer(configwatch.SectionTable, rollout.Delta{Full: true, Rows: rows,
+	n.store.Apply(configwatch.SectionTable, rollout.Delta{Full: true, Rows: rows,
 		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}})
 }
 
 func (n *node) revision() uint64 { return n.store.Head(configwatch.SectionTable).Version.Revision }
 
-func everyone(nodes []*node, ok func(*node) bool) func() bool {
+func onAll(nodes []*node, ok func(*node) bool) func() bool {
 	return func() bool { return !slices.ContainsFunc(nodes, func(n *node) bool { return !ok(n) }) }
 }
 
-func live(count int) func(*node) bool {
+func hasLiveMembers(count int) func(*node) bool {
 	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.Live("")) == count }
 }
 
-// soon bounds only a spec that hangs: 32 copies of this package at once, with
-// the race detector on eight cores, take up to 100 s for what takes four alone.
-const soon, often = "5m", "10ms"
+// hangTimeout only stops specs that hang: 32 copies of this package at once,
+// with the race detector on eight cores, take up to 100 s for what one takes
+// four.
+const hangTimeout, pollInterval = "5m", "10ms"
 
 var _ = Describe("gossip", func() {
-	It("finds everyone, brings an edit to all, and keeps three readers", func() {
-		nodes := fleet(8)
-		Eventually(everyone(nodes, live(8)), soon, often).Should(BeTrue())
-		nodes[3].edit(5, 500, 4)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 5 }), soon, often).Should(BeTrue())
-		nodes[6].edit(6, 500, 9)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 6 }), soon, often).Should(BeTrue())
+	It("finds all members, distributes an edit to all, and keeps three readers", func() {
+		nodes := startPlainFleet(8)
+		Eventually(onAll(nodes, hasLiveMembers(8)), hangTimeout, pollInterval).Should(BeTrue())
+		nodes[3].putTable(5, 500, 4)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 5 }), hangTimeout, pollInterval).Should(BeTrue())
+		nodes[6].putTable(6, 500, 9)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 6 }), hangTimeout, pollInterval).Should(BeTrue())
 		for _, n := range nodes {
 			Expect(n.docs.Table.Get().Accounts["member-00000"].Weight).To(Equal(9.0))
 		}
-		readers := func() int {
+		readerCount := func() int {
 			count := 0
 			for _, n := range nodes {
 				if n.reader.Load() {
@@ -188,145 +189,146 @@
 			}
 			return count
 		}
-		Eventually(readers, soon, often).Should(Equal(membership.Readers))
+		Eventually(readerCount, hangTimeout, pollInterval).Should(Equal(membership.Readers))
 	})
 
-	// An edit comes just while a process works out its probes. A change that is
-	// not pushed then would wait for the next probe, a second or more; here no
-	// probe comes to help.
-	It("pushes an edit that comes during a tick", func() {
+	// Guards against an edit that is not pushed when it arrives while a process
+	// computes its probes. The probe interval of an hour ensures that no probe
+	// delivers it.
+	It("pushes an edit that arrives during a tick", func() {
 		l, a := listen()
 		m, b := listen()
-		hour := nodeConfig{every: time.Hour}
-		two := startNode(m, b, []string{a}, hour)
-		DeferCleanup(two.stop)
-		hour.onReader = func(n *node) {
-			if live(2)(n) && n.revision() == 0 {
-				n.edit(5, 3, 1)
+		withoutProbes := nodeConfig{probeInterval: time.Hour}
+		second := startNode(m, b, []string{a}, withoutProbes)
+		DeferCleanup(second.stop)
+		withoutProbes.onSetReader = func(n *node) {
+			if hasLiveMembers(2)(n) && n.revision() == 0 {
+				n.putTable(5, 3, 1)
 			}
 		}
-		one := startNode(l, a, []string{b}, hour)
-		DeferCleanup(one.stop)
-		Eventually(two.revision, soon, often).Should(Equal(uint64(5)))
+		first := startNode(l, a, []string{b}, withoutProbes)
+		DeferCleanup(first.stop)
+		Eventually(second.revision, hangTimeout, pollInterval).Should(Equal(uint64(5)))
 	})
 
-	// An operator saves a table with a negative weight. Nodes that took it and
-	// nodes that did not would admit by different weights; and an operator who
-	// asks any node must hear the same reason.
-	It("makes a refused edit known as refused everywhere", func() {
-		nodes := fleet(5)
-		nodes[0].edit(5, 3, 1)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 5 }), soon, often).Should(BeTrue())
-		bad := rollout.Refusal{Version: rollout.Version{Revision: 6}, Reason: "row 4 column weight"}
-		nodes[1].store.Refuse(configwatch.SectionTable, bad)
-		Eventually(everyone(nodes, func(n *node) bool { return n.store.Refused(configwatch.SectionTable) == bad }), soon, often).Should(BeTrue())
-		Expect(everyone(nodes, func(n *node) bool { return n.revision() == 5 })()).To(BeTrue())
+	// Guards against nodes that disagree on whether a table with a negative
+	// weight was refused: they would admit by different weights, and operators
+	// would get different answers from different nodes.
+	It("reports a refused edit as refused on all nodes", func() {
+		nodes := startPlainFleet(5)
+		nodes[0].putTable(5, 3, 1)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 5 }), hangTimeout, pollInterval).Should(BeTrue())
+		refusal := rollout.Refusal{Version: rollout.Version{Revision: 6}, Reason: "row 4 column weight"}
+		nodes[1].store.RecordRefusal(configwatch.SectionTable, refusal)
+		Eventually(onAll(nodes, func(n *node) bool { return n.store.LatestRefusal(configwatch.SectionTable) == refusal }), hangTimeout, pollInterval).Should(BeTrue())
+		Expect(onAll(nodes, func(n *node) bool { return n.revision() == 5 })()).To(BeTrue())
 	})
 
-	// A host is replaced while the configuration service still answers from an
-	// old state. Serving at once would bring the old table back on this host.
-	It("lets a new process take the newest table from peers before it is ready", func() {
-		nodes := fleet(4)
-		nodes[0].edit(9, 11_000, 7)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), soon, often).Should(BeTrue())
+	// Guards against a replaced host that serves an old table because the
+	// configuration service still answers from an old state.
+	It("makes a new process fetch the newest table from peers before it is ready", func() {
+		nodes := startPlainFleet(4)
+		nodes[0].putTable(9, 11_000, 7)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
-		// With a clock that stands still the grace of a start never ends: only
-		// peers can make the process ready, however busy the machine is.
+		// With a frozen clock the startup grace period never ends: only peers
+		// can make the process ready, however busy the test machine is.
 		started := time.Now()
-		still := nodeConfig{now: func() time.Time { return started }}
-		fresh := startNode(l, a, []string{nodes[0].address, nodes[1].address, nodes[2].address}, still)
-		DeferCleanup(fresh.stop)
-		fresh.edit(3, 10, 1)
-		Eventually(fresh.store.Ready, soon, "1ms").Should(BeTrue())
-		Expect(fresh.revision()).To(Equal(uint64(9)))
-		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersAsked }, soon, often).Should(BeTrue())
+		frozenClock := nodeConfig{now: func() time.Time { return started }}
+		newNode := startNode(l, a, []string{nodes[0].address, nodes[1].address, nodes[2].address}, frozenClock)
+		DeferCleanup(newNode.stop)
+		newNode.putTable(3, 10, 1)
+		Eventually(newNode.store.Ready, hangTimeout, "1ms").Should(BeTrue())
+		Expect(newNode.revision()).To(Equal(uint64(9)))
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, hangTimeout, pollInterval).Should(BeTrue())
 	})
 
-	// Probes go to neighbours. In a small fleet a process that has just started
-	// may have fewer of them than must vouch for what it holds; operators then
-	// read for good that its peers were not asked.
-	It("has members beyond its neighbours vouch for a new process", func() {
-		nodes := fleet(4)
-		Eventually(everyone(nodes, live(4)), soon, often).Should(BeTrue())
-		nodes[0].edit(9, 10, 7)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), soon, often).Should(BeTrue())
+	// Guards against a new process in a small fleet with fewer neighbours than
+	// the confirmations that it needs: it would report permanently that its
+	// peers were not asked.
+	It("lets members other than its neighbours confirm the documents of a new process", func() {
+		nodes := startPlainFleet(4)
+		Eventually(onAll(nodes, hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
+		nodes[0].putTable(9, 10, 7)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
-		fresh := startNode(l, a, []string{nodes[0].address}, nodeConfig{rings: 1})
-		DeferCleanup(fresh.stop)
-		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersAsked }, "1m", often).Should(BeTrue())
+		newNode := startNode(l, a, []string{nodes[0].address}, nodeConfig{ringCount: 1})
+		DeferCleanup(newNode.stop)
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, "1m", pollInterval).Should(BeTrue())
 	})
 
-	It("passes on when the host list was confirmed, never as later than it was", func() {
-		nodes := fleet(3)
-		Eventually(everyone(nodes, live(3)), soon, often).Should(BeTrue())
-		at := time.Now()
-		nodes[0].store.Confirmed(at)
-		Eventually(everyone(nodes, func(n *node) bool { return !n.store.ConfirmedAt().IsZero() }), soon, often).Should(BeTrue())
-		Consistently(everyone(nodes, func(n *node) bool { return !n.store.ConfirmedAt().After(at) }), "500ms", often).Should(BeTrue())
+	It("distributes the time of the host list's confirmation, and never a later one", func() {
+		nodes := startPlainFleet(3)
+		Eventually(onAll(nodes, hasLiveMembers(3)), hangTimeout, pollInterval).Should(BeTrue())
+		confirmedAt := time.Now()
+		nodes[0].store.ConfirmHosts(confirmedAt)
+		Eventually(onAll(nodes, func(n *node) bool { return !n.store.ConfirmedAt().IsZero() }), hangTimeout, pollInterval).Should(BeTrue())
+		Consistently(onAll(nodes, func(n *node) bool { return !n.store.ConfirmedAt().After(confirmedAt) }), "500ms", pollInterval).Should(BeTrue())
 	})
 
-	It("carries what other controllers hand in", func() {
+	It("carries the updates of other controllers", func() {
 		l, a := listen()
 		m, b := listen()
-		taken := make(chan string, 100)
-		one := startNode(l, a, []string{b}, nodeConfig{hooks: gossip.Hooks{
+		received := make(chan string, 100)
+		first := startNode(l, a, []string{b}, nodeConfig{hooks: gossip.Hooks{
 			SupplyPools:  func() []*filbertv1.PoolNews { return []*filbertv1.PoolNews{{Pool: "reports/0"}} },
 			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} },
 		}})
-		DeferCleanup(one.stop)
-		offer := func(s string) {
+		DeferCleanup(first.stop)
+		record := func(s string) {
 			select {
-			case taken <- s:
+			case received <- s:
 			default:
 			}
 		}
-		two := startNode(m, b, []string{a}, nodeConfig{hooks: gossip.Hooks{
-			TakePools:  func(p []*filbertv1.PoolNews) { offer(p[0].GetPool()) },
-			TakePoison: func(p []*filbertv1.PoisonNews) { offer(fmt.Sprint(p[0].GetId())) },
+		second := startNode(m, b, []string{a}, nodeConfig{hooks: gossip.Hooks{
+			TakePools:  func(p []*filbertv1.PoolNews) { record(p[0].GetPool()) },
+			TakePoison: func(p []*filbertv1.PoisonNews) { record(fmt.Sprint(p[0].GetId())) },
 		}})
-		DeferCleanup(two.stop)
-		Eventually(taken, soon).Should(Receive(Equal("reports/0")))
-		Eventually(taken, soon).Should(Receive(Equal("7")))
+		DeferCleanup(second.stop)
+		Eventually(received, hangTimeout).Should(Receive(Equal("reports/0")))
+		Eventually(received, hangTimeout).Should(Receive(Equal("7")))
 	})
 
-	// A request crashes a target and its caller sends it again within a second.
-	// Were the news to wait for the next probe, it would meet the next target.
-	It("tells neighbours urgent news without waiting for a probe", func() {
+	// Guards against a crash report that waits for the next probe: a request
+	// that crashed a target may be retried within a second and would crash the
+	// next target.
+	It("sends urgent updates to neighbours without waiting for a probe", func() {
 		l, a := listen()
 		m, b := listen()
-		urgent, taken := make(chan struct{}), make(chan uint64, 100)
-		one := startNode(l, a, []string{b}, nodeConfig{every: time.Hour, hooks: gossip.Hooks{
+		urgent, received := make(chan struct{}), make(chan uint64, 100)
+		first := startNode(l, a, []string{b}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
 			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, Urgent: urgent,
 		}})
-		DeferCleanup(one.stop)
-		two := startNode(m, b, []string{a}, nodeConfig{every: time.Hour, hooks: gossip.Hooks{
-			TakePoison: func(p []*filbertv1.PoisonNews) { taken <- p[0].GetId() },
+		DeferCleanup(first.stop)
+		second := startNode(m, b, []string{a}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
+			TakePoison: func(p []*filbertv1.PoisonNews) { received <- p[0].GetId() },
 		}})
-		DeferCleanup(two.stop)
-		Eventually(urgent, soon).Should(BeSent(struct{}{}))
-		Eventually(taken, soon).Should(Receive(Equal(uint64(7))))
+		DeferCleanup(second.stop)
+		Eventually(urgent, hangTimeout).Should(BeSent(struct{}{}))
+		Eventually(received, hangTimeout).Should(Receive(Equal(uint64(7))))
 	})
 
-	It("tells a planned stop, and finds a crash out", func() {
-		nodes := fleet(5)
-		Eventually(everyone(nodes, live(5)), soon, often).Should(BeTrue())
+	It("announces a planned stop, and detects a crash", func() {
+		nodes := startPlainFleet(5)
+		Eventually(onAll(nodes, hasLiveMembers(5)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[4].ctl.Leave(context.Background())
 		nodes[4].stop()
-		Eventually(everyone(nodes[:4], live(4)), soon, often).Should(BeTrue())
+		Eventually(onAll(nodes[:4], hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[3].stop()
-		Eventually(everyone(nodes[:3], live(3)), soon, often).Should(BeTrue())
+		Eventually(onAll(nodes[:3], hasLiveMembers(3)), hangTimeout, pollInterval).Should(BeTrue())
 	})
 
-	// A firewall between two hosts forgets their connections after an upgrade.
-	// They stay open and carry nothing, while new ones work. Processes would
+	// Guards against connections that stay open but carry no data, as after a
+	// firewall loses its connection table, while new ones work: processes would
 	// take each other for dead, or an edit would never arrive.
-	It("goes on over new connections when all open ones fall silent", func() {
-		proxies := make([]*silencer, 3)
+	It("continues over new connections when all open ones stop carrying data", func() {
+		proxies := make([]*blackholeProxy, 3)
 		listeners, addresses := make([]net.Listener, 3), make([]string, 3)
 		for i := range proxies {
 			l, a := listen()
 			listeners[i] = l
-			proxies[i] = newSilencer(a)
+			proxies[i] = newBlackholeProxy(a)
 			addresses[i] = proxies[i].address
 		}
 		var nodes []*node
@@ -335,27 +337,27 @@
 			DeferCleanup(n.stop)
 			nodes = append(nodes, n)
 		}
-		Eventually(everyone(nodes, live(3)), soon, often).Should(BeTrue())
+		Eventually(onAll(nodes, hasLiveMembers(3)), hangTimeout, pollInterval).Should(BeTrue())
 		for _, p := range proxies {
-			p.silence()
+			p.dropOpenTraffic()
 		}
-		nodes[0].edit(5, 10, 2)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 5 }), "10s", often).Should(BeTrue())
-		Eventually(everyone(nodes, live(3)), soon, often).Should(BeTrue())
+		nodes[0].putTable(5, 10, 2)
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 5 }), "10s", pollInterval).Should(BeTrue())
+		Eventually(onAll(nodes, hasLiveMembers(3)), hangTimeout, pollInterval).Should(BeTrue())
 	})
 })
 
-// silencer passes connections on, until it is told to let the open ones go
-// silent: they stay open, and nothing passes any more.
-type silencer struct {
-	address string
-	mu      sync.Mutex
-	open    []*atomic.Bool
+// blackholeProxy forwards connections until it is told to drop all data on the
+// open ones, which stay open.
+type blackholeProxy struct {
+	address   string
+	mu        sync.Mutex
+	dropFlags []*atomic.Bool
 }
 
-func newSilencer(target string) *silencer {
+func newBlackholeProxy(target string) *blackholeProxy {
 	l, a := listen()
-	s := &silencer{address: a}
+	p := &blackholeProxy{address: a}
 	DeferCleanup(l.Close)
 	go func() {
 		for {
@@ -368,30 +370,30 @@
 				_ = in.Close()
 				continue
 			}
-			silent := &atomic.Bool{}
-			s.mu.Lock()
-			s.open = append(s.open, silent)
-			s.mu.Unlock()
-			go pass(in, out, silent)
-			go pass(out, in, silent)
+			dropData := &atomic.Bool{}
+			p.mu.Lock()
+			p.dropFlags = append(p.dropFlags, dropData)
+			p.mu.Unlock()
+			go forward(in, out, dropData)
+			go forward(out, in, dropData)
 		}
 	}()
-	return s
+	return p
 }
 
-func (s *silencer) silence() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range s.open {
-		c.Store(true)
+func (p *blackholeProxy) dropOpenTraffic() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, dropData := range p.dropFlags {
+		dropData.Store(true)
 	}
 }
 
-func pass(from, to net.Conn, silent *atomic.Bool) {
+func forward(from, to net.Conn, dropData *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if !silent.Load() {
+		if !dropData.Load() {
 			_, _ = to.Write(buf[:n])
 			if err != nil {
 				_ = to.Close()
--- a/internal/controller/gossip/message.go
+++ b/internal/controller/gossip/message.go
@@ -13,38 +13,39 @@
 	"filbertdeck/internal/rolloutwire"
 )
 
-// maxDelta bounds the rows sent unasked with one message, in bytes. An edit of
-// a few rows fits; what is longer is announced by its head and pulled by
-// those who lack it, so that nobody gets it from six neighbours at once.
-const maxDelta = 8 << 10
+// maxInlineDeltaBytes bounds the size in bytes of a delta that is sent with a
+// message. An edit of a few rows fits. Larger deltas are only announced by
+// their head and pulled by processes that lack them, so that no process
+// receives the same delta from six neighbours at once.
+const maxInlineDeltaBytes = 8 << 10
 
-// message puts together what a peer is told.
-func (c *Controller) message(to string, updates []membership.Member) *filbertv1.GossipMessage {
+// buildMessage returns the message for a peer.
+func (c *Controller) buildMessage(to string, updates []membership.Member) *filbertv1.GossipMessage {
 	c.mu.Lock()
-	self, digest, theirs := c.core.Self(), c.core.Digest(), c.heads[to]
+	self, memberDigest, remoteHeads := c.core.Self(), c.core.Digest(), c.heads[to]
 	c.mu.Unlock()
 	store := c.cfg.Store
 	msg := &filbertv1.GossipMessage{
-		From: toMember(self), Members: toMembers(updates), MemberDigest: digest,
+		From: toMember(self), Members: toMembers(updates), MemberDigest: memberDigest,
 		Ready: store.Ready(),
 	}
-	heads := c.ownHeads()
-	msg.HeadsDigest = digestOf(heads)
+	heads := c.localHeads()
+	msg.HeadsDigest = headsDigest(heads)
 	for _, h := range heads {
-		if theirs == nil || fromPeerHead(h) != theirs[configwatch.Section(h.GetSection())] {
+		if remoteHeads == nil || fromPeerHead(h) != remoteHeads[configwatch.Section(h.GetSection())] {
 			msg.Heads = append(msg.Heads, h)
 		}
 	}
 	if at := store.ConfirmedAt(); !at.IsZero() {
-		// Rounded up: an age cut to whole milliseconds would make the list
-		// younger with each hop.
+		// Rounded up: an age truncated to whole milliseconds would make the
+		// list appear more recent with each hop.
 		msg.HostsConfirmedMs = uint64(time.Since(at).Milliseconds()) + 1
 	}
 	for _, s := range configwatch.Sections {
-		if d, ok := c.deltaFor(s, theirs); ok {
+		if d, ok := c.deltaFor(s, remoteHeads); ok {
 			msg.Deltas = append(msg.Deltas, d)
 		}
-		if r := store.Refused(s); r.Version.After(theirs[s].refused) {
+		if r := store.LatestRefusal(s); r.Version.After(remoteHeads[s].refused) {
 			msg.Refusals = append(msg.Refusals, toRefusal(s, r))
 		}
 	}
@@ -66,47 +67,48 @@
 	return msg
 }
 
-// deltaFor gives a short delta to a peer whose head is known and older.
-func (c *Controller) deltaFor(s configwatch.Section, theirs peerHeads) (*filbertv1.DocumentDelta, bool) {
-	head, known := theirs[s]
-	if !known || !c.cfg.Store.Head(s).Version.After(head.Version) {
+// deltaFor returns a delta for a peer whose version is known and older, if the
+// delta is small enough.
+func (c *Controller) deltaFor(section configwatch.Section, remoteHeads peerHeads) (*filbertv1.DocumentDelta, bool) {
+	head, known := remoteHeads[section]
+	if !known || !c.cfg.Store.Head(section).Version.After(head.Version) {
 		return nil, false
 	}
-	delta := c.cfg.Store.Since(s, head.Version)
+	delta := c.cfg.Store.DeltaSince(section, head.Version)
 	size := 0
 	for _, r := range delta.Rows {
 		size += len(r.Key) + len(r.Text)
 	}
-	if size > maxDelta {
+	if size > maxInlineDeltaBytes {
 		return nil, false
 	}
-	return rolloutwire.ToDelta(string(s), delta), true
+	return rolloutwire.ToDelta(string(section), delta), true
 }
 
-func (c *Controller) ownHeads() []*filbertv1.DocumentHead {
+func (c *Controller) localHeads() []*filbertv1.DocumentHead {
 	heads := make([]*filbertv1.DocumentHead, 0, len(configwatch.Sections))
 	for _, s := range configwatch.Sections {
-		heads = append(heads, toPeerHead(s, peerHead{c.cfg.Store.Head(s), c.cfg.Store.Refused(s).Version}))
+		heads = append(heads, toPeerHead(s, peerHead{c.cfg.Store.Head(s), c.cfg.Store.LatestRefusal(s).Version}))
 	}
 	return heads
 }
 
-// take works in what a peer's message says of documents. It gives what the
-// peer holds, nil when the message does not tell all of it, and whether it
-// announces more than it carries.
-// asked is when the question was sent that the message answers, zero when it
-// came unasked.
-func (c *Controller) take(msg *filbertv1.GossipMessage, asked time.Time) (held peerHeads, behind bool) {
-	stated, held := c.headsIn(msg)
-	c.remember(msg.GetFrom().GetAddress(), held)
+// handleMessage applies the documents, refusals and hook data in a peer's
+// message. It returns what the peer holds, nil if the message does not
+// determine all of it, and whether the peer holds newer documents than the
+// message carries. requestSentAt is the time at which the request was sent that
+// the message answers; zero for a message that was not requested.
+func (c *Controller) handleMessage(msg *filbertv1.GossipMessage, requestSentAt time.Time) (remoteHeads peerHeads, behind bool) {
+	stated, remoteHeads := c.decodeHeads(msg)
+	c.setPeerHeads(msg.GetFrom().GetAddress(), remoteHeads)
 	for s, h := range stated {
-		c.cfg.Store.Announced(s, h.Version)
+		c.cfg.Store.RecordPeerVersion(s, h.Version)
 	}
 	for _, d := range msg.GetDeltas() {
-		c.offer(d)
+		c.applyDelta(d)
 	}
 	for _, r := range msg.GetRefusals() {
-		c.cfg.Store.Refuse(configwatch.Section(r.GetSection()), fromRefusal(r))
+		c.cfg.Store.RecordRefusal(configwatch.Section(r.GetSection()), fromRefusal(r))
 	}
 	if c.cfg.Hooks.TakePools != nil && len(msg.GetPools()) > 0 {
 		c.cfg.Hooks.TakePools(msg.GetPools())
@@ -121,72 +123,73 @@
 		c.cfg.Hooks.TakeAlerts(msg.GetFrom().GetAddress(), msg.GetAlerts())
 	}
 	if c.cfg.Hooks.TakePublished != nil && msg.GetPublished() != nil {
-		c.cfg.Hooks.TakePublished(msg.GetFrom().GetAddress(), msg.GetPublished(), asked)
+		c.cfg.Hooks.TakePublished(msg.GetFrom().GetAddress(), msg.GetPublished(), requestSentAt)
 	}
-	return held, c.behind(stated)
+	return remoteHeads, c.isBehind(stated)
 }
 
-// remember keeps what a peer holds. Of a peer whose message does not tell all,
-// nothing is kept: the next message to it then states all heads, so that two
-// processes with wrong beliefs of each other find out.
-func (c *Controller) remember(peer string, held peerHeads) {
+// setPeerHeads records what a peer holds. For a peer whose message does not
+// determine all of it, the record is deleted: the next message to it then
+// states all heads, which corrects outdated records on either side.
+func (c *Controller) setPeerHeads(peer string, heads peerHeads) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held == nil {
+	if heads == nil {
 		delete(c.heads, peer)
 		return
 	}
-	c.heads[peer] = held
+	c.heads[peer] = heads
 }
 
-// headsIn gives the heads that a message states, and all that the peer holds:
-// those stated, and for the rest what is in force here. The digest tells
-// whether that is so. Where it is not, one of the two has moved on or started
-// anew; the answer then states all heads.
-func (c *Controller) headsIn(msg *filbertv1.GossipMessage) (stated, held peerHeads) {
-	stated, held = peerHeads{}, peerHeads{}
+// decodeHeads returns the heads that a message states, and all heads that the
+// peer holds. Heads that the message omits are those in force here, provided
+// that the message's digest of all heads matches. If it does not, one of the
+// two processes has newer documents or was restarted; remoteHeads is then nil,
+// and the answer states all heads.
+func (c *Controller) decodeHeads(msg *filbertv1.GossipMessage) (stated, remoteHeads peerHeads) {
+	stated, remoteHeads = peerHeads{}, peerHeads{}
 	for _, h := range msg.GetHeads() {
 		stated[configwatch.Section(h.GetSection())] = fromPeerHead(h)
 	}
-	all := c.ownHeads()
+	all := c.localHeads()
 	for i, own := range all {
 		s := configwatch.Section(own.GetSection())
 		if h, ok := stated[s]; ok {
 			all[i] = toPeerHead(s, h)
 		}
-		held[s] = fromPeerHead(all[i])
+		remoteHeads[s] = fromPeerHead(all[i])
 	}
-	if digestOf(all) != msg.GetHeadsDigest() {
+	if headsDigest(all) != msg.GetHeadsDigest() {
 		return stated, nil
 	}
-	return stated, held
+	return stated, remoteHeads
 }
 
-// digestOf sums up heads in the order of the sections.
-func digestOf(heads []*filbertv1.DocumentHead) uint64 {
-	var d xxhash.Digest
-	d.Reset()
+// headsDigest returns a digest of the heads in the order of the sections.
+func headsDigest(heads []*filbertv1.DocumentHead) uint64 {
+	var hash xxhash.Digest
+	hash.Reset()
 	var buf []byte
 	for _, h := range heads {
 		buf = buf[:0]
 		for _, v := range []uint64{h.GetEpoch(), h.GetRevision(), h.GetDigest(), h.GetRefusedEpoch(), h.GetRefusedRevision()} {
 			buf = binary.LittleEndian.AppendUint64(buf, v)
 		}
-		_, _ = d.Write(buf)
+		_, _ = hash.Write(buf)
 	}
-	return d.Sum64()
+	return hash.Sum64()
 }
 
-// behind tells whether a peer's documents are newer than those here, other
-// than what this process refused.
-func (c *Controller) behind(heads peerHeads) bool {
+// isBehind reports whether a peer holds newer documents than this process,
+// except versions that failed validation here.
+func (c *Controller) isBehind(heads peerHeads) bool {
 	for _, s := range configwatch.Sections {
-		theirs, ours := heads[s], c.cfg.Store.Head(s)
-		if theirs.Version == c.cfg.Store.Refused(s).Version {
+		remote, local := heads[s], c.cfg.Store.Head(s)
+		if remote.Version == c.cfg.Store.LatestRefusal(s).Version {
 			continue
 		}
-		newer := theirs.Version.After(ours.Version)
-		conflict := theirs.Version == ours.Version && theirs.Digest > ours.Digest
+		newer := remote.Version.After(local.Version)
+		conflict := remote.Version == local.Version && remote.Digest > local.Digest
 		if newer || conflict {
 			return true
 		}
@@ -194,6 +197,6 @@
 	return false
 }
 
-func (c *Controller) offer(d *filbertv1.DocumentDelta) rollout.Verdict {
-	return c.cfg.Store.Offer(configwatch.Section(d.GetHead().GetSection()), rolloutwire.FromDelta(d))
+func (c *Controller) applyDelta(d *filbertv1.DocumentDelta) rollout.Verdict {
+	return c.cfg.Store.Apply(configwatch.Section(d.GetHead().GetSection()), rolloutwire.FromDelta(d))
 }
--- a/internal/controller/gossip/peers.go
+++ b/internal/controller/gossip/peers.go
@@ -16,28 +16,33 @@
 	"filbertdeck/internal/failure"
 )
 
-// Figures of the connections.
+// Limits and timing of the connections.
 const (
-	// maxConnections bounds connections to peers that are no neighbours:
-	// relays, lost members, senders of large documents.
-	maxConnections = 16
-	// connectTimeout bounds a new connection with its TLS handshake.
+	// maxOtherConnections bounds the connections to peers that are not
+	// neighbours: relays of indirect probes, failed members, and sources of
+	// large documents.
+	maxOtherConnections = 16
+	// connectTimeout bounds the setup of a connection, including its TLS
+	// handshake.
 	connectTimeout = 2 * time.Second
-	// Dialling a peer that refuses is paused from the first to the last figure.
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 2 * time.Second
-	// bufferBytes is the size of a connection's buffers. Messages are a few
-	// hundred bytes; grpc's own 32 KB each way would be most of the memory.
+	// The delay before a refused connection is retried grows from minBackoff to
+	// maxBackoff.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// bufferBytes is the size of a connection's read and write buffers.
+	// Messages are a few hundred bytes; gRPC's default of 32 KB in each
+	// direction would be most of the memory used.
 	bufferBytes = 4 << 10
-	// windowBytes of a connection is fixed: to find it out, grpc would answer
-	// every message with a ping of its own.
-	windowBytes = 256 << 10
+	// flowWindowBytes is the fixed flow control window of a connection. With a
+	// dynamic window, gRPC answers every message with a ping to measure the
+	// bandwidth.
+	flowWindowBytes = 256 << 10
 )
 
-// peers holds the connections to other processes.
-type peers struct {
+// connectionPool holds the connections to other processes.
+type connectionPool struct {
 	creds   credentials.TransportCredentials
-	metrics counters
+	metrics metricCounters
 
 	mu         sync.Mutex
 	conns      map[string]*connection
@@ -46,25 +51,26 @@
 }
 
 type connection struct {
-	conn *grpc.ClientConn
-	used time.Time
-	// calls counts those in progress; retired is set once no new ones begin.
-	calls   int
-	retired bool
+	conn     *grpc.ClientConn
+	lastUsed time.Time
+	// activeCalls counts the calls in progress. retired is set once no new
+	// calls may start on the connection.
+	activeCalls int
+	retired     bool
 }
 
-func newPeers(creds credentials.TransportCredentials, m counters) *peers {
-	return &peers{creds: creds, metrics: m, conns: map[string]*connection{}}
+func newConnectionPool(creds credentials.TransportCredentials, m metricCounters) *connectionPool {
+	return &connectionPool{creds: creds, metrics: m, conns: map[string]*connection{}}
 }
 
-// call runs one call with its own timeout. A connection on which a call runs
-// into it may be silent for good while a new one would work, so later calls
-// get another one. Calls in progress there keep it until they end: on a host
-// that is short of processor time probes time out while a document of some
-// megabytes is on its way, and closing the connection under it would begin the
-// transfer anew each time, so that the host never learns the newest table.
-func (p *peers) call(ctx context.Context, address string, timeout time.Duration,
-	do func(context.Context, filbertv1.GossipClient) error,
+// call runs one call with its own timeout. A connection on which a call times
+// out may never carry data again, while a new one would, so later calls use a
+// new connection. Calls in progress keep the old one until they end: on a host
+// that is short of CPU, probes time out while a document of several megabytes
+// is being transferred, and closing the connection would restart the transfer
+// each time, so that the host would never get the newest table.
+func (p *connectionPool) call(ctx context.Context, address string, timeout time.Duration,
+	fn func(context.Context, filbertv1.GossipClient) error,
 ) error {
 	conn, err := p.acquire(address)
 	if err != nil {
@@ -73,7 +79,7 @@
 	defer p.release(conn)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err = do(ctx, filbertv1.NewGossipClient(conn.conn))
+	err = fn(ctx, filbertv1.NewGossipClient(conn.conn))
 	if err == nil {
 		return nil
 	}
@@ -84,9 +90,9 @@
 	return failure.Wrap(err, failure.KindControlLost, "peer %s did not answer", address).Unknown()
 }
 
-// acquire gives the connection to a peer, opened if there is none, and counts
+// acquire returns the connection to a peer, opening it if necessary, and counts
 // a call on it.
-func (p *peers) acquire(address string) (*connection, error) {
+func (p *connectionPool) acquire(address string) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -94,7 +100,7 @@
 	}
 	c := p.conns[address]
 	if c == nil {
-		p.makeRoom()
+		p.evictLeastRecentlyUsed()
 		conn, err := p.open(address)
 		if err != nil {
 			return nil, err
@@ -102,98 +108,100 @@
 		c = &connection{conn: conn}
 		p.conns[address] = c
 	}
-	c.used = time.Now()
-	c.calls++
+	c.lastUsed = time.Now()
+	c.activeCalls++
 	return c, nil
 }
 
-// release ends a call; the last one closes a retired connection.
-func (p *peers) release(c *connection) {
+// release ends a call; the last call on a retired connection closes it.
+func (p *connectionPool) release(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.calls--
-	if c.retired && c.calls == 0 {
+	c.activeCalls--
+	if c.retired && c.activeCalls == 0 {
 		_ = c.conn.Close()
 	}
 }
 
-// retire lets no new call begin on a connection.
-func (p *peers) retire(address string, c *connection) {
+// retire prevents new calls on a connection.
+func (p *connectionPool) retire(address string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(address, c)
+	p.retireLocked(address, c)
 }
 
-// drop takes a connection out of use, and closes it unless calls are in
-// progress on it. The caller holds the lock.
-func (p *peers) drop(address string, c *connection) {
+// retireLocked removes a connection from the pool, and closes it unless calls
+// are in progress on it. The caller holds the lock.
+func (p *connectionPool) retireLocked(address string, c *connection) {
 	if p.conns[address] == c {
 		delete(p.conns, address)
 	}
 	c.retired = true
-	if c.calls == 0 {
+	if c.activeCalls == 0 {
 		_ = c.conn.Close()
 	}
 }
 
-func (p *peers) open(address string) (*grpc.ClientConn, error) {
-	// The prefix keeps grpc from resolving names: peers are known by number.
+func (p *connectionPool) open(address string) (*grpc.ClientConn, error) {
+	// The passthrough scheme prevents name resolution by gRPC: peer addresses
+	// are numeric.
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(p.creds),
-		// A call that was sent may have been taken; repeating is ours to decide.
+		// The peer may have processed a call that was sent, so retries are left
+		// to the callers.
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
 		grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
-		grpc.WithInitialWindowSize(windowBytes), grpc.WithInitialConnWindowSize(windowBytes),
+		grpc.WithInitialWindowSize(flowWindowBytes), grpc.WithInitialConnWindowSize(flowWindowBytes),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: lastBackoff},
+			Backoff:           backoff.Config{BaseDelay: minBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: connectTimeout,
 		}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 	)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindControlLost, "peer %s", address)
+		return nil, failure.Wrap(err, failure.KindControlLost, "connection to peer %s", address)
 	}
 	return conn, nil
 }
 
-// makeRoom closes the connection that was not used for longest among those to
-// processes that are no neighbours.
-func (p *peers) makeRoom() {
-	oldest, others := "", 0
-	for a, c := range p.conns {
-		if slices.Contains(p.neighbours, a) {
+// evictLeastRecentlyUsed retires the least recently used connection to a
+// process that is not a neighbour, if there are maxOtherConnections of them.
+func (p *connectionPool) evictLeastRecentlyUsed() {
+	oldest, otherCount := "", 0
+	for address, c := range p.conns {
+		if slices.Contains(p.neighbours, address) {
 			continue
 		}
-		others++
-		if oldest == "" || c.used.Before(p.conns[oldest].used) {
-			oldest = a
+		otherCount++
+		if oldest == "" || c.lastUsed.Before(p.conns[oldest].lastUsed) {
+			oldest = address
 		}
 	}
-	if others >= maxConnections {
-		p.drop(oldest, p.conns[oldest])
+	if otherCount >= maxOtherConnections {
+		p.retireLocked(oldest, p.conns[oldest])
 	}
 }
 
-// keep names the neighbours, whose connections stay.
-func (p *peers) keep(neighbours []string) {
+// setNeighbours sets the neighbours, whose connections are not evicted.
+func (p *connectionPool) setNeighbours(neighbours []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.neighbours = neighbours
 }
 
-// isNeighbour tells whether a peer is one of the neighbours.
-func (p *peers) isNeighbour(address string) bool {
+// isNeighbour reports whether a peer is a neighbour.
+func (p *connectionPool) isNeighbour(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Contains(p.neighbours, address)
 }
 
-func (p *peers) close() {
+func (p *connectionPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for a, c := range p.conns {
+	for address, c := range p.conns {
 		_ = c.conn.Close()
-		delete(p.conns, a)
+		delete(p.conns, address)
 	}
 }
