--- a/internal/controller/published/controller.go
+++ b/internal/controller/published/controller.go
@@ -1,6 +1,7 @@
-// Package published keeps the picture of what operators and targets publish
-// up to date: it reads the store and puts the newest records on the
-// blackboard. What to believe is decided in internal/decide/mirror.
+// Package published keeps an up-to-date view of the configuration that
+// operators publish and the records that targets publish. It reads the store
+// and writes the newest records to the blackboard. internal/decide/mirror
+// decides which records are valid.
 package published
 
 import (
@@ -20,110 +21,118 @@
 	"filbertdeck/internal/wake"
 )
 
-// Figures of the reading.
+// Timing of calls to the store.
 const (
-	// watchWait is how long a watch waits. It bounds how long this host takes to
-	// notice that the store is gone, or that the connection has gone silent;
-	// engines that are taken away meanwhile leave after one and a half seconds.
-	// Each watch is a call of the store's, and changes are seconds apart.
+	// watchWait is how long the store may hold a watch open. It bounds the time
+	// in which this host notices that the store is unreachable or that the
+	// connection no longer carries data; engines that are taken away in the
+	// meantime leave after one and a half seconds. Each watch costs the store a
+	// call, and changes are seconds apart.
 	watchWait = 700 * time.Millisecond
-	// callEvery is the least time between two calls. What operators publish
-	// must be in force within two seconds and an engine that is taken away
-	// leaves after one and a half; each call costs the store its time.
-	callEvery = 200 * time.Millisecond
-	// idleEvery is how often a host that doesn't read looks whether it should.
-	idleEvery = 50 * time.Millisecond
-	// Retries double from the first to the last pause, each drawn at random
-	// from half of it up, so that hosts don't come back in step.
-	firstPause = 100 * time.Millisecond
-	lastPause  = time.Second
+	// minCallInterval is the minimum time between two calls. A published
+	// configuration must be in force within two seconds, and an engine that is
+	// taken away leaves after one and a half; a shorter interval would cost the
+	// store more calls.
+	minCallInterval = 200 * time.Millisecond
+	// roleCheckInterval is how often a host that does not read the store checks
+	// whether it should.
+	roleCheckInterval = 50 * time.Millisecond
+	// The retry delay doubles from minRetryDelay to maxRetryDelay. Each wait is
+	// drawn at random between half of the delay and the whole, so that hosts do
+	// not retry in step.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// Source is the store that operators and targets publish in.
+// Source is the store in which operators and targets publish.
 type Source interface {
-	// ReadAll gives all records and the revision at which the reading began.
+	// ReadAll returns all records and the revision at which the read began.
 	ReadAll(ctx context.Context) ([]directory.Record, uint64, error)
-	// Watch gives the changes after a revision and the revision to go on from;
-	// KindHistoryGone when they are no longer known.
+	// Watch returns the changes after a revision and the revision to continue
+	// from; KindHistoryGone if the store no longer has these changes.
 	Watch(ctx context.Context, after uint64, wait time.Duration) ([]directory.Record, uint64, error)
 }
 
-// Board is this controller's part of the blackboard.
+// Board holds the blackboard section that this package writes.
 type Board struct {
 	View blackboard.Section[directory.View]
 }
 
-// Config holds what the controller works with.
+// Config holds the settings and dependencies of a Controller.
 type Config struct {
 	Source  Source
 	Log     *slog.Logger
 	Metrics metrics.Registry
-	// Now is the steady clock of the process.
+	// Now is the monotonic clock of the process.
 	Now func() time.Duration
-	// Reads tells whether this host is to read the store; nil means always.
+	// Reads reports whether this host is to read the store; nil means always.
 	Reads func() bool
 }
 
-// Controller reads the store into the mirror.
+// Controller reads the store and maintains the mirror.
 type Controller struct {
-	cfg   Config
-	out   *blackboard.Writer[directory.View]
-	calls metrics.Counter
+	cfg        Config
+	viewWriter *blackboard.Writer[directory.View]
+	calls      metrics.Counter
 
 	mu     sync.Mutex
 	mirror *mirror.Mirror
-	// currentAt is the latest moment of which it is known that nothing newer
-	// had been published than is believed here.
-	currentAt time.Duration
-	confirmed bool
-	known     bool
-	// viewUntil is when the view on the board changes by itself, 0 when it does
-	// not.
-	viewUntil time.Duration
-	// reading is set while this host reads the store, lost while it can't.
-	reading, lost bool
-	// failedAt is when a call to the store last failed.
-	failedAt time.Duration
-	news     chan struct{}
-	doc      *document
-	peers    map[string]*peer
-	// packed are the records that were given away last.
-	packed  packedDelta
-	silence silence.Detector
-	// announced is the newest revision of the configuration that a peer holds.
-	announced uint64
+	// currentAt is the latest time at which the records held here are known to
+	// have been current.
+	currentAt     time.Duration
+	everCurrent   bool
+	viewPublished bool
+	// nextViewChange is the time at which the view on the board changes without
+	// new records; 0 if it does not.
+	nextViewChange time.Duration
+	// isReader is set while this host reads the store, storeFailed while its
+	// calls to the store fail.
+	isReader, storeFailed bool
+	// failedAt is the time of the last failed call to the store.
+	failedAt   time.Duration
+	newsSignal chan struct{}
+	doc        *document
+	peers      map[string]*peerState
+	// compressedRecords are the records sent last.
+	compressedRecords compressedDelta
+	silence           silence.Detector
+	// announcedConfig is the newest revision of the configuration that a peer
+	// is known to hold.
+	announcedConfig uint64
 }
 
 // New returns a controller and claims the section of the view.
 func New(cfg Config, board *Board) (*Controller, error) {
-	out, err := board.View.Claim()
+	writer, err := board.View.Claim()
 	if err != nil {
 		return nil, err
 	}
 	c := &Controller{
-		cfg: cfg, out: out, mirror: mirror.New(mirror.Config{}), doc: newDocument(), peers: map[string]*peer{}, news: make(chan struct{}, 1),
+		cfg: cfg, viewWriter: writer, mirror: mirror.New(mirror.Config{}), doc: newDocument(), peers: map[string]*peerState{}, newsSignal: make(chan struct{}, 1),
 		calls: metrics.GetOrRegisterCounter("published.calls", cfg.Metrics),
 	}
-	c.gauge("published.revision", func() int64 { return int64(c.Revision()) })
-	c.gauge("published.config_version", c.version)
-	c.gauge("published.age_ms", c.ageMillis)
-	c.gauge("published.store_lost", c.storeLost)
+	c.registerGauge("published.revision", func() int64 { return int64(c.Revision()) })
+	c.registerGauge("published.config_version", c.configVersion)
+	c.registerGauge("published.age_ms", c.ageMillis)
+	c.registerGauge("published.store_lost", c.storeLostValue)
 	return c, nil
 }
 
-func (c *Controller) gauge(name string, value func() int64) {
+func (c *Controller) registerGauge(name string, value func() int64) {
 	c.cfg.Metrics.GetOrRegister(name, metrics.NewFunctionalGauge(value))
 }
 
-// version is that of the configuration in force, 0 while none is.
-func (c *Controller) version() int64 {
-	if view := c.out.Get(); view != nil && view.Config != nil {
+// configVersion returns the version of the configuration in force, 0 if there
+// is none.
+func (c *Controller) configVersion() int64 {
+	if view := c.viewWriter.Get(); view != nil && view.Config != nil {
 		return int64(view.Config.Version)
 	}
 	return 0
 }
 
-// ageMillis is -1 while nothing was ever known to be current.
+// ageMillis returns Age in milliseconds, -1 if the records were never known to
+// be current.
 func (c *Controller) ageMillis() int64 {
 	age, known := c.Age()
 	if !known {
@@ -132,125 +141,128 @@
 	return age.Milliseconds()
 }
 
-// storeLost is 1 while this host can't read the store, 0 else.
-func (c *Controller) storeLost() int64 {
+// storeLostValue returns 1 while calls of this host to the store fail, and 0
+// otherwise.
+func (c *Controller) storeLostValue() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lost {
+	if c.storeFailed {
 		return 1
 	}
 	return 0
 }
 
-// Run reads until ctx is done.
+// Run reads the store while this host is to do so, until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
-	pause := firstPause
-	whole := true
+	retryDelay := minRetryDelay
+	fullRead := true
 	for ctx.Err() == nil {
-		if !c.role() {
-			wake.Sleep(ctx, idleEvery)
+		if !c.updateRole() {
+			wake.Sleep(ctx, roleCheckInterval)
 			continue
 		}
-		begun := c.cfg.Now()
-		err := c.step(ctx, whole)
+		startedAt := c.cfg.Now()
+		err := c.readOnce(ctx, fullRead)
 		if ctx.Err() != nil {
 			return
 		}
-		c.note(err)
-		whole = err != nil && (whole || failure.KindOf(err) == failure.KindHistoryGone)
+		c.recordCallResult(err)
+		fullRead = err != nil && (fullRead || failure.KindOf(err) == failure.KindHistoryGone)
 		switch {
 		case err == nil:
-			pause = firstPause
-			wake.Sleep(ctx, callEvery-(c.cfg.Now()-begun))
+			retryDelay = minRetryDelay
+			wake.Sleep(ctx, minCallInterval-(c.cfg.Now()-startedAt))
 		case failure.KindOf(err) == failure.KindHistoryGone:
 		default:
-			wake.Sleep(ctx, max(pause/2+rand.N(pause/2), min(failure.From(err).RetryAfter, lastPause)))
-			pause = min(2*pause, lastPause)
+			wake.Sleep(ctx, max(retryDelay/2+rand.N(retryDelay/2), min(failure.From(err).RetryAfter, maxRetryDelay)))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
 }
 
-// role tells whether this host is to read now.
-func (c *Controller) role() bool {
-	reads := c.cfg.Reads == nil || c.cfg.Reads()
+// updateRole updates and returns whether this host is to read the store.
+func (c *Controller) updateRole() bool {
+	isReader := c.cfg.Reads == nil || c.cfg.Reads()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if reads != c.reading {
-		c.reading = reads
-		c.cfg.Log.Info("role of reader changed", "reading", reads, "revision", c.mirror.Revision())
+	if isReader != c.isReader {
+		c.isReader = isReader
+		c.cfg.Log.Info("role of reader changed", "reading", isReader, "revision", c.mirror.Revision())
 	}
-	return reads
+	return isReader
 }
 
-func (c *Controller) step(ctx context.Context, whole bool) error {
+func (c *Controller) readOnce(ctx context.Context, fullRead bool) error {
 	c.calls.Inc(1)
-	begun := c.cfg.Now()
-	if whole {
-		records, at, err := c.cfg.Source.ReadAll(ctx)
+	startedAt := c.cfg.Now()
+	if fullRead {
+		records, revision, err := c.cfg.Source.ReadAll(ctx)
 		if err != nil {
 			return err
 		}
-		c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Whole(now, records, at) })
+		c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Whole(now, records, revision) })
 		return nil
 	}
-	records, at, err := c.watch(ctx, begun)
+	records, revision, err := c.watch(ctx, startedAt)
 	if err != nil {
 		return err
 	}
-	c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Changes(now, records, at) })
+	c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Changes(now, records, revision) })
 	return nil
 }
 
-// watch waits at the store for changes. An answer that is overdue is noted
-// before the call is given up.
-func (c *Controller) watch(ctx context.Context, begun time.Duration) ([]directory.Record, uint64, error) {
+// watch waits for changes in the store. It records an overdue answer before the
+// call times out.
+func (c *Controller) watch(ctx context.Context, startedAt time.Duration) ([]directory.Record, uint64, error) {
 	c.mu.Lock()
-	patience := c.silence.Patience()
+	answerTimeout := c.silence.Patience()
 	c.mu.Unlock()
-	late := time.AfterFunc(watchWait+patience, func() {
+	overdueTimer := time.AfterFunc(watchWait+answerTimeout, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.overdue(begun+watchWait, "")
+		c.recordOverdue(startedAt+watchWait, "")
 	})
-	defer late.Stop()
-	records, at, err := c.cfg.Source.Watch(ctx, c.watchFrom(), watchWait)
+	defer overdueTimer.Stop()
+	records, revision, err := c.cfg.Source.Watch(ctx, c.completeRevision(), watchWait)
 	if err == nil && len(records) == 0 {
 		c.mu.Lock()
-		c.silence.Answered(c.cfg.Now() - begun - watchWait)
+		c.silence.Answered(c.cfg.Now() - startedAt - watchWait)
 		c.mu.Unlock()
 	}
-	return records, at, err
+	return records, revision, err
 }
 
-// take works news in and publishes a view when they matter.
-func (c *Controller) take(currentAt time.Duration, records []directory.Record, apply func(*mirror.Mirror, time.Duration) bool) {
+// applyRecords applies records from the store to the mirror, and publishes a
+// view if it changed.
+func (c *Controller) applyRecords(currentAt time.Duration, records []directory.Record, apply func(*mirror.Mirror, time.Duration) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
 	c.mirror.StoreAnswered(now)
-	c.confirm(currentAt)
-	due := c.viewUntil > 0
+	c.confirmCurrent(currentAt)
+	viewChangePending := c.nextViewChange > 0
 	c.replaceConfig(records)
-	news := apply(c.mirror, now)
-	if news || due || !c.known {
-		c.known = true
-		c.publish(now, fromStore)
+	changed := apply(c.mirror, now)
+	if changed || viewChangePending || !c.viewPublished {
+		c.viewPublished = true
+		c.publish(now, sourceStore)
 	}
-	if news {
-		c.tell()
+	if changed {
+		c.signalNews()
 	}
 }
 
-// replaceConfig takes the configuration among some records into the document
-// that peers are told from, and puts the document's own in its place.
+// replaceConfig stores the configuration among the records, if any, in the
+// document from which peers are updated, and replaces it in the records by the
+// document's own.
 func (c *Controller) replaceConfig(records []directory.Record) {
 	for i, r := range records {
 		if r.Config == nil {
 			continue
 		}
-		cfg, err := c.doc.replace(r.Config, r.Revision)
+		cfg, err := c.doc.replaceConfig(r.Config, r.Revision)
 		if err != nil {
-			c.cfg.Log.Error("configuration can't be told to peers", "revision", r.Revision, "error", err)
+			c.cfg.Log.Error("failed to encode configuration for peers", "revision", r.Revision, "error", err)
 		}
 		if cfg != nil {
 			records[i].Config = cfg
@@ -258,92 +270,96 @@
 	}
 }
 
-// tell has other hosts told what is new here.
-func (c *Controller) tell() {
-	wake.Signal(c.news)
+// signalNews requests that other hosts are sent the changes.
+func (c *Controller) signalNews() {
+	wake.Signal(c.newsSignal)
 }
 
-// News is received from when other hosts should hear at once: something was
-// published, or the store was lost or is back.
-func (c *Controller) News() <-chan struct{} { return c.news }
+// News returns a channel that receives a value when other hosts should be
+// updated immediately: something was published, or calls to the store began to
+// fail or to succeed.
+func (c *Controller) News() <-chan struct{} { return c.newsSignal }
 
-// fromStore is the source of what this host read from the store itself.
-const fromStore = "store"
+// sourceStore is the source of records that this host read from the store
+// itself.
+const sourceStore = "store"
 
-// publish puts what is known by now on the board; source is where the last
-// change came from.
+// publish publishes the current view on the board; source names the origin of
+// the last change.
 func (c *Controller) publish(now time.Duration, source string) {
 	view := c.mirror.View(now)
-	before := c.out.Get()
-	if view.Config != nil && (before == nil || before.Config == nil || before.Config.Version != view.Config.Version) {
+	previous := c.viewWriter.Get()
+	if view.Config != nil && (previous == nil || previous.Config == nil || previous.Config.Version != view.Config.Version) {
 		c.cfg.Log.Info("configuration in force", "version", view.Config.Version, "revision", view.Revision, "routes", len(view.Config.Routes))
 	}
-	c.out.Publish(view)
-	c.publishAgainAt(now, c.mirror.NextChange(now))
-	if left := c.mirror.Left(); len(left) > 0 {
-		c.cfg.Log.Info("targets leave", "targets", left, "revision", view.Revision, "source", source, "age", c.ageAt(now))
+	c.viewWriter.Publish(view)
+	c.schedulePublish(now, c.mirror.NextChange(now))
+	if departed := c.mirror.Left(); len(departed) > 0 {
+		c.cfg.Log.Info("targets leave", "targets", departed, "revision", view.Revision, "source", source, "age", c.ageAt(now))
 	}
 }
 
-// publishAgainAt sees to it that the view is published again when it changes by
-// itself at a time; 0 is never.
-func (c *Controller) publishAgainAt(now, at time.Duration) {
-	if at > 0 && at != c.viewUntil {
-		time.AfterFunc(at-now, c.publishDue)
+// schedulePublish arranges that the view is published again at a time at which
+// it changes without new records; 0 means never.
+func (c *Controller) schedulePublish(now, at time.Duration) {
+	if at > 0 && at != c.nextViewChange {
+		time.AfterFunc(at-now, c.publishIfDue)
 	}
-	c.viewUntil = at
+	c.nextViewChange = at
 }
 
-// publishDue publishes the view if it has changed by itself.
-func (c *Controller) publishDue() {
+// publishIfDue publishes the view if the time of its next change has come.
+func (c *Controller) publishIfDue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := c.cfg.Now(); c.viewUntil > 0 && now >= c.viewUntil {
-		c.publish(now, fromStore)
+	if now := c.cfg.Now(); c.nextViewChange > 0 && now >= c.nextViewChange {
+		c.publish(now, sourceStore)
 	}
 }
 
-// note logs when the store is lost and when it is back.
-func (c *Controller) note(err error) {
+// recordCallResult records and logs when calls to the store begin to fail and
+// when they succeed again.
+func (c *Controller) recordCallResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	gone := err != nil && failure.KindOf(err) != failure.KindHistoryGone
-	if gone {
+	failed := err != nil && failure.KindOf(err) != failure.KindHistoryGone
+	if failed {
 		c.mirror.StoreLost()
 		c.failedAt = c.cfg.Now()
 	}
-	if gone == c.lost {
+	if failed == c.storeFailed {
 		return
 	}
-	c.lost = gone
-	c.tell()
-	if gone {
+	c.storeFailed = failed
+	c.signalNews()
+	if failed {
 		c.cfg.Log.Warn("store lost", "error", err, "revision", c.mirror.Revision())
 		return
 	}
 	c.cfg.Log.Info("store back", "revision", c.mirror.Revision())
 }
 
-// watchFrom is the revision to watch from: that up to which everything is known
-// here. A configuration that peers announced and that has not come yet is not:
-// watched from behind it, the store would never give it, and if the peers that
-// have it die this host would not get it from anybody.
-func (c *Controller) watchFrom() uint64 {
+// completeRevision returns the revision up to which this host holds all
+// changes, from which it watches the store. A configuration that peers
+// announced and that has not arrived is not among them: a watch from a later
+// revision would never return it, and if the peers that hold it failed, this
+// host would not get it at all.
+func (c *Controller) completeRevision() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.complete()
+	return c.completeRevisionLocked()
 }
 
-// complete is watchFrom with the lock held.
-func (c *Controller) complete() uint64 {
-	if c.announced > c.doc.revision() {
-		return min(c.mirror.Revision(), c.announced-1)
+// completeRevisionLocked is completeRevision for callers that hold the lock.
+func (c *Controller) completeRevisionLocked() uint64 {
+	if c.announcedConfig > c.doc.revision() {
+		return min(c.mirror.Revision(), c.announcedConfig-1)
 	}
 	return c.mirror.Revision()
 }
 
-// Revision is the store's revision up to which all changes are known here, but
-// for the configuration's.
+// Revision returns the store's revision up to which this host holds all changes
+// except those of the configuration.
 func (c *Controller) Revision() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/published/document.go
+++ b/internal/controller/published/document.go
@@ -18,69 +18,72 @@
 	"filbertdeck/internal/rolloutwire"
 )
 
-// document is the configuration in force as rows, so that hosts tell each
-// other the rows that changed and not the whole: operators may add a thousand
-// routes at once, and then change one.
+// document holds the configuration in force as rows, so that hosts send each
+// other only the rows that changed: operators may add a thousand routes at
+// once, and then change one.
 //
 // It is not safe for concurrent use.
 type document struct {
 	rows *rollout.Document
-	// parts are the rows as they were parsed, by key.
-	parts map[string]part
-	// packed are the last deltas that were given away, newest last, compressed
-	// once for all that ask.
-	packed []packedDelta
+	// contents holds the parsed rows by key.
+	contents map[string]rowContent
+	// compressed holds the deltas sent last, newest last. Each is compressed
+	// once for all hosts that request it.
+	compressed []compressedDelta
 }
 
-// part is one row's content; exactly one field is set.
-type part struct {
+// rowContent is the content of one row; exactly one field is set.
+type rowContent struct {
 	Route   *directory.Route   `json:"route,omitempty"`
 	Service *directory.Service `json:"service,omitempty"`
 	Account *directory.Account `json:"account,omitempty"`
-	Rest    *rest              `json:"rest,omitempty"`
+	Globals *globals           `json:"rest,omitempty"`
 }
 
-// rest is what a configuration holds beside its lists.
-type rest struct {
+// globals holds the parts of a configuration that are not lists.
+type globals struct {
 	Version uint64           `json:"version"`
 	Limits  directory.Limits `json:"limits"`
-	// NeedsAccounts tells no list of accounts, with which no request needs a
-	// key, from an empty one.
+	// NeedsAccounts distinguishes a missing list of accounts, with which no
+	// request needs a key, from an empty one.
 	NeedsAccounts bool `json:"needs_accounts"`
 }
 
-// packedDelta is what leads from one revision to another, compressed.
-type packedDelta struct {
+// compressedDelta is the compressed change from one revision to another.
+type compressedDelta struct {
 	from, to uint64
 	bytes    []byte
 }
 
-// keepPacked bounds the compressed deltas that are kept: those that lag behind
-// do so from two or three versions.
-const keepPacked = 3
+// maxCompressedDeltas bounds the compressed deltas that are kept: hosts that
+// are behind hold one of two or three versions.
+const maxCompressedDeltas = 3
 
 func newDocument() *document {
-	return &document{rows: rollout.NewDocument(), parts: map[string]part{}}
+	return &document{rows: rollout.NewDocument(), contents: map[string]rowContent{}}
 }
 
-// revision is the store's at the configuration in force, 0 for none.
+// revision returns the store's revision of the configuration in force, 0 if
+// there is none.
 func (d *document) revision() uint64 { return d.rows.Head().Version.Revision }
 
-// replace takes a whole configuration that the store gave, and gives it as put
-// together from its rows; nil when it is not newer than what is in force.
-func (d *document) replace(c *directory.Config, revision uint64) (*directory.Config, error) {
+// replaceConfig replaces the document by a configuration read from the store,
+// and returns the configuration as rebuilt from the rows; nil if it is not
+// newer than the one in force.
+func (d *document) replaceConfig(c *directory.Config, revision uint64) (*directory.Config, error) {
 	rows, err := rowsOf(c)
 	if err != nil {
 		return nil, err
 	}
 	head := rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}
-	taken, _, err := d.take(rollout.Delta{Head: head, Full: true, Rows: rows})
-	return taken, err
+	inForce, _, err := d.applyDelta(rollout.Delta{Head: head, Full: true, Rows: rows})
+	return inForce, err
 }
 
-// take works a delta in. It gives the configuration when that changed it; gap
-// tells that the delta doesn't fit, and the whole has to be fetched.
-func (d *document) take(delta rollout.Delta) (c *directory.Config, gap bool, err error) {
+// applyDelta applies a delta and returns the configuration if it changed. gap
+// reports that the delta does not apply to the revision in force and the whole
+// configuration has to be fetched.
+func (d *document) applyDelta(delta rollout.Delta) (c *directory.Config, gap bool, err error) {
 	verdict, changed := d.rows.Judge(delta)
 	if verdict != rollout.VerdictTake {
 		return nil, verdict == rollout.VerdictGap, nil
@@ -91,17 +94,17 @@
 	}
 	d.rows.Commit(delta, changed)
 	for _, r := range changed {
-		delete(d.parts, r.Key)
+		delete(d.contents, r.Key)
 	}
-	for key, p := range parsed {
-		d.parts[key] = p
+	for key, content := range parsed {
+		d.contents[key] = content
 	}
 	return d.config(), false, nil
 }
 
-// deltaFrom gives what leads from a revision to the head when it is no longer
-// than a number of bytes; nil when it is, or when there is nothing to tell.
-func (d *document) deltaFrom(revision uint64, most int) *rollout.Delta {
+// deltaFrom returns the changes from a revision to the one in force; nil if
+// there are none or if they are larger than maxBytes.
+func (d *document) deltaFrom(revision uint64, maxBytes int) *rollout.Delta {
 	if revision >= d.revision() || revision == 0 {
 		return nil
 	}
@@ -110,76 +113,78 @@
 	for _, r := range delta.Rows {
 		size += len(r.Key) + len(r.Text)
 	}
-	if size > most {
+	if size > maxBytes {
 		return nil
 	}
 	return &delta
 }
 
-// pack gives what leads from a revision to the head, compressed.
-func (d *document) pack(revision uint64) ([]byte, error) {
-	for _, p := range d.packed {
-		if p.from == revision && p.to == d.revision() {
-			return p.bytes, nil
+// compressedSince returns the compressed changes from a revision to the one in
+// force.
+func (d *document) compressedSince(revision uint64) ([]byte, error) {
+	for _, cached := range d.compressed {
+		if cached.from == revision && cached.to == d.revision() {
+			return cached.bytes, nil
 		}
 	}
 	plain, err := proto.Marshal(rolloutwire.ToDelta("", d.rows.Since(rollout.Version{Revision: revision})))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "configuration can't be encoded")
+		return nil, failure.Wrap(err, failure.KindInternal, "encode configuration")
 	}
-	packed, err := compress(plain)
+	compressed, err := compress(plain)
 	if err != nil {
 		return nil, err
 	}
-	d.keep(packedDelta{from: revision, to: d.revision(), bytes: packed})
-	return packed, nil
+	d.cacheCompressed(compressedDelta{from: revision, to: d.revision(), bytes: compressed})
+	return compressed, nil
 }
 
-// keep remembers a delta; those to older configurations go.
-func (d *document) keep(p packedDelta) {
-	d.packed = slices.DeleteFunc(d.packed, func(old packedDelta) bool { return old.to != p.to })
-	d.packed = append(d.packed, p)
-	d.packed = d.packed[max(0, len(d.packed)-keepPacked):]
+// cacheCompressed keeps a compressed delta, and drops those that lead to other
+// revisions.
+func (d *document) cacheCompressed(delta compressedDelta) {
+	d.compressed = slices.DeleteFunc(d.compressed, func(old compressedDelta) bool { return old.to != delta.to })
+	d.compressed = append(d.compressed, delta)
+	d.compressed = d.compressed[max(0, len(d.compressed)-maxCompressedDeltas):]
 }
 
-// takePacked works in a delta that a peer gave and keeps its bytes, to give
-// them on as they are.
-func (d *document) takePacked(packed []byte) (c *directory.Config, gap bool, err error) {
-	plain, err := decompress(packed)
+// applyCompressed applies a compressed delta from a peer and keeps its bytes,
+// which are sent on unchanged.
+func (d *document) applyCompressed(compressed []byte) (c *directory.Config, gap bool, err error) {
+	plain, err := decompress(compressed)
 	if err != nil {
 		return nil, false, err
 	}
 	var wire filbertv1.DocumentDelta
 	if err := proto.Unmarshal(plain, &wire); err != nil {
-		return nil, false, failure.Wrap(err, failure.KindConfigUnreadable, "configuration of a peer")
+		return nil, false, failure.Wrap(err, failure.KindConfigUnreadable, "decode configuration from a peer")
 	}
 	from := d.revision()
-	c, gap, err = d.take(rolloutwire.FromDelta(&wire))
+	c, gap, err = d.applyDelta(rolloutwire.FromDelta(&wire))
 	if c != nil {
-		d.keep(packedDelta{from: from, to: d.revision(), bytes: packed})
+		d.cacheCompressed(compressedDelta{from: from, to: d.revision(), bytes: compressed})
 	}
 	return c, gap, err
 }
 
-// config puts the parsed rows together.
+// config builds the configuration from the parsed rows.
 func (d *document) config() *directory.Config {
-	keys := make([]string, 0, len(d.parts))
-	for key := range d.parts {
+	keys := make([]string, 0, len(d.contents))
+	for key := range d.contents {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	c := &directory.Config{}
 	for _, key := range keys {
-		switch p := d.parts[key]; {
-		case p.Route != nil:
-			c.Routes = append(c.Routes, *p.Route)
-		case p.Service != nil:
-			c.Services = append(c.Services, *p.Service)
-		case p.Account != nil:
-			c.Accounts = append(c.Accounts, *p.Account)
-		case p.Rest != nil:
-			c.Version, c.Limits = p.Rest.Version, p.Rest.Limits
-			if p.Rest.NeedsAccounts && c.Accounts == nil {
+		switch content := d.contents[key]; {
+		case content.Route != nil:
+			c.Routes = append(c.Routes, *content.Route)
+		case content.Service != nil:
+			c.Services = append(c.Services, *content.Service)
+		case content.Account != nil:
+			c.Accounts = append(c.Accounts, *content.Account)
+		case content.Globals != nil:
+			c.Version, c.Limits = content.Globals.Version, content.Globals.Limits
+			if content.Globals.NeedsAccounts && c.Accounts == nil {
 				c.Accounts = []directory.Account{}
 			}
 		}
@@ -187,66 +192,66 @@
 	return c
 }
 
-// rowsOf gives a configuration as rows in the order of their keys.
+// rowsOf returns a configuration as rows, sorted by key.
 func rowsOf(c *directory.Config) ([]rollout.Row, error) {
-	b := rowBuilder{used: map[string]int{}}
+	b := rowBuilder{keyCounts: map[string]int{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		b.add("route/"+r.Host+r.Prefix+" "+r.Name, part{Route: r})
+		b.add("route/"+r.Host+r.Prefix+" "+r.Name, rowContent{Route: r})
 	}
 	for i := range c.Services {
-		b.add("service/"+c.Services[i].Name, part{Service: &c.Services[i]})
+		b.add("service/"+c.Services[i].Name, rowContent{Service: &c.Services[i]})
 	}
 	for i := range c.Accounts {
-		b.add("account/"+c.Accounts[i].Name, part{Account: &c.Accounts[i]})
+		b.add("account/"+c.Accounts[i].Name, rowContent{Account: &c.Accounts[i]})
 	}
-	// Accounts are put together before this row is read: keys are sorted.
-	b.add("rest", part{Rest: &rest{Version: c.Version, Limits: c.Limits, NeedsAccounts: c.Accounts != nil}})
+	// Keys are sorted, so config reads the accounts before this row.
+	b.add("rest", rowContent{Globals: &globals{Version: c.Version, Limits: c.Limits, NeedsAccounts: c.Accounts != nil}})
 	slices.SortFunc(b.rows, func(x, y rollout.Row) int { return strings.Compare(x.Key, y.Key) })
 	return b.rows, b.err
 }
 
-// rowBuilder gives each row a key of its own, also where operators repeat a
-// name.
+// rowBuilder collects rows and makes their keys unique, even if operators use a
+// name more than once.
 type rowBuilder struct {
-	rows []rollout.Row
-	used map[string]int
-	err  error
+	rows      []rollout.Row
+	keyCounts map[string]int
+	err       error
 }
 
-func (b *rowBuilder) add(key string, p part) {
-	if n := b.used[key]; n > 0 {
-		b.used[key]++
+func (b *rowBuilder) add(key string, content rowContent) {
+	if n := b.keyCounts[key]; n > 0 {
+		b.keyCounts[key]++
 		key += " " + strconv.Itoa(n)
 	} else {
-		b.used[key] = 1
+		b.keyCounts[key] = 1
 	}
-	text, err := json.Marshal(p)
+	text, err := json.Marshal(content)
 	if err != nil {
-		b.err = failure.Wrap(err, failure.KindInternal, "row %q can't be encoded", key)
+		b.err = failure.Wrap(err, failure.KindInternal, "encode row %q", key)
 		return
 	}
 	b.rows = append(b.rows, rollout.Row{Key: key, Text: string(text)})
 }
 
-func parseRows(rows []rollout.Row) (map[string]part, error) {
-	parts := make(map[string]part, len(rows))
-	for _, r := range rows {
-		if r.Text == "" {
+func parseRows(rows []rollout.Row) (map[string]rowContent, error) {
+	contents := make(map[string]rowContent, len(rows))
+	for _, row := range rows {
+		if row.Text == "" {
 			continue
 		}
-		var p part
-		if err := json.Unmarshal([]byte(r.Text), &p); err != nil {
-			return nil, failure.Wrap(err, failure.KindConfigUnreadable, "row %q of a peer", r.Key)
+		var content rowContent
+		if err := json.Unmarshal([]byte(row.Text), &content); err != nil {
+			return nil, failure.Wrap(err, failure.KindConfigUnreadable, "decode row %q from a peer", row.Key)
 		}
-		parts[r.Key] = p
+		contents[row.Key] = content
 	}
-	return parts, nil
+	return contents, nil
 }
 
-// maxBulk bounds a configuration, or the records of all targets, in bytes once
-// they are unpacked.
-const maxBulk = 8 << 20
+// maxDecompressedBytes bounds the decompressed size in bytes of a
+// configuration, or of the records of all targets.
+const maxDecompressedBytes = 8 << 20
 
 func compress(plain []byte) ([]byte, error) {
 	var out bytes.Buffer
@@ -263,17 +268,17 @@
 	return out.Bytes(), nil
 }
 
-func decompress(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindConfigUnreadable, "what a peer gave can't be unpacked")
+		return nil, failure.Wrap(err, failure.KindConfigUnreadable, "decompress data from a peer")
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, maxBulk+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindConfigUnreadable, "what a peer gave can't be unpacked")
+		return nil, failure.Wrap(err, failure.KindConfigUnreadable, "decompress data from a peer")
 	}
-	if len(plain) > maxBulk {
-		return nil, failure.New(failure.KindConfigUnreadable, "what a peer gave is longer than %d bytes", maxBulk)
+	if len(plain) > maxDecompressedBytes {
+		return nil, failure.New(failure.KindConfigUnreadable, "data from a peer is longer than %d bytes after decompression", maxDecompressedBytes)
 	}
 	return plain, nil
 }
--- a/internal/controller/published/news.go
+++ b/internal/controller/published/news.go
@@ -13,178 +13,190 @@
 )
 
 const (
-	// shortDelta is the size in bytes up to which a change of the configuration
-	// goes along with other news: an edit of some routes, or keys taken back.
-	// What is longer is announced, and fetched by each host once.
-	shortDelta = 8 << 10
-	// mostRecords is the number of records that go along with other news. A process
-	// that starts lacks those of all targets, thousands in a large deployment.
-	mostRecords = 40
-	// toldFor is how long what was sent to a peer counts as held there without
-	// its word: probes to a peer overlap, and each would carry the same news
-	// again.
-	toldFor = 400 * time.Millisecond
-	// statedFor is how long a peer's word of what it holds is worth telling it
-	// more by. By then it has mostly heard the news elsewhere, and a neighbour that
-	// is probed every few seconds would be sent all news of these seconds again.
-	statedFor = time.Second
+	// maxInlineDeltaBytes bounds the size in bytes of a change of the
+	// configuration that is sent with other news: an edit of some routes, or
+	// revoked keys. Larger changes are announced, and each host fetches them
+	// once.
+	maxInlineDeltaBytes = 8 << 10
+	// maxInlineRecords bounds the number of records sent with other news. A
+	// process that starts lacks the records of all targets, thousands in a
+	// large deployment.
+	maxInlineRecords = 40
+	// sentTTL is how long a peer is assumed to hold what was sent to it without
+	// having confirmed it: probes to a peer overlap, and each would carry the
+	// same news again.
+	sentTTL = 400 * time.Millisecond
+	// statedTTL is how long a peer's own statement of what it holds is used to
+	// select news for it. After that it has usually received the news from
+	// other hosts, and a neighbour that is probed every few seconds would be
+	// sent all news of these seconds again.
+	statedTTL = time.Second
 )
 
-// News is what one process tells another of what is published.
+// News is what one process tells another about published records.
 type News struct {
-	// Records changed after the revision From, up to Revision; from 0 they are
-	// all that exist. The configuration is not among them.
+	// Records holds the records that changed after the revision From, up to
+	// Revision; from 0 these are all records. The configuration is not
+	// included.
 	From, Revision uint64
-	// Withheld says that they are too many and have to be fetched.
+	// Withheld reports that there are too many records and they have to be
+	// fetched.
 	Withheld bool
-	// Age is how long before the telling it was known that nothing newer was
-	// published; negative when it never was.
+	// Age is the time between the sender's records last being known to be
+	// current and the sending; negative if they never were.
 	Age time.Duration
-	// Reading says that the process reads the store, and the store answers.
+	// Reading reports that the sender reads the store and the store answers.
 	Reading bool
-	// StoreRejects says that the store rejected a call of the process lately.
+	// StoreRejects reports that the store recently rejected a call of the
+	// sender.
 	StoreRejects bool
-	// Overdue is how long before the telling an answer of the store was due that
-	// did not come; 0 when all came in time.
+	// Overdue is the time between an answer of the store being due and the
+	// sending, if that answer did not arrive; 0 if no answer is overdue.
 	Overdue time.Duration
 	Records []json.RawMessage
-	// Config is the head of the configuration in force there; Delta leads to it
-	// where that is short, nil else.
+	// Config is the head of the configuration in force at the sender. Delta is
+	// the change that leads to it; nil if it is too large or not needed.
 	Config rollout.Head
 	Delta  *rollout.Delta
 }
 
-// peer is what is known of what another process holds, as revisions of the
+// peerState is what another process is known to hold, as revisions of the
 // store.
-type peer struct {
-	stated   held
+type peerState struct {
+	stated   revisions
 	statedAt time.Duration
-	// told was sent at toldAt, on the steady clock.
-	told   held
-	toldAt time.Duration
+	// sent was sent at sentAt, on the monotonic clock.
+	sent   revisions
+	sentAt time.Duration
 }
 
-type held struct{ records, config uint64 }
+type revisions struct{ records, config uint64 }
 
-// holds gives what a peer holds, as far as it said so or was just told.
-func (p *peer) holds(now time.Duration) held {
-	if now-p.toldAt >= toldFor {
+// knownRevisions returns what a peer holds according to its own statement and
+// to what was recently sent to it.
+func (p *peerState) knownRevisions(now time.Duration) revisions {
+	if now-p.sentAt >= sentTTL {
 		return p.stated
 	}
-	return held{max(p.stated.records, p.told.records), max(p.stated.config, p.told.config)}
+	return revisions{max(p.stated.records, p.sent.records), max(p.stated.config, p.sent.config)}
 }
 
-// NewsFor gives what a peer lacks, as far as it has said what it holds.
+// NewsFor returns the news that a peer lacks, as far as it has stated what it
+// holds.
 func (c *Controller) NewsFor(address string) News {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
-	n := News{
+	news := News{
 		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
-		Reading: c.reading && !c.lost && c.confirmed, StoreRejects: c.rejectedAt(now), Config: c.doc.rows.Head(),
+		Reading: c.isReader && !c.storeFailed && c.everCurrent, StoreRejects: c.storeRejectsAt(now), Config: c.doc.rows.Head(),
 	}
-	if due, ever := c.silence.Due(); ever && c.silence.Suspect(c.currentAt) {
-		n.Overdue = max(now-due, time.Millisecond)
+	if due, known := c.silence.Due(); known && c.silence.Suspect(c.currentAt) {
+		news.Overdue = max(now-due, time.Millisecond)
 	}
-	p := c.peers[address]
-	if p == nil || now-p.statedAt >= statedFor {
-		// Nothing is known of the peer by now: it is told the revisions alone, says
-		// in its answer what it holds, and is told more if it lacks any.
-		return n
+	peer := c.peers[address]
+	if peer == nil || now-peer.statedAt >= statedTTL {
+		// Nothing recent is known about the peer: it is sent the revisions
+		// alone, states in its answer what it holds, and is sent the news that
+		// it lacks.
+		return news
 	}
-	lacks := p.holds(now)
-	if records := c.mirror.Delta(lacks.records); len(records) > mostRecords {
-		n.Withheld = true
+	held := peer.knownRevisions(now)
+	if records := c.mirror.Delta(held.records); len(records) > maxInlineRecords {
+		news.Withheld = true
 	} else {
-		n.From, n.Records = c.mirror.Base(lacks.records), c.encode(records)
+		news.From, news.Records = c.mirror.Base(held.records), c.encodeRecords(records)
 	}
-	n.Delta = c.doc.deltaFrom(lacks.config, shortDelta)
-	if len(n.Records) > 0 || n.Delta != nil {
-		p.told, p.toldAt = lacks, now
-		if !n.Withheld {
-			p.told.records = n.Revision
+	news.Delta = c.doc.deltaFrom(held.config, maxInlineDeltaBytes)
+	if len(news.Records) > 0 || news.Delta != nil {
+		peer.sent, peer.sentAt = held, now
+		if !news.Withheld {
+			peer.sent.records = news.Revision
 		}
-		if n.Delta != nil {
-			p.told.config = n.Config.Version.Revision
+		if news.Delta != nil {
+			peer.sent.config = news.Config.Version.Revision
 		}
 	}
-	return n
+	return news
 }
 
-func (c *Controller) encode(records []directory.Record) []json.RawMessage {
-	var out []json.RawMessage
+func (c *Controller) encodeRecords(records []directory.Record) []json.RawMessage {
+	var bodies []json.RawMessage
 	for _, r := range records {
 		body, err := json.Marshal(r)
 		if err != nil {
-			c.cfg.Log.Error("record can't be told to a peer", "key", r.Key, "error", err)
+			c.cfg.Log.Error("failed to encode record for a peer", "key", r.Key, "error", err)
 			continue
 		}
-		out = append(out, body)
+		bodies = append(bodies, body)
 	}
-	return out
+	return bodies
 }
 
-// TakeNews takes what a peer told. asked is when the question was asked that
-// the news answer, on the steady clock, negative when they came unasked: then
-// their age proves nothing, they may have lain in a paused process. behind
-// tells that the peer still holds less than is held here after it was told.
-func (c *Controller) TakeNews(address string, n News, asked time.Duration) (behind bool) {
-	records, err := parse(n.Records)
+// TakeNews applies news from a peer. requestSentAt is the time, on the
+// monotonic clock, at which the request was sent that the news answers, and
+// negative for news that was not requested: its age is not used then, since it
+// may have been delayed in a paused process. behind reports that the peer, when
+// it answered, held less than this host.
+func (c *Controller) TakeNews(address string, news News, requestSentAt time.Duration) (behind bool) {
+	records, err := decodeRecords(news.Records)
 	if err != nil {
-		c.cfg.Log.Warn("news of a peer can't be read", "peer", address, "error", err)
+		c.cfg.Log.Warn("failed to decode news from a peer", "peer", address, "error", err)
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
-	c.peers[address] = &peer{stated: held{n.Revision, n.Config.Version.Revision}, statedAt: now}
-	c.announced = max(c.announced, n.Config.Version.Revision)
-	if n.Overdue > 0 {
-		c.overdue(now-n.Overdue, address)
+	c.peers[address] = &peerState{stated: revisions{news.Revision, news.Config.Version.Revision}, statedAt: now}
+	c.announcedConfig = max(c.announcedConfig, news.Config.Version.Revision)
+	if news.Overdue > 0 {
+		c.recordOverdue(now-news.Overdue, address)
 	}
-	before := c.mirror.Revision()
-	changed := c.takeChanges(now, n.From, n.Revision, records)
-	if n.Delta != nil {
-		changed = c.takeDelta(now, address, *n.Delta) || changed
+	previous := c.mirror.Revision()
+	changed := c.applyRecordChanges(now, news.From, news.Revision, records)
+	if news.Delta != nil {
+		changed = c.applyConfigDelta(now, address, *news.Delta) || changed
 	}
 	if changed {
-		c.known = true
+		c.viewPublished = true
 		c.publish(now, address)
-		c.cfg.Log.Info("news taken from a peer", "peer", address, "records", len(records), "revision", c.mirror.Revision(), "before", before)
+		c.cfg.Log.Info("news taken from a peer", "peer", address, "records", len(records), "revision", c.mirror.Revision(), "before", previous)
 	}
-	if asked >= 0 && n.Age >= 0 && c.mirror.Revision() >= n.Revision && c.doc.revision() >= n.Config.Version.Revision {
-		c.confirm(asked - n.Age)
+	if requestSentAt >= 0 && news.Age >= 0 && c.mirror.Revision() >= news.Revision && c.doc.revision() >= news.Config.Version.Revision {
+		c.confirmCurrent(requestSentAt - news.Age)
 	}
-	return asked >= 0 && n.Revision < before
+	return requestSentAt >= 0 && news.Revision < previous
 }
 
-// takeChanges takes the records that changed between two revisions.
-func (c *Controller) takeChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
+// applyRecordChanges applies the records that changed between two revisions.
+func (c *Controller) applyRecordChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
 	switch {
 	case from == 0 && to > 0:
 		return c.mirror.Whole(now, records, to)
 	case from <= c.mirror.Revision():
 		return c.mirror.Merge(now, records, to)
 	}
-	// What was published between is missing here.
+	// The changes between the revision held here and from are missing.
 	return c.mirror.Merge(now, records, 0)
 }
 
-// takeDelta takes a short change of the configuration. One that doesn't fit is
-// passed over: the head that came with it has the whole fetched.
-func (c *Controller) takeDelta(now time.Duration, address string, delta rollout.Delta) bool {
-	cfg, gap, err := c.doc.take(delta)
+// applyConfigDelta applies a small change of the configuration. A delta that
+// does not apply to the revision held here is ignored: the whole configuration
+// is fetched because of the head that came with it.
+func (c *Controller) applyConfigDelta(now time.Duration, address string, delta rollout.Delta) bool {
+	cfg, gap, err := c.doc.applyDelta(delta)
 	if err != nil {
-		c.cfg.Log.Warn("configuration of a peer can't be read", "peer", address, "error", err)
+		c.cfg.Log.Warn("failed to decode configuration from a peer", "peer", address, "error", err)
 	}
 	if gap {
-		c.cfg.Log.Debug("configuration of a peer starts elsewhere", "peer", address, "from", delta.From.String(), "held", c.doc.revision())
+		c.cfg.Log.Debug("configuration delta from a peer does not apply to the revision held", "peer", address, "from", delta.From.String(), "held", c.doc.revision())
 	}
-	return c.putConfig(now, cfg)
+	return c.updateMirrorConfig(now, cfg)
 }
 
-// putConfig hands the configuration in force to the mirror; nil is none.
-func (c *Controller) putConfig(now time.Duration, cfg *directory.Config) bool {
+// updateMirrorConfig passes a new configuration to the mirror; nil means that
+// it did not change.
+func (c *Controller) updateMirrorConfig(now time.Duration, cfg *directory.Config) bool {
 	if cfg == nil {
 		return false
 	}
@@ -192,161 +204,164 @@
 	return c.mirror.Changes(now, []directory.Record{record}, 0)
 }
 
-// Holds gives the store's revision at the configuration in force, 0 for none,
-// that up to which all other records are known, and that up to which both are.
+// Holds returns the store's revision of the configuration in force, 0 if there
+// is none, the revision up to which all other records are known, and the one up
+// to which both are.
 func (c *Controller) Holds() (config, records, both uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.doc.revision(), c.mirror.Revision(), c.complete()
+	return c.doc.revision(), c.mirror.Revision(), c.completeRevisionLocked()
 }
 
-// Bulk is what a process lacks that holds less, compressed once for all that
-// lack the same. Parts that it has are empty.
+// Bulk is what another process lacks, compressed once for all processes that
+// lack the same. Parts that the process has are empty.
 type Bulk struct{ Config, Records []byte }
 
-// Size is the number of bytes in it.
+// Size returns the size in bytes.
 func (b Bulk) Size() int { return len(b.Config) + len(b.Records) }
 
-// Pack gives what leads from the configuration and the records of some revisions
-// to those held here.
+// Pack returns the changes from the given revisions of the configuration and
+// the records to those held here.
 func (c *Controller) Pack(config, records uint64) (b Bulk, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.doc.revision() > config {
-		if b.Config, err = c.doc.pack(config); err != nil {
+		if b.Config, err = c.doc.compressedSince(config); err != nil {
 			return Bulk{}, err
 		}
 	}
 	if c.mirror.Revision() > records {
-		b.Records, err = c.packRecords(records)
+		b.Records, err = c.compressRecords(records)
 	}
 	return b, err
 }
 
-// packRecords compresses what leads from a revision to what is held here.
-func (c *Controller) packRecords(after uint64) ([]byte, error) {
+// compressRecords compresses the changes from a revision to the records held
+// here.
+func (c *Controller) compressRecords(after uint64) ([]byte, error) {
 	from, to := c.mirror.Base(after), c.mirror.Revision()
-	if c.packed.from == from && c.packed.to == to {
-		return c.packed.bytes, nil
+	if c.compressedRecords.from == from && c.compressedRecords.to == to {
+		return c.compressedRecords.bytes, nil
 	}
 	news := &filbertv1.PublishedNews{From: from, Revision: to}
-	for _, r := range c.encode(c.mirror.Delta(after)) {
+	for _, r := range c.encodeRecords(c.mirror.Delta(after)) {
 		news.Records = append(news.Records, r)
 	}
 	plain, err := proto.Marshal(news)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "records can't be encoded")
+		return nil, failure.Wrap(err, failure.KindInternal, "encode records")
 	}
-	packed, err := compress(plain)
+	compressed, err := compress(plain)
 	if err != nil {
 		return nil, err
 	}
-	c.packed = packedDelta{from: from, to: to, bytes: packed}
-	return packed, nil
+	c.compressedRecords = compressedDelta{from: from, to: to, bytes: compressed}
+	return compressed, nil
 }
 
-// TakeBulk takes what a peer's Pack gave. gap tells that the configuration
-// doesn't fit to what is held here and the whole has to be fetched.
+// TakeBulk applies what a peer sent in answer to a fetch. gap reports that the
+// configuration does not apply to the revision held here and has to be fetched
+// whole.
 func (c *Controller) TakeBulk(address string, b Bulk) (gap bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, before := c.cfg.Now(), c.mirror.Revision()
+	now, previous := c.cfg.Now(), c.mirror.Revision()
 	changed := false
 	if len(b.Config) > 0 {
 		var cfg *directory.Config
-		if cfg, gap, err = c.doc.takePacked(b.Config); err != nil {
+		if cfg, gap, err = c.doc.applyCompressed(b.Config); err != nil {
 			return false, err
 		}
-		changed = c.putConfig(now, cfg)
+		changed = c.updateMirrorConfig(now, cfg)
 	}
 	if len(b.Records) > 0 {
-		news, err := c.takeRecords(now, b.Records)
+		recordsChanged, err := c.applyCompressedRecords(now, b.Records)
 		if err != nil {
 			return gap, err
 		}
-		changed = news || changed
+		changed = recordsChanged || changed
 	}
 	if changed {
-		c.known = true
+		c.viewPublished = true
 		c.publish(now, address)
 		c.cfg.Log.Info("fetched from a peer", "peer", address, "bytes", b.Size(),
-			"config", c.doc.revision(), "revision", c.mirror.Revision(), "before", before)
+			"config", c.doc.revision(), "revision", c.mirror.Revision(), "before", previous)
 	}
 	return gap, nil
 }
 
-func (c *Controller) takeRecords(now time.Duration, packed []byte) (changed bool, err error) {
-	plain, err := decompress(packed)
+func (c *Controller) applyCompressedRecords(now time.Duration, compressed []byte) (changed bool, err error) {
+	plain, err := decompress(compressed)
 	if err != nil {
 		return false, err
 	}
 	var news filbertv1.PublishedNews
 	if err := proto.Unmarshal(plain, &news); err != nil {
-		return false, failure.Wrap(err, failure.KindConfigUnreadable, "records of a peer")
+		return false, failure.Wrap(err, failure.KindConfigUnreadable, "decode records from a peer")
 	}
 	bodies := make([]json.RawMessage, len(news.GetRecords()))
 	for i, r := range news.GetRecords() {
 		bodies[i] = r
 	}
-	records, err := parse(bodies)
+	records, err := decodeRecords(bodies)
 	if err != nil {
 		return false, err
 	}
-	return c.takeChanges(now, news.GetFrom(), news.GetRevision(), records), nil
+	return c.applyRecordChanges(now, news.GetFrom(), news.GetRevision(), records), nil
 }
 
-func parse(bodies []json.RawMessage) ([]directory.Record, error) {
+func decodeRecords(bodies []json.RawMessage) ([]directory.Record, error) {
 	records := make([]directory.Record, len(bodies))
 	for i, body := range bodies {
 		if err := json.Unmarshal(body, &records[i]); err != nil {
-			return nil, failure.Wrap(err, failure.KindConfigUnreadable, "record %d", i)
+			return nil, failure.Wrap(err, failure.KindConfigUnreadable, "decode record %d", i)
 		}
 	}
 	return records, nil
 }
 
-// confirm notes that nothing newer than what is held here was published at a
-// time.
-func (c *Controller) confirm(at time.Duration) {
-	if !c.confirmed || at > c.currentAt {
+// confirmCurrent records that the records held here were current at a time.
+func (c *Controller) confirmCurrent(at time.Duration) {
+	if !c.everCurrent || at > c.currentAt {
 		c.currentAt = at
 	}
-	c.confirmed = true
+	c.everCurrent = true
 	c.mirror.Confirm(c.currentAt)
 }
 
-// RejectedFor is how long a call that the store rejected counts against a host
-// as a source of news. It tries again after that.
+// RejectedFor is how long a host is avoided as a source of news after the store
+// rejected one of its calls.
 const RejectedFor = 3 * time.Second
 
-// StoreRejects tells whether the store rejected a call of this host lately.
+// StoreRejects reports whether the store recently rejected a call of this host.
 func (c *Controller) StoreRejects() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rejectedAt(c.cfg.Now())
+	return c.storeRejectsAt(c.cfg.Now())
 }
 
-func (c *Controller) rejectedAt(now time.Duration) bool {
-	return c.lost && now-c.failedAt < RejectedFor
+func (c *Controller) storeRejectsAt(now time.Duration) bool {
+	return c.storeFailed && now-c.failedAt < RejectedFor
 }
 
-// ageAt is Age at a time, negative when nothing was ever known; with the lock held.
+// ageAt is Age at a time, negative if the records were never known to be
+// current. The caller holds the lock.
 func (c *Controller) ageAt(now time.Duration) time.Duration {
-	if !c.confirmed {
+	if !c.everCurrent {
 		return -1
 	}
 	return now - c.currentAt
 }
 
-// Age is how long ago it was known that nothing newer had been published than
-// is believed here; false when it never was.
+// Age returns the time since the records held here were last known to be
+// current; false if they never were.
 func (c *Controller) Age() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cfg.Now() - c.currentAt, c.confirmed
+	return c.cfg.Now() - c.currentAt, c.everCurrent
 }
 
-// Suspects tells whether the store may have fallen silent: an answer of its is
+// Suspects reports whether the store may have stopped answering: an answer is
 // overdue here or at another host, and no later call was answered.
 func (c *Controller) Suspects() bool {
 	c.mu.Lock()
@@ -354,23 +369,23 @@
 	return c.silence.Suspect(c.currentAt)
 }
 
-// overdue notes an answer of the store that was due at a time and has not come,
-// as a peer said or, with an empty name, this host saw. It is called with the
-// lock held.
-func (c *Controller) overdue(due time.Duration, peer string) {
+// recordOverdue records that an answer of the store was due at a time and did
+// not arrive. peer is the peer that reported it, empty if this host noticed it.
+// The caller holds the lock.
+func (c *Controller) recordOverdue(due time.Duration, peer string) {
 	if !c.silence.Overdue(due) || !c.silence.Suspect(c.currentAt) {
 		return
 	}
 	c.cfg.Log.Info("store suspected to be silent", "overdue_for", c.cfg.Now()-due, "peer", peer, "age", c.cfg.Now()-c.currentAt)
 	if peer == "" {
-		c.tell()
+		c.signalNews()
 	}
 }
 
-// Asks tells whether this host needs others to tell it what is published: it
-// does not read the store, or the store does not answer it.
+// Asks reports whether this host depends on other hosts for published records:
+// it does not read the store, or its calls to the store fail.
 func (c *Controller) Asks() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lost || !c.reading
+	return c.storeFailed || !c.isReader
 }
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/published/published_test.go
@@ -23,55 +23,55 @@
 	RunSpecs(t, "published")
 }
 
-// source is a store that holds what a spec puts into it.
-type source struct {
+// fakeStore is an in-memory store.
+type fakeStore struct {
 	records []directory.Record
-	// changes are all that were ever made, in their order.
+	// changes holds all changes ever made, in order.
 	changes []directory.Record
-	// newestOnly has a watch give the newest record of each key alone.
+	// newestOnly makes a watch return only the newest record of each key.
 	newestOnly bool
-	at         uint64
+	revision   uint64
 	watched    []uint64
 }
 
-func (s *source) ReadAll(context.Context) ([]directory.Record, uint64, error) {
-	live := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Gone })
-	return live, s.at, nil
+func (s *fakeStore) ReadAll(context.Context) ([]directory.Record, uint64, error) {
+	present := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Gone })
+	return present, s.revision, nil
 }
 
-func (s *source) Watch(_ context.Context, after uint64, _ time.Duration) ([]directory.Record, uint64, error) {
+func (s *fakeStore) Watch(_ context.Context, after uint64, _ time.Duration) ([]directory.Record, uint64, error) {
 	s.watched = append(s.watched, after)
-	var out []directory.Record
-	given := s.changes
+	var changed []directory.Record
+	candidates := s.changes
 	if s.newestOnly {
-		given = s.records
+		candidates = s.records
 	}
-	for _, r := range given {
+	for _, r := range candidates {
 		if r.Revision > after {
-			out = append(out, r)
+			changed = append(changed, r)
 		}
 	}
-	return out, s.at, nil
+	return changed, s.revision, nil
 }
 
-// silentSource is a store that takes calls and answers none.
-type silentSource struct{ *source }
+// silentStore is a store that accepts calls but does not answer them.
+type silentStore struct{ *fakeStore }
 
-func (s *silentSource) Watch(ctx context.Context, _ uint64, _ time.Duration) ([]directory.Record, uint64, error) {
+func (s *silentStore) Watch(ctx context.Context, _ uint64, _ time.Duration) ([]directory.Record, uint64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// host is a controller with a clock that a spec sets.
-type host struct {
+// testHost is a controller with a clock that the test sets.
+type testHost struct {
 	*Controller
-	source *source
+	source *fakeStore
 	board  *Board
 	now    time.Duration
 }
 
-func newHost(s *source) *host {
-	h := &host{source: s, board: &Board{}}
+func newTestHost(s *fakeStore) *testHost {
+	h := &testHost{source: s, board: &Board{}}
 	c, err := New(Config{
 		Source: s, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewRegistry(),
 		Now: func() time.Duration { return h.now },
@@ -81,10 +81,12 @@
 	return h
 }
 
-// read has the host read its store.
-func (h *host) read() { Expect(h.step(context.Background(), h.Revision() == 0)).To(Succeed()) }
+// readStore makes one call to the store.
+func (h *testHost) readStore() {
+	Expect(h.readOnce(context.Background(), h.Revision() == 0)).To(Succeed())
+}
 
-func (h *host) routes() int {
+func (h *testHost) routeCount() int {
 	view := h.board.View.Get()
 	if view == nil || view.Config == nil {
 		return 0
@@ -92,7 +94,7 @@
 	return len(view.Config.Routes)
 }
 
-func configOf(version uint64, routes int) *directory.Config {
+func newConfig(version uint64, routes int) *directory.Config {
 	c := &directory.Config{
 		Version: version, Services: []directory.Service{{Name: "app", Engine: &directory.Engine{Slots: 4}}},
 		Accounts: []directory.Account{{Name: "a-1", Keys: []string{"k-1"}}},
@@ -106,35 +108,35 @@
 	return c
 }
 
-func (s *source) configure(revision, version uint64, routes int) {
-	s.put(directory.Record{Key: directory.ConfigKey, Revision: revision, Config: configOf(version, routes)})
+func (s *fakeStore) putConfig(revision, version uint64, routes int) {
+	s.put(directory.Record{Key: directory.ConfigKey, Revision: revision, Config: newConfig(version, routes)})
 }
 
-func (s *source) put(r directory.Record) {
-	kept := s.records[:0]
+func (s *fakeStore) put(r directory.Record) {
+	remaining := s.records[:0]
 	for _, old := range s.records {
 		if old.Key != r.Key {
-			kept = append(kept, old)
+			remaining = append(remaining, old)
 		}
 	}
-	s.records, s.at = append(kept, r), r.Revision
+	s.records, s.revision = append(remaining, r), r.Revision
 	s.changes = append(s.changes, r)
 }
 
-// remove takes a record away, as the store does: a watch from before hears of it,
-// a whole reading lacks it.
-func (s *source) remove(key string) {
-	s.put(directory.Record{Key: key, Revision: s.at + 1, Gone: true})
+// remove deletes a record as the store does: a watch from an earlier revision
+// returns the removal, and a full read omits the record.
+func (s *fakeStore) remove(key string) {
+	s.put(directory.Record{Key: key, Revision: s.revision + 1, Gone: true})
 }
 
-// tellAll tells a host what another one knows, until it lacks nothing.
-func tellAll(from, to *host) {
+// exchangeNews updates one host from another until it lacks nothing.
+func exchangeNews(from, to *testHost) {
 	from.TakeNews("to", to.NewsFor("from"), -1)
 	to.TakeNews("from", from.NewsFor("to"), -1)
 	fetchFrom(from, to)
 }
 
-func size(n News) int {
+func newsBytes(n News) int {
 	total := 0
 	for _, r := range n.Records {
 		total += len(r)
@@ -148,53 +150,55 @@
 }
 
 var _ = Describe("news between hosts", func() {
-	// Operators add 880 routes at once. While its answer is on the way, each
-	// neighbour is probed ten times a second; if every probe carried all routes,
-	// links would be full of them and a small host would do nothing else.
-	It("carry no large configuration, however often they are told", func() {
-		reader, other := newHost(&source{}), newHost(&source{})
-		reader.source.configure(3, 1, 4)
-		reader.read()
+	// Guards against probes that repeat a large change: when operators add 880
+	// routes at once and each probe carried all of them until the answer
+	// arrives, with ten probes a second to each neighbour, the links and small
+	// hosts would be saturated.
+	It("carries no large configuration, however often it is sent", func() {
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
+		reader.source.putConfig(3, 1, 4)
+		reader.readStore()
 		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		reader.source.configure(4, 2, 884)
-		reader.read()
+		reader.source.putConfig(4, 2, 884)
+		reader.readStore()
 		total := 0
 		for range 20 {
-			total += size(reader.NewsFor("other"))
+			total += newsBytes(reader.NewsFor("other"))
 			reader.now += 100 * time.Millisecond
 		}
-		Expect(total).To(BeNumerically("<=", 20*shortDelta))
+		Expect(total).To(BeNumerically("<=", 20*maxInlineDeltaBytes))
 	})
 
-	It("carry a short edit along, once while no answer has come", func() {
-		reader, other := newHost(&source{}), newHost(&source{})
-		reader.source.configure(3, 1, 4)
-		reader.read()
+	It("carries a small edit once until an answer arrives", func() {
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
+		reader.source.putConfig(3, 1, 4)
+		reader.readStore()
 		fetchFrom(reader, other)
 		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		reader.source.configure(4, 2, 5)
-		reader.read()
+		reader.source.putConfig(4, 2, 5)
+		reader.readStore()
 		news := reader.NewsFor("other")
-		Expect(size(news)).To(BeNumerically(">", 0))
-		Expect(size(reader.NewsFor("other"))).To(BeZero())
+		Expect(newsBytes(news)).To(BeNumerically(">", 0))
+		Expect(newsBytes(reader.NewsFor("other"))).To(BeZero())
 		other.TakeNews("reader", news, -1)
-		Expect(other.routes()).To(Equal(5))
+		Expect(other.routeCount()).To(Equal(5))
 	})
 
-	// A whole fleet starts before thousands of targets. Each host lacks the records
-	// of all of them, and asks several others five times a second; sent with each
-	// answer they would fill the links of those that know them.
-	It("carry no thousands of records, which are fetched", func() {
-		reader, other := newHost(&source{}), newHost(&source{})
+	// Guards against answers that carry the records of thousands of targets:
+	// when a whole fleet starts, each host lacks all of them and asks several
+	// others five times a second, which would saturate the links of the hosts
+	// that have them.
+	It("does not carry thousands of records, which are fetched instead", func() {
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		for i := range 3000 {
 			id := fmt.Sprint("i-", i)
 			reader.source.put(directory.Record{Key: directory.TargetKey(id), Revision: uint64(i + 1), Target: &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", Slots: 4}})
 		}
-		reader.read()
+		reader.readStore()
 		reader.TakeNews("other", other.NewsFor("reader"), -1)
 		news := reader.NewsFor("other")
 		Expect(news.Withheld).To(BeTrue())
-		Expect(size(news)).To(BeZero())
+		Expect(newsBytes(news)).To(BeZero())
 		other.TakeNews("reader", news, 0)
 		Expect(other.Revision()).To(BeZero())
 		_, known := other.Age()
@@ -204,29 +208,29 @@
 		Expect(other.board.View.Get().Pool("llm")).To(HaveLen(3000))
 	})
 
-	// The message with the news was lost. A neighbour that counted as told for
-	// good would never hear of the edit.
-	It("are told again when no answer comes", func() {
-		reader, other := newHost(&source{}), newHost(&source{})
-		reader.source.configure(3, 1, 4)
-		reader.read()
+	// Guards against a lost message: a neighbour that counted as updated
+	// permanently would never receive the edit.
+	It("is sent again when no answer arrives", func() {
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
+		reader.source.putConfig(3, 1, 4)
+		reader.readStore()
 		fetchFrom(reader, other)
 		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		reader.source.configure(4, 2, 5)
-		reader.read()
+		reader.source.putConfig(4, 2, 5)
+		reader.readStore()
 		reader.NewsFor("other")
-		reader.now += toldFor
+		reader.now += sentTTL
 		other.TakeNews("reader", reader.NewsFor("other"), -1)
-		Expect(other.routes()).To(Equal(5))
+		Expect(other.routeCount()).To(Equal(5))
 	})
 
-	// A host that lacks a configuration which it knows to be in force elsewhere
-	// must not vouch that what it holds is current: it would deny a new key for
-	// good reason, as it believes.
-	It("prove nothing current while an announced configuration is missing", func() {
-		reader, other := newHost(&source{}), newHost(&source{})
-		reader.source.configure(3, 1, 880)
-		reader.read()
+	// Guards against a host that claims to be current while it lacks a
+	// configuration known to be in force elsewhere: it would reject requests
+	// with a new key.
+	It("does not confirm the records while an announced configuration is missing", func() {
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
+		reader.source.putConfig(3, 1, 880)
+		reader.readStore()
 		reader.TakeNews("other", other.NewsFor("reader"), -1)
 		other.TakeNews("reader", reader.NewsFor("other"), 0)
 		_, known := other.Age()
@@ -237,27 +241,28 @@
 		Expect(known).To(BeTrue())
 	})
 
-	// A host hears of a configuration from a peer and becomes a reader of the
-	// store before it got it; the peer dies. Watching from the revision that it
-	// heard of, it would never be given that configuration.
-	It("leave no gap for a host that reads the store from then on", func() {
-		store := &source{}
-		reader, other := newHost(store), newHost(store)
-		store.configure(3, 1, 4)
-		reader.read()
-		other.read()
-		store.configure(5, 2, 900)
+	// Guards against a host that hears of a configuration from a peer, becomes
+	// a reader of the store before it has fetched it, and then loses the peer:
+	// a watch from the announced revision would never return that
+	// configuration.
+	It("leaves no gap for a host that then becomes a reader of the store", func() {
+		store := &fakeStore{}
+		reader, other := newTestHost(store), newTestHost(store)
+		store.putConfig(3, 1, 4)
+		reader.readStore()
+		other.readStore()
+		store.putConfig(5, 2, 900)
 		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Gone: true})
-		reader.read()
+		reader.readStore()
 		other.TakeNews("reader", reader.NewsFor("other"), -1)
-		Expect(other.routes()).To(Equal(4))
-		other.read()
-		Expect(other.routes()).To(Equal(900))
+		Expect(other.routeCount()).To(Equal(4))
+		other.readStore()
+		Expect(other.routeCount()).To(Equal(900))
 	})
 })
 
-// fetchFrom has one host fetch another's configuration.
-func fetchFrom(from, to *host) {
+// fetchFrom makes one host fetch what it lacks from another.
+func fetchFrom(from, to *testHost) {
 	config, records, _ := to.Holds()
 	bulk, err := from.Pack(config, records)
 	Expect(err).NotTo(HaveOccurred())
@@ -271,228 +276,231 @@
 		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
 		return directory.Record{Key: directory.TargetKey(id), Revision: revision, Target: t}
 	}
-	// listed gives the targets that a host takes for ready.
-	listed := func(h *host) []string {
-		var out []string
+	// readyTargets returns the targets that a host considers ready.
+	readyTargets := func(h *testHost) []string {
+		var ids []string
 		for _, t := range h.board.View.Get().Pool("app") {
 			if h.board.View.Get().TakesNew(t) {
-				out = append(out, t.ID)
+				ids = append(ids, t.ID)
 			}
 		}
-		return out
+		return ids
 	}
 
-	// Guards against targets that stay ready for good on hosts that learn the
-	// newest revision from a process which never saw their entries.
-	DescribeTable("take away the targets that left before it read the store", func(targets int) {
-		store := &source{}
-		store.configure(1, 1, 1)
+	// Guards against targets that stay ready permanently on hosts that learn
+	// the newest revision from a process which never saw their entries.
+	DescribeTable("removes the targets that left before it read the store", func(targets int) {
+		store := &fakeStore{}
+		store.putConfig(1, 1, 1)
 		for i := range targets {
 			store.put(targetRecord(fmt.Sprint("i-", i), uint64(2+i)))
 		}
-		old := newHost(store)
-		old.read()
-		Expect(listed(old)).To(HaveLen(targets))
+		oldHost := newTestHost(store)
+		oldHost.readStore()
+		Expect(readyTargets(oldHost)).To(HaveLen(targets))
 
 		store.remove(directory.TargetKey("i-0"))
-		fresh := newHost(store)
-		fresh.read()
-		tellAll(fresh, old)
-		Expect(old.Revision()).To(Equal(fresh.Revision()))
-		Expect(listed(old)).To(HaveLen(targets - 1))
-		Expect(listed(old)).NotTo(ContainElement("i-0"))
-	}, Entry("a few targets", 3), Entry("more than go along with other news", 3*mostRecords))
-
-	// Guards against any order of starts, readings and news after which a host
-	// counts a revision as known and lacks a removal before it.
-	DescribeTable("leave no host with a target that is gone at the revision that it knows", func(newestOnly bool) {
-		const hosts, targets, steps = 4, 6, 60
+		newHost := newTestHost(store)
+		newHost.readStore()
+		exchangeNews(newHost, oldHost)
+		Expect(oldHost.Revision()).To(Equal(newHost.Revision()))
+		Expect(readyTargets(oldHost)).To(HaveLen(targets - 1))
+		Expect(readyTargets(oldHost)).NotTo(ContainElement("i-0"))
+	}, Entry("a few targets", 3), Entry("more than are sent with other news", 3*maxInlineRecords))
+
+	// Guards against any order of starts, reads and news after which a host
+	// counts a revision as known but lacks a removal before it.
+	DescribeTable("leaves no host with a target that was removed up to the revision that it holds", func(newestOnly bool) {
+		const hostCount, targetCount, steps = 4, 6, 60
 		seeds := []uint64{1158, 4087}
 		for seed := range uint64(300) {
 			seeds = append(seeds, seed)
 		}
 		for _, seed := range seeds {
-			draw := rand.New(rand.NewPCG(seed, 1))
-			store := &source{newestOnly: newestOnly}
-			store.configure(1, 1, 1)
-			fleet := make([]*host, hosts)
+			rng := rand.New(rand.NewPCG(seed, 1))
+			store := &fakeStore{newestOnly: newestOnly}
+			store.putConfig(1, 1, 1)
+			fleet := make([]*testHost, hostCount)
 			for i := range fleet {
-				fleet[i] = newHost(store)
+				fleet[i] = newTestHost(store)
 			}
 			for range steps {
-				h, other := fleet[draw.IntN(hosts)], fleet[draw.IntN(hosts)]
-				switch id := fmt.Sprint("i-", draw.IntN(targets)); draw.IntN(6) {
+				h, other := fleet[rng.IntN(hostCount)], fleet[rng.IntN(hostCount)]
+				switch id := fmt.Sprint("i-", rng.IntN(targetCount)); rng.IntN(6) {
 				case 0:
-					store.put(targetRecord(id, store.at+1))
+					store.put(targetRecord(id, store.revision+1))
 				case 1:
 					store.remove(directory.TargetKey(id))
 				case 2:
-					fleet[draw.IntN(hosts)] = newHost(store)
+					fleet[rng.IntN(hostCount)] = newTestHost(store)
 				case 3:
-					h.read()
+					h.readStore()
 				default:
 					if h != other {
-						tellAll(h, other)
+						exchangeNews(h, other)
 					}
 				}
 				for _, h := range fleet {
-					if h.board.View.Get() == nil || h.Revision() < store.at {
+					if h.board.View.Get() == nil || h.Revision() < store.revision {
 						continue
 					}
 					for _, r := range store.records {
 						if r.Gone {
-							Expect(listed(h)).NotTo(ContainElement(directory.TargetOf(r.Key)), "seed %d", seed)
+							Expect(readyTargets(h)).NotTo(ContainElement(directory.TargetOf(r.Key)), "seed %d", seed)
 						}
 					}
 				}
 			}
 		}
-	}, Entry("a watch that gives every change", false), Entry("a watch that gives the newest of each key", true))
+	}, Entry("a watch that returns every change", false), Entry("a watch that returns the newest of each key", true))
 })
 
 var _ = Describe("a configuration as rows", func() {
-	It("comes out as it went in, whatever changed in between", func() {
-		draw := rand.New(rand.NewPCG(3, 4))
-		reader, other := newHost(&source{}), newHost(&source{})
+	It("is rebuilt unchanged, whatever changed in between", func() {
+		rng := rand.New(rand.NewPCG(3, 4))
+		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		for version := uint64(1); version <= 40; version++ {
-			reader.source.configure(2*version, version, draw.IntN(60))
-			reader.read()
-			if draw.IntN(3) == 0 {
+			reader.source.putConfig(2*version, version, rng.IntN(60))
+			reader.readStore()
+			if rng.IntN(3) == 0 {
 				fetchFrom(reader, other)
 				Expect(other.board.View.Get().Config).To(Equal(reader.board.View.Get().Config))
 			}
 		}
 	})
 
-	It("keeps routes that operators named alike apart", func() {
-		c := configOf(1, 2)
+	It("keeps routes with the same name apart", func() {
+		c := newConfig(1, 2)
 		c.Routes[1] = c.Routes[0]
-		d := newDocument()
-		taken, err := d.replace(c, 1)
+		doc := newDocument()
+		inForce, err := doc.replaceConfig(c, 1)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(taken.Routes).To(HaveLen(2))
+		Expect(inForce.Routes).To(HaveLen(2))
 	})
 
-	It("tells no accounts from an empty list of them", func() {
+	It("distinguishes no accounts from an empty list of accounts", func() {
 		for _, accounts := range [][]directory.Account{nil, {}} {
-			c := configOf(1, 1)
+			c := newConfig(1, 1)
 			c.Accounts = accounts
-			taken, err := newDocument().replace(c, 1)
+			inForce, err := newDocument().replaceConfig(c, 1)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(taken.Accounts == nil).To(Equal(accounts == nil))
+			Expect(inForce.Accounts == nil).To(Equal(accounts == nil))
 		}
 	})
 
-	It("costs what changed, compressed once for all that ask", func() {
-		reader := newHost(&source{})
-		reader.source.configure(3, 1, 880)
-		reader.read()
-		reader.source.configure(4, 2, 881)
-		reader.read()
-		whole, err := reader.Pack(0, reader.Revision())
+	It("transfers only what changed, compressed once for all requests", func() {
+		reader := newTestHost(&fakeStore{})
+		reader.source.putConfig(3, 1, 880)
+		reader.readStore()
+		reader.source.putConfig(4, 2, 881)
+		reader.readStore()
+		fullBulk, err := reader.Pack(0, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		change, err := reader.Pack(3, reader.Revision())
+		deltaBulk, err := reader.Pack(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(change.Size()).To(BeNumerically("<", whole.Size()/10))
-		again, err := reader.Pack(3, reader.Revision())
+		Expect(deltaBulk.Size()).To(BeNumerically("<", fullBulk.Size()/10))
+		cachedBulk, err := reader.Pack(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(&again.Config[0]).To(BeIdenticalTo(&change.Config[0]))
+		Expect(&cachedBulk.Config[0]).To(BeIdenticalTo(&deltaBulk.Config[0]))
 	})
 
-	DescribeTable("refuses bytes that it can't read and keeps what it has", func(packed []byte) {
-		h := newHost(&source{})
-		h.source.configure(3, 1, 4)
-		h.read()
-		_, err := h.TakeBulk("peer", Bulk{Config: packed})
+	DescribeTable("rejects bytes that it can't decode and keeps its configuration", func(compressed []byte) {
+		h := newTestHost(&fakeStore{})
+		h.source.putConfig(3, 1, 4)
+		h.readStore()
+		_, err := h.TakeBulk("peer", Bulk{Config: compressed})
 		Expect(err).To(HaveOccurred())
-		_, err = h.TakeBulk("peer", Bulk{Records: packed})
+		_, err = h.TakeBulk("peer", Bulk{Records: compressed})
 		Expect(err).To(HaveOccurred())
-		Expect(h.routes()).To(Equal(4))
+		Expect(h.routeCount()).To(Equal(4))
 	},
-		Entry("no archive", []byte("x")), Entry("cut archive", mustCompress([]byte("abc"))[:12]), Entry("no document", mustCompress([]byte{0xff})))
+		Entry("no archive", []byte("x")), Entry("truncated archive", mustCompress([]byte("abc"))[:12]), Entry("no document", mustCompress([]byte{0xff})))
 })
 
 func mustCompress(plain []byte) []byte {
-	packed, err := compress(plain)
+	compressed, err := compress(plain)
 	if err != nil {
 		panic(err)
 	}
-	return packed
+	return compressed
 }
 
-var _ = Describe("a target's entry that goes", func() {
-	lookAt := func(h *host) bool {
+var _ = Describe("a target's entry that is removed", func() {
+	isReady := func(h *testHost) bool {
 		view := h.board.View.Get()
 		t, known := view.Target("i-0")
 		return known && view.TakesNew(t)
 	}
-	lose := func(h *host) { h.note(failure.New(failure.KindConfigUnreadable, "the store answered 503")) }
-	var h *host
+	failStore := func(h *testHost) {
+		h.recordCallResult(failure.New(failure.KindConfigUnreadable, "the store answered 503"))
+	}
+	var h *testHost
 	BeforeEach(func() {
-		store := &source{}
+		store := &fakeStore{}
 		store.put(directory.Record{Key: directory.TargetKey("i-0"), Revision: 1, Target: &directory.Target{ID: "i-0", Service: "app", Slots: 1}})
-		h = newHost(store)
-		h.read()
+		h = newTestHost(store)
+		h.readStore()
 	})
 
 	// Guards against a target that left and stays ready because one call to the
 	// store had failed just before.
-	It("is not taken for one that lapsed when the store was away for a moment", func() {
+	It("is not taken for an expired one after a brief failure of the store", func() {
 		h.now = 500 * time.Millisecond
-		lose(h)
+		failStore(h)
 		h.now = 700 * time.Millisecond
-		h.read()
+		h.readStore()
 		h.source.remove(directory.TargetKey("i-0"))
 		h.now = time.Second
-		h.read()
-		Expect(lookAt(h)).To(BeFalse())
+		h.readStore()
+		Expect(isReady(h)).To(BeFalse())
 	})
 
-	// Guards against the same at a host that read the store long ago, in vain, and
-	// was told by others since.
-	It("is not taken for one that lapsed when others could read the store", func() {
-		lose(h)
-		other := newHost(h.source)
+	// Guards against the same failure on a host whose last own call to the
+	// store failed long ago and which has since been updated by other hosts.
+	It("is not taken for an expired one when other hosts could read the store", func() {
+		failStore(h)
+		other := newTestHost(h.source)
 		for range 100 {
 			h.now, other.now = h.now+100*time.Millisecond, other.now+100*time.Millisecond
-			other.read()
+			other.readStore()
 			h.TakeNews("other", other.NewsFor("h"), h.now)
 		}
-		h.read()
+		h.readStore()
 		h.source.remove(directory.TargetKey("i-0"))
-		h.read()
-		Expect(lookAt(h)).To(BeFalse())
+		h.readStore()
+		Expect(isReady(h)).To(BeFalse())
 	})
 
 	// Guards against a target that stays ready until something else changes.
-	It("counts as gone once it could be back, if nothing else changes", func() {
+	It("counts as removed after the time in which it could return, if nothing else changes", func() {
 		h.now = time.Second
-		lose(h)
+		failStore(h)
 		h.now = 10 * time.Second
 		h.source.remove(directory.TargetKey("i-0"))
-		h.read()
-		Expect(lookAt(h)).To(BeTrue())
+		h.readStore()
+		Expect(isReady(h)).To(BeTrue())
 		h.now += mirror.DefaultReturnGrace
-		h.read()
-		Expect(lookAt(h)).To(BeFalse())
+		h.readStore()
+		Expect(isReady(h)).To(BeFalse())
 	})
 })
 
-var _ = Describe("a store that falls silent", func() {
-	// Guards against hosts that learn of the silence only by the age of what they
-	// know, while an engine's notice runs that was given in the same instant.
-	It("is suspected by its reader and by the hosts that this one tells, until a later call is answered", func() {
-		store := &source{}
-		store.configure(1, 1, 1)
-		reader, other := newHost(store), newHost(store)
-		reader.read()
+var _ = Describe("a store that stops answering", func() {
+	// Guards against hosts that detect the outage only by the age of their
+	// records, while the notice period of an engine that was told to stop at
+	// the same time runs out.
+	It("is suspected by its reader and by the hosts that the reader informs, until a later call is answered", func() {
+		store := &fakeStore{}
+		store.putConfig(1, 1, 1)
+		reader, other := newTestHost(store), newTestHost(store)
+		reader.readStore()
 		fetchFrom(reader, other)
 		Expect(reader.Suspects()).To(BeFalse())
 
-		reader.cfg.Source = &silentSource{store}
+		reader.cfg.Source = &silentStore{store}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- reader.step(ctx, false) }()
+		go func() { done <- reader.readOnce(ctx, false) }()
 		Eventually(reader.Suspects, "5s").Should(BeTrue())
 		Eventually(reader.News()).Should(Receive())
 		reader.now, other.now = time.Second, time.Second
@@ -503,7 +511,7 @@
 
 		reader.cfg.Source = store
 		reader.now, other.now = 2*time.Second, 2*time.Second
-		reader.read()
+		reader.readStore()
 		Expect(reader.Suspects()).To(BeFalse())
 		Expect(reader.NewsFor("other").Overdue).To(BeZero())
 		other.TakeNews("reader", reader.NewsFor("other"), other.now)
