--- a/internal/controller/gossip/calls.go
+++ b/internal/controller/gossip/calls.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		c.metrics.probesFailed.Inc(1)
 		c.mu.Lock()
-		c.core.Failed(c.now(), action.Probe)
+		c.core.HandleProbeFailure(c.now(), action.ProbeID)
 		c.mu.Unlock()
 		return
 	}
 	c.metrics.received.Inc(int64(proto.Size(reply)))
 	c.mu.Lock()
-	c.core.Acked(c.now(), action.Probe, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
+	c.core.HandleProbeAck(c.now(), action.ProbeID, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
 	c.mu.Unlock()
 	heads, behind := c.handleMessage(reply, sentAt)
 	if behind {
@@ -81,14 +81,14 @@
 		return
 	}
 	c.mu.Lock()
-	c.core.ViaReached(action.Probe)
+	c.core.HandleIndirectProbeAck(action.ProbeID)
 	c.mu.Unlock()
 }
 
 func (c *Controller) syncMembers(ctx context.Context, action membership.Action) {
 	c.metrics.syncs.Inc(1)
 	c.mu.Lock()
-	msg := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.All())}
+	msg := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.FullList())}
 	c.mu.Unlock()
 	_ = c.peers.call(ctx, action.To, syncTimeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
 		c.metrics.sent.Inc(int64(proto.Size(msg)))
@@ -99,7 +99,7 @@
 		c.metrics.received.Inc(int64(proto.Size(reply)))
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.core.Sync(c.now(), fromMembers(reply.GetMembers()))
+		c.core.MergeFullList(c.now(), fromMembers(reply.GetMembers()))
 		return nil
 	})
 }
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -125,7 +125,7 @@
 	seedsChanged chan struct{}
 
 	mu          sync.Mutex
-	core        *membership.Core
+	core        *membership.Node
 	heads       map[string]peerHeads
 	pulling     map[string]bool
 	viewVersion uint64
@@ -246,7 +246,7 @@
 		c.peers.setNeighbours(view.Neighbours)
 		c.pruneHeads(view.Neighbours)
 		c.cfg.SetReader(view.IsReader())
-		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.Live(""))-1))
+		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.LiveAddresses(""))-1))
 	}
 	c.cfg.Store.Ready()
 	c.probeUnsyncedPeer(ctx, view)
@@ -273,7 +273,7 @@
 	switch action.Kind {
 	case membership.ActionProbe:
 		c.probe(ctx, action)
-	case membership.ActionProbeVia:
+	case membership.ActionIndirectProbe:
 		c.probeIndirectly(ctx, action)
 	case membership.ActionSync:
 		c.syncMembers(ctx, action)
@@ -316,7 +316,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.core.Published(c.now(), knownList)
+	c.core.SetPublishedPeers(c.now(), knownList)
 	c.knownPeers = peerCount
 	c.mu.Unlock()
 	c.cfg.Store.SetPeerCount(peerCount)
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -88,8 +88,8 @@
 	}
 	n.ctl, err = gossip.New(gossip.Config{
 		Membership: membership.Config{
-			Self:       membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
-			ProbeEvery: cmp.Or(cfg.probeInterval, defaultProbeInterval), Rings: cfg.ringCount,
+			Self:          membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
+			ProbeInterval: cmp.Or(cfg.probeInterval, defaultProbeInterval), RingCount: cfg.ringCount,
 		},
 		Seeds: seedPeers, Store: n.store, Hosts: &n.docs.Hosts, Credentials: cfg.creds,
 		SetReader: func(isReader bool) {
@@ -161,7 +161,7 @@
 }
 
 func hasLiveMembers(count int) func(*node) bool {
-	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.Live("")) == count }
+	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.LiveAddresses("")) == count }
 }
 
 // hangTimeout only stops specs that hang: 32 copies of this package at once,
@@ -189,7 +189,7 @@
 			}
 			return count
 		}
-		Eventually(readerCount, hangTimeout, pollInterval).Should(Equal(membership.Readers))
+		Eventually(readerCount, hangTimeout, pollInterval).Should(Equal(membership.ReadersPerDataCentre))
 	})
 
 	// Guards against an edit that is not pushed when it arrives while a process
--- a/internal/controller/published/controller.go
+++ b/internal/controller/published/controller.go
@@ -15,7 +15,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/decide/mirror"
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/wake"
@@ -95,7 +95,7 @@
 	peers      map[string]*peerState
 	// compressedRecords are the records sent last.
 	compressedRecords compressedDelta
-	silence           silence.Detector
+	silence           storeoutage.Detector
 	// announcedConfig is the newest revision of the configuration that a peer
 	// is known to hold.
 	announcedConfig uint64
@@ -200,14 +200,14 @@
 		if err != nil {
 			return err
 		}
-		c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Whole(now, records, revision) })
+		c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplySnapshot(now, records, revision) })
 		return nil
 	}
 	records, revision, err := c.watch(ctx, startedAt)
 	if err != nil {
 		return err
 	}
-	c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Changes(now, records, revision) })
+	c.applyRecords(startedAt, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplyChanges(now, records, revision) })
 	return nil
 }
 
@@ -215,7 +215,7 @@
 // call times out.
 func (c *Controller) watch(ctx context.Context, startedAt time.Duration) ([]directory.Record, uint64, error) {
 	c.mu.Lock()
-	answerTimeout := c.silence.Patience()
+	answerTimeout := c.silence.AnswerTimeout()
 	c.mu.Unlock()
 	overdueTimer := time.AfterFunc(watchWait+answerTimeout, func() {
 		c.mu.Lock()
@@ -226,7 +226,7 @@
 	records, revision, err := c.cfg.Source.Watch(ctx, c.completeRevision(), watchWait)
 	if err == nil && len(records) == 0 {
 		c.mu.Lock()
-		c.silence.Answered(c.cfg.Now() - startedAt - watchWait)
+		c.silence.RecordAnswer(c.cfg.Now() - startedAt - watchWait)
 		c.mu.Unlock()
 	}
 	return records, revision, err
@@ -293,8 +293,8 @@
 		c.cfg.Log.Info("configuration in force", "version", view.Config.Version, "revision", view.Revision, "routes", len(view.Config.Routes))
 	}
 	c.viewWriter.Publish(view)
-	c.schedulePublish(now, c.mirror.NextChange(now))
-	if departed := c.mirror.Left(); len(departed) > 0 {
+	c.schedulePublish(now, c.mirror.NextViewChange(now))
+	if departed := c.mirror.TakeDeparted(); len(departed) > 0 {
 		c.cfg.Log.Info("targets leave", "targets", departed, "revision", view.Revision, "source", source, "age", c.ageAt(now))
 	}
 }
@@ -324,7 +324,7 @@
 	defer c.mu.Unlock()
 	failed := err != nil && failure.KindOf(err) != failure.KindHistoryGone
 	if failed {
-		c.mirror.StoreLost()
+		c.mirror.StoreFailed()
 		c.failedAt = c.cfg.Now()
 	}
 	if failed == c.storeFailed {
--- a/internal/controller/published/news.go
+++ b/internal/controller/published/news.go
@@ -91,7 +91,7 @@
 		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
 		Reading: c.isReader && !c.storeFailed && c.everCurrent, StoreRejects: c.storeRejectsAt(now), Config: c.doc.rows.Head(),
 	}
-	if due, known := c.silence.Due(); known && c.silence.Suspect(c.currentAt) {
+	if due, known := c.silence.LastOverdue(); known && c.silence.IsSuspect(c.currentAt) {
 		news.Overdue = max(now-due, time.Millisecond)
 	}
 	peer := c.peers[address]
@@ -105,7 +105,7 @@
 	if records := c.mirror.Delta(held.records); len(records) > maxInlineRecords {
 		news.Withheld = true
 	} else {
-		news.From, news.Records = c.mirror.Base(held.records), c.encodeRecords(records)
+		news.From, news.Records = c.mirror.DeltaBase(held.records), c.encodeRecords(records)
 	}
 	news.Delta = c.doc.deltaFrom(held.config, maxInlineDeltaBytes)
 	if len(news.Records) > 0 || news.Delta != nil {
@@ -172,12 +172,12 @@
 func (c *Controller) applyRecordChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
 	switch {
 	case from == 0 && to > 0:
-		return c.mirror.Whole(now, records, to)
+		return c.mirror.ApplySnapshot(now, records, to)
 	case from <= c.mirror.Revision():
-		return c.mirror.Merge(now, records, to)
+		return c.mirror.MergeFromPeer(now, records, to)
 	}
 	// The changes between the revision held here and from are missing.
-	return c.mirror.Merge(now, records, 0)
+	return c.mirror.MergeFromPeer(now, records, 0)
 }
 
 // applyConfigDelta applies a small change of the configuration. A delta that
@@ -201,7 +201,7 @@
 		return false
 	}
 	record := directory.Record{Key: directory.ConfigKey, Revision: c.doc.revision(), Config: cfg}
-	return c.mirror.Changes(now, []directory.Record{record}, 0)
+	return c.mirror.ApplyChanges(now, []directory.Record{record}, 0)
 }
 
 // Holds returns the store's revision of the configuration in force, 0 if there
@@ -239,7 +239,7 @@
 // compressRecords compresses the changes from a revision to the records held
 // here.
 func (c *Controller) compressRecords(after uint64) ([]byte, error) {
-	from, to := c.mirror.Base(after), c.mirror.Revision()
+	from, to := c.mirror.DeltaBase(after), c.mirror.Revision()
 	if c.compressedRecords.from == from && c.compressedRecords.to == to {
 		return c.compressedRecords.bytes, nil
 	}
@@ -326,7 +326,7 @@
 		c.currentAt = at
 	}
 	c.everCurrent = true
-	c.mirror.Confirm(c.currentAt)
+	c.mirror.ConfirmUpToDate(c.currentAt)
 }
 
 // RejectedFor is how long a host is avoided as a source of news after the store
@@ -366,14 +366,14 @@
 func (c *Controller) Suspects() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Suspect(c.currentAt)
+	return c.silence.IsSuspect(c.currentAt)
 }
 
 // recordOverdue records that an answer of the store was due at a time and did
 // not arrive. peer is the peer that reported it, empty if this host noticed it.
 // The caller holds the lock.
 func (c *Controller) recordOverdue(due time.Duration, peer string) {
-	if !c.silence.Overdue(due) || !c.silence.Suspect(c.currentAt) {
+	if !c.silence.RecordOverdue(due) || !c.silence.IsSuspect(c.currentAt) {
 		return
 	}
 	c.cfg.Log.Info("store suspected to be silent", "overdue_for", c.cfg.Now()-due, "peer", peer, "age", c.cfg.Now()-c.currentAt)
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/published/published_test.go
@@ -479,7 +479,7 @@
 		h.source.remove(directory.TargetKey("i-0"))
 		h.readStore()
 		Expect(isReady(h)).To(BeTrue())
-		h.now += mirror.DefaultReturnGrace
+		h.now += mirror.DefaultRecoveryGrace
 		h.readStore()
 		Expect(isReady(h)).To(BeFalse())
 	})
