--- /dev/null
+++ b/internal/gatewayhost/exchange.go
@@ -0,0 +1,325 @@
+package gatewayhost
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	gometrics "github.com/rcrowley/go-metrics"
+	"go.uber.org/fx"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"filbertdeck/internal/api/filbertv1"
+	"filbertdeck/internal/controller/configwatch"
+	"filbertdeck/internal/controller/gossip"
+	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/membership"
+	"filbertdeck/internal/decide/poison"
+	"filbertdeck/internal/decide/targetrate"
+	"filbertdeck/internal/gateway"
+	"filbertdeck/internal/process"
+	"filbertdeck/internal/rolloutwire"
+	"filbertdeck/internal/rpc"
+	"filbertdeck/internal/wake"
+)
+
+const (
+	// broadcastInterval is the minimum time between two broadcasts of changes
+	// to all neighbours. A host starts a generation only every few seconds, so
+	// a count that is 100 ms old is still accurate.
+	broadcastInterval = 100 * time.Millisecond
+	// askInterval is how often a host that does not read the store queries one
+	// that does. An engine that is withdrawn shuts down after 1.5 seconds, and
+	// published configuration must take effect within two.
+	askInterval = 200 * time.Millisecond
+)
+
+// peerExchange exchanges loads, alerts, crash evidence and published changes
+// with other hosts.
+type peerExchange struct {
+	published    *published.Controller
+	roles        *readerRoles
+	loads        *gateway.Loads
+	suspects     *gateway.Suspects
+	fetcher      *fetcher
+	now          Clock
+	broadcastNow chan struct{}
+
+	mu sync.Mutex
+	// laggingPeers are peers that still held an older published revision after
+	// this host sent them its own.
+	laggingPeers map[string]bool
+}
+
+func newPeerExchange(
+	p *published.Controller, roles *readerRoles, loads *gateway.Loads, suspects *gateway.Suspects, fetcher *fetcher, now Clock,
+) *peerExchange {
+	e := &peerExchange{
+		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
+		broadcastNow: make(chan struct{}, 1), laggingPeers: map[string]bool{},
+	}
+	fetcher.supplyNews, fetcher.takeNews = e.supplyPublished, e.takePublished
+	return e
+}
+
+// announceChanges sends this host's changes to other hosts.
+func (e *peerExchange) announceChanges(ctx context.Context, c *gossip.Controller) {
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case <-e.loads.Changed():
+			if e.loads.ByOwners() {
+				continue
+			}
+		case <-e.loads.Alerted():
+		case <-e.published.News():
+			if peers := e.roles.peersToNotify(); len(peers) > 0 {
+				for _, peer := range peers {
+					c.Ask(ctx, peer)
+				}
+				wake.Sleep(ctx, broadcastInterval)
+				continue
+			}
+		case <-e.suspects.News():
+		}
+		wake.Signal(e.broadcastNow)
+		wake.Sleep(ctx, broadcastInterval)
+	}
+}
+
+// pollSources queries a reader of the store for changes while this host does
+// not receive them from the store itself. Without a known reader it queries a
+// host that should be one, and without any such host all neighbours. A host
+// that reads only as a substitute queries as well.
+func (e *peerExchange) pollSources(ctx context.Context, c *gossip.Controller) {
+	tick := time.NewTicker(askInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		for peer := range e.takeLaggingPeers() {
+			c.Ask(ctx, peer)
+		}
+		if !e.published.Asks() && !e.roles.readsAsSubstitute() {
+			continue
+		}
+		if host, ok := e.roles.nextSource(); ok {
+			c.Ask(ctx, host)
+		} else {
+			wake.Signal(e.broadcastNow)
+		}
+	}
+}
+
+// takeLaggingPeers returns and clears the peers that hold an older revision
+// than this host.
+func (e *peerExchange) takeLaggingPeers() map[string]bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	peers := e.laggingPeers
+	e.laggingPeers = map[string]bool{}
+	return peers
+}
+
+func (e *peerExchange) hooks() gossip.Hooks {
+	return gossip.Hooks{
+		SupplyLoads: e.supplyLoads, TakeLoads: e.takeLoads, SupplyAlerts: e.supplyAlerts, TakeAlerts: e.takeAlerts,
+		SupplyPoison: e.supplyPoison, TakePoison: e.takePoison,
+		SupplyPublished: e.supplyPublished, TakePublished: e.takePublished, GiveBulk: e.fetcher.serveFetch, Urgent: e.broadcastNow,
+	}
+}
+
+func (e *peerExchange) supplyLoads(peer string) []*filbertv1.TargetLoad {
+	return encodeCounts(e.loads.News(peer), e.now())
+}
+
+func (e *peerExchange) takeLoads(peer string, loads []*filbertv1.TargetLoad) {
+	e.loads.Take(peer, decodeCounts(loads, e.now()))
+}
+
+func (e *peerExchange) supplyAlerts(peer string) []*filbertv1.TargetLoad {
+	return encodeCounts(e.loads.Alerts(peer), e.now())
+}
+
+func (e *peerExchange) takeAlerts(peer string, alerts []*filbertv1.TargetLoad) {
+	e.loads.TakeAlerts(peer, decodeCounts(alerts, e.now()))
+}
+
+// encodeCounts encodes counts for the wire. now is the monotonic time from
+// which ages are computed.
+func encodeCounts(counts []loadshare.Count, now time.Duration) []*filbertv1.TargetLoad {
+	out := make([]*filbertv1.TargetLoad, len(counts))
+	for i, c := range counts {
+		out[i] = &filbertv1.TargetLoad{
+			Host: c.Host, Target: c.Target, Version: c.Version, Running: toUint32(c.Running), Tokens: toUint32(c.Tokens), Unread: toUint32(c.Unread), Leaving: c.Leaving,
+			StepUs: toUint32(int(c.Step.Microseconds())), Copies: toUint32(c.Copies), Failures: c.Failures,
+			Rate: encodeRate(c.Rate, now),
+		}
+	}
+	return out
+}
+
+func encodeRate(rate *targetrate.Advertisement, now time.Duration) *filbertv1.TargetRate {
+	if rate == nil {
+		return nil
+	}
+	return &filbertv1.TargetRate{Limited: rate.Limited, PerSecond: rate.PerSecond, AgeMs: toUint32(int((now - rate.At).Milliseconds()))}
+}
+
+func decodeRate(rate *filbertv1.TargetRate, now time.Duration) *targetrate.Advertisement {
+	if rate == nil {
+		return nil
+	}
+	age := time.Duration(rate.GetAgeMs()) * time.Millisecond
+	return &targetrate.Advertisement{Limited: rate.GetLimited(), PerSecond: rate.GetPerSecond(), At: now - age}
+}
+
+func toUint32(n int) uint32 { return uint32(max(n, 0)) }
+
+func decodeCounts(loads []*filbertv1.TargetLoad, now time.Duration) []loadshare.Count {
+	counts := make([]loadshare.Count, len(loads))
+	for i, load := range loads {
+		counts[i] = loadshare.Count{
+			Host: load.GetHost(), Target: load.GetTarget(), Version: load.GetVersion(), Leaving: load.GetLeaving(),
+			Step: time.Duration(load.GetStepUs()) * time.Microsecond, Failures: load.GetFailures(), Rate: decodeRate(load.GetRate(), now),
+			Load: loadshare.Load{Running: int(load.GetRunning()), Tokens: int(load.GetTokens()), Unread: int(load.GetUnread()), Copies: int(load.GetCopies())},
+		}
+	}
+	return counts
+}
+
+func (e *peerExchange) supplyPoison() []*filbertv1.PoisonNews {
+	crashes := e.suspects.Export()
+	out := make([]*filbertv1.PoisonNews, len(crashes))
+	for i, c := range crashes {
+		out[i] = &filbertv1.PoisonNews{Id: c.ID, AgeMs: uint32(c.Age.Milliseconds()), Fingerprints: c.Fingerprints}
+	}
+	return out
+}
+
+func (e *peerExchange) takePoison(list []*filbertv1.PoisonNews) {
+	crashes := make([]poison.Crash, len(list))
+	for i, n := range list {
+		crashes[i] = poison.Crash{
+			ID: n.GetId(), Age: time.Duration(n.GetAgeMs()) * time.Millisecond, Fingerprints: n.GetFingerprints(),
+		}
+	}
+	e.suspects.Merge(crashes)
+}
+
+func (e *peerExchange) supplyPublished(peer string) *filbertv1.PublishedNews {
+	news := e.published.NewsFor(peer)
+	out := &filbertv1.PublishedNews{
+		From: news.From, Revision: news.Revision, Withheld: news.Withheld, Reading: news.Reading, Relaying: e.roles.isRelay(),
+		StoreRejects: news.StoreRejects,
+	}
+	if news.Age >= 0 {
+		// Rounded up: an age truncated to whole milliseconds would make the
+		// data look more recent with each hop.
+		out.CurrentMs = uint64(news.Age.Milliseconds()) + 1
+	}
+	if news.Overdue > 0 {
+		out.OverdueMs = uint64(news.Overdue.Milliseconds()) + 1
+	}
+	for _, r := range news.Records {
+		out.Records = append(out.Records, r)
+	}
+	if news.Config.Version.Revision > 0 {
+		out.Config = rolloutwire.ToHead("", news.Config)
+	}
+	if news.Delta != nil {
+		out.ConfigDelta = rolloutwire.ToDelta("", *news.Delta)
+	}
+	return out
+}
+
+func (e *peerExchange) takePublished(peer string, news *filbertv1.PublishedNews, requestedAt time.Time) {
+	decoded := published.News{
+		From: news.GetFrom(), Revision: news.GetRevision(), Age: -1, Reading: news.GetReading(),
+		Config: rolloutwire.FromHead(news.GetConfig()),
+	}
+	if currentMs := news.GetCurrentMs(); currentMs > 0 {
+		decoded.Age = time.Duration(currentMs) * time.Millisecond
+	}
+	decoded.Overdue = time.Duration(news.GetOverdueMs()) * time.Millisecond
+	e.roles.recordPeerRoles(peer, decoded.Reading, news.GetRelaying(), news.GetStoreRejects(), decoded.Age)
+	for _, r := range news.GetRecords() {
+		decoded.Records = append(decoded.Records, json.RawMessage(r))
+	}
+	if wireDelta := news.GetConfigDelta(); wireDelta != nil {
+		delta := rolloutwire.FromDelta(wireDelta)
+		decoded.Delta = &delta
+	}
+	requestTime := time.Duration(-1)
+	if !requestedAt.IsZero() {
+		requestTime = e.now() - time.Since(requestedAt)
+	}
+	if e.published.TakeNews(peer, decoded, requestTime) {
+		e.mu.Lock()
+		e.laggingPeers[peer] = true
+		e.mu.Unlock()
+	}
+	if news.GetWithheld() {
+		e.fetcher.recordAnnouncement(peer, decoded.Revision)
+	} else {
+		e.fetcher.recordAnnouncement(peer, decoded.Config.Version.Revision)
+	}
+}
+
+// newGossip creates the membership controller. The incarnation is the start
+// time, so that a process that replaces another at the same address is a
+// different member. The document store stays empty here: documents of
+// filbertdeck's own configuration service are not distributed.
+func newGossip(s *Settings, e *peerExchange, members *gossip.Board, log *slog.Logger, reg gometrics.Registry) (*gossip.Controller, error) {
+	documents := &configwatch.Board{}
+	store, err := configwatch.NewStore(documents, configwatch.StoreConfig{Log: log, Metrics: reg})
+	if err != nil {
+		return nil, err
+	}
+	return gossip.New(gossip.Config{
+		Membership: membership.Config{
+			Self: membership.Member{
+				Address: s.Deployment.ListenPeers, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: s.DataCentre,
+			},
+			Seed: rand.Uint64(),
+		},
+		Seeds: membershipPeers(s.Deployment.Seeds), Store: store, Hosts: &documents.Hosts, Credentials: insecure.NewCredentials(),
+		Hooks: e.hooks(), Log: log, Metrics: reg,
+	}, members)
+}
+
+func membershipPeers(addresses []string) []membership.Peer {
+	peers := make([]membership.Peer, len(addresses))
+	for i, a := range addresses {
+		peers[i] = membership.Peer{Address: a}
+	}
+	return peers
+}
+
+func newMembersBoard() *gossip.Board { return &gossip.Board{} }
+
+// leaveTimeout bounds notifying the neighbours of a planned stop.
+const leaveTimeout = 300 * time.Millisecond
+
+func runPeerExchange(lc fx.Lifecycle, s *Settings, e *peerExchange, c *gossip.Controller) {
+	server := rpc.NewServer(rpc.Credentials{})
+	c.Register(server)
+	process.ServeRPC(lc, server, listen, s.Deployment.ListenPeers)
+	process.Background(lc, c.Run)
+	process.Background(lc, func(ctx context.Context) { e.announceChanges(ctx, c) })
+	process.Background(lc, func(ctx context.Context) { e.pollSources(ctx, c) })
+	process.Background(lc, func(ctx context.Context) { e.fetcher.run(ctx, c) })
+	lc.Append(fx.StopHook(func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+		defer cancel()
+		c.Leave(ctx)
+	}))
+}
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -14,58 +14,60 @@
 	"filbertdeck/internal/wake"
 )
 
-// fetchEvery is how often it is looked whether somebody may be asked by now
-// while something is wanted.
-const fetchEvery = 20 * time.Millisecond
+// fetchPollInterval is how often the plan is checked for a peer to fetch from
+// while a fetch is pending.
+const fetchPollInterval = 20 * time.Millisecond
 
-// fetcher gets what was announced and is too long for news, and gives it to
-// others.
+// fetcher transfers published data that is too large for gossip messages, in
+// both directions.
 type fetcher struct {
-	published *published.Controller
-	roles     *roles
-	now       Clock
-	log       *slog.Logger
-	wanted    chan struct{}
-	// supply and take carry the news that come with it; set before
-	// the first transfer.
-	supply func(peer string) *filbertv1.PublishedNews
-	take   func(peer string, news *filbertv1.PublishedNews, asked time.Time)
+	published    *published.Controller
+	roles        *readerRoles
+	now          Clock
+	log          *slog.Logger
+	announcement chan struct{}
+	// supplyNews and takeNews encode and apply the published changes that
+	// accompany a transfer. They must be set before the first transfer.
+	supplyNews func(peer string) *filbertv1.PublishedNews
+	takeNews   func(peer string, news *filbertv1.PublishedNews, requestedAt time.Time)
 
-	mu    sync.Mutex
-	plan  *fetch.Plan
-	giver fetch.Giver
-	// whole is set when what is held here fits to no peer's changes.
-	whole bool
+	mu      sync.Mutex
+	plan    *fetch.Plan
+	uploads fetch.Giver
+	// needsFullCopy is set when a peer's changes can't be applied to the
+	// configuration held here.
+	needsFullCopy bool
 }
 
-func newFetcher(p *published.Controller, roles *roles, now Clock, log *slog.Logger) *fetcher {
-	draw := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+func newFetcher(p *published.Controller, roles *readerRoles, now Clock, log *slog.Logger) *fetcher {
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &fetcher{
-		published: p, roles: roles, now: now, log: log, wanted: make(chan struct{}, 1),
-		plan: fetch.NewPlan(fetch.Default(), draw),
+		published: p, roles: roles, now: now, log: log, announcement: make(chan struct{}, 1),
+		plan: fetch.NewPlan(fetch.Default(), rng),
 	}
 }
 
-// announced notes that a peer holds what is published up to a revision.
-func (f *fetcher) announced(peer string, revision uint64) {
-	if _, _, held := f.published.Holds(); revision <= held {
+// recordAnnouncement records that a peer holds the published data up to a
+// revision.
+func (f *fetcher) recordAnnouncement(peer string, revision uint64) {
+	if _, _, heldRevision := f.published.Holds(); revision <= heldRevision {
 		return
 	}
-	near := f.roles.shares(peer)
+	sameGroup := f.roles.inRelayGroup(peer)
 	f.mu.Lock()
-	f.plan.Announced(f.now(), peer, near, revision)
+	f.plan.Announced(f.now(), peer, sameGroup, revision)
 	f.mu.Unlock()
-	wake.Signal(f.wanted)
+	wake.Signal(f.announcement)
 }
 
-// run fetches what is wanted, one transfer at a time.
+// run executes pending fetches, one transfer at a time.
 func (f *fetcher) run(ctx context.Context, c *gossip.Controller) {
 	for ctx.Err() == nil {
-		rank := f.roles.rankOfSelf()
-		_, _, held := f.published.Holds()
+		rank := f.roles.relayGroupRank()
+		_, _, heldRevision := f.published.Holds()
 		f.mu.Lock()
-		peer, timeout, ok := f.plan.Next(f.now(), held, rank)
-		wants := f.plan.Wants()
+		peer, timeout, ok := f.plan.Next(f.now(), heldRevision, rank)
+		pending := f.plan.Wants()
 		f.mu.Unlock()
 		switch {
 		case ok:
@@ -73,61 +75,61 @@
 			f.mu.Lock()
 			f.plan.Done(f.now(), peer, outcome)
 			f.mu.Unlock()
-		case wants:
-			wake.Sleep(ctx, fetchEvery)
+		case pending:
+			wake.Sleep(ctx, fetchPollInterval)
 		default:
 			select {
 			case <-ctx.Done():
-			case <-f.wanted:
+			case <-f.announcement:
 			}
 		}
 	}
 }
 
 func (f *fetcher) fetch(ctx context.Context, c *gossip.Controller, peer string, timeout time.Duration) fetch.Outcome {
-	config, records, _ := f.published.Holds()
-	if f.whole {
-		config = 0
+	configRevision, revision, _ := f.published.Holds()
+	if f.needsFullCopy {
+		configRevision = 0
 	}
-	asked := time.Now()
-	reply, err := c.FetchFrom(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: config, Revision: records})
+	requestedAt := time.Now()
+	reply, err := c.FetchFrom(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
 	if err != nil {
-		f.log.Info("not fetched", "peer", peer, "config", config, "revision", records, "timeout", timeout, "error", err)
+		f.log.Info("not fetched", "peer", peer, "config", configRevision, "revision", revision, "timeout", timeout, "error", err)
 		return fetch.Failed
 	}
 	if reply.GetBusy() {
 		for _, holder := range reply.GetHolders() {
-			f.announced(holder, reply.GetNews().GetRevision())
+			f.recordAnnouncement(holder, reply.GetNews().GetRevision())
 		}
 		return fetch.Busy
 	}
-	f.whole, err = f.published.TakeBulk(peer, published.Bulk{Config: reply.GetDelta(), Records: reply.GetRecords()})
+	f.needsFullCopy, err = f.published.TakeBulk(peer, published.Bulk{Config: reply.GetDelta(), Records: reply.GetRecords()})
 	if err != nil {
-		f.log.Warn("what a peer gave can't be read", "peer", peer, "error", err)
+		f.log.Warn("data fetched from a peer can't be applied", "peer", peer, "error", err)
 		return fetch.Failed
 	}
-	f.take(peer, reply.GetNews(), asked)
+	f.takeNews(peer, reply.GetNews(), requestedAt)
 	return fetch.Taken
 }
 
-// give answers a peer's fetch.
-func (f *fetcher) give(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply {
+// serveFetch answers a peer's fetch request.
+func (f *fetcher) serveFetch(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply {
 	bulk, err := f.published.Pack(req.GetConfigRevision(), req.GetRevision())
 	if err != nil {
-		f.log.Error("nothing can be given", "peer", peer, "error", err)
+		f.log.Error("published data can't be packed for a peer", "peer", peer, "error", err)
 	}
-	reply := &filbertv1.FetchReply{News: f.supply(peer)}
+	reply := &filbertv1.FetchReply{News: f.supplyNews(peer)}
 	if bulk.Size() == 0 {
 		reply.Busy = true
 		return reply
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others, ok := f.giver.Give(f.now(), peer, bulk.Size())
+	holders, ok := f.uploads.Give(f.now(), peer, bulk.Size())
 	if ok {
 		reply.Delta, reply.Records = bulk.Config, bulk.Records
 	} else {
-		reply.Busy, reply.Holders = true, others
+		reply.Busy, reply.Holders = true, holders
 	}
 	return reply
 }
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -25,58 +25,65 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// Figures of the process.
+// Timeouts and limits of the process.
 const (
-	// stopMargin is kept of the grace between the signal and the kill, for the
-	// last bytes and the exit.
+	// stopMargin is subtracted from the shutdown grace period. It leaves time
+	// to write the last bytes and to exit before the platform kills the
+	// process.
 	stopMargin = 250 * time.Millisecond
-	// announceFor is how long a stopping process goes on taking callers after
-	// it says that it isn't ready: the balancer asks once a second and believes
-	// the second answer.
-	announceFor = 2200 * time.Millisecond
-	// runsFor is how long a stopping process begins generations that are
-	// expected to end in time: the platform takes it for an honest try up to
-	// three seconds after the signal.
-	runsFor = 2500 * time.Millisecond
-	// quietFor without a caller shows that the balancer has noticed.
-	quietFor = 500 * time.Millisecond
-	// finishMargin before the end of the grace nothing new is taken any more:
-	// it is longer than a plain service's answer takes.
-	finishMargin = 1500 * time.Millisecond
-	// lingerFor follows the last request: late callers get a refusal in place
-	// of a closed port.
-	lingerFor = 300 * time.Millisecond
-	// answerLimit bounds a target's answer; the caller's own patience is
-	// shorter and ends the request first.
-	answerLimit = 10 * time.Minute
-	// targetDial bounds a new connection to a target: links take a few
-	// milliseconds, a lost packet is sent again after about a second.
-	targetDial = 700 * time.Millisecond
-	// idleLimit closes callers' connections that bring nothing. Callers reuse
-	// them up to four fifths of what operators publish, at most a minute.
-	idleLimit = 2 * time.Minute
-	// headerLimit bounds a caller's sending of a request's header.
-	headerLimit = 10 * time.Second
-	// maxHeader bounds a request's header in bytes.
-	maxHeader = 64 << 10
-	// collectAt is the growth of the heap, in percent, after which it is
-	// collected. Small hosts have more processor time to spare than memory.
-	collectAt = 40
+	// drainNotice is how long a stopping process accepts requests after its
+	// readiness check starts to fail. The load balancer probes once a second
+	// and removes a host after the second failed probe.
+	drainNotice = 2200 * time.Millisecond
+	// newGenerationWindow is the time after the stop signal in which the
+	// process still starts generations that are expected to finish before the
+	// deadline. The platform counts a generation that is started up to three
+	// seconds after the signal as a fair attempt.
+	newGenerationWindow = 2500 * time.Millisecond
+	// quietPeriod is the time without a new request after which the load
+	// balancer is taken to have removed this host.
+	quietPeriod = 500 * time.Millisecond
+	// acceptCutoffMargin is the time before the end of the grace period at
+	// which the process stops accepting requests. It is longer than a response
+	// of a plain service takes.
+	acceptCutoffMargin = 1500 * time.Millisecond
+	// lingerPeriod is how long the listener stays open after the last request,
+	// so that late callers receive a refusal instead of a closed port.
+	lingerPeriod = 300 * time.Millisecond
+	// responseTimeout bounds the wait for a target's response. Callers' own
+	// deadlines are shorter and normally end the request first.
+	responseTimeout = 10 * time.Minute
+	// targetDialTimeout bounds connecting to a target. Links have a latency of
+	// a few milliseconds; TCP sends a lost packet again after about a second.
+	targetDialTimeout = 700 * time.Millisecond
+	// callerIdleTimeout closes idle caller connections. Callers reuse a
+	// connection for up to four fifths of the idle timeout that operators
+	// publish, at most one minute.
+	callerIdleTimeout = 2 * time.Minute
+	// headerReadTimeout bounds the time in which a caller must send the request
+	// header.
+	headerReadTimeout = 10 * time.Second
+	// maxHeaderBytes is the largest request header that is accepted, in bytes.
+	maxHeaderBytes = 64 << 10
+	// gcPercent is the heap growth, in percent, that triggers a garbage
+	// collection. It is below Go's default because small hosts have more spare
+	// CPU time than memory.
+	gcPercent = 40
 )
 
-// Clock is the steady clock of the process, from its start.
+// Clock returns the monotonic time since the start of the process.
 type Clock func() time.Duration
 
-// Options build the program from its settings.
+// Options returns the fx options that build the process from its settings.
 func (s *Settings) Options() []fx.Option {
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
 			newClock, newBoard, newPublished, newLoads, newSuspects, newBudget, newGateway, newLifecycle,
-			newFleet, newFetcher, newRoles, newFleetSize, newOwners, newMembers, newGossip,
+			newPeerExchange, newFetcher, newReaderRoles, newFleetView, newOwnerExchange, newMembersBoard, newGossip,
 		),
-		fx.Invoke(func() { debug.SetGCPercent(collectAt) }),
-		fx.Invoke(runReload, runPublished, runFleet, runOwners, runGateway, serveMetrics, serveReady, serveCallers),
+		fx.Invoke(func() { debug.SetGCPercent(gcPercent) }),
+		fx.Invoke(runReload, runPublished, runPeerExchange, runOwnerExchange, runGateway, serveMetrics, serveReadiness, serveCallers),
 	}
 }
 
@@ -87,97 +94,99 @@
 
 func newBoard() *published.Board { return &published.Board{} }
 
-func newPublished(s *Settings, b *published.Board, roles *roles, now Clock, log *slog.Logger, reg gometrics.Registry) (*published.Controller, error) {
-	c, err := published.New(published.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, Reads: roles.reads}, b)
+func newPublished(s *Settings, board *published.Board, roles *readerRoles, now Clock, log *slog.Logger, reg gometrics.Registry) (*published.Controller, error) {
+	c, err := published.New(published.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, Reads: roles.shouldRead}, board)
 	if err != nil {
 		return nil, err
 	}
-	roles.age, roles.storeRejects = c.Age, c.StoreRejects
+	roles.publishedAge, roles.storeRejects = c.Age, c.StoreRejects
 	return c, nil
 }
 
-func newLoads(s *Settings, now Clock, size *fleetSize) *gateway.Loads {
+func newLoads(s *Settings, now Clock, fleet *fleetView) *gateway.Loads {
 	loads := gateway.NewLoads(s.Deployment.ListenPeers, s.DataCentre, now)
-	c := s.Deployment.Cold
-	loads.BoundCold(gateway.ColdBound{Factor: c.Factor, Extra: c.Extra, Rank: size.rank})
-	loads.CountHosts(size.count)
+	bound := s.Deployment.ColdRate
+	loads.BoundCold(gateway.ColdBound{Factor: bound.Factor, Extra: bound.Extra, Rank: fleet.rank})
+	loads.CountHosts(fleet.knownHostCount)
 	return loads
 }
 
 func newSuspects(now Clock) *gateway.Suspects { return gateway.NewSuspects(now) }
 
-// accountShare is the part of the fixed number of repeated sends that one
-// client account may use up by itself.
-const accountShare = 0.5
+// accountBurstShare is the share of the fixed retry allowance that a single
+// client account may use.
+const accountBurstShare = 0.5
 
-// newBudget gives this host its part of the bound on repeated sends.
-func newBudget(lc fx.Lifecycle, s *Settings, size *fleetSize) *retrybudget.Budget {
-	r := s.Deployment.Retry
+// newBudget returns this host's share of the fleet-wide retry budget. The share
+// follows the number of hosts.
+func newBudget(lc fx.Lifecycle, s *Settings, fleet *fleetView) *retrybudget.Budget {
+	bound := s.Deployment.Retry
 	budget := retrybudget.New(retrybudget.Config{
-		Share: r.Share, Burst: r.Extra * accountShare, ServiceBurst: r.Extra, Trickle: retrybudget.NoTrickle,
+		Share: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, Trickle: retrybudget.NoTrickle,
 	})
-	budget.ShareAmong(size.hosts())
-	process.Every(lc, sizeEvery, func() { budget.ShareAmong(size.hosts()) })
+	budget.ShareAmong(fleet.assumedHostCount())
+	process.Every(lc, fleetSizeInterval, func() { budget.ShareAmong(fleet.assumedHostCount()) })
 	return budget
 }
 
 func newGateway(
-	s *Settings, b *published.Board, roles *roles, c *published.Controller, loads *gateway.Loads,
+	s *Settings, board *published.Board, roles *readerRoles, c *published.Controller, loads *gateway.Loads,
 	suspects *gateway.Suspects, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
-	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDial, Header: answerLimit, Silence: answerLimit})
+	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDialTimeout, Header: responseTimeout, Silence: responseTimeout})
 	return gateway.New(gateway.Config{
-		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: b, Loads: loads, Suspects: suspects, Budget: budget,
-		Client: client, Migration: migration.Default(), Blind: func() bool { return blind(c, roles) },
-		Age:     func() time.Duration { return knownAge(c) },
-		Current: func() bool { return current(c, s.Deployment.EditWithin) }, Log: log, Metrics: reg, Now: now,
+		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, Suspects: suspects, Budget: budget,
+		Client: client, Migration: migration.Default(), Blind: func() bool { return mayMissChanges(c, roles) },
+		Age:     func() time.Duration { return viewAge(c) },
+		Current: func() bool { return isCurrent(c, s.Deployment.ConfigDeadline) }, Log: log, Metrics: reg, Now: now,
 	})
 }
 
-// staleAfter is the age of what is known from which a host counts as blind.
-// While the store answers, the age stays below 0.9 s at hosts that read it, and
-// each question on the way to another host adds 0.2 s.
+// staleAfter is the age from which the host's published view counts as stale.
+// While the store responds, the age stays below 0.9 s on hosts that read the
+// store, and each hop to another host adds 0.2 s.
 const staleAfter = 1500 * time.Millisecond
 
-// blind tells whether this host may not know what is published by now: the store
-// is suspected to be silent, or this host can't read it and knows no other that
-// does.
-func blind(c *published.Controller, r *roles) bool {
+// mayMissChanges reports whether the store may hold published changes that this
+// host does not know: its view is stale, the store is suspected not to respond,
+// or the host does not read the store and knows no peer that does.
+func mayMissChanges(c *published.Controller, r *readerRoles) bool {
 	age, known := c.Age()
 	if !known || age > staleAfter || c.Suspects() {
 		return true
 	}
-	return c.Asks() && r.cutOff()
+	return c.Asks() && r.lacksSource()
 }
 
-// knownAge is the age of what is known, negative while nothing is.
-func knownAge(c *published.Controller) time.Duration {
+// viewAge returns the age of the published view, or -1 while nothing is known.
+func viewAge(c *published.Controller) time.Duration {
 	if age, known := c.Age(); known {
 		return age
 	}
 	return -1
 }
 
-// currentMargin is kept of the time in which an edit must be in force, for the
-// request's own way.
-const currentMargin = 500 * time.Millisecond
+// requestMargin is subtracted from the configuration deadline; it covers the
+// time that the request itself spends on its way.
+const requestMargin = 500 * time.Millisecond
 
-// current tells whether what is known is new enough to deny what it lacks.
-func current(c *published.Controller, editWithin time.Duration) bool {
+// isCurrent reports whether the published view is recent enough to treat an
+// entry missing from it as not published.
+func isCurrent(c *published.Controller, deadline time.Duration) bool {
 	age, known := c.Age()
-	return known && age < editWithin-currentMargin
+	return known && age < deadline-requestMargin
 }
 
-func newLifecycle(s *Settings, b *published.Board) *lifecycle.Lifecycle {
+func newLifecycle(s *Settings, board *published.Board) *lifecycle.Lifecycle {
 	grace := s.Deployment.StopGrace
 	return lifecycle.NewWithStop(func() error {
-		if view := b.View.Get(); view == nil || view.Config == nil {
+		if view := board.View.Get(); view == nil || view.Config == nil {
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
 		return nil
 	}, drain.StopConfig{
-		AnnounceFor: announceFor, QuietFor: quietFor, AnnounceLimit: grace - finishMargin, OpenWhileBusy: true,
-		LingerFor: lingerFor, FinishLimit: grace,
+		AnnounceFor: drainNotice, QuietFor: quietPeriod, AnnounceLimit: grace - acceptCutoffMargin, OpenWhileBusy: true,
+		LingerFor: lingerPeriod, FinishLimit: grace,
 	})
 }
 
@@ -191,14 +200,15 @@
 	process.ServeAdmin(lc, r, listen, s.MetricsListen)
 }
 
-func serveReady(lc fx.Lifecycle, s *Settings, life *lifecycle.Lifecycle) {
-	process.ServeAdmin(lc, ready(life), listen, s.Deployment.ListenReady)
+func serveReadiness(lc fx.Lifecycle, s *Settings, state *lifecycle.Lifecycle) {
+	process.ServeAdmin(lc, readinessHandler(state), listen, s.Deployment.ListenReady)
 }
 
-// ready answers the balancer, which takes nothing but status 200 for "yes".
-func ready(life *lifecycle.Lifecycle) http.Handler {
+// readinessHandler serves the load balancer's readiness check. The load
+// balancer accepts only status 200 as ready.
+func readinessHandler(state *lifecycle.Lifecycle) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if err := life.Ready(); err != nil {
+		if err := state.Ready(); err != nil {
 			failure.Write(w, err)
 			return
 		}
@@ -207,43 +217,45 @@
 }
 
 func listen(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindSettingInvalid, "address %s can't be listened on", address)
+		return nil, failure.Wrap(err, failure.KindSettingInvalid, "can't listen on address %s", address)
 	}
-	return l, nil
+	return listener, nil
 }
 
-// serveCallers is the last to start and the first to stop. Its stop says "not
-// ready" at once, goes on taking callers until the balancer has noticed, waits
-// for the requests in progress and only then closes.
-func serveCallers(lc fx.Lifecycle, s *Settings, g *gateway.Gateway, life *lifecycle.Lifecycle) {
+// serveCallers starts the callers' HTTP server, which is the last to start and
+// the first to stop. On stop the readiness check fails at once, the server
+// accepts requests until the load balancer has removed the host, waits for the
+// requests in progress and then closes.
+func serveCallers(lc fx.Lifecycle, s *Settings, g *gateway.Gateway, state *lifecycle.Lifecycle) {
 	server := &http.Server{
-		Handler: counted(g, life), ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: maxHeader,
+		Handler: trackRequests(g, state), ReadHeaderTimeout: headerReadTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return process.StartHTTP(server, listen, s.Deployment.ListenCallers) },
 		OnStop: func(ctx context.Context) error {
-			left := s.Deployment.StopGrace - stopMargin
-			ctx, cancel := context.WithTimeout(ctx, left)
+			remaining := s.Deployment.StopGrace - stopMargin
+			ctx, cancel := context.WithTimeout(ctx, remaining)
 			defer cancel()
-			g.StopBy(time.Now().Add(runsFor), time.Now().Add(left))
+			g.StopBy(time.Now().Add(newGenerationWindow), time.Now().Add(remaining))
 			server.SetKeepAlivesEnabled(false)
-			err := life.Stop(ctx)
+			err := state.Stop(ctx)
 			return errors.Join(err, server.Close())
 		},
 	})
 }
 
-// counted counts requests in progress, so that a stop waits for them.
-func counted(g *gateway.Gateway, life *lifecycle.Lifecycle) http.Handler {
+// trackRequests counts the requests in progress, so that shutdown waits for
+// them.
+func trackRequests(g *gateway.Gateway, state *lifecycle.Lifecycle) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		end, err := life.Begin()
+		finish, err := state.Begin()
 		if err != nil {
 			g.Refuse(w, r, err)
 			return
 		}
-		defer end()
+		defer finish()
 		g.ServeHTTP(w, r)
 	})
 }
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -23,138 +23,145 @@
 )
 
 const (
-	// ownerLimit bounds the wait for an owner's answer: a round trip between
-	// data centres takes three milliseconds, and a generation has seconds.
-	ownerLimit = 15 * time.Millisecond
-	// silentFor is how long a host that did not answer is passed over for the one
-	// that follows it: membership takes a second to notice that it is gone.
-	silentFor = time.Second
-	// maxDatagram bounds a datagram in bytes: the counts of a hundred hosts.
-	maxDatagram = 8 << 10
-	// maxTold is the number of counts in one datagram, which fits into a packet.
-	maxTold = 20
+	// queryTimeout bounds the wait for an owner's answer. A round trip between
+	// data centres takes three milliseconds, and a generation takes seconds.
+	queryTimeout = 15 * time.Millisecond
+	// unresponsivePeriod is how long a host that did not answer is skipped in
+	// favour of the next owner. Membership takes a second to detect a failed
+	// host.
+	unresponsivePeriod = time.Second
+	// maxDatagramBytes is the largest datagram, in bytes; it holds the counts
+	// of a hundred hosts.
+	maxDatagramBytes = 8 << 10
+	// maxCountsPerDatagram is the number of counts in one datagram, so that it
+	// fits into one network packet.
+	maxCountsPerDatagram = 20
 )
 
-// owners asks, tells and answers for the hosts that have the newest counts of
-// targets. It uses datagrams: a host asks each of the others now and then, and
-// a connection to each of them would take more memory than all its counts.
-type owners struct {
+// ownerExchange sends this host's target loads to the targets' owners, queries
+// the owners, which have the latest counts, and answers queries as an owner. It
+// uses UDP: a host queries each of the others only now and then, and a
+// connection to each of them would take more memory than all its counts.
+type ownerExchange struct {
 	self  string
 	loads *gateway.Loads
-	size  *fleetSize
-	view  *published.Board
+	fleet *fleetView
+	board *published.Board
 	now   Clock
 	log   *slog.Logger
 
-	asked, unanswered gometrics.Counter
-	// borrowed and refused count the requests of targets' rates that other hosts
-	// lent or did not lend.
-	borrowed, refused gometrics.Counter
+	queries, unansweredQueries gometrics.Counter
+	// borrowedRequests and refusedRequests count the requests of targets' rate
+	// limits that other hosts lent or refused to lend.
+	borrowedRequests, refusedRequests gometrics.Counter
 
-	mu      sync.Mutex
-	conn    *net.UDPConn
-	waiting map[uint64]chan *filbertv1.TargetLoads
-	// silent holds when a host last left a question without an answer.
-	silent map[string]time.Time
+	mu             sync.Mutex
+	conn           *net.UDPConn
+	pendingQueries map[uint64]chan *filbertv1.TargetLoads
+	// unansweredAt holds the time at which a host last failed to answer a
+	// query.
+	unansweredAt map[string]time.Time
 }
 
-func newOwners(
-	s *Settings, loads *gateway.Loads, size *fleetSize, view *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
-) *owners {
-	return &owners{
-		self: s.Deployment.ListenPeers, loads: loads, size: size, view: view, now: now, log: log,
-		waiting: map[uint64]chan *filbertv1.TargetLoads{}, silent: map[string]time.Time{},
-		asked: gometrics.GetOrRegisterCounter("owners.asked", reg), unanswered: gometrics.GetOrRegisterCounter("owners.unanswered", reg),
-		borrowed: gometrics.GetOrRegisterCounter("rates.borrowed", reg), refused: gometrics.GetOrRegisterCounter("rates.refused", reg),
+func newOwnerExchange(
+	s *Settings, loads *gateway.Loads, fleet *fleetView, board *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
+) *ownerExchange {
+	return &ownerExchange{
+		self: s.Deployment.ListenPeers, loads: loads, fleet: fleet, board: board, now: now, log: log,
+		pendingQueries: map[uint64]chan *filbertv1.TargetLoads{}, unansweredAt: map[string]time.Time{},
+		queries: gometrics.GetOrRegisterCounter("owners.asked", reg), unansweredQueries: gometrics.GetOrRegisterCounter("owners.unanswered", reg),
+		borrowedRequests: gometrics.GetOrRegisterCounter("rates.borrowed", reg), refusedRequests: gometrics.GetOrRegisterCounter("rates.refused", reg),
 	}
 }
 
-func runOwners(lc fx.Lifecycle, o *owners) {
-	o.loads.AskOwners(o.ask)
+func runOwnerExchange(lc fx.Lifecycle, o *ownerExchange) {
+	o.loads.AskOwners(o.queryOwner)
 	o.loads.BorrowRates(o.borrow)
 	lc.Append(fx.StartHook(o.listen))
 	process.Background(lc, func(ctx context.Context) {
 		context.AfterFunc(ctx, func() { _ = o.conn.Close() })
 		o.serve(ctx)
 	})
-	process.Every(lc, tellEvery, o.tellChanges)
+	process.Every(lc, broadcastInterval, o.sendChangedLoads)
 }
 
-func (o *owners) listen() error {
+func (o *ownerExchange) listen() error {
 	address, err := net.ResolveUDPAddr("udp", o.self)
 	if err != nil {
-		return failure.Wrap(err, failure.KindSettingInvalid, "address %s is no ip:port", o.self)
+		return failure.Wrap(err, failure.KindSettingInvalid, "address %s is not an ip:port", o.self)
 	}
 	conn, err := net.ListenUDP("udp", address)
 	if err != nil {
-		return failure.Wrap(err, failure.KindSettingInvalid, "datagrams at %s can't be listened for", o.self)
+		return failure.Wrap(err, failure.KindSettingInvalid, "can't listen for UDP datagrams on %s", o.self)
 	}
 	o.conn = conn
 	return nil
 }
 
-// ask is a gateway.AskOwner.
-func (o *owners) ask(target gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) {
-	owner, known := o.answering(target)
+// queryOwner implements gateway.AskOwner.
+func (o *ownerExchange) queryOwner(target gateway.Owned, ownCounts []loadshare.Count) ([]loadshare.Count, bool) {
+	owner, known := o.responsiveOwner(target)
 	if !known {
 		return nil, false
 	}
 	if owner == o.self {
-		return o.loads.Answer(own), true
+		return o.loads.Answer(ownCounts), true
 	}
-	answer, ok := o.question(owner, &filbertv1.TargetLoads{Loads: toWire(own, o.now())})
-	return fromWire(answer.GetLoads(), o.now()), ok
+	answer, ok := o.query(owner, &filbertv1.TargetLoads{Loads: encodeCounts(ownCounts, o.now())})
+	return decodeCounts(answer.GetLoads(), o.now()), ok
 }
 
-// question sends a question to a host and gives its answer; false when none came.
-func (o *owners) question(host string, message *filbertv1.TargetLoads) (*filbertv1.TargetLoads, bool) {
-	question, answers := o.open()
-	defer o.close(question)
-	o.asked.Inc(1)
-	message.Question = question
+// query sends a query to a host and returns the answer, or false when none
+// arrives in time.
+func (o *ownerExchange) query(host string, message *filbertv1.TargetLoads) (*filbertv1.TargetLoads, bool) {
+	queryID, answers := o.registerQuery()
+	defer o.removeQuery(queryID)
+	o.queries.Inc(1)
+	message.Question = queryID
 	if !o.send(host, message) {
 		return nil, false
 	}
-	timer := time.NewTimer(ownerLimit)
+	timer := time.NewTimer(queryTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
 		return answer, true
 	case <-timer.C:
-		o.unanswered.Inc(1)
-		o.setSilent(host)
+		o.unansweredQueries.Inc(1)
+		o.markUnresponsive(host)
 		return nil, false
 	}
 }
 
-// borrow is a gateway.BorrowRate. It asks one of the hosts that share the rate,
-// drawn at random.
-func (o *owners) borrow(target string, holders int) bool {
-	hosts := o.size.holders(target, holders)
+// borrow implements gateway.BorrowRate. It asks one of the hosts that share the
+// target's rate limit, chosen at random.
+func (o *ownerExchange) borrow(target string, holders int) bool {
+	hosts := o.fleet.rateSharers(target, holders)
 	if len(hosts) == 0 {
 		return false
 	}
 	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-	answer, _ := o.question(o.notSilent(hosts), &filbertv1.TargetLoads{Borrow: target})
+	answer, _ := o.query(o.firstResponsive(hosts), &filbertv1.TargetLoads{Borrow: target})
 	if !answer.GetLent() {
-		o.refused.Inc(1)
+		o.refusedRequests.Inc(1)
 		return false
 	}
-	o.borrowed.Inc(1)
+	o.borrowedRequests.Inc(1)
 	return true
 }
 
-// tellChanges tells the owners of targets this host's loads that changed.
-func (o *owners) tellChanges() {
+// sendChangedLoads sends this host's changed loads to the owners of the
+// targets.
+func (o *ownerExchange) sendChangedLoads() {
 	if !o.loads.ByOwners() {
 		return
 	}
-	o.tell(o.loads.OwnNews(), o.dataCentre)
+	o.sendCounts(o.loads.OwnNews(), o.targetDataCentre)
 }
 
-// dataCentre gives a target's data centre, nothing when it isn't known.
-func (o *owners) dataCentre(target string) string {
-	if view := o.view.View.Get(); view != nil {
+// targetDataCentre returns a target's data centre, empty when it is unknown.
+func (o *ownerExchange) targetDataCentre(target string) string {
+	if view := o.board.View.Get(); view != nil {
 		if t, known := view.Target(target); known {
 			return t.DataCentre
 		}
@@ -162,45 +169,48 @@
 	return ""
 }
 
-// answering gives the first of a target's owners that is not silent.
-func (o *owners) answering(target gateway.Owned) (string, bool) {
-	owners := o.size.owners(target)
+// responsiveOwner returns the first of a target's owners that is not marked
+// unresponsive.
+func (o *ownerExchange) responsiveOwner(target gateway.Owned) (string, bool) {
+	owners := o.fleet.owners(target)
 	if len(owners) == 0 {
 		return "", false
 	}
-	return o.notSilent(owners), true
+	return o.firstResponsive(owners), true
 }
 
-// notSilent gives the first of some hosts that is not silent, or the first.
-func (o *owners) notSilent(hosts []string) string {
+// firstResponsive returns the first host that is not marked unresponsive, or
+// the first of all when every host is.
+func (o *ownerExchange) firstResponsive(hosts []string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, host := range hosts {
-		if time.Since(o.silent[host]) >= silentFor {
+		if time.Since(o.unansweredAt[host]) >= unresponsivePeriod {
 			return host
 		}
 	}
 	return hosts[0]
 }
 
-func (o *owners) setSilent(host string) {
+func (o *ownerExchange) markUnresponsive(host string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	for h, at := range o.silent {
-		if now.Sub(at) >= silentFor {
-			delete(o.silent, h)
+	for other, since := range o.unansweredAt {
+		if now.Sub(since) >= unresponsivePeriod {
+			delete(o.unansweredAt, other)
 		}
 	}
-	o.silent[host] = now
+	o.unansweredAt[host] = now
 }
 
-// tell tells the owners of targets what this host has running there by now. A
-// datagram that is lost leaves them wrong until the load is told again.
-func (o *owners) tell(counts []loadshare.Count, dataCentre func(target string) string) {
+// sendCounts sends this host's current loads to the owners of the targets.
+// After a lost datagram an owner has outdated counts until the load is sent
+// again.
+func (o *ownerExchange) sendCounts(counts []loadshare.Count, dataCentre func(target string) string) {
 	batches := map[string][]loadshare.Count{}
 	for _, c := range counts {
-		for _, owner := range o.size.owners(gateway.Owned{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
+		for _, owner := range o.fleet.owners(gateway.Owned{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
 			batches[owner] = append(batches[owner], c)
 		}
 	}
@@ -208,74 +218,74 @@
 		if owner == o.self {
 			continue
 		}
-		for part := range slices.Chunk(batch, maxTold) {
-			o.send(owner, &filbertv1.TargetLoads{Loads: toWire(part, o.now())})
+		for chunk := range slices.Chunk(batch, maxCountsPerDatagram) {
+			o.send(owner, &filbertv1.TargetLoads{Loads: encodeCounts(chunk, o.now())})
 		}
 	}
 }
 
-// open draws a question and makes room for its answer.
-func (o *owners) open() (uint64, <-chan *filbertv1.TargetLoads) {
+// registerQuery draws a random query id and registers a channel for its answer.
+func (o *ownerExchange) registerQuery() (uint64, <-chan *filbertv1.TargetLoads) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	question, answers := rand.Uint64(), make(chan *filbertv1.TargetLoads, 1)
-	o.waiting[question] = answers
-	return question, answers
+	queryID, answers := rand.Uint64(), make(chan *filbertv1.TargetLoads, 1)
+	o.pendingQueries[queryID] = answers
+	return queryID, answers
 }
 
-func (o *owners) close(question uint64) {
+func (o *ownerExchange) removeQuery(queryID uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.waiting, question)
+	delete(o.pendingQueries, queryID)
 }
 
-// send sends a message to a host; false when it can't be sent.
-func (o *owners) send(host string, message *filbertv1.TargetLoads) bool {
-	to, err := netip.ParseAddrPort(host)
+// send sends a message to a host and reports whether it was sent.
+func (o *ownerExchange) send(host string, message *filbertv1.TargetLoads) bool {
+	address, err := netip.ParseAddrPort(host)
 	if err != nil {
-		o.log.Debug("owner has no address", "owner", host, "error", err)
+		o.log.Debug("owner address is not an ip:port", "owner", host, "error", err)
 		return false
 	}
-	if err := o.sendTo(to, message); err != nil {
-		o.log.Debug("datagram not sent", "to", host, "error", err)
+	if err := o.sendTo(address, message); err != nil {
+		o.log.Debug("sending a datagram failed", "to", host, "error", err)
 		return false
 	}
 	return true
 }
 
-func (o *owners) sendTo(to netip.AddrPort, message *filbertv1.TargetLoads) error {
-	bytes, err := proto.Marshal(message)
+func (o *ownerExchange) sendTo(address netip.AddrPort, message *filbertv1.TargetLoads) error {
+	payload, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
-	_, err = o.conn.WriteToUDPAddrPort(bytes, to)
+	_, err = o.conn.WriteToUDPAddrPort(payload, address)
 	return err
 }
 
-// serve answers questions and hands out answers until the socket is closed.
-func (o *owners) serve(ctx context.Context) {
-	buffer := make([]byte, maxDatagram)
+// serve answers queries and delivers answers until the socket is closed.
+func (o *ownerExchange) serve(ctx context.Context) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
-		n, from, err := o.conn.ReadFromUDPAddrPort(buffer)
+		n, sender, err := o.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				o.log.Debug("datagram not read", "error", err)
+				o.log.Debug("reading a datagram failed", "error", err)
 			}
 			continue
 		}
 		var message filbertv1.TargetLoads
 		if err := proto.Unmarshal(buffer[:n], &message); err != nil {
-			o.log.Debug("datagram can't be read", "from", from, "error", err)
+			o.log.Debug("datagram can't be decoded", "from", sender, "error", err)
 			continue
 		}
-		o.take(from, &message)
+		o.handle(sender, &message)
 	}
 }
 
-func (o *owners) take(from netip.AddrPort, message *filbertv1.TargetLoads) {
+func (o *ownerExchange) handle(sender netip.AddrPort, message *filbertv1.TargetLoads) {
 	if message.GetAnswer() {
 		o.mu.Lock()
-		answers := o.waiting[message.GetQuestion()]
+		answers := o.pendingQueries[message.GetQuestion()]
 		o.mu.Unlock()
 		if answers != nil {
 			select {
@@ -285,7 +295,7 @@
 		}
 		return
 	}
-	counts := fromWire(message.GetLoads(), o.now())
+	counts := decodeCounts(message.GetLoads(), o.now())
 	if message.GetQuestion() == 0 {
 		o.loads.Take("", counts)
 		return
@@ -294,9 +304,9 @@
 	if target := message.GetBorrow(); target != "" {
 		answer.Lent = o.loads.Lend(target)
 	} else {
-		answer.Loads = toWire(o.loads.Answer(counts), o.now())
+		answer.Loads = encodeCounts(o.loads.Answer(counts), o.now())
 	}
-	if err := o.sendTo(from, answer); err != nil {
-		o.log.Debug("question not answered", "from", from, "error", err)
+	if err := o.sendTo(sender, answer); err != nil {
+		o.log.Debug("sending the answer to a query failed", "from", sender, "error", err)
 	}
 }
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -21,8 +21,8 @@
 	"filbertdeck/internal/gateway"
 )
 
-// freeUDP gives an address with a free port for datagrams.
-func freeUDP(t *testing.T) string {
+// freeUDPAddress returns a loopback address with a free UDP port.
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -35,8 +35,9 @@
 	return address
 }
 
-// startOwners runs the owners of one host that believes in some members.
-func startOwners(t *testing.T, self string, members []string) (*owners, *gateway.Loads) {
+// startOwnerExchange runs the owner exchange of one host whose membership view
+// has the given members.
+func startOwnerExchange(t *testing.T, self string, members []string) (*ownerExchange, *gateway.Loads) {
 	t.Helper()
 	board := &gossip.Board{}
 	out, err := board.Members.Claim()
@@ -53,7 +54,7 @@
 	loads := gateway.NewLoads(self, "dc-1", now)
 	s := &Settings{}
 	s.Deployment.ListenPeers = self
-	o := newOwners(s, loads, newFleetSize(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
+	o := newOwnerExchange(s, loads, newFleetView(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
 	if err := o.listen(); err != nil {
 		t.Fatal(err)
 	}
@@ -63,12 +64,12 @@
 	return o, loads
 }
 
-// targetOwnedBy gives a target whose owner is a host.
-func targetOwnedBy(t *testing.T, o *owners, host string) gateway.Owned {
+// targetOwnedBy returns a target that a given host owns.
+func targetOwnedBy(t *testing.T, o *ownerExchange, host string) gateway.Owned {
 	t.Helper()
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"} {
 		target := gateway.Owned{ID: id}
-		if o.size.owners(target)[0] == host {
+		if o.fleet.owners(target)[0] == host {
 			return target
 		}
 	}
@@ -77,20 +78,20 @@
 }
 
 // Two hosts choose the same engine within a few milliseconds, before gossip
-// tells either of the other. The owner knows of the first choice when the second
-// host asks.
-func TestOwnerTellsOfAnotherHostsChoice(t *testing.T) {
-	addresses := []string{freeUDP(t), freeUDP(t), freeUDP(t)}
-	owner, _ := startOwners(t, addresses[0], addresses)
-	first, firstLoads := startOwners(t, addresses[1], addresses)
-	second, _ := startOwners(t, addresses[2], addresses)
+// tells either of the other's choice. The owner must report the first choice
+// when the second host queries it.
+func TestOwnerReportsLoadOfOtherHost(t *testing.T) {
+	addresses := []string{freeUDPAddress(t), freeUDPAddress(t), freeUDPAddress(t)}
+	owner, _ := startOwnerExchange(t, addresses[0], addresses)
+	first, firstLoads := startOwnerExchange(t, addresses[1], addresses)
+	second, _ := startOwnerExchange(t, addresses[2], addresses)
 	target := targetOwnedBy(t, owner, addresses[0])
 	firstLoads.Hold(target.ID, call.Prompt{Tokens: 3000})
 	own := loadshare.Count{Host: addresses[1], Target: target.ID, Version: 7, Load: loadshare.Load{Running: 1, Tokens: 3000, Unread: 3000}}
-	if _, ok := first.ask(target, []loadshare.Count{own}); !ok {
+	if _, ok := first.queryOwner(target, []loadshare.Count{own}); !ok {
 		t.Fatal("the owner did not answer the first host")
 	}
-	counts, ok := second.ask(target, []loadshare.Count{{Host: addresses[2], Target: target.ID, Version: 1, Load: loadshare.Load{Running: 1}}})
+	counts, ok := second.queryOwner(target, []loadshare.Count{{Host: addresses[2], Target: target.ID, Version: 1, Load: loadshare.Load{Running: 1}}})
 	if !ok {
 		t.Fatal("the owner did not answer the second host")
 	}
@@ -99,44 +100,44 @@
 			return
 		}
 	}
-	t.Fatalf("the owner told of %v, want the first host's choice", counts)
+	t.Fatalf("the owner returned %v, want the load of the first host's choice", counts)
 }
 
-// The owner is dead or cut off, and its host answers nothing. The choice must
-// not wait for it for long.
-func TestSilentOwnerIsNotWaitedFor(t *testing.T) {
-	addresses := []string{freeUDP(t), freeUDP(t)}
-	o, _ := startOwners(t, addresses[0], addresses)
+// The owner is down or unreachable and does not answer. A choice must not wait
+// longer than the query timeout.
+func TestQueryToUnresponsiveOwnerTimesOut(t *testing.T) {
+	addresses := []string{freeUDPAddress(t), freeUDPAddress(t)}
+	o, _ := startOwnerExchange(t, addresses[0], addresses)
 	target := targetOwnedBy(t, o, addresses[1])
-	if _, ok := o.ask(target, nil); ok {
-		t.Fatal("a host that is not there answered")
+	if _, ok := o.queryOwner(target, nil); ok {
+		t.Fatal("a query to a host that does not exist was answered")
 	}
-	if n := o.unanswered.Count(); n != 1 {
-		t.Fatalf("%d questions counted as unanswered, want 1", n)
+	if n := o.unansweredQueries.Count(); n != 1 {
+		t.Fatalf("%d queries counted as unanswered, want 1", n)
 	}
 }
 
-// An engineer on call looks for a counter that no page explains.
-func TestOwnersMetersAreOnTheOperatorsPage(t *testing.T) {
+// Guards against counters that the operators' documentation does not describe.
+func TestOwnerCountersAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/gateway-counters.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	registry := gometrics.NewRegistry()
-	newOwners(&Settings{}, nil, nil, nil, nil, nil, registry)
+	newOwnerExchange(&Settings{}, nil, nil, nil, nil, nil, registry)
 	registry.Each(func(name string, _ any) {
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("%s is not documented on the operators' page", name)
 		}
 	})
 }
 
-// Guards against requests of a target's rate that two hosts both take for theirs.
-func TestOneRequestOfATargetsRateIsLentOnce(t *testing.T) {
-	addresses := []string{freeUDP(t), freeUDP(t), freeUDP(t)}
-	_, lender := startOwners(t, addresses[0], addresses)
-	first, _ := startOwners(t, addresses[1], addresses)
-	second, _ := startOwners(t, addresses[2], addresses)
+// Guards against a request of a target's rate limit that is lent to two hosts.
+func TestRequestOfTargetRateIsLentOnce(t *testing.T) {
+	addresses := []string{freeUDPAddress(t), freeUDPAddress(t), freeUDPAddress(t)}
+	_, lender := startOwnerExchange(t, addresses[0], addresses)
+	first, _ := startOwnerExchange(t, addresses[1], addresses)
+	second, _ := startOwnerExchange(t, addresses[2], addresses)
 	target := ""
 	for i := 0; target == ""; i++ {
 		if id := fmt.Sprint("i-", i); membership.Rank(id, addresses)[0] == addresses[0] {
@@ -144,34 +145,34 @@
 		}
 	}
 	if first.borrow(target, 1) {
-		t.Fatal("a host lent of a target that named no rate")
+		t.Fatal("a request was lent for a target that advertised no rate")
 	}
 	rate := 0.001
 	lender.ObserveRate(target, &rate)
 	if !first.borrow(target, 1) {
-		t.Fatal("the host that has the target's rate did not lend")
+		t.Fatal("the host that holds the target's rate lent no request")
 	}
 	if second.borrow(target, 1) {
 		t.Fatal("a request was lent twice")
 	}
 }
 
-// Guards against an advertised rate that grows younger on its way and overrules a
-// newer one.
-func TestRatesKeepTheirAgeBetweenHosts(t *testing.T) {
-	told := toWire([]loadshare.Count{{Target: "i-1", Rate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
-	heard := fromWire(told, time.Minute)[0].Rate
-	if heard == nil || !heard.Limited || heard.PerSecond != 3.4 || heard.At != time.Minute-2*time.Second {
-		t.Fatalf("heard %+v, want a rate of 3.4 from two seconds before", heard)
+// Guards against an advertised rate whose age shrinks in transit, so that it
+// replaces a more recent one.
+func TestRateAgeIsKeptBetweenHosts(t *testing.T) {
+	encoded := encodeCounts([]loadshare.Count{{Target: "i-1", Rate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
+	decoded := decodeCounts(encoded, time.Minute)[0].Rate
+	if decoded == nil || !decoded.Limited || decoded.PerSecond != 3.4 || decoded.At != time.Minute-2*time.Second {
+		t.Fatalf("decoded %+v, want a rate of 3.4 that is two seconds old", decoded)
 	}
 }
 
-// Bytes that are no message of ours come to the port. The next question is
-// answered all the same.
-func TestOwnersPassOverUnreadableDatagrams(t *testing.T) {
-	addresses := []string{freeUDP(t), freeUDP(t)}
-	owner, _ := startOwners(t, addresses[0], addresses)
-	asking, _ := startOwners(t, addresses[1], addresses)
+// A datagram that is not a valid message must not keep the next query from
+// being answered.
+func TestUnreadableDatagramsAreIgnored(t *testing.T) {
+	addresses := []string{freeUDPAddress(t), freeUDPAddress(t)}
+	owner, _ := startOwnerExchange(t, addresses[0], addresses)
+	client, _ := startOwnerExchange(t, addresses[1], addresses)
 	conn, err := net.Dial("udp", addresses[0])
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +182,7 @@
 		t.Fatal(err)
 	}
 	target := targetOwnedBy(t, owner, addresses[0])
-	if _, ok := asking.ask(target, nil); !ok {
+	if _, ok := client.queryOwner(target, nil); !ok {
 		t.Fatal("the owner did not answer")
 	}
 }
--- a/internal/gatewayhost/reload.go
+++ b/internal/gatewayhost/reload.go
@@ -15,53 +15,53 @@
 	"filbertdeck/internal/process"
 )
 
-// reloadEvery is how often the settings are read again without a signal: the
-// platform may change them unasked. Seeds that have moved matter only to a
-// process that lost all other hosts.
-const reloadEvery = 10 * time.Second
+// reloadInterval is how often the settings are read again without a signal,
+// since the platform may change them at any time. Changed seeds matter only to
+// a process that has lost contact with all other hosts.
+const reloadInterval = 10 * time.Second
 
-// runReload follows changes of the deployment's settings, on the hang-up signal
-// and unasked. Without a handler the signal would end the process and cut every
-// request in progress. Settings that can't be read leave all as it is.
+// runReload applies changes of the deployment settings on SIGHUP and
+// periodically. Without a handler SIGHUP would end the process and abort every
+// request in progress. When the settings can't be read, those in force stay.
 func runReload(lc fx.Lifecycle, s *Settings, c *gossip.Controller, log *slog.Logger) {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 	lc.Append(fx.StopHook(func() { signal.Stop(hangUp) }))
-	now := s.Deployment
+	current := s.Deployment
 	process.Background(lc, func(ctx context.Context) {
-		tick := time.NewTicker(reloadEvery)
+		tick := time.NewTicker(reloadInterval)
 		defer tick.Stop()
 		for {
-			why := "unasked"
+			trigger := "unasked"
 			select {
 			case <-ctx.Done():
 				return
 			case <-hangUp:
-				why = "signal"
+				trigger = "signal"
 			case <-tick.C:
 			}
-			now = reload(s, now, c, why, log)
+			current = reload(s, current, c, trigger, log)
 		}
 	})
 }
 
-// reload reads the settings and applies what can change while the process
-// runs. It gives those in force.
-func reload(s *Settings, now Deployment, c *gossip.Controller, why string, log *slog.Logger) Deployment {
-	next, err := s.Reread()
+// reload reads the settings, applies those that can change at run time and
+// returns the settings in force.
+func reload(s *Settings, current Deployment, c *gossip.Controller, trigger string, log *slog.Logger) Deployment {
+	next, err := s.ReloadDeployment()
 	if err != nil {
-		log.Warn("settings can't be read; those in force stay", "why", why, "error", err)
-		return now
+		log.Warn("settings can't be read; keeping the current settings", "why", trigger, "error", err)
+		return current
 	}
-	if !reflect.DeepEqual(next.Seeds, now.Seeds) {
-		c.SetSeeds(toPeers(next.Seeds))
-		log.Info("settings reloaded", "why", why, "seeds", next.Seeds)
-		now.Seeds = next.Seeds
-	} else if why == "signal" {
-		log.Info("settings reloaded", "why", why, "changed", false)
+	if !reflect.DeepEqual(next.Seeds, current.Seeds) {
+		c.SetSeeds(membershipPeers(next.Seeds))
+		log.Info("settings reloaded", "why", trigger, "seeds", next.Seeds)
+		current.Seeds = next.Seeds
+	} else if trigger == "signal" {
+		log.Info("settings reloaded", "why", trigger, "changed", false)
 	}
-	if next.ListenCallers != now.ListenCallers || next.ListenReady != now.ListenReady || next.ListenPeers != now.ListenPeers {
-		log.Warn("addresses have changed; they take a restart", "callers", next.ListenCallers, "ready", next.ListenReady, "peers", next.ListenPeers)
+	if next.ListenCallers != current.ListenCallers || next.ListenReady != current.ListenReady || next.ListenPeers != current.ListenPeers {
+		log.Warn("listen addresses have changed; a restart is needed to apply them", "callers", next.ListenCallers, "ready", next.ListenReady, "peers", next.ListenPeers)
 	}
-	return now
+	return current
 }
--- a/internal/gatewayhost/settings.go
+++ b/internal/gatewayhost/settings.go
@@ -1,5 +1,6 @@
-// Package gatewayhost composes the gateway, the reading of what is published
-// and the exchange with other hosts into one process a host.
+// Package gatewayhost assembles the gateway process of a host: the gateway
+// itself, the reader of the published configuration and targets, and the
+// exchange with the other hosts.
 package gatewayhost
 
 import (
@@ -10,50 +11,55 @@
 	"filbertdeck/internal/settings"
 )
 
-// Program and About describe the binary.
+// Program and About are the name and the description of the binary.
 const (
 	Program = "filbert-gateway"
 	About   = "Relays callers' requests to targets on an entry host, by the routes that operators publish."
 )
 
-// Settings are the process's own; the deployment's come with Deployment.
+// Settings are the settings of the process. Deployment holds those that the
+// platform provides.
 type Settings struct {
 	settings.Common
 
 	MetricsListen string `arg:"--metrics-listen,env:FILBERT_GATEWAY_METRICS" check:"hostport?" help:"ip:port of the counters; the deployment's first free port when empty"`
 
-	// Deployment is filled in from what the platform tells the process.
+	// Deployment is filled in from the settings that the platform provides.
 	Deployment Deployment `arg:"-"`
-	// Reread gives the deployment as the platform describes it by now.
-	Reread func() (Deployment, error) `arg:"-"`
+	// ReloadDeployment reads the deployment settings again.
+	ReloadDeployment func() (Deployment, error) `arg:"-"`
 }
 
-// Deployment is what a process learns of its place.
+// Deployment holds the settings and clients that depend on where the process
+// runs.
 type Deployment struct {
-	// ListenCallers, ListenReady and ListenPeers are ip:port.
+	// ListenCallers, ListenReady and ListenPeers are the addresses (ip:port)
+	// for callers, for readiness checks and for other hosts.
 	ListenCallers, ListenReady, ListenPeers string
-	// Seeds are peers' addresses; they may be out of date.
+	// Seeds are addresses of other hosts, which may be out of date.
 	Seeds []string
 	// FirstStart is set when all hosts start for the first time.
 	FirstStart bool
-	// StopGrace is the time from the signal to stop to the kill.
+	// StopGrace is the time between the stop signal and the kill.
 	StopGrace time.Duration
-	// Retry bounds sends beyond the first to a service, over all hosts.
-	Retry RetryBound
-	// Cold stretches the rate that a cold target bears, over all hosts.
-	Cold ColdBound
-	// EditWithin is how soon what operators publish must be in force.
-	EditWithin time.Duration
-	// Dialect, Engines and Source speak to the deployment's callers, targets
-	// and store.
+	// Retry limits the retries to a service, summed over all hosts.
+	Retry RetryLimit
+	// ColdRate relaxes the rate limit of a cold target, summed over all hosts.
+	ColdRate ColdRateLimit
+	// ConfigDeadline is the time in which a published configuration change must
+	// take effect.
+	ConfigDeadline time.Duration
+	// Dialect, Engines and Source are the protocol adapters for the callers and
+	// targets, for the model engines and for the store.
 	Dialect call.Dialect
 	Engines call.Engines
 	Source  published.Source
 }
 
-// RetryBound allows, in any window of some seconds, a share of a service's
-// requests and a fixed number of sends beyond the first.
-type RetryBound struct{ Share, Extra float64 }
+// RetryLimit limits retries in any window of a few seconds to Share of a
+// service's requests plus the fixed number Extra.
+type RetryLimit struct{ Share, Extra float64 }
 
-// ColdBound allows a cold target its rate times Factor plus Extra a second.
-type ColdBound struct{ Factor, Extra float64 }
+// ColdRateLimit limits a cold target to Factor times its rate plus Extra
+// requests per second.
+type ColdRateLimit struct{ Factor, Extra float64 }
