--- a/internal/gatewayhost/exchange.go
+++ b/internal/gatewayhost/exchange.go
@@ -274,7 +274,7 @@
 	}
 }
 
-// newGossip creates the membership controller. The incarnation is the start
+// newGossip creates the gossip controller. The incarnation is the start
 // time, so that a process that replaces another at the same address is a
 // different member. The document store stays empty here: documents of
 // filbertdeck's own configuration service are not distributed.
