--- a/internal/gatewayhost/exchange.go
+++ b/internal/gatewayhost/exchange.go
@@ -16,9 +16,9 @@
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/controller/gossip"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/poison"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -43,8 +43,8 @@
 type peerExchange struct {
 	published    *published.Controller
 	roles        *readerRoles
-	loads        *gateway.Loads
-	suspects     *gateway.Suspects
+	loads        *gateway.TargetLoads
+	suspects     *gateway.CrashEvidence
 	fetcher      *fetcher
 	now          Clock
 	broadcastNow chan struct{}
@@ -56,7 +56,7 @@
 }
 
 func newPeerExchange(
-	p *published.Controller, roles *readerRoles, loads *gateway.Loads, suspects *gateway.Suspects, fetcher *fetcher, now Clock,
+	p *published.Controller, roles *readerRoles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
 ) *peerExchange {
 	e := &peerExchange{
 		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
@@ -72,11 +72,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.loads.Changed():
-			if e.loads.ByOwners() {
+		case <-e.loads.LoadsChanged():
+			if e.loads.SendsToOwnersOnly() {
 				continue
 			}
-		case <-e.loads.Alerted():
+		case <-e.loads.AlertsChanged():
 		case <-e.published.News():
 			if peers := e.roles.peersToNotify(); len(peers) > 0 {
 				for _, peer := range peers {
@@ -85,7 +85,7 @@
 				wake.Sleep(ctx, broadcastInterval)
 				continue
 			}
-		case <-e.suspects.News():
+		case <-e.suspects.Changed():
 		}
 		wake.Signal(e.broadcastNow)
 		wake.Sleep(ctx, broadcastInterval)
@@ -138,30 +138,30 @@
 }
 
 func (e *peerExchange) supplyLoads(peer string) []*filbertv1.TargetLoad {
-	return encodeCounts(e.loads.News(peer), e.now())
+	return encodeCounts(e.loads.PendingLoads(peer), e.now())
 }
 
 func (e *peerExchange) takeLoads(peer string, loads []*filbertv1.TargetLoad) {
-	e.loads.Take(peer, decodeCounts(loads, e.now()))
+	e.loads.MergeLoads(peer, decodeCounts(loads, e.now()))
 }
 
 func (e *peerExchange) supplyAlerts(peer string) []*filbertv1.TargetLoad {
-	return encodeCounts(e.loads.Alerts(peer), e.now())
+	return encodeCounts(e.loads.PendingAlerts(peer), e.now())
 }
 
 func (e *peerExchange) takeAlerts(peer string, alerts []*filbertv1.TargetLoad) {
-	e.loads.TakeAlerts(peer, decodeCounts(alerts, e.now()))
+	e.loads.MergeAlerts(peer, decodeCounts(alerts, e.now()))
 }
 
 // encodeCounts encodes counts for the wire. now is the monotonic time from
 // which ages are computed.
-func encodeCounts(counts []loadshare.Count, now time.Duration) []*filbertv1.TargetLoad {
+func encodeCounts(counts []targetload.HostLoad, now time.Duration) []*filbertv1.TargetLoad {
 	out := make([]*filbertv1.TargetLoad, len(counts))
 	for i, c := range counts {
 		out[i] = &filbertv1.TargetLoad{
-			Host: c.Host, Target: c.Target, Version: c.Version, Running: toUint32(c.Running), Tokens: toUint32(c.Tokens), Unread: toUint32(c.Unread), Leaving: c.Leaving,
-			StepUs: toUint32(int(c.Step.Microseconds())), Copies: toUint32(c.Copies), Failures: c.Failures,
-			Rate: encodeRate(c.Rate, now),
+			Host: c.Host, Target: c.Target, Version: c.Version, Running: toUint32(c.Running), Tokens: toUint32(c.ReservedTokens), Unread: toUint32(c.UnreadTokens), Leaving: c.Leaving,
+			StepUs: toUint32(int(c.TimePerToken.Microseconds())), Copies: toUint32(c.BackupTokens), Failures: c.FailureSeq,
+			Rate: encodeRate(c.AdvertisedRate, now),
 		}
 	}
 	return out
@@ -184,13 +184,13 @@
 
 func toUint32(n int) uint32 { return uint32(max(n, 0)) }
 
-func decodeCounts(loads []*filbertv1.TargetLoad, now time.Duration) []loadshare.Count {
-	counts := make([]loadshare.Count, len(loads))
+func decodeCounts(loads []*filbertv1.TargetLoad, now time.Duration) []targetload.HostLoad {
+	counts := make([]targetload.HostLoad, len(loads))
 	for i, load := range loads {
-		counts[i] = loadshare.Count{
+		counts[i] = targetload.HostLoad{
 			Host: load.GetHost(), Target: load.GetTarget(), Version: load.GetVersion(), Leaving: load.GetLeaving(),
-			Step: time.Duration(load.GetStepUs()) * time.Microsecond, Failures: load.GetFailures(), Rate: decodeRate(load.GetRate(), now),
-			Load: loadshare.Load{Running: int(load.GetRunning()), Tokens: int(load.GetTokens()), Unread: int(load.GetUnread()), Copies: int(load.GetCopies())},
+			TimePerToken: time.Duration(load.GetStepUs()) * time.Microsecond, FailureSeq: load.GetFailures(), AdvertisedRate: decodeRate(load.GetRate(), now),
+			Load: targetload.Load{Running: int(load.GetRunning()), ReservedTokens: int(load.GetTokens()), UnreadTokens: int(load.GetUnread()), BackupTokens: int(load.GetCopies())},
 		}
 	}
 	return counts
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -32,8 +32,8 @@
 	takeNews   func(peer string, news *filbertv1.PublishedNews, requestedAt time.Time)
 
 	mu      sync.Mutex
-	plan    *fetch.Plan
-	uploads fetch.Giver
+	plan    *fetch.PeerSelector
+	uploads fetch.UploadLimiter
 	// needsFullCopy is set when a peer's changes can't be applied to the
 	// configuration held here.
 	needsFullCopy bool
@@ -43,7 +43,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &fetcher{
 		published: p, roles: roles, now: now, log: log, announcement: make(chan struct{}, 1),
-		plan: fetch.NewPlan(fetch.Default(), rng),
+		plan: fetch.NewPeerSelector(fetch.DefaultConfig(), rng),
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 	sameGroup := f.roles.inRelayGroup(peer)
 	f.mu.Lock()
-	f.plan.Announced(f.now(), peer, sameGroup, revision)
+	f.plan.RecordAnnouncement(f.now(), peer, sameGroup, revision)
 	f.mu.Unlock()
 	wake.Signal(f.announcement)
 }
@@ -66,14 +66,14 @@
 		rank := f.roles.relayGroupRank()
 		_, _, heldRevision := f.published.Holds()
 		f.mu.Lock()
-		peer, timeout, ok := f.plan.Next(f.now(), heldRevision, rank)
-		pending := f.plan.Wants()
+		peer, timeout, ok := f.plan.StartTransfer(f.now(), heldRevision, rank)
+		pending := f.plan.IsBehind()
 		f.mu.Unlock()
 		switch {
 		case ok:
 			outcome := f.fetch(ctx, c, peer, timeout)
 			f.mu.Lock()
-			f.plan.Done(f.now(), peer, outcome)
+			f.plan.FinishTransfer(f.now(), peer, outcome)
 			f.mu.Unlock()
 		case pending:
 			wake.Sleep(ctx, fetchPollInterval)
@@ -109,7 +109,7 @@
 		return fetch.Failed
 	}
 	f.takeNews(peer, reply.GetNews(), requestedAt)
-	return fetch.Taken
+	return fetch.Succeeded
 }
 
 // serveFetch answers a peer's fetch request.
@@ -125,7 +125,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	holders, ok := f.uploads.Give(f.now(), peer, bulk.Size())
+	holders, ok := f.uploads.Admit(f.now(), peer, bulk.Size())
 	if ok {
 		reply.Delta, reply.Records = bulk.Config, bulk.Records
 	} else {
--- a/internal/gatewayhost/fleetview.go
+++ b/internal/gatewayhost/fleetview.go
@@ -31,7 +31,7 @@
 	mu sync.Mutex
 	// ownersByTarget caches the owners computed from the membership view of
 	// version ownersVersion.
-	ownersByTarget map[gateway.Owned][]string
+	ownersByTarget map[gateway.TargetRef][]string
 	ownersVersion  uint64
 }
 
@@ -82,7 +82,7 @@
 // They are hosts of the target's data centre as long as it has any: a partition
 // between two data centres then separates a host from an owner only where it
 // separates the host from the target as well.
-func (f *fleetView) owners(target gateway.Owned) []string {
+func (f *fleetView) owners(target gateway.TargetRef) []string {
 	view := f.members.Members.Get()
 	if view == nil {
 		return nil
@@ -90,7 +90,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.ownersByTarget == nil || f.ownersVersion != view.Version || len(f.ownersByTarget) >= maxCachedTargets {
-		f.ownersByTarget, f.ownersVersion = map[gateway.Owned][]string{}, view.Version
+		f.ownersByTarget, f.ownersVersion = map[gateway.TargetRef][]string{}, view.Version
 	}
 	owners, cached := f.ownersByTarget[target]
 	if !cached {
@@ -100,10 +100,10 @@
 	return owners
 }
 
-func rankOwners(view *membership.View, target gateway.Owned) []string {
-	live := view.Live(target.DataCentre)
+func rankOwners(view *membership.View, target gateway.TargetRef) []string {
+	live := view.LiveAddresses(target.DataCentre)
 	if len(live) == 0 {
-		live = view.Live("")
+		live = view.LiveAddresses("")
 	}
 	ranked := membership.Rank(target.ID, live)
 	return ranked[:min(len(ranked), ownersPerTarget)]
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -103,15 +103,15 @@
 	return c, nil
 }
 
-func newLoads(s *Settings, now Clock, fleet *fleetView) *gateway.Loads {
-	loads := gateway.NewLoads(s.Deployment.ListenPeers, s.DataCentre, now)
+func newLoads(s *Settings, now Clock, fleet *fleetView) *gateway.TargetLoads {
+	loads := gateway.NewTargetLoads(s.Deployment.ListenPeers, s.DataCentre, now)
 	bound := s.Deployment.ColdRate
-	loads.BoundCold(gateway.ColdBound{Factor: bound.Factor, Extra: bound.Extra, Rank: fleet.rank})
-	loads.CountHosts(fleet.knownHostCount)
+	loads.SetColdRateLimit(gateway.ColdRateLimit{Factor: bound.Factor, Extra: bound.Extra, Rank: fleet.rank})
+	loads.SetHostCount(fleet.knownHostCount)
 	return loads
 }
 
-func newSuspects(now Clock) *gateway.Suspects { return gateway.NewSuspects(now) }
+func newSuspects(now Clock) *gateway.CrashEvidence { return gateway.NewCrashEvidence(now) }
 
 // accountBurstShare is the share of the fixed retry allowance that a single
 // client account may use.
@@ -130,15 +130,15 @@
 }
 
 func newGateway(
-	s *Settings, board *published.Board, roles *readerRoles, c *published.Controller, loads *gateway.Loads,
-	suspects *gateway.Suspects, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, board *published.Board, roles *readerRoles, c *published.Controller, loads *gateway.TargetLoads,
+	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
 	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDialTimeout, Header: responseTimeout, Silence: responseTimeout})
 	return gateway.New(gateway.Config{
-		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, Suspects: suspects, Budget: budget,
-		Client: client, Migration: migration.Default(), Blind: func() bool { return mayMissChanges(c, roles) },
-		Age:     func() time.Duration { return viewAge(c) },
-		Current: func() bool { return isCurrent(c, s.Deployment.ConfigDeadline) }, Log: log, Metrics: reg, Now: now,
+		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
+		Client: client, Migration: migration.Default(), Disconnected: func() bool { return mayMissChanges(c, roles) },
+		ViewAge:     func() time.Duration { return viewAge(c) },
+		ViewCurrent: func() bool { return isCurrent(c, s.Deployment.ConfigDeadline) }, Log: log, Metrics: reg, Now: now,
 	})
 }
 
@@ -184,15 +184,15 @@
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
 		return nil
-	}, drain.StopConfig{
-		AnnounceFor: drainNotice, QuietFor: quietPeriod, AnnounceLimit: grace - acceptCutoffMargin, OpenWhileBusy: true,
-		LingerFor: lingerPeriod, FinishLimit: grace,
+	}, drain.ShutdownConfig{
+		MinAnnounce: drainNotice, QuietPeriod: quietPeriod, MaxAnnounce: grace - acceptCutoffMargin, AcceptWhileBusy: true,
+		LingerDuration: lingerPeriod, DrainTimeout: grace,
 	})
 }
 
 func runPublished(lc fx.Lifecycle, c *published.Controller) { process.Background(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.Run) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
@@ -238,7 +238,7 @@
 			remaining := s.Deployment.StopGrace - stopMargin
 			ctx, cancel := context.WithTimeout(ctx, remaining)
 			defer cancel()
-			g.StopBy(time.Now().Add(newGenerationWindow), time.Now().Add(remaining))
+			g.AnnounceShutdown(time.Now().Add(newGenerationWindow), time.Now().Add(remaining))
 			server.SetKeepAlivesEnabled(false)
 			err := state.Stop(ctx)
 			return errors.Join(err, server.Close())
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -16,7 +16,7 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -44,7 +44,7 @@
 // connection to each of them would take more memory than all its counts.
 type ownerExchange struct {
 	self  string
-	loads *gateway.Loads
+	loads *gateway.TargetLoads
 	fleet *fleetView
 	board *published.Board
 	now   Clock
@@ -64,7 +64,7 @@
 }
 
 func newOwnerExchange(
-	s *Settings, loads *gateway.Loads, fleet *fleetView, board *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, loads *gateway.TargetLoads, fleet *fleetView, board *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *ownerExchange {
 	return &ownerExchange{
 		self: s.Deployment.ListenPeers, loads: loads, fleet: fleet, board: board, now: now, log: log,
@@ -75,8 +75,8 @@
 }
 
 func runOwnerExchange(lc fx.Lifecycle, o *ownerExchange) {
-	o.loads.AskOwners(o.queryOwner)
-	o.loads.BorrowRates(o.borrow)
+	o.loads.SetOwnerQuery(o.queryOwner)
+	o.loads.SetRateBorrower(o.borrow)
 	lc.Append(fx.StartHook(o.listen))
 	process.Background(lc, func(ctx context.Context) {
 		context.AfterFunc(ctx, func() { _ = o.conn.Close() })
@@ -99,13 +99,13 @@
 }
 
 // queryOwner implements gateway.AskOwner.
-func (o *ownerExchange) queryOwner(target gateway.Owned, ownCounts []loadshare.Count) ([]loadshare.Count, bool) {
+func (o *ownerExchange) queryOwner(target gateway.TargetRef, ownCounts []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 	owner, known := o.responsiveOwner(target)
 	if !known {
 		return nil, false
 	}
 	if owner == o.self {
-		return o.loads.Answer(ownCounts), true
+		return o.loads.AnswerOwnerQuery(ownCounts), true
 	}
 	answer, ok := o.query(owner, &filbertv1.TargetLoads{Loads: encodeCounts(ownCounts, o.now())})
 	return decodeCounts(answer.GetLoads(), o.now()), ok
@@ -153,10 +153,10 @@
 // sendChangedLoads sends this host's changed loads to the owners of the
 // targets.
 func (o *ownerExchange) sendChangedLoads() {
-	if !o.loads.ByOwners() {
+	if !o.loads.SendsToOwnersOnly() {
 		return
 	}
-	o.sendCounts(o.loads.OwnNews(), o.targetDataCentre)
+	o.sendCounts(o.loads.PendingOwnLoads(), o.targetDataCentre)
 }
 
 // targetDataCentre returns a target's data centre, empty when it is unknown.
@@ -171,7 +171,7 @@
 
 // responsiveOwner returns the first of a target's owners that is not marked
 // unresponsive.
-func (o *ownerExchange) responsiveOwner(target gateway.Owned) (string, bool) {
+func (o *ownerExchange) responsiveOwner(target gateway.TargetRef) (string, bool) {
 	owners := o.fleet.owners(target)
 	if len(owners) == 0 {
 		return "", false
@@ -207,10 +207,10 @@
 // sendCounts sends this host's current loads to the owners of the targets.
 // After a lost datagram an owner has outdated counts until the load is sent
 // again.
-func (o *ownerExchange) sendCounts(counts []loadshare.Count, dataCentre func(target string) string) {
-	batches := map[string][]loadshare.Count{}
+func (o *ownerExchange) sendCounts(counts []targetload.HostLoad, dataCentre func(target string) string) {
+	batches := map[string][]targetload.HostLoad{}
 	for _, c := range counts {
-		for _, owner := range o.fleet.owners(gateway.Owned{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
+		for _, owner := range o.fleet.owners(gateway.TargetRef{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
 			batches[owner] = append(batches[owner], c)
 		}
 	}
@@ -297,14 +297,14 @@
 	}
 	counts := decodeCounts(message.GetLoads(), o.now())
 	if message.GetQuestion() == 0 {
-		o.loads.Take("", counts)
+		o.loads.MergeLoads("", counts)
 		return
 	}
 	answer := &filbertv1.TargetLoads{Question: message.GetQuestion(), Answer: true}
 	if target := message.GetBorrow(); target != "" {
-		answer.Lent = o.loads.Lend(target)
+		answer.Lent = o.loads.LendRate(target)
 	} else {
-		answer.Loads = encodeCounts(o.loads.Answer(counts), o.now())
+		answer.Loads = encodeCounts(o.loads.AnswerOwnerQuery(counts), o.now())
 	}
 	if err := o.sendTo(sender, answer); err != nil {
 		o.log.Debug("sending the answer to a query failed", "from", sender, "error", err)
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -15,8 +15,8 @@
 	"filbertdeck/internal/call"
 	"filbertdeck/internal/controller/gossip"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/membership"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 )
@@ -37,7 +37,7 @@
 
 // startOwnerExchange runs the owner exchange of one host whose membership view
 // has the given members.
-func startOwnerExchange(t *testing.T, self string, members []string) (*ownerExchange, *gateway.Loads) {
+func startOwnerExchange(t *testing.T, self string, members []string) (*ownerExchange, *gateway.TargetLoads) {
 	t.Helper()
 	board := &gossip.Board{}
 	out, err := board.Members.Claim()
@@ -51,7 +51,7 @@
 	out.Publish(view)
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	loads := gateway.NewLoads(self, "dc-1", now)
+	loads := gateway.NewTargetLoads(self, "dc-1", now)
 	s := &Settings{}
 	s.Deployment.ListenPeers = self
 	o := newOwnerExchange(s, loads, newFleetView(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
@@ -65,16 +65,16 @@
 }
 
 // targetOwnedBy returns a target that a given host owns.
-func targetOwnedBy(t *testing.T, o *ownerExchange, host string) gateway.Owned {
+func targetOwnedBy(t *testing.T, o *ownerExchange, host string) gateway.TargetRef {
 	t.Helper()
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"} {
-		target := gateway.Owned{ID: id}
+		target := gateway.TargetRef{ID: id}
 		if o.fleet.owners(target)[0] == host {
 			return target
 		}
 	}
 	t.Fatal("no target is owned by", host)
-	return gateway.Owned{}
+	return gateway.TargetRef{}
 }
 
 // Two hosts choose the same engine within a few milliseconds, before gossip
@@ -86,17 +86,17 @@
 	first, firstLoads := startOwnerExchange(t, addresses[1], addresses)
 	second, _ := startOwnerExchange(t, addresses[2], addresses)
 	target := targetOwnedBy(t, owner, addresses[0])
-	firstLoads.Hold(target.ID, call.Prompt{Tokens: 3000})
-	own := loadshare.Count{Host: addresses[1], Target: target.ID, Version: 7, Load: loadshare.Load{Running: 1, Tokens: 3000, Unread: 3000}}
-	if _, ok := first.queryOwner(target, []loadshare.Count{own}); !ok {
+	firstLoads.Reserve(target.ID, call.Prompt{Tokens: 3000})
+	own := targetload.HostLoad{Host: addresses[1], Target: target.ID, Version: 7, Load: targetload.Load{Running: 1, ReservedTokens: 3000, UnreadTokens: 3000}}
+	if _, ok := first.queryOwner(target, []targetload.HostLoad{own}); !ok {
 		t.Fatal("the owner did not answer the first host")
 	}
-	counts, ok := second.queryOwner(target, []loadshare.Count{{Host: addresses[2], Target: target.ID, Version: 1, Load: loadshare.Load{Running: 1}}})
+	counts, ok := second.queryOwner(target, []targetload.HostLoad{{Host: addresses[2], Target: target.ID, Version: 1, Load: targetload.Load{Running: 1}}})
 	if !ok {
 		t.Fatal("the owner did not answer the second host")
 	}
 	for _, c := range counts {
-		if c.Host == addresses[1] && c.Running == 1 && c.Unread == 3000 {
+		if c.Host == addresses[1] && c.Running == 1 && c.UnreadTokens == 3000 {
 			return
 		}
 	}
@@ -160,8 +160,8 @@
 // Guards against an advertised rate whose age shrinks in transit, so that it
 // replaces a more recent one.
 func TestRateAgeIsKeptBetweenHosts(t *testing.T) {
-	encoded := encodeCounts([]loadshare.Count{{Target: "i-1", Rate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
-	decoded := decodeCounts(encoded, time.Minute)[0].Rate
+	encoded := encodeCounts([]targetload.HostLoad{{Target: "i-1", AdvertisedRate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
+	decoded := decodeCounts(encoded, time.Minute)[0].AdvertisedRate
 	if decoded == nil || !decoded.Limited || decoded.PerSecond != 3.4 || decoded.At != time.Minute-2*time.Second {
 		t.Fatalf("decoded %+v, want a rate of 3.4 that is two seconds old", decoded)
 	}
--- a/internal/gatewayhost/readerroles.go
+++ b/internal/gatewayhost/readerroles.go
@@ -38,11 +38,11 @@
 	storeRejects func() bool
 
 	mu      sync.Mutex
-	readers *readers.Readers
+	readers *readers.Selector
 	// relays tracks the relays whose view is recent enough. staleRelays tracks
 	// those that have the role whether or not their view is recent: while the
 	// store is unavailable, all relays.
-	relays, staleRelays *readers.Readers
+	relays, staleRelays *readers.Selector
 	askCount            int
 	// wasRelay is the result of the last relay role check.
 	wasRelay bool
@@ -65,14 +65,14 @@
 }
 
 func newReaderRoles(s *Settings, members *gossip.Board, now Clock, log *slog.Logger) *readerRoles {
-	relays, staleRelays := readers.Default(), readers.Default()
-	relays.Want, staleRelays.Want = 1, maxStaleRelays
+	relays, staleRelays := readers.DefaultConfig(), readers.DefaultConfig()
+	relays.ReaderCount, staleRelays.ReaderCount = 1, maxStaleRelays
 	deployment := s.Deployment
 	isSeed := len(deployment.Seeds) == 0 || slices.Contains(deployment.Seeds, deployment.ListenPeers)
 	return &readerRoles{
 		waitsForSeeds: deployment.FirstStart && !isSeed,
 		self:          deployment.ListenPeers, dataCentre: s.DataCentre, members: members, now: now, log: log,
-		readers: readers.New(readers.Default()), relays: readers.New(relays), staleRelays: readers.New(staleRelays),
+		readers: readers.New(readers.DefaultConfig()), relays: readers.New(relays), staleRelays: readers.New(staleRelays),
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 func (r *readerRoles) computeRanking(view *membership.View) hostRanking {
-	hosts := membership.Rank(readerRankKey, view.Live(""))
+	hosts := membership.Rank(readerRankKey, view.LiveAddresses(""))
 	if len(hosts) <= maxSmallFleet {
 		return hostRanking{valid: true, relayGroup: hosts, readerCandidates: hosts, smallFleet: true}
 	}
@@ -141,7 +141,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers.Read(r.now(), r.self, ranking.readerCandidates, r.isFresh())
+	return r.readers.ShouldRead(r.now(), r.self, ranking.readerCandidates, r.isFresh())
 }
 
 // actsAsRelay reports whether this host queries the readers itself. In a small
@@ -155,23 +155,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fresh := known && age < staleAfter
-	relay := r.relays.Read(r.now(), r.self, ranking.relayGroup, fresh)
-	if storeRejects && len(r.relays.Known(r.now(), r.self, ranking.relayGroup)) > 0 {
+	relay := r.relays.ShouldRead(r.now(), r.self, ranking.relayGroup, fresh)
+	if storeRejects && len(r.relays.KnownReaders(r.now(), r.self, ranking.relayGroup)) > 0 {
 		// Another host of the data centre receives published changes while the
 		// store rejects this host.
 		relay = false
 	}
-	if relay && !r.staleRelays.Among(r.self, ranking.relayGroup) {
+	if relay && !r.staleRelays.IsPreferred(r.self, ranking.relayGroup) {
 		// No relay has a recent view. More than maxStaleRelays relays would not
 		// help.
-		relay = len(r.staleRelays.Known(r.now(), r.self, ranking.relayGroup)) == 0
+		relay = len(r.staleRelays.KnownReaders(r.now(), r.self, ranking.relayGroup)) == 0
 	}
 	if relay != r.wasRelay {
 		r.wasRelay = relay
 		r.log.Info("role of relay changed", "relaying", relay,
 			"rank", slices.Index(ranking.relayGroup, r.self), "hosts", len(ranking.relayGroup),
-			"relays", r.relays.Known(r.now(), r.self, ranking.relayGroup),
-			"readers", r.readers.Known(r.now(), r.self, ranking.readerCandidates), "age", age, "known", known)
+			"relays", r.relays.KnownReaders(r.now(), r.self, ranking.relayGroup),
+			"readers", r.readers.KnownReaders(r.now(), r.self, ranking.readerCandidates), "age", age, "known", known)
 	}
 	return relay
 }
@@ -208,14 +208,14 @@
 func (r *readerRoles) recordPeerRoles(host string, reading, relaying, storeRejects bool, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readers.Heard(r.now(), host, reading)
-	r.relays.Heard(r.now(), host, reading || relaying && !storeRejects && age >= 0 && age < relayStaleAfter)
-	r.staleRelays.Heard(r.now(), host, reading || relaying)
+	r.readers.RecordReport(r.now(), host, reading)
+	r.relays.RecordReport(r.now(), host, reading || relaying && !storeRejects && age >= 0 && age < relayStaleAfter)
+	r.staleRelays.RecordReport(r.now(), host, reading || relaying)
 }
 
 // newsSources returns the hosts that this host may query for published changes,
 // and the tracker of the role that they need.
-func (r *readerRoles) newsSources() ([]string, *readers.Readers) {
+func (r *readerRoles) newsSources() ([]string, *readers.Selector) {
 	ranking := r.ranking()
 	if r.actsAsRelay(ranking) {
 		return ranking.readerCandidates, r.readers
@@ -236,7 +236,7 @@
 	defer r.mu.Unlock()
 	r.askCount++
 	turn := r.askCount
-	if !ranking.smallFleet && tracker == r.readers && !r.relays.Among(r.self, ranking.relayGroup) {
+	if !ranking.smallFleet && tracker == r.readers && !r.relays.IsPreferred(r.self, ranking.relayGroup) {
 		// By rank, other hosts should be this data centre's relays and may have
 		// become so. A host that queried only the reader candidates would never
 		// learn of it, so every second query goes to the relay group.
@@ -245,11 +245,11 @@
 			return roundRobin(r.topRankedPeers(ranking.relayGroup), turn)
 		}
 	}
-	holders := tracker.Known(r.now(), r.self, hosts)
-	if len(holders) < tracker.Wanted() {
+	holders := tracker.KnownReaders(r.now(), r.self, hosts)
+	if len(holders) < tracker.ReaderCount() {
 		return roundRobin(r.topRankedPeers(hosts), turn)
 	}
-	return roundRobin(holders[:tracker.Wanted()], turn)
+	return roundRobin(holders[:tracker.ReaderCount()], turn)
 }
 
 func roundRobin(hosts []string, turn int) (string, bool) {
@@ -280,7 +280,7 @@
 	ranking := r.ranking()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.readers.Among(r.self, ranking.readerCandidates) || !ranking.smallFleet && !r.relays.Among(r.self, ranking.relayGroup)
+	return !r.readers.IsPreferred(r.self, ranking.readerCandidates) || !ranking.smallFleet && !r.relays.IsPreferred(r.self, ranking.relayGroup)
 }
 
 // lacksSource reports whether no other host is known from which published
@@ -289,7 +289,7 @@
 	hosts, tracker := r.newsSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(tracker.Known(r.now(), r.self, hosts)) == 0
+	return len(tracker.KnownReaders(r.now(), r.self, hosts)) == 0
 }
 
 // peersToNotify returns the hosts that are notified immediately of what this
