--- a/internal/entry/admit/client.go
+++ b/internal/entry/admit/client.go
@@ -13,67 +13,70 @@
 	"filbertdeck/internal/rpc"
 )
 
-// Owners tells which control processes may admit to a pool, in the order of
-// their rank.
-type Owners func(pool string) []string
+// PoolOwners returns the addresses of the control processes that may admit
+// requests to a pool, ordered by rank.
+type PoolOwners func(pool string) []string
 
-// Client asks for admission and keeps leases alive.
+// Client requests admission from control processes and renews the leases it is
+// granted.
 type Client struct {
-	count counters
+	counters counters
 
 	hello  *filbertv1.Hello
 	creds  rpc.Credentials
-	owners Owners
+	owners PoolOwners
 
 	nextRequest atomic.Uint64
 
 	mu       sync.Mutex
 	sessions map[string]*session
-	// opening holds the connections that are being made. A control host that
-	// is gone without a word makes its caller wait for the dial's bound; made
-	// under the lock, that wait would be everybody's.
-	opening map[string]*opening
-	leases  map[*Lease]struct{}
-	// skip holds control processes that could not be reached, until when.
-	skip map[string]time.Time
-
-	stop chan struct{}
-	once sync.Once
+	// pendingDials holds the connections that are being opened, so that dialling
+	// happens without the lock. A control host that became unreachable without
+	// closing its connections blocks the dial until its timeout; under the lock,
+	// this would block every request.
+	pendingDials map[string]*pendingDial
+	leases       map[*Lease]struct{}
+	// skipUntil holds, for each control process that could not be reached, the
+	// time until which it is not asked.
+	skipUntil map[string]time.Time
+
+	stop      chan struct{}
+	closeOnce sync.Once
 }
 
-// skipFor is how long an unreachable control process is not asked again by
-// new requests; the next in rank is asked meanwhile.
-const skipFor = time.Second
+// unreachableBackoff is how long new requests skip an unreachable control
+// process and ask the owner with the next rank instead.
+const unreachableBackoff = time.Second
 
-// retryLost is the time to come back that a caller is told when no control
-// process can be reached: their restart takes about as long.
-const retryLost = time.Second
+// controlLostRetryAfter is the retry delay returned to callers when no control
+// process can be reached. A restart of a control process takes about as long.
+const controlLostRetryAfter = time.Second
 
-// counters are the client's figures.
+// counters holds the client's metrics.
 type counters struct {
-	asks, grants, refusals, lost, sessions gometrics.Counter
+	asks, grants, refusals, controlLost, sessionsOpened gometrics.Counter
 }
 
 func newCounters(r gometrics.Registry) counters {
-	c := func(name string) gometrics.Counter { return gometrics.GetOrRegisterCounter("admit."+name, r) }
-	return counters{asks: c("asks"), grants: c("grants"), refusals: c("refusals"), lost: c("control_lost"), sessions: c("sessions_opened")}
+	counter := func(name string) gometrics.Counter { return gometrics.GetOrRegisterCounter("admit."+name, r) }
+	return counters{asks: counter("asks"), grants: counter("grants"), refusals: counter("refusals"), controlLost: counter("control_lost"), sessionsOpened: counter("sessions_opened")}
 }
 
-// New returns a client that renews its leases until Close.
-func New(hello *filbertv1.Hello, creds rpc.Credentials, owners Owners, reg gometrics.Registry) *Client {
+// New returns a client that renews its leases until Close is called.
+func New(hello *filbertv1.Hello, creds rpc.Credentials, owners PoolOwners, reg gometrics.Registry) *Client {
 	c := &Client{
-		count: newCounters(reg),
-		hello: hello, creds: creds, owners: owners,
-		sessions: map[string]*session{}, opening: map[string]*opening{}, leases: map[*Lease]struct{}{}, skip: map[string]time.Time{},
+		counters: newCounters(reg),
+		hello:    hello, creds: creds, owners: owners,
+		sessions: map[string]*session{}, pendingDials: map[string]*pendingDial{}, leases: map[*Lease]struct{}{}, skipUntil: map[string]time.Time{},
 		stop: make(chan struct{}),
 	}
 	go c.renewLoop()
 	return c
 }
 
-// Close ends all sessions. Leases that are still held expire.
+// Close closes all sessions. Leases that are still held expire.
 func (c *Client) Close() {
-	c.once.Do(func() { close(c.stop) })
+	c.closeOnce.Do(func() { close(c.stop) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.sessions {
@@ -81,106 +84,106 @@
 	}
 }
 
-// Acquire asks for admission to the pool that the ask names and waits for the
-// decision. A refusal is a failure with executed "no". An ask whose control
-// process was lost goes to the next in rank.
+// Acquire requests admission to the pool named in the ask and waits for the
+// decision. A refusal is returned as an error with executed "no". When a control
+// process is lost, the ask goes to the owner with the next rank.
 func (c *Client) Acquire(ctx context.Context, ask *filbertv1.Ask) (*Lease, error) {
-	var last error = failure.New(failure.KindControlLost, "no control process for pool %s", ask.Pool).After(retryLost)
-	for _, control := range c.reachable(ask.Pool) {
-		lease, err := c.askOne(ctx, control, ask)
+	var lastErr error = failure.New(failure.KindControlLost, "no control process is known for pool %s", ask.Pool).After(controlLostRetryAfter)
+	for _, control := range c.reachableOwners(ask.Pool) {
+		lease, err := c.acquireFrom(ctx, control, ask)
 		if err == nil {
 			return lease, nil
 		}
-		last = err
+		lastErr = err
 		if kind := failure.KindOf(err); kind != failure.KindControlLost {
 			return nil, err
 		}
-		c.avoid(control)
+		c.markUnreachable(control)
 	}
-	return nil, failure.From(last).After(retryLost)
+	return nil, failure.From(lastErr).After(controlLostRetryAfter)
 }
 
-// reachable lists the pool's owners without those that failed just now; when
-// all failed, all are tried again.
-func (c *Client) reachable(pool string) []string {
+// reachableOwners returns the pool's owners without those that failed within
+// unreachableBackoff. If all of them failed, it returns all.
+func (c *Client) reachableOwners(pool string) []string {
 	owners := c.owners(pool)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var good []string
-	for _, o := range owners {
-		if c.skip[o].Before(now) {
-			good = append(good, o)
+	var candidates []string
+	for _, owner := range owners {
+		if c.skipUntil[owner].Before(now) {
+			candidates = append(candidates, owner)
 		}
 	}
-	if len(good) == 0 {
+	if len(candidates) == 0 {
 		return owners
 	}
-	return good
+	return candidates
 }
 
-func (c *Client) avoid(control string) {
-	c.count.lost.Inc(1)
+func (c *Client) markUnreachable(control string) {
+	c.counters.controlLost.Inc(1)
 	c.mu.Lock()
-	c.skip[control] = time.Now().Add(skipFor)
+	c.skipUntil[control] = time.Now().Add(unreachableBackoff)
 	c.mu.Unlock()
 }
 
-func (c *Client) askOne(ctx context.Context, control string, ask *filbertv1.Ask) (*Lease, error) {
+func (c *Client) acquireFrom(ctx context.Context, control string, ask *filbertv1.Ask) (*Lease, error) {
 	s, err := c.session(control)
 	if err != nil {
 		return nil, err
 	}
 	ask.Request = c.nextRequest.Add(1)
-	c.count.asks.Inc(1)
-	answer := s.expect(ask.Request)
-	asked := time.Now()
+	c.counters.asks.Inc(1)
+	decisions := s.registerAsk(ask.Request)
+	askedAt := time.Now()
 	if err := s.send(&filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Ask{Ask: ask}}); err != nil {
-		s.forget(ask.Request)
+		s.removeAsk(ask.Request)
 		return nil, err
 	}
 	select {
-	case d := <-answer:
-		return c.decided(d, ask, asked)
+	case d := <-decisions:
+		return c.handleDecision(d, ask, askedAt)
 	case <-s.done:
-		return nil, failure.New(failure.KindControlLost, "control process %s was lost while the request waited", control)
+		return nil, failure.New(failure.KindControlLost, "lost the session with control process %s while the request waited for admission", control)
 	case <-ctx.Done():
-		c.withdraw(s, ask, answer)
-		return nil, failure.Wrap(ctx.Err(), failure.KindDeadline, "the caller left or the time for the request was over while it waited")
+		c.withdraw(s, ask, decisions)
+		return nil, failure.Wrap(ctx.Err(), failure.KindDeadline, "the caller left or the request's deadline passed while it waited for admission")
 	}
 }
 
-// withdraw takes an ask back. A grant that crossed the withdrawal is settled
-// as not run, so that its place is free at once.
-func (c *Client) withdraw(s *session, ask *filbertv1.Ask, answer chan decision) {
-	if s.forget(ask.Request) {
+// withdraw cancels an ask. A grant that was already on its way is settled as not
+// run, so that its slot is free at once.
+func (c *Client) withdraw(s *session, ask *filbertv1.Ask, decisions chan decision) {
+	if s.removeAsk(ask.Request) {
 		_ = s.send(&filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Withdraw{
 			Withdraw: &filbertv1.Withdraw{Request: ask.Request, Pool: ask.Pool},
 		}})
 		return
 	}
-	if grant := (<-answer).message.GetGrant(); grant != nil {
+	if grant := (<-decisions).message.GetGrant(); grant != nil {
 		_ = s.send(settleMessage(&filbertv1.Settle{
 			Pool: ask.Pool, Lease: grant.Lease, Outcome: filbertv1.Outcome_OUTCOME_NOT_RUN,
 		}))
 	}
 }
 
-func (c *Client) decided(d decision, ask *filbertv1.Ask, asked time.Time) (*Lease, error) {
+func (c *Client) handleDecision(d decision, ask *filbertv1.Ask, askedAt time.Time) (*Lease, error) {
 	if r := d.message.GetRefusal(); r != nil {
-		c.count.refusals.Inc(1)
-		return nil, refusal(r)
+		c.counters.refusals.Inc(1)
+		return nil, refusalError(r)
 	}
-	c.count.grants.Inc(1)
+	c.counters.grants.Inc(1)
 	g := d.message.GetGrant()
-	begun := d.notBefore
-	if asked.After(begun) {
-		begun = asked
+	leaseStart := d.notBefore
+	if askedAt.After(leaseStart) {
+		leaseStart = askedAt
 	}
 	lease := &Lease{
 		ID: g.Lease, Pool: ask.Pool, Target: g.Target, Priority: g.Priority, Fence: g.Fence,
-		Deadline: begun.Add(time.Duration(g.LeaseMs) * time.Millisecond),
-		Waited:   time.Since(asked), account: ask.Account, service: ask.Service, promptTokens: ask.PromptTokens, client: c,
+		Deadline: leaseStart.Add(time.Duration(g.LeaseMs) * time.Millisecond),
+		WaitTime: time.Since(askedAt), account: ask.Account, service: ask.Service, promptTokens: ask.PromptTokens, client: c,
 	}
 	c.mu.Lock()
 	c.leases[lease] = struct{}{}
@@ -188,7 +191,7 @@
 	return lease, nil
 }
 
-var refusalKinds = map[filbertv1.RefusalReason]failure.Kind{
+var failureKinds = map[filbertv1.RefusalReason]failure.Kind{
 	filbertv1.RefusalReason_REFUSAL_REASON_OVERLOADED:    failure.KindOverloaded,
 	filbertv1.RefusalReason_REFUSAL_REASON_NO_TARGET:     failure.KindNoTarget,
 	filbertv1.RefusalReason_REFUSAL_REASON_POISON:        failure.KindPoison,
@@ -199,44 +202,46 @@
 	filbertv1.RefusalReason_REFUSAL_REASON_TOO_LARGE:     failure.KindTooLarge,
 }
 
-func refusal(r *filbertv1.Refusal) error {
-	kind, ok := refusalKinds[r.Reason]
+func refusalError(r *filbertv1.Refusal) error {
+	kind, ok := failureKinds[r.Reason]
 	if !ok {
 		kind = failure.KindOverloaded
 	}
 	return failure.New(kind, "admission was refused").After(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
 
-// opening is a connection that is being made; the fields are valid after done.
-type opening struct {
+// pendingDial is a connection that is being opened; session and err are valid
+// once done is closed.
+type pendingDial struct {
 	done    chan struct{}
 	session *session
 	err     error
 }
 
-// session gives the open session with a control process, or opens one; calls
-// for the same process share the attempt.
+// session returns the open session with a control process or opens one.
+// Concurrent calls for the same process share one attempt.
 func (c *Client) session(control string) (*session, error) {
 	c.mu.Lock()
-	if s := c.live(control); s != nil {
+	if s := c.liveSession(control); s != nil {
 		c.mu.Unlock()
 		return s, nil
 	}
-	o, running := c.opening[control]
-	if !running {
-		o = &opening{done: make(chan struct{})}
-		c.opening[control] = o
+	dial, inProgress := c.pendingDials[control]
+	if !inProgress {
+		dial = &pendingDial{done: make(chan struct{})}
+		c.pendingDials[control] = dial
 	}
 	c.mu.Unlock()
-	if !running {
-		c.open(control, o)
+	if !inProgress {
+		c.dial(control, dial)
 	}
-	<-o.done
-	return o.session, o.err
+	<-dial.done
+	return dial.session, dial.err
 }
 
-// live gives the open session with a control process; the lock is held.
-func (c *Client) live(control string) *session {
+// liveSession returns the open session with a control process, or nil. The
+// caller must hold c.mu.
+func (c *Client) liveSession(control string) *session {
 	s, ok := c.sessions[control]
 	if !ok {
 		return nil
@@ -249,24 +254,24 @@
 	}
 }
 
-func (c *Client) open(control string, o *opening) {
-	o.session, o.err = openSession(control, c.creds, c.hello)
+func (c *Client) dial(control string, dial *pendingDial) {
+	dial.session, dial.err = openSession(control, c.creds, c.hello)
 	c.mu.Lock()
-	delete(c.opening, control)
-	if o.err == nil {
-		c.count.sessions.Inc(1)
-		c.sessions[control] = o.session
+	delete(c.pendingDials, control)
+	if dial.err == nil {
+		c.counters.sessionsOpened.Inc(1)
+		c.sessions[control] = dial.session
 	}
 	c.mu.Unlock()
-	close(o.done)
+	close(dial.done)
 }
 
 func settleMessage(m *filbertv1.Settle) *filbertv1.EntryMessage {
 	return &filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Settle{Settle: m}}
 }
 
-// settle reports the end of a lease to the owner of its pool. When that is
-// lost the allocator's lease expires by itself.
+// settle reports the end of a lease to the owner of its pool. If that owner is
+// lost, the allocator's lease expires.
 func (c *Client) settle(l *Lease, m *filbertv1.Settle) {
 	c.mu.Lock()
 	delete(c.leases, l)
@@ -276,33 +281,34 @@
 	}
 }
 
-// ownerSession gives an open session with the first of a pool's owners that has
-// one. It never waits: the renewals of all other pools would wait with it, and
-// their leases end. Where none is open one is opened for the next round.
+// ownerSession returns the open session of the highest-ranked owner that has
+// one. It never blocks: the renewals of all other pools would be delayed too,
+// and their leases would expire. If no session is open, it starts opening one
+// for the next renewal and returns nil.
 func (c *Client) ownerSession(pool string) *session {
-	owners := c.reachable(pool)
+	owners := c.reachableOwners(pool)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, control := range owners {
-		if s := c.live(control); s != nil {
+		if s := c.liveSession(control); s != nil {
 			return s
 		}
 	}
 	for _, control := range owners {
-		go c.try(control)
+		go c.connect(control)
 	}
 	return nil
 }
 
-// try opens a session in the background.
-func (c *Client) try(control string) {
+// connect opens a session; it runs in the background.
+func (c *Client) connect(control string) {
 	if _, err := c.session(control); err != nil {
-		c.avoid(control)
+		c.markUnreachable(control)
 	}
 }
 
 func (c *Client) renewLoop() {
-	ticker := time.NewTicker(heartbeat)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -314,8 +320,8 @@
 	}
 }
 
-// renew sends one message a session: the leases of the pools that the control
-// process owns, or an empty heartbeat.
+// renew sends one message per session: the renewals of the pools that the
+// control process owns, or none as a plain heartbeat.
 func (c *Client) renew() {
 	byPool := c.leasesByPool()
 	batches := map[*session]*filbertv1.Renewals{}
@@ -330,14 +336,14 @@
 		if batches[s] == nil {
 			batches[s] = &filbertv1.Renewals{}
 		}
-		of := &filbertv1.PoolRenewals{Pool: pool}
+		poolRenewals := &filbertv1.PoolRenewals{Pool: pool}
 		for _, l := range leases {
-			of.Renewals = append(of.Renewals, l.renewal(s))
+			poolRenewals.Renewals = append(poolRenewals.Renewals, l.renewal(s))
 		}
-		batches[s].Pools = append(batches[s].Pools, of)
+		batches[s].Pools = append(batches[s].Pools, poolRenewals)
 	}
 	for s, batch := range batches {
-		s.beat(batch)
+		s.sendHeartbeat(batch)
 	}
 }
 
--- a/internal/entry/admit/client_test.go
+++ b/internal/entry/admit/client_test.go
@@ -20,35 +20,37 @@
 	RunSpecs(t, "admission at an entry")
 }
 
-// silent takes connections and never says a word.
-func silent() string {
+// silentListener returns the address of a listener that accepts connections and
+// never sends anything.
+func silentListener() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
 	return l.Addr().String()
 }
 
-var _ = Describe("asking control processes", func() {
-	// A control host falls silent without closing anything. Dialled under the
-	// client's lock, it makes every request of the entry wait for its timeout,
-	// also those that go to other control processes.
-	It("keeps nobody else waiting for one that is silent", func() {
-		mute := silent()
-		c := New(&filbertv1.Hello{Entry: "127.0.0.1:1"}, rpc.Credentials{}, func(string) []string { return []string{mute} }, gometrics.NewRegistry())
+var _ = Describe("the admission client", func() {
+	// Guards against dialling a control process under the client's lock: if its
+	// host stops responding without closing connections, every request of the
+	// entry would wait for the dial timeout, also those to other control
+	// processes.
+	It("does not block other requests while a control process does not respond", func() {
+		silentControl := silentListener()
+		c := New(&filbertv1.Hello{Entry: "127.0.0.1:1"}, rpc.Credentials{}, func(string) []string { return []string{silentControl} }, gometrics.NewRegistry())
 		DeferCleanup(c.Close)
-		asked := make(chan error, 1)
+		acquireErr := make(chan error, 1)
 		go func() {
 			_, err := c.Acquire(context.Background(), &filbertv1.Ask{Pool: "p"})
-			asked <- err
+			acquireErr <- err
 		}()
 		Eventually(func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.opening[mute] != nil
-		}).Should(BeTrue(), "the lock is free while the connection is made")
+			return c.pendingDials[silentControl] != nil
+		}).Should(BeTrue(), "the lock must be free while the connection is opened")
 		Expect(c.ownerSession("p")).To(BeNil())
 		var err error
-		Eventually(asked).WithTimeout(20 * time.Second).Should(Receive(&err))
+		Eventually(acquireErr).WithTimeout(20 * time.Second).Should(Receive(&err))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindControlLost))
 		Expect(failure.From(err).Executed).To(Equal(failure.ExecutedNo))
 	})
--- a/internal/entry/admit/lease.go
+++ b/internal/entry/admit/lease.go
@@ -8,47 +8,49 @@
 	"filbertdeck/internal/failure"
 )
 
-// Lease is an admission in force: the right to run one request on one target.
+// Lease is a granted admission: the right to run one request on one target.
 type Lease struct {
 	ID       uint64
 	Pool     string
 	Target   string
 	Priority int32
 	Fence    uint64
-	// Deadline is when the right ends unless it was renewed, counted from
-	// a moment before the grant. The allocator counts from after its grant, so
-	// that the holder always stops first.
+	// Deadline is when the lease expires unless it is renewed, counted from a
+	// time before the grant. The allocator counts from a time after its grant,
+	// so the holder always stops first.
 	Deadline time.Time
-	// Waited is the time from the ask to the grant.
-	Waited time.Duration
+	// WaitTime is the time from the ask to the grant.
+	WaitTime time.Duration
 
 	account      string
 	service      string
 	promptTokens uint32
 	produced     atomic.Uint32
-	// told is the session that was told the whole lease, beats the renewals
-	// since then; both belong to the renewing goroutine.
-	told    *session
-	beats   int
-	settled atomic.Bool
-	client  *Client
+	// fullRenewalSession is the session over which the last full renewal was
+	// sent, and shortRenewals counts the renewals since then. Both are used only
+	// by the renewing goroutine.
+	fullRenewalSession *session
+	shortRenewals      int
+	settled            atomic.Bool
+	client             *Client
 }
 
-// Check fails when the right to start has ended. It is called right before
-// the first byte goes to the target: a process that was paused between grant
-// and start must not add its request to a target that was given to others
-// meanwhile.
+// Check returns an error if the lease has expired. It is called right before the
+// first byte is sent to the target: a process that was paused between grant and
+// send must not add its request to a target whose capacity was granted to others
+// in the meantime.
 func (l *Lease) Check(now time.Time) error {
 	if now.Before(l.Deadline) {
 		return nil
 	}
-	return failure.New(failure.KindLeaseLost, "admission ended before the request was sent")
+	return failure.New(failure.KindLeaseLost, "the lease expired before the request was sent")
 }
 
 // Produced sets the number of tokens produced so far.
 func (l *Lease) Produced(n int) { l.produced.Store(uint32(n)) }
 
-// Settle ends the lease; only the first call counts.
+// Settle ends the lease and reports the outcome; calls after the first have no
+// effect.
 func (l *Lease) Settle(outcome filbertv1.Outcome, firstToken, duration time.Duration) {
 	if !l.settled.CompareAndSwap(false, true) {
 		return
@@ -59,19 +61,21 @@
 	})
 }
 
-// wholeEvery is how often a renewal says everything again.
-const wholeEvery = 10
+// maxShortRenewals is how many renewals without details are sent between two
+// full ones.
+const maxShortRenewals = 10
 
-// renewal gives the lease's renewal over a session: its number and progress,
-// and what a new owner needs if this one may not know it. Named in full each
-// second, the leases of a node would be 15 KB/s at the target size.
+// renewal returns the renewal of the lease for a session: its ID and progress,
+// and every maxShortRenewals renewals or on a new session also the details that
+// a new owner needs. Sending the details each second would cost 15 KB/s for the
+// leases of one host at the target size.
 func (l *Lease) renewal(s *session) *filbertv1.Renewal {
 	r := &filbertv1.Renewal{Lease: l.ID, Produced: l.produced.Load()}
-	if l.told == s && l.beats < wholeEvery {
-		l.beats++
+	if l.fullRenewalSession == s && l.shortRenewals < maxShortRenewals {
+		l.shortRenewals++
 		return r
 	}
-	l.told, l.beats = s, 0
+	l.fullRenewalSession, l.shortRenewals = s, 0
 	r.Target, r.Account, r.Service, r.PromptTokens = l.Target, l.account, l.service, l.promptTokens
 	return r
 }
--- a/internal/entry/admit/session.go
+++ b/internal/entry/admit/session.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// heartbeat is the interval of renewals; each is answered.
-	heartbeat = time.Second
-	// silenceLimit closes a session that answered no heartbeat for so long. It
-	// is below the life of a lease, so that leases move to a new connection
-	// before they end.
-	silenceLimit = 2500 * time.Millisecond
-	// sendQueue bounds the messages that wait for the connection.
-	sendQueue = 1024
+	// heartbeatInterval is the interval of renewals; each is answered.
+	heartbeatInterval = time.Second
+	// silenceTimeout closes a session over which nothing was received for so
+	// long. It is shorter than a lease, so that leases move to a new connection
+	// before they expire.
+	silenceTimeout = 2500 * time.Millisecond
+	// sendQueueLength is the maximum number of messages that wait to be sent.
+	sendQueueLength = 1024
 )
 
-// session is one stream to one control process.
+// session is one admission stream to one control process.
 type session struct {
-	control string
-	conn    *grpc.ClientConn
-	stream  grpc.BidiStreamingClient[filbertv1.EntryMessage, filbertv1.ControlMessage]
-	cancel  context.CancelFunc
-	out     chan *filbertv1.EntryMessage
-	done    chan struct{}
-
-	mu      sync.Mutex
-	waiting map[uint64]chan decision
-	heard   time.Time
-	closed  bool
-	// beats are the times of the heartbeats that were not answered yet, and
-	// answered the time of the last one that was.
-	beats    []time.Time
-	answered time.Time
+	control   string
+	conn      *grpc.ClientConn
+	stream    grpc.BidiStreamingClient[filbertv1.EntryMessage, filbertv1.ControlMessage]
+	cancel    context.CancelFunc
+	sendQueue chan *filbertv1.EntryMessage
+	done      chan struct{}
+
+	mu             sync.Mutex
+	pendingAsks    map[uint64]chan decision
+	lastReceivedAt time.Time
+	closed         bool
+	// unansweredHeartbeats holds the send times of the heartbeats that are not
+	// answered yet, and lastAnsweredHeartbeat that of the last answered one.
+	unansweredHeartbeats  []time.Time
+	lastAnsweredHeartbeat time.Time
 }
 
-// decision is a control process's answer to an ask.
+// decision is a control process's reply to an ask.
 type decision struct {
 	message *filbertv1.ControlMessage
-	// notBefore is a moment at which the answer was surely not given yet.
-	// Messages of a stream keep their order: a decision that comes after the
-	// answer to a heartbeat was made after that heartbeat was sent. The time of
-	// arrival would not do: a decision can lie in a buffer for as long as this
-	// process is paused.
+	// notBefore is a time at which the decision had certainly not been made.
+	// Messages of a stream keep their order, so a decision that follows the
+	// reply to a heartbeat was made after that heartbeat was sent. The time of
+	// arrival cannot be used: a decision can stay in a buffer for as long as
+	// this process is paused.
 	notBefore time.Time
 }
 
-// openSession connects and says hello. The stream outlives the context of the
-// request that needed it first.
+// openSession connects and sends the hello message. The stream does not end with
+// the context of the request that opened it.
 func openSession(control string, creds rpc.Credentials, hello *filbertv1.Hello) (*session, error) {
 	conn, err := rpc.Dial(control, creds)
 	if err != nil {
@@ -69,10 +69,10 @@
 	}
 	s := &session{
 		control: control, conn: conn, stream: stream, cancel: cancel,
-		out: make(chan *filbertv1.EntryMessage, sendQueue), done: make(chan struct{}),
-		waiting: map[uint64]chan decision{}, heard: time.Now(),
+		sendQueue: make(chan *filbertv1.EntryMessage, sendQueueLength), done: make(chan struct{}),
+		pendingAsks: map[uint64]chan decision{}, lastReceivedAt: time.Now(),
 	}
-	s.out <- &filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Hello{Hello: hello}}
+	s.sendQueue <- &filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Hello{Hello: hello}}
 	go s.sendLoop()
 	go s.receiveLoop()
 	go s.watchSilence()
@@ -82,7 +82,7 @@
 func (s *session) sendLoop() {
 	for {
 		select {
-		case m := <-s.out:
+		case m := <-s.sendQueue:
 			if s.stream.Send(m) != nil {
 				s.close()
 				return
@@ -101,58 +101,58 @@
 			return
 		}
 		s.mu.Lock()
-		s.heard = time.Now()
+		s.lastReceivedAt = time.Now()
 		s.mu.Unlock()
-		s.deliver(m)
+		s.dispatch(m)
 	}
 }
 
-func (s *session) deliver(m *filbertv1.ControlMessage) {
+func (s *session) dispatch(m *filbertv1.ControlMessage) {
 	switch body := m.Body.(type) {
 	case *filbertv1.ControlMessage_Alive:
-		s.beatAnswered()
+		s.handleHeartbeatReply()
 	case *filbertv1.ControlMessage_Grant:
-		s.answer(body.Grant.Request, m)
+		s.deliverDecision(body.Grant.Request, m)
 	case *filbertv1.ControlMessage_Refusal:
-		s.answer(body.Refusal.Request, m)
+		s.deliverDecision(body.Refusal.Request, m)
 	}
 }
 
-// answer hands a decision to the ask it belongs to. A decision that nobody
-// waits for any more came after its ask was withdrawn; the allocator's lease
-// then ends by itself.
-func (s *session) answer(request uint64, m *filbertv1.ControlMessage) {
+// deliverDecision passes a decision to the goroutine that waits for it. A
+// decision without a waiter arrived after its ask was withdrawn; the allocator's
+// lease then expires.
+func (s *session) deliverDecision(request uint64, m *filbertv1.ControlMessage) {
 	s.mu.Lock()
-	ch, ok := s.waiting[request]
-	delete(s.waiting, request)
-	d := decision{message: m, notBefore: s.answered}
+	ch, ok := s.pendingAsks[request]
+	delete(s.pendingAsks, request)
+	d := decision{message: m, notBefore: s.lastAnsweredHeartbeat}
 	s.mu.Unlock()
 	if ok {
 		ch <- d
 	}
 }
 
-// beat sends a heartbeat with the leases to renew.
-func (s *session) beat(renewals *filbertv1.Renewals) {
+// sendHeartbeat sends a heartbeat with the leases to renew.
+func (s *session) sendHeartbeat(renewals *filbertv1.Renewals) {
 	s.mu.Lock()
-	s.beats = append(s.beats, time.Now())
+	s.unansweredHeartbeats = append(s.unansweredHeartbeats, time.Now())
 	s.mu.Unlock()
 	_ = s.send(&filbertv1.EntryMessage{Body: &filbertv1.EntryMessage_Renewals{Renewals: renewals}})
 }
 
-func (s *session) beatAnswered() {
+func (s *session) handleHeartbeatReply() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.beats) > 0 {
-		s.answered = s.beats[0]
-		s.beats = s.beats[1:]
+	if len(s.unansweredHeartbeats) > 0 {
+		s.lastAnsweredHeartbeat = s.unansweredHeartbeats[0]
+		s.unansweredHeartbeats = s.unansweredHeartbeats[1:]
 	}
 }
 
-// watchSilence closes the session when a connection that still looks open
-// carries nothing any more.
+// watchSilence closes the session when nothing is received for silenceTimeout
+// although the connection still looks open.
 func (s *session) watchSilence() {
-	ticker := time.NewTicker(heartbeat / 2)
+	ticker := time.NewTicker(heartbeatInterval / 2)
 	defer ticker.Stop()
 	for {
 		select {
@@ -160,7 +160,7 @@
 			return
 		case <-ticker.C:
 			s.mu.Lock()
-			silent := time.Since(s.heard) > silenceLimit
+			silent := time.Since(s.lastReceivedAt) > silenceTimeout
 			s.mu.Unlock()
 			if silent {
 				s.close()
@@ -170,8 +170,9 @@
 	}
 }
 
-// send queues a message; it fails when the session is closed or so far behind
-// that its connection must be doubted.
+// send queues a message. It fails if the session is closed or its queue is full;
+// a full queue also closes the session, since its connection no longer makes
+// progress.
 func (s *session) send(m *filbertv1.EntryMessage) error {
 	select {
 	case <-s.done:
@@ -179,39 +180,40 @@
 	default:
 	}
 	select {
-	case s.out <- m:
+	case s.sendQueue <- m:
 		return nil
 	default:
 		s.close()
-		return failure.New(failure.KindControlLost, "control process %s takes no messages", s.control)
+		return failure.New(failure.KindControlLost, "the send queue for control process %s is full", s.control)
 	}
 }
 
-// expect registers an ask before it is sent.
-func (s *session) expect(request uint64) chan decision {
+// registerAsk registers an ask before it is sent and returns the channel for its
+// decision.
+func (s *session) registerAsk(request uint64) chan decision {
 	ch := make(chan decision, 1)
 	s.mu.Lock()
-	s.waiting[request] = ch
+	s.pendingAsks[request] = ch
 	s.mu.Unlock()
 	return ch
 }
 
-// forget takes an ask back; false means that its decision is on its way to
-// the channel already.
-func (s *session) forget(request uint64) bool {
+// removeAsk removes a pending ask. It returns false if the decision is already
+// being delivered to the channel.
+func (s *session) removeAsk(request uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.waiting[request]
-	delete(s.waiting, request)
+	_, ok := s.pendingAsks[request]
+	delete(s.pendingAsks, request)
 	return ok
 }
 
 func (s *session) close() {
 	s.mu.Lock()
-	already := s.closed
+	alreadyClosed := s.closed
 	s.closed = true
 	s.mu.Unlock()
-	if already {
+	if alreadyClosed {
 		return
 	}
 	close(s.done)
--- a/internal/entry/callers/auth.go
+++ b/internal/entry/callers/auth.go
@@ -12,27 +12,28 @@
 
 const bearerPrefix = "Bearer "
 
-// maxKey bounds a bearer key, in bytes.
-const maxKey = 512
+// maxBearerKeyBytes is the maximum length of a bearer key in bytes.
+const maxBearerKeyBytes = 512
 
-// account finds the client account of a request. Only digests are compared:
-// the lookup's time depends on the digest, of which a caller cannot choose a
-// part, and the comparison itself takes constant time.
-func account(t *table.Table, r *http.Request) (*table.Account, error) {
+// authenticate returns the client account of a request. It compares only
+// digests, so that timing reveals nothing about keys: the lookup time depends on
+// the digest, no part of which a caller can choose, and the comparison takes
+// constant time.
+func authenticate(t *table.Table, r *http.Request) (*table.Account, error) {
 	header := r.Header.Get("Authorization")
 	key, found := strings.CutPrefix(header, bearerPrefix)
-	if !found || key == "" || len(key) > maxKey {
-		return nil, failure.New(failure.KindUnauthorized, "a bearer key is missing")
+	if !found || key == "" || len(key) > maxBearerKeyBytes {
+		return nil, failure.New(failure.KindUnauthorized, "the Authorization header has no valid bearer key")
 	}
 	digest := sha256.Sum256([]byte(key))
 	a, ok := t.ByKey[digest]
-	if !ok || !holds(a, digest) {
-		return nil, failure.New(failure.KindUnauthorized, "the bearer key is not known")
+	if !ok || !hasKeyDigest(a, digest) {
+		return nil, failure.New(failure.KindUnauthorized, "unknown bearer key")
 	}
 	return a, nil
 }
 
-func holds(a *table.Account, digest [32]byte) bool {
+func hasKeyDigest(a *table.Account, digest [32]byte) bool {
 	match := 0
 	for _, h := range a.KeyHashes {
 		match |= subtle.ConstantTimeCompare(h[:], digest[:])
@@ -40,8 +41,8 @@
 	return match == 1
 }
 
-// allowed fails when the account may not use the service.
-func allowed(a *table.Account, service string) error {
+// authorize returns an error if the account may not use the service.
+func authorize(a *table.Account, service string) error {
 	if len(a.Services) == 0 {
 		return nil
 	}
--- a/internal/entry/callers/request.go
+++ b/internal/entry/callers/completion_request.go
@@ -11,35 +11,34 @@
 	"filbertdeck/internal/failure"
 )
 
-// message is one turn of a chat.
-type message struct {
+// chatMessage is one message of a chat.
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// completionRequest is the body of the completions and the chat completions
-// interface, as far as it decides how a request is served. The other fields
-// reach the engine unchanged.
+// completionRequest holds the fields of a completion or chat completion request
+// that affect how it is served. Other fields are passed to the engine unchanged.
 type completionRequest struct {
-	Model               string    `json:"model"`
-	Prompt              string    `json:"prompt"`
-	Messages            []message `json:"messages"`
-	MaxTokens           *int      `json:"max_tokens"`
-	MaxCompletionTokens *int      `json:"max_completion_tokens"`
-	Stream              bool      `json:"stream"`
-	N                   *int      `json:"n"`
+	Model               string        `json:"model"`
+	Prompt              string        `json:"prompt"`
+	Messages            []chatMessage `json:"messages"`
+	MaxTokens           *int          `json:"max_tokens"`
+	MaxCompletionTokens *int          `json:"max_completion_tokens"`
+	Stream              bool          `json:"stream"`
+	N                   *int          `json:"n"`
 }
 
-// charactersPerToken estimates a prompt's tokens before an engine has counted
-// them; the field's rule of thumb for English text.
+// charactersPerToken is used to estimate the prompt's tokens before an engine
+// has counted them. Four is the common rule of thumb for English text.
 const charactersPerToken = 4
 
-// readBody reads a bounded body.
+// readBody reads a request body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, failure.New(failure.KindBodyTooLarge, "the body is over %d bytes", limit)
+		return nil, failure.New(failure.KindBodyTooLarge, "the body exceeds %d bytes", limit)
 	}
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindBadRequest, "the body could not be read")
@@ -47,11 +46,11 @@
 	return body, nil
 }
 
-// parseCompletion reads the body of a completions request.
+// parseCompletion parses and validates the body of a completion request.
 func parseCompletion(body []byte, chat bool) (completionRequest, error) {
 	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return c, failure.New(failure.KindBadRequest, "the body is not the JSON of a completion request: %s", jsonFault(err))
+		return c, failure.New(failure.KindBadRequest, "the body is not a valid completion request: %s", describeJSONError(err))
 	}
 	switch {
 	case c.Model == "":
@@ -61,16 +60,16 @@
 	case !chat && c.Prompt == "":
 		return c, failure.New(failure.KindBadRequest, "prompt is missing")
 	case c.N != nil && *c.N != 1:
-		return c, failure.New(failure.KindBadRequest, "n must be 1: each answer comes from one generation")
+		return c, failure.New(failure.KindBadRequest, "n must be 1: only one completion per request is supported")
 	}
-	if limit := c.limit(); limit != nil && *limit < 1 {
+	if limit := c.requestedMaxTokens(); limit != nil && *limit < 1 {
 		return c, failure.New(failure.KindBadRequest, "max_tokens must be at least 1")
 	}
 	return c, nil
 }
 
-// jsonFault says where the JSON breaks without repeating the body.
-func jsonFault(err error) string {
+// describeJSONError describes a JSON error without repeating any of the body.
+func describeJSONError(err error) string {
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
 	switch {
@@ -79,18 +78,19 @@
 	case errors.As(err, &mismatch):
 		return "field " + mismatch.Field + " must be " + mismatch.Type.String()
 	}
-	return "it ends early"
+	return "unexpected end of JSON"
 }
 
-func (c completionRequest) limit() *int {
+func (c completionRequest) requestedMaxTokens() *int {
 	if c.MaxCompletionTokens != nil {
 		return c.MaxCompletionTokens
 	}
 	return c.MaxTokens
 }
 
-// text is the prompt that the engine sees; a chat's turns are joined.
-func (c completionRequest) text() string {
+// promptText returns the prompt for the engine; the messages of a chat are
+// joined.
+func (c completionRequest) promptText() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
 	}
@@ -104,37 +104,37 @@
 	return b.String()
 }
 
-// replaced lists the fields that the entry sets itself or that mean nothing to
-// the engine, in lower case: the entry reads names in any case, as Go does, and
-// an engine that read a second spelling would follow another limit than the one
-// that admission counts with.
-var replaced = map[string]bool{
+// overriddenFields lists, in lower case, the fields that the entry sets itself
+// or that the engine does not use. encoding/json matches field names in any
+// case, so they are removed in any case: an engine that read another spelling of
+// the field would apply a different limit than the one counted by admission.
+var overriddenFields = map[string]bool{
 	"prompt": true, "max_tokens": true, "stream": true, "messages": true, "max_completion_tokens": true, "n": true,
 }
 
-// engineBody is the request that goes to the engine: the caller's fields with
-// the prompt as text, the limit in force, and streaming always on, since a
-// stream tells a dead engine from a slow one.
+// engineBody returns the request body for the engine: the caller's fields with
+// the prompt as text and the effective token limit. Streaming is always on,
+// since a stream distinguishes a dead engine from a slow one.
 func (c completionRequest) engineBody(body []byte, maxTokens int) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, failure.Wrap(err, failure.KindBadRequest, "the body is not a JSON object")
 	}
 	for name := range fields {
-		if replaced[strings.ToLower(name)] {
+		if overriddenFields[strings.ToLower(name)] {
 			delete(fields, name)
 		}
 	}
-	for name, value := range map[string]any{"prompt": c.text(), "max_tokens": maxTokens, "stream": true} {
+	for name, value := range map[string]any{"prompt": c.promptText(), "max_tokens": maxTokens, "stream": true} {
 		encoded, err := json.Marshal(value)
 		if err != nil {
-			return nil, failure.Wrap(err, failure.KindInternal, "the engine's request could not be written")
+			return nil, failure.Wrap(err, failure.KindInternal, "could not encode the request to the engine")
 		}
 		fields[name] = encoded
 	}
 	out, err := json.Marshal(fields)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "the engine's request could not be written")
+		return nil, failure.Wrap(err, failure.KindInternal, "could not encode the request to the engine")
 	}
 	return out, nil
 }
--- a/internal/entry/callers/request_test.go
+++ b/internal/entry/callers/completion_request_test.go
@@ -13,11 +13,11 @@
 
 func TestCallers(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "callers' interface")
+	RunSpecs(t, "callers' API")
 }
 
 var _ = Describe("a completion request", func() {
-	It("reaches the engine with the caller's own fields and ours in place", func() {
+	It("passes the caller's fields to the engine and sets the entry's own", func() {
 		body := []byte(`{"model":"reports","messages":[{"role":"user","content":"hi"}],"temperature":0.5,"stream":false,"max_completion_tokens":9}`)
 		c, err := parseCompletion(body, true)
 		Expect(err).NotTo(HaveOccurred())
@@ -26,10 +26,10 @@
 		Expect(out).To(MatchJSON(`{"model":"reports","prompt":"user: hi\n","temperature":0.5,"stream":true,"max_tokens":9}`))
 	})
 
-	// A caller spells a field in capitals beside the usual one. The entry reads
-	// one of them, the engine the other, and a report of 50,000 tokens runs
-	// under an admission for 7.
-	It("leaves no second spelling of a field that the entry sets", func() {
+	// Guards against a caller that adds a field a second time in capitals: the
+	// entry would read one and the engine the other, and a generation of 50,000
+	// tokens could run under an admission for 7.
+	It("removes other spellings of a field that the entry sets", func() {
 		body := []byte(`{"model":"reports","prompt":"x","MAX_TOKENS":50000,"Stream":false,"PROMPT":"y"}`)
 		c, err := parseCompletion(body, false)
 		Expect(err).NotTo(HaveOccurred())
@@ -39,8 +39,8 @@
 	})
 })
 
-// FuzzCompletion: whatever a caller sends, it is refused with a type or gives
-// a JSON object for the engine that streams.
+// FuzzCompletion checks that any body is either refused with a typed error or
+// turned into a JSON object that makes the engine stream.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"reports","prompt":"x","max_tokens":5,"stream":true}`), false)
 	f.Add([]byte(`{"model":"reports","messages":[{"role":"user","content":"x"}]}`), true)
@@ -57,7 +57,7 @@
 		}
 		var typed *failure.Error
 		if !errors.As(err, &typed) || typed.Executed != failure.ExecutedNo {
-			t.Fatalf("%q: %v is no refusal", body, err)
+			t.Fatalf("%q: %v is not a typed refusal", body, err)
 		}
 	})
 }
@@ -68,6 +68,6 @@
 		t.Fatalf("%q is not JSON: %v", out, err)
 	}
 	if fields["stream"] != true || fields["max_tokens"] != 7.0 || fields["messages"] != nil {
-		t.Fatalf("%q lacks what the engine must get", out)
+		t.Fatalf("%q lacks a field that the engine requires", out)
 	}
 }
--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -15,32 +15,32 @@
 	"filbertdeck/internal/prefix"
 )
 
-func (x *run) serve(ctx context.Context) error {
+func (a *activeRequest) serve(ctx context.Context) error {
 	switch {
-	case x.order.Conclude():
-		return x.out.finish()
-	case x.Resume != nil:
-		return x.adopt(ctx)
+	case a.order.Conclude():
+		return a.sink.finish()
+	case a.Resume != nil:
+		return a.resumeGeneration(ctx)
 	}
-	key := retrybudget.Key{Account: x.Account.Name, Service: x.Service.Name}
-	x.budget.First(time.Since(x.start), key)
+	key := retrybudget.Key{Account: a.Account.Name, Service: a.Service.Name}
+	a.retryBudget.First(time.Since(a.startTime), key)
 	for attempt := 1; ; attempt++ {
-		err := x.attempt(ctx)
+		err := a.attempt(ctx)
 		if err == nil {
 			return nil
 		}
-		again := attempt < maxAttempts && x.retryable(ctx, err) && x.order.MayRestart()
-		if !again || !x.budget.Retry(time.Since(x.start), key) {
-			return x.ended(ctx, err)
+		retry := attempt < maxAttempts && a.retryable(ctx, err) && a.order.MayRestart()
+		if !retry || !a.retryBudget.Retry(time.Since(a.startTime), key) {
+			return a.finalError(ctx, err)
 		}
-		x.order.Restart(uuid.NewString())
-		x.quoted = `"` + x.order.Generation() + `"`
-		x.Books.Update(func(c *accounting.Counts) { c.Retries++ })
+		a.order.Restart(uuid.NewString())
+		a.quotedGeneration = `"` + a.order.Generation() + `"`
+		a.Accounting.Update(func(c *accounting.Counts) { c.Retries++ })
 	}
 }
 
-// retryable tells whether another target may do better.
-func (x *run) retryable(ctx context.Context, err error) bool {
+// retryable reports whether the request may succeed on another target.
+func (a *activeRequest) retryable(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -52,61 +52,62 @@
 	return false
 }
 
-// ended gives the typed end: what reached the caller, and whether it ran.
-func (x *run) ended(ctx context.Context, err error) error {
+// finalError returns the error to report, with what reached the caller and
+// whether the request may have run.
+func (a *activeRequest) finalError(ctx context.Context, err error) error {
 	f := failure.From(err)
 	if ctx.Err() != nil {
 		f = failure.Wrap(err, failure.KindDeadline, "the caller left")
 	}
 	switch {
-	case x.order.Reached() > 0:
-		f = x.order.Lost(err)
-	case x.begun && f.Executed == failure.ExecutedNo && f.Kind != failure.KindPoison:
+	case a.order.Reached() > 0:
+		f = a.order.Lost(err)
+	case a.mayHaveStarted && f.Executed == failure.ExecutedNo && f.Kind != failure.KindPoison:
 		_ = f.Unknown()
 	}
 	return f
 }
 
 // attempt runs one generation on one target.
-func (x *run) attempt(ctx context.Context) error {
-	chain := prefix.Chain(x.Prompt)
-	fingerprint := prefix.Fingerprint(x.Service.Name, x.Prompt, x.MaxTokens)
-	choice, err := x.pick.Pick(x.choose(chain, fingerprint))
+func (a *activeRequest) attempt(ctx context.Context) error {
+	chain := prefix.Chain(a.Prompt)
+	fingerprint := prefix.Fingerprint(a.Service.Name, a.Prompt, a.MaxTokens)
+	choice, err := a.picker.Pick(a.poolRequest(chain, fingerprint))
 	if err != nil {
 		return err
 	}
-	lease, err := x.admission.Acquire(ctx, &filbertv1.Ask{
-		Pool: choice.Pool, Account: x.Account.Name, Service: x.Service.Name,
-		PromptTokens: uint32(x.PromptTokens), MaxTokens: uint32(x.MaxTokens),
-		Fingerprint: fingerprint, Prefix: chain, WaitMs: uint32(x.Service.MaxWait.Milliseconds()), Avoid: x.avoid,
+	lease, err := a.admission.Acquire(ctx, &filbertv1.Ask{
+		Pool: choice.Pool, Account: a.Account.Name, Service: a.Service.Name,
+		PromptTokens: uint32(a.PromptTokens), MaxTokens: uint32(a.MaxTokens),
+		Fingerprint: fingerprint, Prefix: chain, WaitMs: uint32(a.Service.MaxWait.Milliseconds()), Avoid: a.failedTargets,
 	})
-	choice.Decided()
+	choice.Done()
 	if err != nil {
 		return err
 	}
-	x.Books.Update(func(c *accounting.Counts) { c.WaitUS += uint64(lease.Waited.Microseconds()) })
-	started := time.Now()
-	x.firstToken = 0
-	err = x.runOn(ctx, lease, started)
-	lease.Settle(outcome(ctx, err), x.firstToken, time.Since(started))
+	a.Accounting.Update(func(c *accounting.Counts) { c.WaitUS += uint64(lease.WaitTime.Microseconds()) })
+	startedAt := time.Now()
+	a.timeToFirstToken = 0
+	err = a.runOnTarget(ctx, lease, startedAt)
+	lease.Settle(leaseOutcome(ctx, err), a.timeToFirstToken, time.Since(startedAt))
 	if err != nil {
-		x.avoid = append(x.avoid, lease.Target)
+		a.failedTargets = append(a.failedTargets, lease.Target)
 	}
 	return err
 }
 
-// choose gives what the choice of a pool depends on: requests with the same
-// beginning go where it is cached, equal ones without a beginning of a block's
-// length to the same pools.
-func (x *run) choose(chain []uint64, fingerprint uint64) state.Request {
-	r := state.Request{Service: x.Service.Name, Affinity: fingerprint, Avoid: x.avoid}
-	if n := min(len(chain), affinityBlocks); n > 0 {
-		r.Affinity, r.Cached = chain[n-1], true
+// poolRequest returns the input of the pool selection. Requests with the same
+// prompt prefix go to pools that have it cached. A prompt shorter than one block
+// has no prefix to look up; equal requests of this kind go to the same pools.
+func (a *activeRequest) poolRequest(chain []uint64, fingerprint uint64) state.Request {
+	r := state.Request{Service: a.Service.Name, AffinityKey: fingerprint, FailedTargets: a.failedTargets}
+	if n := min(len(chain), affinityPrefixBlocks); n > 0 {
+		r.AffinityKey, r.PrefixAffinity = chain[n-1], true
 	}
 	return r
 }
 
-func outcome(ctx context.Context, err error) filbertv1.Outcome {
+func leaseOutcome(ctx context.Context, err error) filbertv1.Outcome {
 	if err == nil {
 		return filbertv1.Outcome_OUTCOME_DONE
 	}
@@ -118,8 +119,9 @@
 	case f.Kind == failure.KindTargetLost:
 		return filbertv1.Outcome_OUTCOME_TARGET_CRASHED
 	case f.Kind == failure.KindGenerationGone:
-		// The target answers, so it lives: the link was cut before it began.
-		// Called a crash this would hold the request back as a suspect.
+		// The target answered, so it is alive: the connection was cut before the
+		// generation started. If this were reported as a crash, the request
+		// would be suspected of causing crashes and be held back.
 		return filbertv1.Outcome_OUTCOME_TARGET_FAILED
 	case f.Executed == failure.ExecutedNo:
 		return filbertv1.Outcome_OUTCOME_NOT_RUN
@@ -129,71 +131,71 @@
 	return filbertv1.Outcome_OUTCOME_TARGET_FAILED
 }
 
-func (x *run) runOn(ctx context.Context, lease *admit.Lease, started time.Time) error {
+func (a *activeRequest) runOnTarget(ctx context.Context, lease *admit.Lease, startedAt time.Time) error {
 	if err := lease.Check(time.Now()); err != nil {
 		return err
 	}
-	generation := x.order.Generation()
-	x.progressed = started
-	x.out.restart(generation, lease.Target)
-	s, err := x.engines.start(ctx, lease, generation, x.Body)
+	generation := a.order.Generation()
+	a.lastProgressAt = startedAt
+	a.sink.restart(generation, lease.Target)
+	events, err := a.engine.start(ctx, lease, generation, a.EngineBody)
 	if err != nil && failure.From(err).Executed == failure.ExecutedNo {
 		return err
 	}
-	x.begun = true
+	a.mayHaveStarted = true
 	progress := func() {
-		if x.firstToken == 0 {
-			x.firstToken = time.Since(started)
+		if a.timeToFirstToken == 0 {
+			a.timeToFirstToken = time.Since(startedAt)
 		}
-		lease.Produced(int(x.order.Next()))
+		lease.Produced(int(a.order.Next()))
 	}
-	err = x.follow(ctx, s, err, lease.Target, progress)
-	x.release(ctx, lease.Target, generation, err)
+	err = a.relayWithReconnects(ctx, events, err, lease.Target, progress)
+	a.cancelAbandoned(ctx, lease.Target, generation, err)
 	return err
 }
 
-// release cancels a generation that nobody can come back to: its tokens would
-// take room from others.
-func (x *run) release(ctx context.Context, target, generation string, err error) {
-	abandoned := ctx.Err() != nil && x.order.Reached() == 0
-	if err != nil && (abandoned || x.order.MayRestart()) {
-		go x.engines.cancelGeneration(target, generation)
+// cancelAbandoned cancels a generation that nobody can resume, since its tokens
+// would take capacity from other requests.
+func (a *activeRequest) cancelAbandoned(ctx context.Context, target, generation string, err error) {
+	abandoned := ctx.Err() != nil && a.order.Reached() == 0
+	if err != nil && (abandoned || a.order.MayRestart()) {
+		go a.engine.cancelGeneration(target, generation)
 	}
 }
 
-// adopt goes on with a generation that another entry, or an earlier
-// connection, began.
-func (x *run) adopt(ctx context.Context) error {
-	h := x.Resume
-	x.Books.Update(func(c *accounting.Counts) { c.Resumes++ })
-	lease := x.adoptLease(ctx)
-	s, err := x.engines.resume(ctx, h.Target, h.Generation, h.Offset)
+// resumeGeneration continues a generation that was started by another entry or
+// over an earlier connection.
+func (a *activeRequest) resumeGeneration(ctx context.Context) error {
+	h := a.Resume
+	a.Accounting.Update(func(c *accounting.Counts) { c.Resumes++ })
+	lease := a.adoptLease(ctx)
+	events, err := a.engine.resume(ctx, h.Target, h.Generation, h.Offset)
 	progress := func() {
 		if lease != nil {
-			lease.Produced(int(x.order.Next()))
+			lease.Produced(int(a.order.Next()))
 		}
 	}
-	err = x.follow(ctx, s, err, h.Target, progress)
+	err = a.relayWithReconnects(ctx, events, err, h.Target, progress)
 	if lease != nil {
-		lease.Settle(outcome(ctx, err), 0, time.Since(x.Begun))
+		lease.Settle(leaseOutcome(ctx, err), 0, time.Since(a.ArrivedAt))
 	}
 	if err != nil {
-		return x.ended(ctx, err)
+		return a.finalError(ctx, err)
 	}
 	return nil
 }
 
-// adoptLease books the generation with the target's allocator. Without one
-// the generation goes on all the same: it runs already, and the target's own
-// report counts it.
-func (x *run) adoptLease(ctx context.Context) *admit.Lease {
-	pool, ok := x.poolOf(x.Service.Name, x.Resume.Target)
+// adoptLease registers the generation with the target's allocator. If this
+// fails, the generation continues without a lease: it is already running, and
+// the target's own report counts it.
+func (a *activeRequest) adoptLease(ctx context.Context) *admit.Lease {
+	pool, ok := a.lookupPool(a.Service.Name, a.Resume.Target)
 	if !ok {
 		return nil
 	}
-	lease, err := x.admission.Acquire(ctx, &filbertv1.Ask{
-		Pool: pool, Account: x.Account.Name, Service: x.Service.Name, AdoptTarget: x.Resume.Target,
-		AdoptTokens: uint32(x.Resume.Offset), MaxTokens: uint32(x.MaxTokens),
+	lease, err := a.admission.Acquire(ctx, &filbertv1.Ask{
+		Pool: pool, Account: a.Account.Name, Service: a.Service.Name, AdoptTarget: a.Resume.Target,
+		AdoptTokens: uint32(a.Resume.Offset), MaxTokens: uint32(a.MaxTokens),
 	})
 	if err != nil {
 		return nil
--- a/internal/entry/generation/target.go
+++ b/internal/entry/generation/engine_client.go
@@ -13,7 +13,7 @@
 	"filbertdeck/internal/sse"
 )
 
-// The headers that the entry sets or reads (docs/protocols.md).
+// Headers that the entry sets or reads (docs/protocols.md).
 const (
 	headerGeneration = "Filbert-Generation"
 	headerPriority   = "Filbert-Priority"
@@ -22,51 +22,53 @@
 )
 
 const (
-	// progressLimit closes a connection on which nothing came, not even the
-	// engine's comment of every second. Three in a row missing is more than a
-	// busy engine or a lost packet explains.
-	progressLimit = 3 * time.Second
-	// cancelLimit bounds the order to cancel a generation that nobody wants.
-	cancelLimit = 2 * time.Second
+	// silenceTimeout closes a connection on which nothing was received,
+	// including the comment that the engine sends every second. Three missing in
+	// a row are more than a busy engine or a lost packet explains.
+	silenceTimeout = 3 * time.Second
+	// cancelTimeout limits the request that cancels an abandoned generation.
+	cancelTimeout = 2 * time.Second
 )
 
-// stream is one connection to a target that carries a generation's events.
-type stream struct {
+// engineStream is a connection to a target that carries a generation's events.
+type engineStream struct {
 	events *sse.Reader
 	body   io.ReadCloser
 	cancel context.CancelFunc
-	// watchdog cancels the request when no event came for progressLimit: an
-	// open connection can go silent for good, and reading would wait for ever.
+	// watchdog cancels the request when nothing was received for silenceTimeout:
+	// an open connection can go silent permanently, and the read would block
+	// forever.
 	watchdog *time.Timer
 }
 
-func (s *stream) next(ev *sse.Event) error {
+func (s *engineStream) next(ev *sse.Event) error {
 	err := s.events.Next(ev)
-	s.watchdog.Reset(progressLimit)
+	s.watchdog.Reset(silenceTimeout)
 	return err
 }
 
-func (s *stream) close() {
+func (s *engineStream) close() {
 	s.watchdog.Stop()
 	s.cancel()
 	_ = s.body.Close()
 }
 
-// engineClient speaks the engines' protocol.
+// engineClient is a client of the engines' HTTP API.
 type engineClient struct {
 	http Doer
 }
 
-// Doer sends a request once; targetclient.Client is one.
+// Doer sends an HTTP request without retrying; targetclient.Client implements
+// it.
 type Doer interface {
 	Do(req *http.Request) (*http.Response, error)
 }
 
-// start sends the request that begins a generation.
-func (c engineClient) start(ctx context.Context, lease *admit.Lease, generation string, body []byte) (*stream, error) {
+// start sends the request that starts a generation.
+func (c engineClient) start(ctx context.Context, lease *admit.Lease, generation string, body []byte) (*engineStream, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+lease.Target+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "the request to the target could not be made")
+		return nil, failure.Wrap(err, failure.KindInternal, "could not build the request to the target")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerGeneration, generation)
@@ -75,40 +77,40 @@
 	return c.open(ctx, req)
 }
 
-// resume asks for the rest of a generation that runs at the target.
-func (c engineClient) resume(ctx context.Context, target, generation string, offset uint64) (*stream, error) {
+// resume requests the rest of a generation that runs at the target.
+func (c engineClient) resume(ctx context.Context, target, generation string, offset uint64) (*engineStream, error) {
 	url := "http://" + target + "/v1/generations/" + generation + "?offset=" + strconv.FormatUint(offset, 10)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "the request to the target could not be made")
+		return nil, failure.Wrap(err, failure.KindInternal, "could not build the request to the target")
 	}
 	return c.open(ctx, req)
 }
 
-func (c engineClient) open(ctx context.Context, req *http.Request) (*stream, error) {
+func (c engineClient) open(ctx context.Context, req *http.Request) (*engineStream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watchdog := time.AfterFunc(progressLimit, cancel)
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
 	resp, err := c.http.Do(req.WithContext(ctx))
 	if err != nil {
 		watchdog.Stop()
 		cancel()
-		return nil, lostStream(err)
+		return nil, streamError(err)
 	}
-	s := &stream{events: sse.NewReader(resp.Body, 0), body: resp.Body, cancel: cancel, watchdog: watchdog}
+	s := &engineStream{events: sse.NewReader(resp.Body, 0), body: resp.Body, cancel: cancel, watchdog: watchdog}
 	if resp.StatusCode == http.StatusOK {
 		return s, nil
 	}
 	defer s.close()
-	return nil, refused(resp)
+	return nil, statusError(resp)
 }
 
-// refused turns a target's status into a failure.
-func refused(resp *http.Response) error {
+// statusError converts a target's error status to a typed error.
+func statusError(resp *http.Response) error {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 	f := failure.New(failure.KindTargetFailed, "the target answered with status %d", resp.StatusCode)
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		f = failure.New(failure.KindGenerationGone, "the target does not hold this generation any more").Ran()
+		f = failure.New(failure.KindGenerationGone, "the target no longer holds this generation").Ran()
 	case resp.Header.Get(headerExecuted) == string(failure.ExecutedNo), resp.StatusCode == http.StatusPreconditionFailed:
 		f.Executed = failure.ExecutedNo
 	default:
@@ -117,10 +119,10 @@
 	return f
 }
 
-// cancelGeneration tells a target that nobody wants the rest. The context of
-// the caller has ended by then, so the order has one of its own.
+// cancelGeneration cancels a generation at its target. It uses its own context,
+// since the caller's has ended by then.
 func (c engineClient) cancelGeneration(target, generation string) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+target+"/v1/generations/"+generation, nil)
 	if err != nil {
--- a/internal/entry/generation/frame.go
+++ b/internal/entry/generation/frame.go
@@ -9,9 +9,9 @@
 	"filbertdeck/internal/failure"
 )
 
-// engineFrame is the data of one event of an engine (docs/protocols.md). Its
-// raw fields are JSON as the engine wrote it; their buffers are kept from one
-// frame to the next, so that a token costs no memory of its own.
+// engineFrame is the data of one engine event (docs/protocols.md). Its raw
+// fields hold JSON as sent by the engine; their buffers are reused for the next
+// frame, so that a token needs no allocation.
 type engineFrame struct {
 	Generation   json.RawMessage
 	Offset       uint64
@@ -25,7 +25,7 @@
 	jsonNull = []byte("null")
 )
 
-// The fields of an event, in the order of framePaths.
+// The fields of an event, in the order of fieldPaths.
 const (
 	fieldGeneration = iota
 	fieldOffset
@@ -34,28 +34,28 @@
 	fieldFinishReason
 )
 
-var framePaths = [][]string{{"generation"}, {"offset"}, {"text"}, {"tokens"}, {"finish_reason"}}
+var fieldPaths = [][]string{{"generation"}, {"offset"}, {"text"}, {"tokens"}, {"finish_reason"}}
 
-// parse reads one event's data into f. The data is checked as JSON first: its
-// text goes on to the caller as it stands, and a stray control character in it
-// would tear the caller's stream apart.
+// parse parses one event's data into f. The data must be valid JSON, because its
+// text is copied to the caller as is, and a raw control character in it would
+// break the framing of the caller's stream.
 func (f *engineFrame) parse(data []byte) error {
 	if !json.Valid(data) {
 		return failure.New(failure.KindTargetFailed, "the target sent an event that is not JSON").Unknown()
 	}
 	f.Offset, f.Tokens = 0, 0
 	f.Generation, f.Text, f.FinishReason = f.Generation[:0], f.Text[:0], f.FinishReason[:0]
-	var fault error
+	var parseErr error
 	jsonparser.EachKey(data, func(field int, value []byte, kind jsonparser.ValueType, err error) {
 		if err == nil {
-			err = f.set(field, value, kind)
+			err = f.setField(field, value, kind)
 		}
 		if err != nil {
-			fault = err
+			parseErr = err
 		}
-	}, framePaths...)
-	if fault != nil {
-		return failure.Wrap(fault, failure.KindTargetFailed, "the target sent an event that cannot be read").Unknown()
+	}, fieldPaths...)
+	if parseErr != nil {
+		return failure.Wrap(parseErr, failure.KindTargetFailed, "the target sent an invalid event").Unknown()
 	}
 	if len(f.Text) == 0 {
 		return failure.New(failure.KindTargetFailed, "the target sent an event without text").Unknown()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (f *engineFrame) set(field int, value []byte, kind jsonparser.ValueType) error {
+func (f *engineFrame) setField(field int, value []byte, kind jsonparser.ValueType) error {
 	switch field {
 	case fieldGeneration:
 		return setString(&f.Generation, value, kind)
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// setString keeps a string with its quotes and escapes.
+// setString copies a string with its quotes and escape sequences.
 func setString(dst *json.RawMessage, value []byte, kind jsonparser.ValueType) error {
 	if kind != jsonparser.String {
-		return failure.New(failure.KindTargetFailed, "a field is no string")
+		return failure.New(failure.KindTargetFailed, "a field is not a string")
 	}
 	*dst = append(append(append((*dst)[:0], '"'), value...), '"')
 	return nil
@@ -94,7 +94,7 @@
 func setCount(dst *uint64, value []byte) error {
 	n, err := jsonparser.ParseInt(value)
 	if err != nil || n < 0 {
-		return failure.New(failure.KindTargetFailed, "a field is no count")
+		return failure.New(failure.KindTargetFailed, "a field is not a non-negative integer")
 	}
 	*dst = uint64(n)
 	return nil
@@ -104,11 +104,12 @@
 	return len(f.FinishReason) > 0
 }
 
-// frame gives what the order check needs. quoted is the generation's id as it
-// stands in JSON; only a frame of another generation costs a string.
-func (f *engineFrame) frame(generation, quoted string) delivery.Frame {
+// deliveryFrame returns the fields that the order check needs. quotedGeneration
+// is the generation's ID as a JSON string; only a frame of another generation
+// allocates a string.
+func (f *engineFrame) deliveryFrame(generation, quotedGeneration string) delivery.Frame {
 	d := delivery.Frame{Offset: f.Offset, Tokens: f.Tokens, Finish: f.finished()}
-	if string(f.Generation) == quoted {
+	if string(f.Generation) == quotedGeneration {
 		d.Generation = generation
 	} else {
 		d.Generation = string(f.Generation)
--- a/internal/entry/generation/frame_test.go
+++ b/internal/entry/generation/frame_test.go
@@ -16,17 +16,17 @@
 }
 
 var _ = Describe("an engine's event", func() {
-	// A faulty engine, or a box between, sends something that is no event. If
-	// its text were passed on as it stands, a raw line feed in it would end
-	// the caller's event early and the rest would be read as another one.
-	DescribeTable("is refused when it cannot be trusted",
+	// Guards against passing on invalid data from a faulty engine or an
+	// intermediary: a raw line feed in the text would end the caller's event
+	// early, and the rest would be parsed as another event.
+	DescribeTable("is rejected if it is malformed",
 		func(data string) {
 			var f engineFrame
 			err := f.parse([]byte(data))
 			Expect(failure.KindOf(err)).To(Equal(failure.KindTargetFailed))
 			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
 		},
-		Entry("half an event", `{"generation":"g","text":"a`),
+		Entry("a truncated event", `{"generation":"g","text":"a`),
 		Entry("a raw line feed in the text", "{\"generation\":\"g\",\"offset\":0,\"tokens\":1,\"text\":\"a\nb\"}"),
 		Entry("no text", `{"generation":"g","offset":0,"tokens":1}`),
 		Entry("text that is a number", `{"generation":"g","offset":0,"tokens":1,"text":7}`),
@@ -35,7 +35,7 @@
 		Entry("a list", `[1]`),
 	)
 
-	It("keeps nothing of the event before", func() {
+	It("keeps no fields of the previous event", func() {
 		var f engineFrame
 		Expect(f.parse([]byte(`{"generation":"g","offset":4,"tokens":2,"text":"a\"b","finish_reason":"stop"}`))).To(Succeed())
 		Expect(f.finished()).To(BeTrue())
@@ -45,7 +45,7 @@
 	})
 })
 
-// FuzzFrame: whatever a target sends, what is passed on is JSON.
+// FuzzFrame checks that whatever a target sends, only valid JSON is passed on.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte(`{"generation":"g","offset":4,"tokens":2,"text":"a\"b","finish_reason":"stop"}`))
 	f.Add([]byte(`{"text":"\u0000","generation":null}`))
@@ -56,7 +56,7 @@
 		}
 		for _, raw := range []json.RawMessage{frame.Text, frame.Generation, frame.FinishReason} {
 			if len(raw) > 0 && !json.Valid(raw) {
-				t.Fatalf("%q gives %q, which is not JSON", data, raw)
+				t.Fatalf("parsing %q produced %q, which is not JSON", data, raw)
 			}
 		}
 	})
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -1,7 +1,7 @@
-// Package generation relays one generation from an engine to a caller: it asks
-// for admission, starts the generation, checks each frame's place, resumes the
-// same generation over a new connection when a link breaks or goes silent, and
-// starts another one only while nothing has reached the caller.
+// Package generation relays a generation from an engine to a caller. It requests
+// admission, starts the generation, and checks the offset of each frame. When a
+// connection breaks or goes silent it resumes the same generation over a new
+// one; it starts another generation only while nothing has reached the caller.
 package generation
 
 import (
@@ -22,149 +22,154 @@
 )
 
 const (
-	// maxAttempts bounds the generations that are started for one request. A
-	// third target that fails points at the request, not at the targets.
+	// maxAttempts is the maximum number of generations started for one request.
+	// When a third target fails, the cause is likely the request and not the
+	// targets.
 	maxAttempts = 3
-	// handleLife is how long a caller may resume. Engines keep a generation
-	// without a connection for seconds; the rest is for clocks that differ.
-	handleLife = 2 * time.Minute
-	// affinityBlocks is how many blocks of a prompt decide where it goes: the
-	// length of a usual instruction before the part that differs.
-	affinityBlocks = 4
-	// tokenLimit is the longest time without a token while the engine shows
-	// itself to be alive. Preemption and recomputation take seconds; the figure
-	// is an assumption far above that, not a measurement.
-	tokenLimit = 2 * time.Minute
-	// reopenPause lies between two connections for one generation.
-	reopenPause = 100 * time.Millisecond
+	// resumeWindow is how long a caller may resume a stream after the longest
+	// expected run. Engines keep a generation without a connection for seconds;
+	// the rest allows for clock differences.
+	resumeWindow = 2 * time.Minute
+	// affinityPrefixBlocks is the number of prompt blocks that determine a
+	// request's affinity. It covers the usual length of the instructions that
+	// precede the part that differs between prompts.
+	affinityPrefixBlocks = 4
+	// noTokenTimeout is the maximum time without a token while the engine sends
+	// keep-alive comments. Preemption and recomputation take seconds; the limit
+	// is an assumption far above that, not a measured value.
+	noTokenTimeout = 2 * time.Minute
+	// reconnectDelay is the delay between two connections for one generation.
+	reconnectDelay = 100 * time.Millisecond
 )
 
-// Picker chooses the pool that is asked for admission.
+// Picker selects the pool that is asked for admission.
 type Picker interface {
 	Pick(r state.Request) (state.Choice, error)
 }
 
-// PoolOf finds the pool of a target.
-type PoolOf func(service, target string) (pool string, ok bool)
+// PoolLookup returns the pool of a target.
+type PoolLookup func(service, target string) (pool string, ok bool)
 
-// Relay serves generations; it is safe for concurrent use.
+// Relay relays generations; it is safe for concurrent use.
 type Relay struct {
-	admission *admit.Client
-	engines   engineClient
-	ring      *handle.Ring
-	pick      Picker
-	poolOf    PoolOf
-	budget    *retrybudget.Budget
-	start     time.Time
+	admission   *admit.Client
+	engine      engineClient
+	keyRing     *handle.Ring
+	picker      Picker
+	lookupPool  PoolLookup
+	retryBudget *retrybudget.Budget
+	startTime   time.Time
 }
 
-// NewRelay returns a relay.
-func NewRelay(a *admit.Client, client Doer, ring *handle.Ring, pick Picker, poolOf PoolOf, budget *retrybudget.Budget) *Relay {
+// NewRelay returns a relay that sends requests to targets through client.
+func NewRelay(admission *admit.Client, client Doer, keyRing *handle.Ring, picker Picker, lookupPool PoolLookup, retryBudget *retrybudget.Budget) *Relay {
 	return &Relay{
-		admission: a, engines: engineClient{http: client}, ring: ring, pick: pick, poolOf: poolOf,
-		budget: budget, start: time.Now(),
+		admission: admission, engine: engineClient{http: client}, keyRing: keyRing, picker: picker, lookupPool: lookupPool,
+		retryBudget: retryBudget, startTime: time.Now(),
 	}
 }
 
-// Request is one caller's request.
+// Request is a caller's completion request.
 type Request struct {
 	Account *table.Account
 	Service *table.Service
 	Prompt  string
-	// PromptTokens and MaxTokens are in tokens.
+	// PromptTokens is the estimated prompt length and MaxTokens the limit of the
+	// answer.
 	PromptTokens, MaxTokens int
-	// Body is what the engine receives.
-	Body []byte
-	// Stream is set when the caller asked for events, Chat for the chat form.
+	// EngineBody is the request body sent to the engine.
+	EngineBody []byte
+	// Stream is set if the caller requested an event stream, Chat if it used the
+	// chat API.
 	Stream, Chat bool
-	// Resume is set when the caller goes on with a generation that runs.
-	Resume *handle.Handle
-	Books  *accounting.Entry
-	// Begun is when the request arrived.
-	Begun time.Time
+	// Resume is set if the caller resumes a generation that is already running.
+	Resume     *handle.Handle
+	Accounting *accounting.Entry
+	// ArrivedAt is when the request arrived.
+	ArrivedAt time.Time
 }
 
-// run is one request in progress; it belongs to one goroutine.
-type run struct {
+// activeRequest is a request in progress; it is used by one goroutine only.
+type activeRequest struct {
 	*Relay
 	Request
-	out    sink
-	order  delivery.Order
-	quoted string
-	frame  engineFrame
-	event  sse.Event
-	avoid  []string
-	// begun tells whether any target may have started a generation.
-	begun     bool
-	lastToken time.Time
-	// progressed is when the generation last began or brought a token.
-	progressed time.Time
-	firstToken time.Duration
+	sink             sink
+	order            delivery.Order
+	quotedGeneration string
+	frame            engineFrame
+	event            sse.Event
+	failedTargets    []string
+	// mayHaveStarted is set once any target may have started a generation.
+	mayHaveStarted bool
+	lastTokenAt    time.Time
+	// lastProgressAt is when the generation started or last produced a token.
+	lastProgressAt   time.Time
+	timeToFirstToken time.Duration
 }
 
-// Serve answers the request. The failure it returns was told to the caller
-// already; it is for the accounting.
+// Serve relays the request. It has already written the error that it returns to
+// the caller; the error is for the accounting.
 func (r *Relay) Serve(ctx context.Context, w http.ResponseWriter, req Request) error {
-	x := &run{Relay: r, Request: req}
-	x.prepare(w)
-	defer x.out.close()
-	err := x.serve(ctx)
+	active := &activeRequest{Relay: r, Request: req}
+	active.prepare(w)
+	defer active.sink.close()
+	err := active.serve(ctx)
 	if req.Service.Type == table.ServiceGeneration {
-		req.Books.Whole(err == nil)
+		req.Accounting.Whole(err == nil)
 	}
 	if err != nil {
-		x.out.fail(err)
+		active.sink.fail(err)
 	}
 	return err
 }
 
-func (x *run) prepare(w http.ResponseWriter) {
+func (a *activeRequest) prepare(w http.ResponseWriter) {
 	mode := delivery.Stream
-	if x.Service.Delivery == table.DeliveryWhole || !x.Stream {
+	if a.Service.Delivery == table.DeliveryWhole || !a.Stream {
 		mode = delivery.Whole
 	}
 	id := uuid.NewString()
-	if x.Resume != nil {
-		id = x.Resume.Generation
-		x.order = delivery.Resume(mode, id, x.Resume.Offset)
-		if x.Resume.Finished {
-			x.order = delivery.ResumeFinished(mode, id, x.Resume.Offset)
+	if a.Resume != nil {
+		id = a.Resume.Generation
+		a.order = delivery.Resume(mode, id, a.Resume.Offset)
+		if a.Resume.Finished {
+			a.order = delivery.ResumeFinished(mode, id, a.Resume.Offset)
 		}
-		x.begun = true
+		a.mayHaveStarted = true
 	} else {
-		x.order = delivery.New(mode, id)
+		a.order = delivery.New(mode, id)
 	}
-	x.quoted = `"` + id + `"`
-	x.out = x.newSink(w, mode, id)
-	x.lastToken, x.progressed = x.Begun, x.Begun
+	a.quotedGeneration = `"` + id + `"`
+	a.sink = a.newSink(w, mode, id)
+	a.lastTokenAt, a.lastProgressAt = a.ArrivedAt, a.ArrivedAt
 }
 
-func (x *run) newSink(w http.ResponseWriter, mode delivery.Mode, id string) sink {
-	s := shape{id: "cmpl-" + id, model: x.Service.Name, chat: x.Chat, created: x.Begun.Unix()}
+func (a *activeRequest) newSink(w http.ResponseWriter, mode delivery.Mode, id string) sink {
+	info := answerInfo{id: "cmpl-" + id, model: a.Service.Name, chat: a.Chat, created: a.ArrivedAt.Unix()}
 	h := handle.Handle{
-		Account: x.Account.Name, Service: x.Service.Name, Generation: id,
-		Issued: x.Begun, Expires: x.Begun.Add(x.life()),
+		Account: a.Account.Name, Service: a.Service.Name, Generation: id,
+		Issued: a.ArrivedAt, Expires: a.ArrivedAt.Add(a.handleLifetime()),
 	}
-	if x.Resume != nil {
-		h.Target = x.Resume.Target
+	if a.Resume != nil {
+		h.Target = a.Resume.Target
 	}
-	whole := wholeSink{w: w, shape: s, prompt: x.PromptTokens}
+	document := documentSink{w: w, info: info, promptTokens: a.PromptTokens}
 	switch {
-	case !x.Stream:
-		return &whole
+	case !a.Stream:
+		return &document
 	case mode == delivery.Whole:
-		return &heldStreamSink{wholeSink: whole, stream: newStreamSink(w, x.ring, h, s)}
+		return &bufferedStreamSink{documentSink: document, stream: newStreamSink(w, a.keyRing, h, info)}
 	default:
-		return newStreamSink(w, x.ring, h, s)
+		return newStreamSink(w, a.keyRing, h, info)
 	}
 }
 
-// slowestToken bounds how long a generation may take for each token, for the
-// life of its handles.
-const slowestToken = 250 * time.Millisecond
+// maxTimePerToken is the longest expected time per token; it sets the lifetime
+// of resume handles.
+const maxTimePerToken = 250 * time.Millisecond
 
-// life is how long handles of this request are good: as long as the
-// generation may run, and the time to come back.
-func (x *run) life() time.Duration {
-	return handleLife + time.Duration(x.MaxTokens)*slowestToken
+// handleLifetime returns how long the request's resume handles are valid: the
+// longest expected run plus resumeWindow.
+func (a *activeRequest) handleLifetime() time.Duration {
+	return resumeWindow + time.Duration(a.MaxTokens)*maxTimePerToken
 }
--- a/internal/entry/generation/sink.go
+++ b/internal/entry/generation/sink.go
@@ -14,38 +14,41 @@
 )
 
 const (
-	// writeLimit bounds a write to the caller: one that takes nothing for so
-	// long has left without closing, or something between lost the connection.
-	writeLimit = 15 * time.Second
-	// deadlineEvery is how often the limit is moved on. Doing so for each token
-	// would cost a timer each.
-	deadlineEvery = time.Second
-	// quietLimit is the longest time without a byte on a caller's stream. A
-	// caller that hears nothing cannot tell a queue, or an engine that is busy
-	// recomputing, from a dead link.
-	quietLimit = 2 * time.Second
-	// eventRoom is the room for one event; usual ones have some 500 bytes.
-	eventRoom = 1024
+	// writeTimeout limits a write to the caller. A caller that reads nothing for
+	// so long has disconnected without closing, or the network between lost the
+	// connection.
+	writeTimeout = 15 * time.Second
+	// deadlineInterval is how often the write deadline is extended. Extending it
+	// for each token would cost a timer update per token.
+	deadlineInterval = time.Second
+	// keepAliveInterval is the longest time without a byte on a caller's stream.
+	// Without keep-alives a caller cannot distinguish a dead connection from a
+	// queue or from an engine that is recomputing.
+	keepAliveInterval = 2 * time.Second
+	// eventBufferSize is the initial buffer size for an event in bytes; a usual
+	// event has about 500.
+	eventBufferSize = 1024
 )
 
 // sink writes an answer to the caller.
 type sink interface {
-	// token passes one frame on.
-	token(f *engineFrame, next uint64) error
-	// restart begins another generation; nothing reached the caller yet.
+	// writeFrame writes one frame; next is the offset after it.
+	writeFrame(f *engineFrame, next uint64) error
+	// restart switches to another generation; nothing has reached the caller
+	// yet.
 	restart(generation, target string)
-	// alive shows a quiet stream to be alive.
-	alive() error
-	// finish ends a whole answer.
+	// keepAlive sends a keep-alive comment on a stream.
+	keepAlive() error
+	// finish ends a complete answer.
 	finish() error
-	// fail ends the answer with a failure.
+	// fail ends the answer with an error.
 	fail(err error)
-	// close must follow the end of the answer.
+	// close releases the sink; it must be called after the answer has ended.
 	close()
 }
 
-// shape is what the events of one answer have in common.
-type shape struct {
+// answerInfo holds the values that all events of one answer share.
+type answerInfo struct {
 	id      string
 	model   string
 	chat    bool
@@ -53,57 +56,58 @@
 }
 
 // streamSink writes server-sent events. Its timer writes a comment whenever
-// nothing else was written for quietLimit, also while the request waits for
-// admission; the mutex keeps the two apart.
+// nothing else was written for keepAliveInterval, also while the request waits
+// for admission; the mutex serializes the writes of both.
 type streamSink struct {
-	mu       sync.Mutex
-	quiet    *time.Timer
-	closed   bool
-	w        http.ResponseWriter
-	control  *http.ResponseController
-	ring     *handle.Ring
-	handle   handle.Handle
-	buf      []byte
-	head     []byte
-	begun    bool
-	deadline time.Time
+	mu                 sync.Mutex
+	keepAliveTimer     *time.Timer
+	closed             bool
+	w                  http.ResponseWriter
+	controller         *http.ResponseController
+	keyRing            *handle.Ring
+	handle             handle.Handle
+	buf                []byte
+	eventPrefix        []byte
+	headersSent        bool
+	nextDeadlineUpdate time.Time
 }
 
-func newStreamSink(w http.ResponseWriter, ring *handle.Ring, h handle.Handle, s shape) *streamSink {
+func newStreamSink(w http.ResponseWriter, keyRing *handle.Ring, h handle.Handle, info answerInfo) *streamSink {
 	sink := &streamSink{
-		w: w, control: http.NewResponseController(w), ring: ring, handle: h,
-		buf: make([]byte, 0, eventRoom), head: eventHead(s),
+		w: w, controller: http.NewResponseController(w), keyRing: keyRing, handle: h,
+		buf: make([]byte, 0, eventBufferSize), eventPrefix: newEventPrefix(info),
 	}
-	sink.quiet = time.AfterFunc(quietLimit, func() { _ = sink.alive() })
+	sink.keepAliveTimer = time.AfterFunc(keepAliveInterval, func() { _ = sink.keepAlive() })
 	return sink
 }
 
-// close ends the sink: no comment is written after the answer.
+// close stops the timer; no comment is written after the answer.
 func (s *streamSink) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.quiet.Stop()
+	s.keepAliveTimer.Stop()
 }
 
-// eventHead is the part of an event's data that stays the same.
-func eventHead(s shape) []byte {
+// newEventPrefix returns the part of the event data that is the same for all
+// events.
+func newEventPrefix(info answerInfo) []byte {
 	object := "text_completion"
-	if s.chat {
+	if info.chat {
 		object = "chat.completion.chunk"
 	}
-	head := []byte(`{"id":`)
-	head = appendJSON(head, s.id)
-	head = append(head, `,"object":"`...)
-	head = append(head, object...)
-	head = append(head, `","created":`...)
-	head = strconv.AppendInt(head, s.created, 10)
-	head = append(head, `,"model":`...)
-	head = appendJSON(head, s.model)
-	if s.chat {
-		return append(head, `,"choices":[{"index":0,"delta":{"content":`...)
+	prefix := []byte(`{"id":`)
+	prefix = appendJSON(prefix, info.id)
+	prefix = append(prefix, `,"object":"`...)
+	prefix = append(prefix, object...)
+	prefix = append(prefix, `","created":`...)
+	prefix = strconv.AppendInt(prefix, info.created, 10)
+	prefix = append(prefix, `,"model":`...)
+	prefix = appendJSON(prefix, info.model)
+	if info.chat {
+		return append(prefix, `,"choices":[{"index":0,"delta":{"content":`...)
 	}
-	return append(head, `,"choices":[{"index":0,"text":`...)
+	return append(prefix, `,"choices":[{"index":0,"text":`...)
 }
 
 func appendJSON(dst []byte, s string) []byte {
@@ -114,12 +118,12 @@
 	return append(dst, quoted...)
 }
 
-// begin sends the headers.
-func (s *streamSink) begin() {
-	if s.begun {
+// writeHeaders sends the response headers once.
+func (s *streamSink) writeHeaders() {
+	if s.headersSent {
 		return
 	}
-	s.begun = true
+	s.headersSent = true
 	h := s.w.Header()
 	h.Set("Content-Type", sse.ContentType)
 	h.Set("Cache-Control", "no-store")
@@ -127,22 +131,22 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *streamSink) token(f *engineFrame, next uint64) error {
+func (s *streamSink) writeFrame(f *engineFrame, next uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handle.Offset, s.handle.Finished = next, f.finished()
 	s.buf = append(s.buf[:0], "id: "...)
-	s.buf = s.ring.SealTo(s.buf, s.handle)
+	s.buf = s.keyRing.SealTo(s.buf, s.handle)
 	s.buf = append(s.buf, "\ndata: "...)
-	s.buf = s.appendData(s.buf, f)
+	s.buf = s.appendEventData(s.buf, f)
 	s.buf = append(s.buf, "\n\n"...)
 	return s.flush()
 }
 
-func (s *streamSink) appendData(dst []byte, f *engineFrame) []byte {
-	dst = append(dst, s.head...)
+func (s *streamSink) appendEventData(dst []byte, f *engineFrame) []byte {
+	dst = append(dst, s.eventPrefix...)
 	dst = append(dst, f.Text...)
-	if bytes.HasSuffix(s.head, []byte(`"content":`)) {
+	if bytes.HasSuffix(s.eventPrefix, []byte(`"content":`)) {
 		dst = append(dst, '}')
 	}
 	dst = append(dst, `,"finish_reason":`...)
@@ -164,7 +168,7 @@
 	s.handle.Generation, s.handle.Target = generation, target
 }
 
-func (s *streamSink) alive() error {
+func (s *streamSink) keepAlive() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -181,12 +185,12 @@
 	return s.flush()
 }
 
-// fail ends the answer: with a status while nothing was sent, else with an
-// event, since the status is gone.
+// fail reports the error with an HTTP status while nothing has been sent,
+// otherwise with an error event, since the status has already been sent.
 func (s *streamSink) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.begun {
+	if !s.headersSent {
 		failure.Write(s.w, err)
 		return
 	}
@@ -199,17 +203,17 @@
 }
 
 func (s *streamSink) flush() error {
-	s.begin()
-	if now := time.Now(); now.After(s.deadline) {
-		_ = s.control.SetWriteDeadline(now.Add(writeLimit + deadlineEvery))
-		s.deadline = now.Add(deadlineEvery)
+	s.writeHeaders()
+	if now := time.Now(); now.After(s.nextDeadlineUpdate) {
+		_ = s.controller.SetWriteDeadline(now.Add(writeTimeout + deadlineInterval))
+		s.nextDeadlineUpdate = now.Add(deadlineInterval)
 	}
 	if _, err := s.w.Write(s.buf); err != nil {
-		return failure.Wrap(err, failure.KindDeadline, "the caller takes no more of the answer")
+		return failure.Wrap(err, failure.KindDeadline, "writing the answer to the caller failed")
 	}
-	if err := s.control.Flush(); err != nil {
-		return failure.Wrap(err, failure.KindDeadline, "the caller takes no more of the answer")
+	if err := s.controller.Flush(); err != nil {
+		return failure.Wrap(err, failure.KindDeadline, "writing the answer to the caller failed")
 	}
-	s.quiet.Reset(quietLimit)
+	s.keepAliveTimer.Reset(keepAliveInterval)
 	return nil
 }
--- a/internal/entry/generation/sink_test.go
+++ b/internal/entry/generation/sink_test.go
@@ -16,10 +16,10 @@
 		ring, err := handle.NewRing(handle.RandomSecrets())
 		Expect(err).NotTo(HaveOccurred())
 		rec := httptest.NewRecorder()
-		return newStreamSink(rec, ring, handle.Handle{}, shape{id: "cmpl-1", model: "reports"}), rec
+		return newStreamSink(rec, ring, handle.Handle{}, answerInfo{id: "cmpl-1", model: "reports"}), rec
 	}
 
-	It("gives a refusal its status while nothing was sent", func() {
+	It("reports a refusal with its status while nothing was sent", func() {
 		s, rec := newSink()
 		defer s.close()
 		s.fail(failure.New(failure.KindOverloaded, "full"))
@@ -27,15 +27,16 @@
 		Expect(rec.Header().Get("Content-Type")).To(Equal(failure.ProblemType))
 	})
 
-	// A request waits in a full queue for longer than a caller waits for a
-	// byte. Without a sign of life the caller hangs up and asks again, which
-	// fills the queue further; after one, a refusal has no status to use.
-	It("shows itself to be alive in the queue, and ends with a typed event", func() {
+	// Guards against a silent queue: a request can wait in a full queue longer
+	// than callers wait for a byte. Without keep-alives the caller disconnects
+	// and retries, which fills the queue further. After a keep-alive, a refusal
+	// can no longer use the status.
+	It("sends keep-alives in the queue and ends with a typed error event", func() {
 		s, rec := newSink()
-		Expect(s.alive()).To(Succeed())
+		Expect(s.keepAlive()).To(Succeed())
 		s.fail(failure.New(failure.KindOverloaded, "full"))
 		s.close()
-		Expect(s.alive()).To(Succeed())
+		Expect(s.keepAlive()).To(Succeed())
 		Expect(rec.Code).To(Equal(200))
 		Expect(rec.Body.String()).To(HavePrefix(sse.KeepAlive + "event: error\ndata: {"))
 		Expect(rec.Body.String()).To(HaveSuffix("}\n\n"), "nothing follows the end")
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -33,44 +33,44 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// Options build the program from its settings.
+// Options returns the fx options that build the program from its settings.
 func (s *Settings) Options() []fx.Option {
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newProcess, newRing, state.NewBoard, accounting.New, newLifecycle,
-			newAdmission, newTargetClient, newPicker, newBudget, newRelay, newLookups, newOnce, newPeers, newAPI, newWatcher,
+			secure.New, (*secure.Identity).Credentials, newProcessIdentity, newKeyRing, state.NewBoard, accounting.New, newLifecycle,
+			newAdmissionClient, newTargetClient, newPicker, newRetryBudget, newGenerationRelay, newIdempotentRelay, newAtMostOnceRelay, newPeerForwarder, newAPI, newWatcher,
 		),
-		fx.Invoke(registerGauges, runWatcher, servePeers, serveAdmin, serveCallers, keepRegister),
+		fx.Invoke(registerGauges, runWatcher, servePeers, serveAdmin, serveCallers, runHostListRefresh),
 	}
 }
 
-// newProcess draws the incarnation: another process at the same address is
-// another owner of idempotency keys.
-func newProcess(s *Settings) once.Process {
+// newProcessIdentity draws a random incarnation, so that a restarted process at
+// the same address counts as a different owner of idempotency keys.
+func newProcessIdentity(s *Settings) once.Process {
 	return once.Process{Address: s.PeerListen, Incarnation: rand.Uint64() | 1}
 }
 
-// ringEvery is how often the key ring's file is looked at.
-const ringEvery = 2 * time.Second
+// keyRingReloadInterval is how often the key ring file is checked for changes.
+const keyRingReloadInterval = 2 * time.Second
 
-func newRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.Ring, error) {
+func newKeyRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.Ring, error) {
 	if s.KeyRing == "" {
-		log.Warn("no key ring is set; handles open in this process only")
+		log.Warn("no key ring is set; resume handles and minted keys are valid in this process only")
 		return handle.NewRing(handle.RandomSecrets())
 	}
 	file, err := handle.OpenFile(s.KeyRing)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--key-ring (FILBERT_ENTRY_KEY_RING) is %q", s.KeyRing)
 	}
-	process.Every(lc, ringEvery, func() { followRing(file, log) })
+	process.Every(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
 	return file.Ring, nil
 }
 
-func followRing(file *handle.File, log *slog.Logger) {
+func reloadKeyRing(file *handle.File, log *slog.Logger) {
 	switch changed, err := file.Refresh(); {
 	case err != nil:
-		log.Warn("key ring refused; the one in force stays", "error", err)
+		log.Warn("key ring refused; keeping the current key ring", "error", err)
 	case changed:
 		log.Info("key ring taken over")
 	}
@@ -83,13 +83,13 @@
 			return failure.New(failure.KindNotReady, "the table has not been read yet")
 		}
 		if t.Drained[s.DataCentre] {
-			return failure.New(failure.KindNotReady, "data centre %s is taken out", s.DataCentre)
+			return failure.New(failure.KindNotReady, "data centre %s is drained", s.DataCentre)
 		}
 		return nil
 	}, s.StopNotice, s.StopWait)
 }
 
-func newAdmission(lc fx.Lifecycle, self once.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
+func newAdmissionClient(lc fx.Lifecycle, self once.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
 	hello := &filbertv1.Hello{Entry: self.Address, Incarnation: self.Incarnation, DataCentre: s.DataCentre}
 	c := admit.New(hello, creds, b.Owners, reg)
 	lc.Append(fx.StopHook(c.Close))
@@ -102,62 +102,62 @@
 	return state.NewPicker(b, self.Address, s.DataCentre)
 }
 
-func newBudget() *retrybudget.Budget { return retrybudget.New(retrybudget.Config{}) }
+func newRetryBudget() *retrybudget.Budget { return retrybudget.New(retrybudget.Config{}) }
 
-func newRelay(
-	a *admit.Client, client *targetclient.Client, ring *handle.Ring, b *state.Board, pick *state.Picker, budget *retrybudget.Budget,
+func newGenerationRelay(
+	admission *admit.Client, client *targetclient.Client, ring *handle.Ring, b *state.Board, picker *state.Picker, budget *retrybudget.Budget,
 ) *generation.Relay {
-	return generation.NewRelay(a, client, ring, pick, b.PoolOf, budget)
+	return generation.NewRelay(admission, client, ring, picker, b.PoolOf, budget)
 }
 
-func newLookups(a *admit.Client, client *targetclient.Client, b *state.Board, pick *state.Picker, budget *retrybudget.Budget) *plain.Lookups {
-	return &plain.Lookups{
-		Admission: a, Client: client, Pick: pick, Budget: budget, Hedges: hedge.NewSet(hedge.Config{}),
-		Board: b, Start: time.Now(),
+func newIdempotentRelay(admission *admit.Client, client *targetclient.Client, b *state.Board, picker *state.Picker, budget *retrybudget.Budget) *plain.IdempotentRelay {
+	return &plain.IdempotentRelay{
+		Admission: admission, Client: client, Picker: picker, RetryBudget: budget, Hedges: hedge.NewSet(hedge.Config{}),
+		Board: b, StartTime: time.Now(),
 	}
 }
 
-func newPeers(lc fx.Lifecycle, creds rpc.Credentials) *plain.Peers {
-	p := plain.NewPeers(creds)
+func newPeerForwarder(lc fx.Lifecycle, creds rpc.Credentials) *plain.PeerForwarder {
+	p := plain.NewPeerForwarder(creds)
 	lc.Append(fx.StopHook(p.Close))
 	return p
 }
 
-func newOnce(a *admit.Client, ring *handle.Ring, self once.Process, b *state.Board, pick *state.Picker, p *plain.Peers) *plain.Once {
-	o := &plain.Once{
-		Admission: a, Client: targetclient.NewOnce(targetclient.Settings{}), Pick: pick,
-		Ring: ring, Self: self, Board: b, Forwarder: p,
+func newAtMostOnceRelay(admission *admit.Client, ring *handle.Ring, self once.Process, b *state.Board, picker *state.Picker, p *plain.PeerForwarder) *plain.AtMostOnceRelay {
+	o := &plain.AtMostOnceRelay{
+		Admission: admission, Client: targetclient.NewOnce(targetclient.Settings{}), Picker: picker,
+		KeyRing: ring, Self: self, Board: b, Forwarder: p,
 	}
-	o.Open()
+	o.Init()
 	return o
 }
 
 func newAPI(
-	b *state.Board, books *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
-	relay *generation.Relay, lookups *plain.Lookups, o *plain.Once, s *Settings,
+	b *state.Board, usage *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
+	generations *generation.Relay, idempotent *plain.IdempotentRelay, atMostOnce *plain.AtMostOnceRelay, s *Settings,
 ) *callers.API {
 	return &callers.API{
-		Board: b, Books: books, Life: life, Ring: ring, Relay: relay, Lookups: lookups, Once: o, BodyLimit: s.BodyLimit,
+		Board: b, Accounting: usage, Lifecycle: life, KeyRing: ring, Generations: generations, Idempotent: idempotent, AtMostOnce: atMostOnce, BodyLimit: s.BodyLimit,
 	}
 }
 
-func newWatcher(b *state.Board, books *accounting.Book, self once.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
+func newWatcher(b *state.Board, usage *accounting.Book, self once.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
 	controls := s.Control
 	if len(controls) == 0 {
-		controls = []string{defaultControl}
+		controls = []string{defaultControlAddress}
 	}
-	return state.NewWatcher(b, state.Params{
+	return state.NewWatcher(b, state.WatcherConfig{
 		Controls: controls, Entry: self.Address, DataCentre: s.DataCentre, Creds: creds, Log: log,
-		Snapshot: func(all bool) []byte {
+		AccountingSnapshot: func(all bool) []byte {
 			if all {
-				return encode(books.Snapshot(s.Host, s.DataCentre, self.Incarnation))
+				return encodeSnapshot(usage.Snapshot(s.Host, s.DataCentre, self.Incarnation))
 			}
-			return encode(books.ChangedSnapshot(s.Host, s.DataCentre, self.Incarnation))
+			return encodeSnapshot(usage.ChangedSnapshot(s.Host, s.DataCentre, self.Incarnation))
 		},
 	})
 }
 
-func encode(s accounting.Snapshot) []byte {
+func encodeSnapshot(s accounting.Snapshot) []byte {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil
@@ -167,26 +167,30 @@
 
 func runWatcher(lc fx.Lifecycle, w *state.Watcher) { process.Background(lc, w.Run) }
 
-// registerEvery is how often the register of idempotency keys looks at the
-// host list; it is well below the list's freshness bound.
-const registerEvery = 500 * time.Millisecond
+// hostListRefreshInterval is how often the registry of idempotency keys reads
+// the host list. It is well below the time for which a confirmed list counts as
+// fresh.
+const hostListRefreshInterval = 500 * time.Millisecond
 
-func keepRegister(lc fx.Lifecycle, o *plain.Once) { process.Every(lc, registerEvery, o.Refresh) }
+func runHostListRefresh(lc fx.Lifecycle, o *plain.AtMostOnceRelay) {
+	process.Every(lc, hostListRefreshInterval, o.RefreshHosts)
+}
 
-// registerGauges shows what the entry holds.
-func registerGauges(reg gometrics.Registry, o *plain.Once, life *lifecycle.Lifecycle) {
+// registerGauges registers gauges for the requests in progress and for the
+// number and size of recorded idempotency keys.
+func registerGauges(reg gometrics.Registry, o *plain.AtMostOnceRelay, life *lifecycle.Lifecycle) {
 	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.Running()) })
-	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.Size(); return int64(keys) })
-	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.Size(); return int64(bytes) })
+	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.RecordSize(); return int64(keys) })
+	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.RecordSize(); return int64(bytes) })
 }
 
-func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *plain.Once, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
+func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *plain.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
-	filbertv1.RegisterForwardServer(server, &plain.Server{Once: o, Board: b, Begin: life.Begin})
+	filbertv1.RegisterForwardServer(server, &plain.ForwardServer{Relay: o, Board: b, Begin: life.Begin})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, books *accounting.Book, b *state.Board, self once.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, usage *accounting.Book, b *state.Board, self once.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
@@ -194,13 +198,13 @@
 	r.HandleFunc("/state", b.ServeSummary)
 	r.HandleFunc("/accounting", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(encode(books.Snapshot(s.Host, s.DataCentre, self.Incarnation)))
+		_, _ = w.Write(encodeSnapshot(usage.Snapshot(s.Host, s.DataCentre, self.Incarnation)))
 	})
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
 }
 
-// serveCallers is the last to start and the first to stop. Its stop reports
-// "not ready", waits for the requests in progress, and only then closes.
+// serveCallers starts last and stops first. On stop it reports "not ready",
+// waits for the requests in progress, and then shuts the HTTP server down.
 func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callers.API, life *lifecycle.Lifecycle, s *Settings) {
 	server := callers.NewServer(api.Handler())
 	lc.Append(fx.Hook{
--- a/internal/entry/plain/request.go
+++ b/internal/entry/plain/call.go
@@ -1,5 +1,5 @@
-// Package plain relays calls to plain services: idempotent ones, which may be
-// sent to another target when one fails, and calls that run at most once.
+// Package plain relays calls to plain services. Idempotent calls may be sent to
+// another target when one fails; at-most-once calls are never sent twice.
 package plain
 
 import (
@@ -17,40 +17,41 @@
 	"filbertdeck/internal/table"
 )
 
-// maxAnswer bounds a plain service's answer, in bytes.
-const maxAnswer = 8 << 20
+// maxAnswerBytes is the maximum size of a plain service's response body.
+const maxAnswerBytes = 8 << 20
 
-// Call is one call of a caller to a plain service.
+// Call is a caller's request to a plain service.
 type Call struct {
 	Account *table.Account
 	Service *table.Service
 	Method  string
-	// Path is the path at the target with its query.
-	Path    string
-	Header  http.Header
-	Body    []byte
-	Books   *accounting.Entry
-	Arrived time.Time
+	// Path is the path at the target, with the query.
+	Path       string
+	Header     http.Header
+	Body       []byte
+	Accounting *accounting.Entry
+	ArrivedAt  time.Time
 }
 
-// passed lists the headers that go to the target. Everything else stays here:
-// the caller's key above all.
-var passed = []string{
+// requestHeaders lists the headers that are sent to the target. All others are
+// dropped, above all Authorization, which holds the caller's key.
+var requestHeaders = []string{
 	"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match",
 	"Idempotency-Key", "X-Request-Id", "Traceparent",
 }
 
-// returned lists the headers of the target's answer that reach the caller.
-var returned = []string{
+// responseHeaders lists the headers of the target's response that are returned
+// to the caller.
+var responseHeaders = []string{
 	"Content-Type", "Content-Language", "Cache-Control", "Etag", "Last-Modified", "Location", "X-Request-Id",
 }
 
-func (c Call) request(target string) (*http.Request, error) {
+func (c Call) newTargetRequest(target string) (*http.Request, error) {
 	req, err := http.NewRequest(c.Method, "http://"+target+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindBadRequest, "the path cannot be sent to a target")
+		return nil, failure.Wrap(err, failure.KindBadRequest, "the path is not a valid request path")
 	}
-	for _, name := range passed {
+	for _, name := range requestHeaders {
 		for _, value := range c.Header.Values(name) {
 			req.Header.Add(name, value)
 		}
@@ -58,7 +59,8 @@
 	return req, nil
 }
 
-// fingerprint is equal for calls that ask for the same thing.
+// fingerprint returns a hash that is equal for calls with the same service,
+// method, path and body.
 func (c Call) fingerprint() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{c.Service.Name, c.Method, c.Path} {
@@ -69,19 +71,19 @@
 	return d.Sum64()
 }
 
-// readAnswer takes a target's answer whole. Half an answer is a failure: its
-// target ran the call.
+// readAnswer reads a target's complete response. A partial response is a
+// failure with unknown outcome, since the target may have run the call.
 func readAnswer(resp *http.Response) (*once.Answer, error) {
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindTargetLost, "the target's answer was cut").Unknown()
+		return nil, failure.Wrap(err, failure.KindTargetLost, "the target's response was incomplete").Unknown()
 	}
-	if len(body) > maxAnswer {
-		return nil, failure.New(failure.KindTargetFailed, "the target's answer is over %d bytes", maxAnswer).Ran()
+	if len(body) > maxAnswerBytes {
+		return nil, failure.New(failure.KindTargetFailed, "the target's response exceeds %d bytes", maxAnswerBytes).Ran()
 	}
 	a := &once.Answer{Status: resp.StatusCode, Body: body}
-	for _, name := range returned {
+	for _, name := range responseHeaders {
 		if value := resp.Header.Get(name); value != "" {
 			a.Headers = append(a.Headers, once.Header{Name: name, Value: value})
 		}
@@ -89,8 +91,8 @@
 	return a, nil
 }
 
-// write hands an answer to the caller.
-func write(w http.ResponseWriter, a *once.Answer) {
+// writeAnswer writes an answer to the caller.
+func writeAnswer(w http.ResponseWriter, a *once.Answer) {
 	for _, h := range a.Headers {
 		w.Header().Set(h.Name, h.Value)
 	}
@@ -98,7 +100,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-func headersToWire(headers []once.Header) []*filbertv1.Header {
+func headersToProto(headers []once.Header) []*filbertv1.Header {
 	out := make([]*filbertv1.Header, len(headers))
 	for i, h := range headers {
 		out[i] = &filbertv1.Header{Name: h.Name, Value: h.Value}
@@ -106,7 +108,7 @@
 	return out
 }
 
-func headersFromWire(headers []*filbertv1.Header) []once.Header {
+func headersFromProto(headers []*filbertv1.Header) []once.Header {
 	out := make([]once.Header, len(headers))
 	for i, h := range headers {
 		out[i] = once.Header{Name: h.Name, Value: h.Value}
--- a/internal/entry/plain/forward.go
+++ b/internal/entry/plain/forward.go
@@ -16,21 +16,21 @@
 	"filbertdeck/internal/rpc"
 )
 
-// Peers hands calls to other entries over gRPC.
-type Peers struct {
+// PeerForwarder forwards calls to other entries over gRPC.
+type PeerForwarder struct {
 	Creds rpc.Credentials
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
 }
 
-// NewPeers returns a forwarder without connections.
-func NewPeers(creds rpc.Credentials) *Peers {
-	return &Peers{Creds: creds, conns: map[string]*grpc.ClientConn{}}
+// NewPeerForwarder returns a forwarder without connections.
+func NewPeerForwarder(creds rpc.Credentials) *PeerForwarder {
+	return &PeerForwarder{Creds: creds, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Close ends all connections.
-func (p *Peers) Close() {
+// Close closes all connections.
+func (p *PeerForwarder) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, conn := range p.conns {
@@ -39,7 +39,7 @@
 	}
 }
 
-func (p *Peers) conn(address string) (*grpc.ClientConn, error) {
+func (p *PeerForwarder) conn(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if conn, ok := p.conns[address]; ok {
@@ -53,9 +53,9 @@
 	return conn, nil
 }
 
-// drop closes a connection that is in doubt, so that the next call opens
-// another one.
-func (p *Peers) drop(address string, conn *grpc.ClientConn) {
+// closeConn closes a connection on which a call failed, so that the next call
+// opens a new one.
+func (p *PeerForwarder) closeConn(address string, conn *grpc.ClientConn) {
 	p.mu.Lock()
 	if p.conns[address] == conn {
 		delete(p.conns, address)
@@ -64,23 +64,23 @@
 	_ = conn.Close()
 }
 
-// Forward hands the call to its owner. When the owner does not answer the
-// outcome is unknown, also when it was never reached: it may have run an
-// earlier sending of the same call.
-func (p *Peers) Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error) {
+// Forward sends the call to the owner of its key. If the owner does not answer,
+// the outcome is unknown even when it could not be reached: it may have run an
+// earlier attempt of the same call.
+func (p *PeerForwarder) Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error) {
 	conn, err := p.conn(owner.Address)
 	if err != nil {
 		return nil, false, once.OwnerUnreachable(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, onceLimit)
+	ctx, cancel := context.WithTimeout(ctx, atMostOnceTimeout)
 	defer cancel()
 	reply, err := filbertv1.NewForwardClient(conn).RunOnce(ctx, &filbertv1.RunOnceRequest{
 		Key: key, Account: call.Account.Name, Service: call.Service.Name,
-		Method: call.Method, Path: call.Path, Headers: forwarded(call.Header), Body: call.Body,
-		Incarnation: owner.Incarnation, HostsRevision: revision, DeadlineMs: uint32(onceLimit.Milliseconds()),
+		Method: call.Method, Path: call.Path, Headers: forwardedHeaders(call.Header), Body: call.Body,
+		Incarnation: owner.Incarnation, HostsRevision: revision, DeadlineMs: uint32(atMostOnceTimeout.Milliseconds()),
 	})
 	if err != nil {
-		p.drop(owner.Address, conn)
+		p.closeConn(owner.Address, conn)
 		return nil, false, once.OwnerUnreachable(err)
 	}
 	if reply.Problem != "" {
@@ -89,12 +89,12 @@
 			Detail: "answer of the entry that owns the key", RetryAfterMS: int64(reply.RetryAfterMs),
 		})
 	}
-	return &once.Answer{Status: int(reply.Status), Headers: headersFromWire(reply.Headers), Body: reply.Body}, reply.Replayed, nil
+	return &once.Answer{Status: int(reply.Status), Headers: headersFromProto(reply.Headers), Body: reply.Body}, reply.Replayed, nil
 }
 
-func forwarded(h http.Header) []*filbertv1.Header {
+func forwardedHeaders(h http.Header) []*filbertv1.Header {
 	var out []*filbertv1.Header
-	for _, name := range passed {
+	for _, name := range requestHeaders {
 		for _, value := range h.Values(name) {
 			out = append(out, &filbertv1.Header{Name: name, Value: value})
 		}
@@ -102,39 +102,39 @@
 	return out
 }
 
-// Server takes calls that other entries hand over.
-type Server struct {
+// ForwardServer handles calls forwarded by other entries.
+type ForwardServer struct {
 	filbertv1.UnimplementedForwardServer
-	Once  *Once
+	Relay *AtMostOnceRelay
 	Board *state.Board
-	// Begin counts a request in progress, so that a stop waits for it.
+	// Begin counts a request as in progress, so that a shutdown waits for it.
 	Begin func() (end func(), err error)
 }
 
-// RunOnce implements the Forward service. The call is booked at the entry that
-// the caller spoke to, not here.
-func (s *Server) RunOnce(ctx context.Context, r *filbertv1.RunOnceRequest) (*filbertv1.RunOnceReply, error) {
+// RunOnce implements the Forward service. The call is accounted for at the entry
+// that received it from the caller, not here.
+func (s *ForwardServer) RunOnce(ctx context.Context, r *filbertv1.RunOnceRequest) (*filbertv1.RunOnceReply, error) {
 	end, err := s.Begin()
 	if err != nil {
 		return problemReply(failure.From(err).Unknown()), nil
 	}
 	defer end()
-	call, err := s.call(r)
+	call, err := s.parseCall(r)
 	if err != nil {
 		return problemReply(err), nil
 	}
 	origin := &Origin{Incarnation: r.Incarnation, HostsRevision: r.HostsRevision}
-	answer, replayed, err := s.Once.Run(ctx, call, r.Key, origin)
+	answer, replayed, err := s.Relay.Run(ctx, call, r.Key, origin)
 	if err != nil {
 		return problemReply(err), nil
 	}
 	return &filbertv1.RunOnceReply{
-		Status: uint32(answer.Status), Headers: headersToWire(answer.Headers), Body: answer.Body, Replayed: replayed,
+		Status: uint32(answer.Status), Headers: headersToProto(answer.Headers), Body: answer.Body, Replayed: replayed,
 		Executed: string(failure.ExecutedYes),
 	}, nil
 }
 
-func (s *Server) call(r *filbertv1.RunOnceRequest) (Call, error) {
+func (s *ForwardServer) parseCall(r *filbertv1.RunOnceRequest) (Call, error) {
 	t := s.Board.Table.Get()
 	if t == nil {
 		return Call{}, failure.New(failure.KindNotReady, "the entry that owns the key has no table yet")
@@ -147,12 +147,12 @@
 	for _, h := range r.Headers {
 		header.Add(h.Name, h.Value)
 	}
-	// A throw-away row: the counters belong to the entry that the caller spoke
-	// to.
-	books := accounting.New().Begin(r.Account, r.Service)
+	// The usage is discarded: the entry that received the call from the caller
+	// accounts for it.
+	usage := accounting.New().Begin(r.Account, r.Service)
 	return Call{
 		Account: account, Service: service, Method: r.Method, Path: r.Path,
-		Header: header, Body: r.Body, Books: books, Arrived: time.Now(),
+		Header: header, Body: r.Body, Accounting: usage, ArrivedAt: time.Now(),
 	}, nil
 }
 
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,12 +1,13 @@
-// Package entry builds the program filbert-entry: callers' HTTP, admission,
-// relay, accounting. It holds requests and nothing else.
+// Package entry builds the program filbert-entry: the HTTP API for callers, the
+// admission client, the relays to targets, and usage accounting. All its state
+// is in memory; an entry stores nothing durably.
 package entry
 
 import (
 	"filbertdeck/internal/settings"
 )
 
-// Settings of filbert-entry.
+// Settings holds the settings of filbert-entry.
 type Settings struct {
 	settings.Common
 	Listen      string   `arg:"--listen,env:FILBERT_ENTRY_LISTEN" check:"hostport" default:"127.0.0.1:8080" help:"address for callers"`
@@ -17,7 +18,8 @@
 	BodyLimit   int64    `arg:"--body-limit,env:FILBERT_ENTRY_BODY_LIMIT" check:"1024..67108864" default:"1048576" help:"largest body of a request, in bytes"`
 }
 
-// Program and About name the program.
+// Program is the name of the executable and About the description in its help
+// text.
 const (
 	Program = "filbert-entry"
 	About   = `filbert-entry takes callers' requests on an entry host and relays them to targets.
@@ -26,4 +28,4 @@
 Example: filbert-entry --plain-text --listen 127.0.0.1:8080 --control 127.0.0.1:8090`
 )
 
-const defaultControl = "127.0.0.1:8090"
+const defaultControlAddress = "127.0.0.1:8090"
--- a/internal/entry/state/board.go
+++ b/internal/entry/state/board.go
@@ -1,7 +1,7 @@
-// Package state keeps an entry's view of the world on its blackboard: the
-// table in force, the published hosts and the pools. A watcher fills it from
-// the control process of the same host, or from another one of the data
-// centre while that is gone.
+// Package state holds an entry's view of the deployment on a blackboard: the
+// table in force, the published hosts, and the pools. A watcher updates it from
+// the control process on the same host, or from another one of the data centre
+// while that is unavailable.
 package state
 
 import (
@@ -17,57 +17,58 @@
 	Table blackboard.Section[table.Table]
 	Hosts blackboard.Section[Hosts]
 	Pools blackboard.Section[Pools]
-	// Backlogs holds the wait in each pool that is known, in milliseconds.
+	// Backlogs holds the known queueing delay of each pool, in milliseconds.
 	Backlogs blackboard.Section[map[string]uint32]
-	// Confirmed is when the host list in Hosts was last confirmed by the
-	// configuration service.
+	// Confirmed records when the configuration service last confirmed the host
+	// list in Hosts.
 	Confirmed blackboard.Section[Confirmation]
 }
 
 // NewBoard returns an empty blackboard.
 func NewBoard() *Board { return &Board{} }
 
-// Ready tells whether requests can be served.
+// Ready reports whether requests can be served.
 func (b *Board) Ready() bool {
 	return b.Table.Get() != nil && b.Pools.Get() != nil
 }
 
-// Hosts is one state of the published host list.
+// Hosts is one revision of the published host list.
 type Hosts struct {
 	Revision uint64
-	List     []*filbertv1.HostEntry
+	Entries  []*filbertv1.HostEntry
 }
 
-// LiveEntries lists the forward addresses of the live hosts' entries.
+// LiveEntries returns the peer addresses of the entries on live hosts.
 func (h *Hosts) LiveEntries() []string {
 	var live []string
-	for _, host := range h.List {
-		if host.State == hostLive {
+	for _, host := range h.Entries {
+		if host.State == hostStateLive {
 			live = append(live, host.Entry)
 		}
 	}
 	return live
 }
 
-const hostLive = "live"
+const hostStateLive = "live"
 
-// Confirmation tells how fresh the host list is.
+// Confirmation records how fresh the host list is.
 type Confirmation struct {
 	HostsRevision uint64
-	// At is on this process's own clock and counts from before the question
-	// was asked.
-	At time.Time
+	// ConfirmedAt is the confirmation time on this process's clock. It is
+	// computed from the time before the request was sent, so that it is never
+	// too late.
+	ConfirmedAt time.Time
 }
 
-// Pools is one state of the pools.
+// Pools is an immutable snapshot of the pools, indexed for lookups.
 type Pools struct {
 	ByService map[string][]*filbertv1.Pool
 	ByName    map[string]*filbertv1.Pool
-	// ByTarget finds the pool of a target of a service.
+	// ByTarget maps a service's target to its pool.
 	ByTarget map[TargetKey]*filbertv1.Pool
 }
 
-// TargetKey names a target of a service.
+// TargetKey identifies a target of a service.
 type TargetKey struct{ Service, Address string }
 
 func newPools(list []*filbertv1.Pool) *Pools {
@@ -88,7 +89,7 @@
 	return p
 }
 
-// Owners lists the control processes that may admit to a pool.
+// Owners returns the control processes that may admit requests to a pool.
 func (b *Board) Owners(pool string) []string {
 	pools := b.Pools.Get()
 	if pools == nil {
--- a/internal/entry/state/summary.go
+++ b/internal/entry/state/summary.go
@@ -6,17 +6,18 @@
 	"sort"
 )
 
-// Summary is what operators see of an entry's view.
+// Summary is an entry's view as shown to operators.
 type Summary struct {
 	TableRevision uint64             `json:"table_revision"`
 	HostsRevision uint64             `json:"hosts_revision"`
 	Weights       map[string]float64 `json:"weights"`
 	Drained       []string           `json:"drained"`
-	// Pools lists those that take new work.
+	// Pools lists the pools that accept new work.
 	Pools []string `json:"pools"`
 }
 
-// Summary gives the entry's view; empty parts are not known yet.
+// Summary returns the entry's current view; parts that are not known yet are
+// empty.
 func (b *Board) Summary() Summary {
 	s := Summary{Weights: map[string]float64{}}
 	if t := b.Table.Get(); t != nil {
@@ -43,7 +44,7 @@
 	return s
 }
 
-// ServeSummary answers with the entry's view as JSON.
+// ServeSummary writes the entry's view as JSON.
 func (b *Board) ServeSummary(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(b.Summary())
--- a/internal/entry/state/watcher.go
+++ b/internal/entry/state/watcher.go
@@ -14,17 +14,20 @@
 )
 
 const (
-	// confirmEvery is how often the local control process is asked for the
-	// freshness of the host list; the question is its heartbeat as well.
-	confirmEvery = 500 * time.Millisecond
-	// confirmLimit bounds one question. A control process on the same host
-	// answers in microseconds; after this time the connection is doubted.
-	confirmLimit = time.Second
-	// reconnectPause keeps a watcher from spinning while all are gone.
-	reconnectPause = 200 * time.Millisecond
+	// confirmInterval is how often the control process is asked how fresh the
+	// host list is. The request also serves as a heartbeat.
+	confirmInterval = 500 * time.Millisecond
+	// confirmTimeout limits one such request. A control process on the same host
+	// answers within microseconds; after this time the connection is considered
+	// broken.
+	confirmTimeout = time.Second
+	// reconnectDelay prevents a busy loop while no control process can be
+	// reached.
+	reconnectDelay = 200 * time.Millisecond
 )
 
-// Watcher is the board's only writer.
+// Watcher receives state from a control process; it is the only writer of the
+// board.
 type Watcher struct {
 	board      *Board
 	controls   []string
@@ -39,31 +42,34 @@
 	backlogs  *blackboard.Writer[map[string]uint32]
 	confirmed *blackboard.Writer[Confirmation]
 
-	snapshot func(all bool) []byte
-	// counted is set once the present stream has the whole accounting.
-	counted bool
-	// streamed is the table that the present stream has told so far.
-	streamed *table.Table
+	accountingSnapshot func(all bool) []byte
+	// accountingSent is set once the full accounting was sent on the current
+	// stream.
+	accountingSent bool
+	// streamTable is the table received on the current stream, the base for its
+	// deltas.
+	streamTable *table.Table
 }
 
-// Params are what a watcher needs to know.
-type Params struct {
-	// Controls are tried in order, the local one first.
+// WatcherConfig configures a Watcher.
+type WatcherConfig struct {
+	// Controls are the control processes, tried in order; the local one comes
+	// first.
 	Controls   []string
 	Entry      string
 	DataCentre string
 	Creds      rpc.Credentials
 	Log        *slog.Logger
-	// Snapshot gives the accounting for the control process, as JSON: all rows,
-	// or those that changed since the last call.
-	Snapshot func(all bool) []byte
+	// AccountingSnapshot returns the accounting for the control process as JSON:
+	// all rows, or only those that changed since the last call.
+	AccountingSnapshot func(all bool) []byte
 }
 
-// NewWatcher claims the board's sections.
-func NewWatcher(b *Board, p Params) (*Watcher, error) {
+// NewWatcher returns a watcher and claims the board's sections for writing.
+func NewWatcher(b *Board, config WatcherConfig) (*Watcher, error) {
 	w := &Watcher{
-		board: b, controls: p.Controls, entry: p.Entry, dataCentre: p.DataCentre,
-		creds: p.Creds, log: p.Log, snapshot: p.Snapshot,
+		board: b, controls: config.Controls, entry: config.Entry, dataCentre: config.DataCentre,
+		creds: config.Creds, log: config.Log, accountingSnapshot: config.AccountingSnapshot,
 	}
 	var err error
 	if w.tables, err = b.Table.Claim(); err != nil {
@@ -84,25 +90,26 @@
 	return w, nil
 }
 
-// Run watches until ctx ends.
+// Run receives state until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, control := range w.controls {
-			err := w.follow(ctx, control)
+			err := w.watchControl(ctx, control)
 			if ctx.Err() != nil {
 				return
 			}
 			w.log.Warn("state stream ended", "control", control, "error", err)
 		}
 		select {
-		case <-time.After(reconnectPause):
+		case <-time.After(reconnectDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// follow takes state from one control process until its heartbeat stays out.
-func (w *Watcher) follow(ctx context.Context, control string) error {
+// watchControl receives state from one control process until the stream breaks
+// or a heartbeat is not answered.
+func (w *Watcher) watchControl(ctx context.Context, control string) error {
 	conn, err := rpc.Dial(control, w.creds)
 	if err != nil {
 		return err
@@ -111,24 +118,24 @@
 	client := filbertv1.NewAdmissionClient(conn)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w.streamed, w.counted = nil, false
+	w.streamTable, w.accountingSent = nil, false
 	stream, err := client.WatchState(ctx, &filbertv1.WatchStateRequest{Entry: w.entry, DataCentre: w.dataCentre})
 	if err != nil {
-		return failure.Wrap(err, failure.KindControlLost, "state stream of %s cannot be opened", control)
+		return failure.Wrap(err, failure.KindControlLost, "could not open the state stream from control process %s", control)
 	}
-	done := make(chan struct{})
+	confirmDone := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(confirmDone)
 		w.confirmLoop(ctx, client)
 		cancel()
 	}()
-	// The next stream must not begin while this one's last question is still
-	// out: its answer would mark the next one's accounting as handed over.
-	defer func() { cancel(); <-done }()
+	// Wait for the last request of this stream: if it completed during the next
+	// stream, it would mark that stream's accounting as sent.
+	defer func() { cancel(); <-confirmDone }()
 	for {
 		update, err := stream.Recv()
 		if err != nil {
-			return failure.Wrap(err, failure.KindControlLost, "state stream of %s broke", control)
+			return failure.Wrap(err, failure.KindControlLost, "the state stream from control process %s failed", control)
 		}
 		if err := w.apply(update); err != nil {
 			return err
@@ -136,9 +143,9 @@
 	}
 }
 
-// confirmLoop returns when a question stays without an answer.
+// confirmLoop sends requests until one fails.
 func (w *Watcher) confirmLoop(ctx context.Context, client filbertv1.AdmissionClient) {
-	ticker := time.NewTicker(confirmEvery)
+	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if w.confirm(ctx, client) != nil {
@@ -152,26 +159,26 @@
 }
 
 func (w *Watcher) confirm(ctx context.Context, client filbertv1.AdmissionClient) error {
-	ctx, cancel := context.WithTimeout(ctx, confirmLimit)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	asked := time.Now()
+	askedAt := time.Now()
 	reply, err := client.Confirm(ctx, &filbertv1.ConfirmRequest{})
 	if err != nil {
-		return failure.Wrap(err, failure.KindControlLost, "heartbeat was not answered")
+		return failure.Wrap(err, failure.KindControlLost, "the control process did not answer the heartbeat")
 	}
 	if !reply.Unconfirmed {
 		w.confirmed.Publish(&Confirmation{
 			HostsRevision: reply.HostsRevision,
-			At:            asked.Add(-time.Duration(reply.ConfirmedMs) * time.Millisecond),
+			ConfirmedAt:   askedAt.Add(-time.Duration(reply.ConfirmedMs) * time.Millisecond),
 		})
 	}
 	_, err = client.PutAccounting(ctx, &filbertv1.PutAccountingRequest{
-		Entry: w.entry, Snapshot: w.snapshot(!w.counted), Changes: w.counted,
+		Entry: w.entry, Snapshot: w.accountingSnapshot(!w.accountingSent), Changes: w.accountingSent,
 	})
 	if err != nil {
-		return failure.Wrap(err, failure.KindControlLost, "accounting was not taken")
+		return failure.Wrap(err, failure.KindControlLost, "the control process did not accept the accounting")
 	}
-	w.counted = true
+	w.accountingSent = true
 	return nil
 }
 
@@ -182,7 +189,7 @@
 		}
 	}
 	if h := u.GetHosts(); h != nil {
-		w.hosts.Publish(&Hosts{Revision: h.Revision, List: h.Hosts})
+		w.hosts.Publish(&Hosts{Revision: h.Revision, Entries: h.Hosts})
 	}
 	if p := u.GetPools(); p != nil {
 		w.pools.Publish(newPools(p.Pools))
@@ -204,26 +211,26 @@
 	w.backlogs.Publish(&next)
 }
 
-// applyTable reads rows again although the control process did so already: the
-// two may run different releases during an upgrade, and a row that this one
-// does not understand must leave its table as it is. The stream then begins
-// anew, since its changes no longer apply.
+// applyTable validates the rows again, although the control process has done so:
+// the two may run different releases during an upgrade, and a row that this
+// process does not understand must leave its table unchanged. The stream is then
+// reopened, since its later deltas no longer apply.
 //
-// A table older than the one in force is not taken: the entry may have come to
-// a control process that has not heard of the last edit yet, and an accepted
-// edit never reverts.
+// A table older than the one in force is ignored: the entry may have connected
+// to a control process that has not received the last edit yet, and an accepted
+// edit must never be reverted.
 func (w *Watcher) applyTable(section *filbertv1.TableSection) error {
 	next, faults := w.readTable(section)
 	if len(faults) > 0 {
 		w.log.Error("table refused", "revision", section.Revision, "faults", len(faults))
-		return failure.Wrap(faults.Err(), failure.KindTableInvalid, "the table handed over cannot be used")
+		return failure.Wrap(faults.Err(), failure.KindTableInvalid, "the table received from the control process is invalid")
 	}
 	next.Restores = section.Restores
 	next.Drained = make(map[string]bool, len(section.Drained))
 	for _, name := range section.Drained {
 		next.Drained[name] = true
 	}
-	w.streamed = next
+	w.streamTable = next
 	if current := w.board.Table.Get(); current != nil && current.Newer(next) {
 		return nil
 	}
@@ -239,7 +246,7 @@
 		}
 		return next, faults
 	}
-	base := w.streamed
+	base := w.streamTable
 	if base == nil {
 		base = &table.Table{}
 	}
--- a/internal/entry/state/watcher_test.go
+++ b/internal/entry/state/watcher_test.go
@@ -17,15 +17,15 @@
 	RunSpecs(t, "an entry's state")
 }
 
-const header = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
+const tableHeader = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
 
-func whole(epoch, restores, revision uint64, rows string) *filbertv1.StateUpdate {
+func fullUpdate(epoch, restores, revision uint64, rows string) *filbertv1.StateUpdate {
 	return &filbertv1.StateUpdate{Table: &filbertv1.TableSection{
-		Epoch: epoch, Restores: restores, Revision: revision, Pages: [][]byte{[]byte(header + rows)},
+		Epoch: epoch, Restores: restores, Revision: revision, Pages: [][]byte{[]byte(tableHeader + rows)},
 	}}
 }
 
-func delta(revision uint64, key, text string) *filbertv1.StateUpdate {
+func deltaUpdate(revision uint64, key, text string) *filbertv1.StateUpdate {
 	return &filbertv1.StateUpdate{Table: &filbertv1.TableSection{
 		Revision: revision, Delta: true, Changes: []*filbertv1.RowChange{{Key: key, Text: text}},
 	}}
@@ -38,43 +38,44 @@
 	BeforeEach(func() {
 		board = NewBoard()
 		var err error
-		w, err = NewWatcher(board, Params{Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		w, err = NewWatcher(board, WatcherConfig{Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(w.apply(whole(0, 0, 7, "account,school,2,,,,,,,,,,\n"))).To(Succeed())
+		Expect(w.apply(fullUpdate(0, 0, 7, "account,school,2,,,,,,,,,,\n"))).To(Succeed())
 	})
 
 	weight := func() float64 { return board.Table.Get().Accounts["school"].Weight }
 
-	It("follows changed rows", func() {
-		Expect(w.apply(delta(8, "account/school", "account,school,5,,,,,,,,,,"))).To(Succeed())
+	It("applies changed rows", func() {
+		Expect(w.apply(deltaUpdate(8, "account/school", "account,school,5,,,,,,,,,,"))).To(Succeed())
 		Expect(weight()).To(Equal(5.0))
 		Expect(board.Table.Get().Revision).To(BeEquivalentTo(8))
 	})
 
-	// The control process of the host dies. The next one has not heard of the
-	// last edit, and hands over the table of before: an operator's accepted
-	// limit would be gone on this host, and nobody would know.
-	It("is not taken back by a control process that is behind", func() {
-		w.streamed = nil
-		Expect(w.apply(whole(0, 0, 6, "account,school,1,,,,,,,,,,\n"))).To(Succeed())
+	// Guards against a table that goes backwards: the control process of the
+	// host fails, and the next one, which has not received the last edit, sends
+	// the previous table. An accepted limit would be lost on this host without
+	// anyone noticing.
+	It("ignores an older table from a control process that lags behind", func() {
+		w.streamTable = nil
+		Expect(w.apply(fullUpdate(0, 0, 6, "account,school,1,,,,,,,,,,\n"))).To(Succeed())
 		Expect(weight()).To(Equal(2.0))
-		Expect(w.apply(delta(9, "account/school", "account,school,4,,,,,,,,,,"))).To(Succeed())
-		Expect(weight()).To(Equal(4.0), "the next edit counts again")
+		Expect(w.apply(deltaUpdate(9, "account/school", "account,school,4,,,,,,,,,,"))).To(Succeed())
+		Expect(weight()).To(Equal(4.0), "the next edit applies")
 	})
 
 	DescribeTable("is ordered by epoch and restores before the revision",
-		func(epoch, restores, revision uint64, taken bool) {
-			w.streamed = nil
-			Expect(w.apply(whole(epoch, restores, revision, "account,school,9,,,,,,,,,,\n"))).To(Succeed())
-			Expect(weight() == 9).To(Equal(taken))
+		func(epoch, restores, revision uint64, accepted bool) {
+			w.streamTable = nil
+			Expect(w.apply(fullUpdate(epoch, restores, revision, "account,school,9,,,,,,,,,,\n"))).To(Succeed())
+			Expect(weight() == 9).To(Equal(accepted))
 		},
 		Entry("an older revision", uint64(0), uint64(0), uint64(6), false),
 		Entry("after a recognised restore", uint64(0), uint64(1), uint64(3), true),
 		Entry("after the operators raised the epoch", uint64(1), uint64(0), uint64(2), true),
 	)
 
-	It("stays as it is when a row cannot be read, and the stream begins anew", func() {
-		err := w.apply(delta(8, "account/school", "account,school,-5,,,,,,,,,,"))
+	It("is unchanged when a row is invalid, and the stream ends", func() {
+		err := w.apply(deltaUpdate(8, "account/school", "account,school,-5,,,,,,,,,,"))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindTableInvalid))
 		Expect(weight()).To(Equal(2.0))
 	})
