--- a/internal/decide/accusers/accusers.go
+++ b/internal/decide/failurereports/failurereports.go
@@ -1,4 +1,4 @@
-// Package accusers weighs what other hosts tell of failing targets.
+// Package failurereports weighs what other hosts tell of failing targets.
 //
 // Load pattern: one target of a plain service breaks each connection while its
 // health answers say that it is well, and many hosts send it a few requests a
@@ -13,7 +13,7 @@
 // few seconds is passed over while there are better ones.
 //
 // It is not safe for concurrent use; times are on the steady clock.
-package accusers
+package failurereports
 
 import "time"
 
@@ -28,8 +28,8 @@
 	each, most = 0.25, 0.75
 )
 
-// Board holds the accusations known to one host.
-type Board struct {
+// Tracker holds the accusations known to one host.
+type Tracker struct {
 	of map[string]map[string]accusation
 }
 
@@ -39,11 +39,11 @@
 }
 
 // New returns a board without accusations.
-func New() *Board { return &Board{of: map[string]map[string]accusation{}} }
+func New() *Tracker { return &Tracker{of: map[string]map[string]accusation{}} }
 
-// Heard takes what a host tells of its failures at a target: a number that is
+// RecordFailures takes what a host tells of its failures at a target: a number that is
 // another one after each failure, 0 for none.
-func (b *Board) Heard(now time.Duration, host, target string, failures uint32) {
+func (b *Tracker) RecordFailures(now time.Duration, host, target string, failures uint32) {
 	if failures == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Penalty is what the accusations add to a target's fullness.
-func (b *Board) Penalty(now time.Duration, target string) float64 {
+func (b *Tracker) Penalty(now time.Duration, target string) float64 {
 	hosts := 0
 	for _, a := range b.of[target] {
 		if now-a.at < holdsFor {
@@ -72,7 +72,7 @@
 }
 
 // Retain drops the targets that are not known any more.
-func (b *Board) Retain(known func(target string) bool) {
+func (b *Tracker) Retain(known func(target string) bool) {
 	for target := range b.of {
 		if !known(target) {
 			delete(b.of, target)
--- a/internal/decide/accusers/accusers_test.go
+++ b/internal/decide/failurereports/failurereports_test.go
@@ -1,4 +1,4 @@
-package accusers_test
+package failurereports_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/accusers"
+	"filbertdeck/internal/decide/failurereports"
 )
 
 func TestAccusers(t *testing.T) {
@@ -21,29 +21,29 @@
 	// A host is cut off from some targets that are well, and tells everyone of
 	// its failures. If it were believed alone, all would crowd the other targets.
 	It("by one host count for nothing, by two they do", func() {
-		b := accusers.New()
+		b := failurereports.New()
 		for n := range uint32(9) {
-			b.Heard(0, "host-1", "app-1", n+1)
+			b.RecordFailures(0, "host-1", "app-1", n+1)
 		}
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
-		b.Heard(0, "host-2", "app-1", 1)
+		b.RecordFailures(0, "host-2", "app-1", 1)
 		Expect(b.Penalty(0, "app-1")).To(BeNumerically(">", 0.4))
 	})
 
 	It("end some seconds after the last failure, also when the count is told again", func() {
-		b := accusers.New()
+		b := failurereports.New()
 		for now := time.Duration(0); now < 5*time.Second; now += time.Second {
-			b.Heard(now, "host-1", "app-1", 3)
-			b.Heard(now, "host-2", "app-1", 2)
+			b.RecordFailures(now, "host-1", "app-1", 3)
+			b.RecordFailures(now, "host-2", "app-1", 2)
 		}
 		Expect(b.Penalty(3*time.Second, "app-1")).NotTo(BeZero())
 		Expect(b.Penalty(5*time.Second, "app-1")).To(BeZero())
 	})
 
 	It("are forgotten with the target", func() {
-		b := accusers.New()
-		b.Heard(0, "host-1", "app-1", 1)
-		b.Heard(0, "host-2", "app-1", 1)
+		b := failurereports.New()
+		b.RecordFailures(0, "host-1", "app-1", 1)
+		b.RecordFailures(0, "host-2", "app-1", 1)
 		b.Retain(func(string) bool { return false })
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
 	})
@@ -55,10 +55,10 @@
 		const hosts, targets, perSecond, tellAfter = 84, 4, 150, 200 * time.Millisecond
 		lost := func(told bool) int {
 			draw := rand.New(rand.NewPCG(3, 4))
-			boards := make([]*accusers.Board, hosts)
+			boards := make([]*failurereports.Tracker, hosts)
 			own := make([]time.Duration, hosts)
 			for i := range boards {
-				boards[i], own[i] = accusers.New(), -time.Hour
+				boards[i], own[i] = failurereports.New(), -time.Hour
 			}
 			type news struct {
 				at       time.Duration
@@ -71,7 +71,7 @@
 				now := time.Duration(n) * time.Second / perSecond
 				for told && len(waiting) > 0 && waiting[0].at <= now {
 					for _, b := range boards {
-						b.Heard(now, waiting[0].host, "bad", waiting[0].failures)
+						b.RecordFailures(now, waiting[0].host, "bad", waiting[0].failures)
 					}
 					waiting = waiting[1:]
 				}
--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -47,9 +47,9 @@
 	LateAfter time.Duration
 }
 
-// Default gives the figures in use. A host asks for news every 200 ms, so a
+// DefaultConfig gives the figures in use. A host asks for news every 200 ms, so a
 // peer of its own part that has the document is heard of within FarAfter.
-func Default() Config {
+func DefaultConfig() Config {
 	return Config{
 		FarAfter: 250 * time.Millisecond, FarStep: 500 * time.Millisecond, FarRanks: 3,
 		BusyPause: 60 * time.Millisecond, FailedPause: 2 * time.Second,
@@ -62,16 +62,16 @@
 
 // The outcomes of a transfer.
 const (
-	// Taken: the peer's document was taken, or was known by then.
-	Taken Outcome = iota + 1
+	// Succeeded: the peer's document was taken, or was known by then.
+	Succeeded Outcome = iota + 1
 	// Busy: the peer gives to as many others as it can.
 	Busy
 	// Failed: the peer did not answer, or what it gave can't be used.
 	Failed
 )
 
-// Plan decides from whom one host fetches.
-type Plan struct {
+// PeerSelector decides from whom one host fetches.
+type PeerSelector struct {
 	cfg     Config
 	draw    *rand.Rand
 	peers   map[string]*source
@@ -94,14 +94,14 @@
 	after time.Duration
 }
 
-// NewPlan returns a plan that has heard of nobody.
-func NewPlan(cfg Config, draw *rand.Rand) *Plan {
-	return &Plan{cfg: cfg, draw: draw, peers: map[string]*source{}, timeout: cfg.FirstTimeout}
+// NewPeerSelector returns a plan that has heard of nobody.
+func NewPeerSelector(cfg Config, draw *rand.Rand) *PeerSelector {
+	return &PeerSelector{cfg: cfg, draw: draw, peers: map[string]*source{}, timeout: cfg.FirstTimeout}
 }
 
-// Announced notes that a peer holds a revision; near tells that it belongs to
+// RecordAnnouncement notes that a peer holds a revision; near tells that it belongs to
 // this host's part of the fleet.
-func (p *Plan) Announced(now time.Duration, peer string, near bool, revision uint64) {
+func (p *PeerSelector) RecordAnnouncement(now time.Duration, peer string, near bool, revision uint64) {
 	if len(p.peers) == 0 {
 		p.since = now
 	}
@@ -113,11 +113,11 @@
 	s.revision, s.near, s.heard = max(s.revision, revision), near, now
 }
 
-// Next gives the peer to fetch from, and the time to allow, when this host
+// StartTransfer gives the peer to fetch from, and the time to allow, when this host
 // holds a revision and has a rank in its part of the fleet, 0 for the first;
 // false when there is nobody to ask now. The transfer counts as begun until
 // Done.
-func (p *Plan) Next(now time.Duration, held uint64, rank int) (peer string, timeout time.Duration, ok bool) {
+func (p *PeerSelector) StartTransfer(now time.Duration, held uint64, rank int) (peer string, timeout time.Duration, ok bool) {
 	p.forget(held)
 	if p.held > 0 && held > p.held {
 		p.since = now
@@ -151,7 +151,7 @@
 
 // heardLately gives those of some peers that were heard of lately; all where none
 // was.
-func (p *Plan) heardLately(now time.Duration, peers []string) []string {
+func (p *PeerSelector) heardLately(now time.Duration, peers []string) []string {
 	var out []string
 	for _, name := range peers {
 		if now-p.peers[name].heard < p.cfg.LateAfter {
@@ -164,11 +164,11 @@
 	return out
 }
 
-// Wants tells whether some peer holds what this host lacked at the last Next.
-func (p *Plan) Wants() bool { return len(p.peers) > 0 }
+// IsBehind tells whether some peer holds what this host lacked at the last Next.
+func (p *PeerSelector) IsBehind() bool { return len(p.peers) > 0 }
 
 // forget drops peers that hold nothing newer.
-func (p *Plan) forget(held uint64) {
+func (p *PeerSelector) forget(held uint64) {
 	for name, s := range p.peers {
 		if s.revision <= held {
 			delete(p.peers, name)
@@ -176,12 +176,12 @@
 	}
 }
 
-// Done ends the transfer that Next began.
-func (p *Plan) Done(now time.Duration, peer string, outcome Outcome) {
+// FinishTransfer ends the transfer that Next began.
+func (p *PeerSelector) FinishTransfer(now time.Duration, peer string, outcome Outcome) {
 	p.fetches = false
 	s := p.peers[peer]
 	switch outcome {
-	case Taken:
+	case Succeeded:
 		p.timeout = p.cfg.FirstTimeout
 	case Busy:
 		if s != nil {
--- a/internal/decide/fetch/fetch_test.go
+++ b/internal/decide/fetch/fetch_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "fetch")
 }
 
-func newPlan(seed uint64) *fetch.Plan {
-	return fetch.NewPlan(fetch.Default(), rand.New(rand.NewPCG(seed, 1)))
+func newPlan(seed uint64) *fetch.PeerSelector {
+	return fetch.NewPeerSelector(fetch.DefaultConfig(), rand.New(rand.NewPCG(seed, 1)))
 }
 
 const second = time.Second
@@ -26,29 +26,29 @@
 var _ = Describe("a plan", func() {
 	It("fetches what is newer, from one peer at a time", func() {
 		p := newPlan(1)
-		p.Announced(0, "a", true, 5)
-		p.Announced(0, "b", true, 5)
-		_, _, ok := p.Next(0, 4, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		p.RecordAnnouncement(0, "b", true, 5)
+		_, _, ok := p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeTrue())
-		_, _, ok = p.Next(0, 4, 0)
+		_, _, ok = p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeFalse())
 	})
 
 	It("asks nobody for what is held", func() {
 		p := newPlan(1)
-		p.Announced(0, "a", true, 5)
-		_, _, ok := p.Next(0, 5, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		_, _, ok := p.StartTransfer(0, 5, 0)
 		Expect(ok).To(BeFalse())
-		Expect(p.Wants()).To(BeFalse())
+		Expect(p.IsBehind()).To(BeFalse())
 	})
 
 	It("leaves the other parts of the fleet alone while its own may have it", func() {
 		p := newPlan(1)
-		p.Announced(0, "far", false, 5)
-		_, _, ok := p.Next(0, 4, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		_, _, ok := p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(0, "near", true, 5)
-		peer, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "near", true, 5)
+		peer, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(peer).To(Equal("near"))
 	})
@@ -58,8 +58,8 @@
 	// as the cut lasts.
 	It("goes to another part when its own has nobody", func() {
 		p := newPlan(1)
-		p.Announced(0, "far", false, 5)
-		peer, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		peer, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(peer).To(Equal("far"))
 	})
@@ -68,12 +68,12 @@
 	It("goes to another part in time, however often something newer is announced", func() {
 		p := newPlan(1)
 		for now := time.Duration(0); now < second; now += second / 10 {
-			p.Announced(now, "far", false, uint64(5+now/second))
-			if _, _, ok := p.Next(now, 4, 0); ok {
-				Expect(now).To(BeNumerically(">=", fetch.Default().FarAfter))
+			p.RecordAnnouncement(now, "far", false, uint64(5+now/second))
+			if _, _, ok := p.StartTransfer(now, 4, 0); ok {
+				Expect(now).To(BeNumerically(">=", fetch.DefaultConfig().FarAfter))
 				return
 			}
-			p.Announced(now, "far", false, uint64(5+10*now/second))
+			p.RecordAnnouncement(now, "far", false, uint64(5+10*now/second))
 		}
 		Fail("nobody was asked within a second")
 	})
@@ -83,9 +83,9 @@
 	It("asks those heard of lately before one that has fallen silent", func() {
 		for seed := range uint64(50) {
 			p := newPlan(seed)
-			p.Announced(0, "silent", true, 5)
-			p.Announced(second, "a", true, 5)
-			peer, _, ok := p.Next(second, 4, 0)
+			p.RecordAnnouncement(0, "silent", true, 5)
+			p.RecordAnnouncement(second, "a", true, 5)
+			peer, _, ok := p.StartTransfer(second, 4, 0)
 			Expect(ok).To(BeTrue())
 			Expect(peer).To(Equal("a"))
 		}
@@ -93,11 +93,11 @@
 
 	It("waits anew for its own part once all was held", func() {
 		p := newPlan(1)
-		p.Announced(0, "far", false, 5)
-		_, _, ok := p.Next(second, 5, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		_, _, ok := p.StartTransfer(second, 5, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(second, "far", false, 6)
-		_, _, ok = p.Next(second, 5, 0)
+		p.RecordAnnouncement(second, "far", false, 6)
+		_, _, ok = p.StartTransfer(second, 5, 0)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -105,13 +105,13 @@
 	// would go on serving from an old configuration.
 	It("goes to another peer after one that did not answer", func() {
 		p := newPlan(1)
-		p.Announced(0, "a", true, 5)
-		first, _, _ := p.Next(0, 4, 0)
-		p.Done(second, first, fetch.Failed)
-		_, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		first, _, _ := p.StartTransfer(0, 4, 0)
+		p.FinishTransfer(second, first, fetch.Failed)
+		_, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(second, "b", true, 5)
-		next, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(second, "b", true, 5)
+		next, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(next).To(Equal("b"))
 	})
@@ -120,17 +120,17 @@
 	// begin it anew for ever.
 	It("allows twice the time after each transfer that ran out of it", func() {
 		p := newPlan(1)
-		p.Announced(0, "a", true, 5)
+		p.RecordAnnouncement(0, "a", true, 5)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 6 {
-			peer, timeout, ok := p.Next(now, 4, 0)
+			peer, timeout, ok := p.StartTransfer(now, 4, 0)
 			Expect(ok).To(BeTrue())
 			Expect(timeout).To(BeNumerically(">=", last))
 			last = timeout
-			p.Done(now, peer, fetch.Failed)
+			p.FinishTransfer(now, peer, fetch.Failed)
 			now += 10 * second
 		}
-		Expect(last).To(Equal(fetch.Default().LastTimeout))
+		Expect(last).To(Equal(fetch.DefaultConfig().LastTimeout))
 	})
 })
 
@@ -147,8 +147,8 @@
 	name   string
 	part   int
 	rank   int
-	plan   *fetch.Plan
-	giver  fetch.Giver
+	plan   *fetch.PeerSelector
+	giver  fetch.UploadLimiter
 	has    bool
 	arrive time.Duration
 	from   string
@@ -183,7 +183,7 @@
 		for i, h := range w.hosts {
 			if h.arrive >= 0 && now >= h.arrive {
 				h.has, h.arrive = true, -1
-				h.plan.Done(now, h.from, fetch.Taken)
+				h.plan.FinishTransfer(now, h.from, fetch.Succeeded)
 			}
 			if h.has {
 				continue
@@ -206,27 +206,27 @@
 	for _, other := range w.hosts {
 		reader := other.part == h.part && other == w.hosts[h.part]
 		if other.has && (reader || w.draw.IntN(len(w.hosts)) < 2) {
-			h.plan.Announced(now, other.name, other.part == h.part, 1)
+			h.plan.RecordAnnouncement(now, other.name, other.part == h.part, 1)
 		}
 	}
 }
 
 func (w *world) fetch(now time.Duration, h *playHost, byName map[string]*playHost) {
-	peer, _, ok := h.plan.Next(now, 0, h.rank)
+	peer, _, ok := h.plan.StartTransfer(now, 0, h.rank)
 	if !ok {
 		return
 	}
 	from := byName[peer]
 	if !from.has {
-		h.plan.Done(now, peer, fetch.Busy)
+		h.plan.FinishTransfer(now, peer, fetch.Busy)
 		return
 	}
-	others, given := from.giver.Give(now, h.name, w.bytes)
+	others, given := from.giver.Admit(now, h.name, w.bytes)
 	if !given {
 		for _, o := range others {
-			h.plan.Announced(now, o, byName[o].part == h.part, 1)
+			h.plan.RecordAnnouncement(now, o, byName[o].part == h.part, 1)
 		}
-		h.plan.Done(now, peer, fetch.Busy)
+		h.plan.FinishTransfer(now, peer, fetch.Busy)
 		return
 	}
 	from.free = max(from.free, now) + time.Duration(w.bytes)*second/linkBytes
--- a/internal/decide/fetch/giver.go
+++ b/internal/decide/fetch/giver.go
@@ -17,8 +17,8 @@
 	namedHolders, knownHolders = 3, 12
 )
 
-// Giver decides to whom one host gives a document.
-type Giver struct {
+// UploadLimiter decides to whom one host gives a document.
+type UploadLimiter struct {
 	// free is when all that was given is taken to have left the link.
 	free    time.Duration
 	holders []string
@@ -26,9 +26,9 @@
 	turn int
 }
 
-// Give tells whether a peer may have so many bytes now. Otherwise it names some
+// Admit tells whether a peer may have so many bytes now. Otherwise it names some
 // of those that got the like from here lately.
-func (g *Giver) Give(now time.Duration, peer string, bytes int) (others []string, ok bool) {
+func (g *UploadLimiter) Admit(now time.Duration, peer string, bytes int) (others []string, ok bool) {
 	burst := time.Duration(giveBurst) * time.Second / giveRate
 	if g.free > now+burst {
 		return g.named(peer), false
@@ -41,7 +41,7 @@
 
 // named gives the holders that a peer may ask. Those that got it last may not
 // have it yet, and answer that they are busy.
-func (g *Giver) named(peer string) []string {
+func (g *UploadLimiter) named(peer string) []string {
 	others := slices.DeleteFunc(slices.Clone(g.holders), func(h string) bool { return h == peer })
 	start := 0
 	if spare := len(others) - namedHolders; spare > 0 {
--- a/internal/decide/membership/core.go
+++ b/internal/decide/membership/core.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Core is the state of one process's view. It is not safe for concurrent use.
-type Core struct {
+// Node is the state of one process's view. It is not safe for concurrent use.
+type Node struct {
 	cfg  Config
 	self Member
 	rng  *rand.Rand
@@ -69,9 +69,9 @@
 type digestPair struct{ ours, theirs uint64 }
 
 // New returns a core that knows only itself.
-func New(cfg Config) *Core {
+func New(cfg Config) *Node {
 	cfg = cfg.withDefaults()
-	c := &Core{
+	c := &Node{
 		cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, hash("seed", cfg.Self.Address))),
 		records: map[string]*record{}, news: map[string]*news{},
 		probes: map[uint64]*probe{}, peerDigests: map[string]digestPair{}, dirty: true,
@@ -83,23 +83,23 @@
 }
 
 // Self gives this process as it presents itself to others.
-func (c *Core) Self() Member { return c.self }
+func (c *Node) Self() Member { return c.self }
 
 // Digest sums up the members that are not gone.
-func (c *Core) Digest() uint64 { return c.digest }
+func (c *Node) Digest() uint64 { return c.digest }
 
 // View gives the picture as of the last tick.
-func (c *Core) View() *View {
+func (c *Node) View() *View {
 	if c.view == nil {
 		c.refresh()
 	}
 	return c.view
 }
 
-// Published takes the platform's list of hosts, or the addresses from the
+// SetPublishedPeers takes the platform's list of hosts, or the addresses from the
 // settings at the start. It makes members known; it neither makes one alive
 // nor takes one away.
-func (c *Core) Published(now time.Duration, peers []Peer) {
+func (c *Node) SetPublishedPeers(now time.Duration, peers []Peer) {
 	named := make(map[string]Peer, len(peers))
 	for _, p := range peers {
 		if p.Address == c.self.Address {
@@ -126,7 +126,7 @@
 }
 
 // Leave marks this process as stopping by plan and returns who to tell.
-func (c *Core) Leave() []Action {
+func (c *Node) Leave() []Action {
 	c.digest -= hashMember(c.self)
 	c.self.State = Left
 	c.tell(c.self)
@@ -138,26 +138,26 @@
 }
 
 // Merge takes the news that came with a message, and passes on what is new.
-func (c *Core) Merge(now time.Duration, members []Member) {
+func (c *Node) Merge(now time.Duration, members []Member) {
 	for _, m := range members {
 		c.learn(now, m, true)
 	}
 }
 
-// Sync takes a peer's whole list. What it brings is not passed on as news:
+// MergeFullList takes a peer's whole list. What it brings is not passed on as news:
 // this process lacked it, the fleet need not. A process that joins 3,300
 // others would otherwise fill its messages with them for half an hour. Where
 // a whole side lacks it, after a partition, the others' own comparison of
 // digests finds it.
-func (c *Core) Sync(now time.Duration, members []Member) {
+func (c *Node) MergeFullList(now time.Duration, members []Member) {
 	for _, m := range members {
 		c.learn(now, m, false)
 	}
 }
 
-// All gives every member that is not gone, and the recently dead, for an
+// FullList gives every member that is not gone, and the recently dead, for an
 // exchange of whole lists.
-func (c *Core) All() []Member {
+func (c *Node) FullList() []Member {
 	out := []Member{c.self}
 	for _, r := range c.records {
 		if r.heard {
@@ -168,7 +168,7 @@
 }
 
 // learn takes one piece of knowledge and, if asked to, passes on what is new.
-func (c *Core) learn(now time.Duration, m Member, tell bool) {
+func (c *Node) learn(now time.Duration, m Member, tell bool) {
 	if m.Address == "" || m.Incarnation == 0 || m.Incarnation >= maxIncarnation || m.State < Alive || m.State > Left {
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // set gives a record its new state.
-func (c *Core) set(now time.Duration, r *record, m Member, tell bool) {
+func (c *Node) set(now time.Duration, r *record, m Member, tell bool) {
 	// Who is gone, or back, changes who owns what: that is worth a message of
 	// its own. A member that merely joins is not missed yet.
 	c.urgent = c.urgent || tell && r.heard && r.gone() != (m.State >= Dead)
@@ -215,7 +215,7 @@
 	c.changed(now, r, tell)
 }
 
-func (c *Core) changed(now time.Duration, r *record, tell bool) {
+func (c *Node) changed(now time.Duration, r *record, tell bool) {
 	switch r.State {
 	case Suspect:
 		r.until = now + c.suspectFor()
@@ -231,7 +231,7 @@
 // refute answers news of this process itself. A process that was paused, or
 // that replaced another at this address, hears what is believed of it and
 // overrules it; without this it would stay dead to the fleet while it runs.
-func (c *Core) refute(m Member) {
+func (c *Node) refute(m Member) {
 	if c.self.State == Left || !m.overrules(c.self) {
 		return
 	}
@@ -243,19 +243,19 @@
 }
 
 // suspectFor grows with the logarithm of the fleet.
-func (c *Core) suspectFor() time.Duration {
+func (c *Node) suspectFor() time.Duration {
 	scale := max(1, math.Log10(float64(len(c.records)+1)))
 	return time.Duration(scale * float64(c.cfg.SuspectFor))
 }
 
-func (c *Core) newRecord(m Member) *record {
-	r := &record{Member: m, rings: ringHashes(m.Address, c.cfg.Rings)}
+func (c *Node) newRecord(m Member) *record {
+	r := &record{Member: m, rings: ringHashes(m.Address, c.cfg.RingCount)}
 	c.records[m.Address] = r
 	c.dirty = true
 	return r
 }
 
-func (c *Core) forget(address string) {
+func (c *Node) forget(address string) {
 	if r := c.records[address]; r != nil && r.counts() {
 		c.digest -= hashMember(r.Member)
 	}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -28,7 +28,7 @@
 // all where cut says so.
 type net struct {
 	now   time.Duration
-	nodes []*membership.Core
+	nodes []*membership.Node
 	// down nodes neither tick nor answer.
 	down  map[string]bool
 	cut   func(a, b string) bool
@@ -49,7 +49,7 @@
 	return out
 }
 
-func core(i int, incarnation uint64) *membership.Core {
+func core(i int, incarnation uint64) *membership.Node {
 	return membership.New(membership.Config{Seed: uint64(i), Self: membership.Member{
 		Address: address(i), Incarnation: incarnation, DataCentre: dataCentre(i)}})
 }
@@ -59,13 +59,13 @@
 	f := &net{down: map[string]bool{}, cut: func(string, string) bool { return false }}
 	for i := range n {
 		c := core(i, 1000)
-		c.Published(0, peers(n))
+		c.SetPublishedPeers(0, peers(n))
 		f.nodes = append(f.nodes, c)
 	}
 	return f
 }
 
-func (f *net) find(address string) *membership.Core {
+func (f *net) find(address string) *membership.Node {
 	if f.index == nil {
 		f.index = map[string]int{}
 		for i, n := range f.nodes {
@@ -87,7 +87,7 @@
 	}
 }
 
-func (f *net) carry(n *membership.Core, actions []membership.Action) {
+func (f *net) carry(n *membership.Node, actions []membership.Action) {
 	self := n.Self().Address
 	for _, a := range actions {
 		f.messages++
@@ -98,19 +98,19 @@
 		peer := f.find(a.To)
 		switch a.Kind {
 		case membership.ActionProbe:
-			reply := peer.Receive(f.now, n.Self(), a.Updates)
+			reply := peer.HandleProbe(f.now, n.Self(), a.Updates)
 			f.messages++
 			f.members += len(reply)
-			n.Acked(f.now, a.Probe, peer.Self(), reply, peer.Digest())
-		case membership.ActionProbeVia:
+			n.HandleProbeAck(f.now, a.ProbeID, peer.Self(), reply, peer.Digest())
+		case membership.ActionIndirectProbe:
 			if f.reach(a.To, a.Target) {
-				n.ViaReached(a.Probe)
+				n.HandleIndirectProbeAck(a.ProbeID)
 			}
 		case membership.ActionSync:
 			f.syncs++
-			ours := n.All()
-			n.Sync(f.now, peer.All())
-			peer.Sync(f.now, ours)
+			ours := n.FullList()
+			n.MergeFullList(f.now, peer.FullList())
+			peer.MergeFullList(f.now, ours)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 // state gives what n believes of a member.
-func state(n *membership.Core, address string) string {
+func state(n *membership.Node, address string) string {
 	for _, m := range n.View().Members {
 		if m.Address == address {
 			return m.State.String()
@@ -184,7 +184,7 @@
 		f := &net{down: map[string]bool{}, cut: func(string, string) bool { return false }}
 		for i := range 16 {
 			c := core(i, 1000)
-			c.Published(0, peers(1))
+			c.SetPublishedPeers(0, peers(1))
 			f.nodes = append(f.nodes, c)
 		}
 		f.until(30*time.Second, f.allAlive)
@@ -200,7 +200,7 @@
 		f := newNet(0)
 		for i := range hosts {
 			c := core(i, 1000)
-			c.Published(0, []membership.Peer{{Address: address(0)}, {Address: address(70)}, {Address: address(140)}})
+			c.SetPublishedPeers(0, []membership.Peer{{Address: address(0)}, {Address: address(70)}, {Address: address(140)}})
 			f.nodes = append(f.nodes, c)
 		}
 		Expect(f.until(time.Minute, f.allAlive)).To(BeNumerically("<=", within))
@@ -212,10 +212,10 @@
 		f.down[address(5)] = true
 		Expect(f.until(20*time.Second, func() bool { return f.all(address(5), "dead") })).To(BeNumerically(">", 2*time.Second))
 		for _, n := range f.nodes {
-			n.Published(f.now, peers(32))
+			n.SetPublishedPeers(f.now, peers(32))
 		}
 		f.run(10 * time.Second)
-		Expect(f.nodes[0].View().Live("")).NotTo(ContainElement(address(5)))
+		Expect(f.nodes[0].View().LiveAddresses("")).NotTo(ContainElement(address(5)))
 	})
 
 	// A process sleeps for twenty seconds, in a snapshot of its machine. Its
@@ -246,7 +246,7 @@
 		for t := f.now; t < f.now+20*time.Second; t += tick {
 			naive.Tick(t)
 		}
-		Expect(len(naive.View().Live(""))).To(BeNumerically("<", 16))
+		Expect(len(naive.View().LiveAddresses(""))).To(BeNumerically("<", 16))
 	})
 
 	// Two halves of the fleet lose each other for a while. Each must go on by
@@ -263,7 +263,7 @@
 		f.run(time.Minute)
 		total := 0
 		for _, i := range []int{0, 23} {
-			total += len(f.nodes[i].View().Live(""))
+			total += len(f.nodes[i].View().LiveAddresses(""))
 		}
 		Expect(total).To(Equal(24), "each side counts its own only")
 		f.cut = func(string, string) bool { return false }
@@ -309,7 +309,7 @@
 		f.run(20 * time.Second)
 		f.down = map[string]bool{}
 		f.nodes[7] = core(7, 10)
-		f.nodes[7].Published(f.now, peers(16))
+		f.nodes[7].SetPublishedPeers(f.now, peers(16))
 		f.until(30*time.Second, f.allAlive)
 		Expect(f.nodes[7].Self().Incarnation).To(BeNumerically(">", 1000))
 	})
@@ -340,7 +340,7 @@
 			list[i].Leaving = f.nodes[i].View().IsReader() && i%3 == 0
 		}
 		for _, n := range f.nodes {
-			n.Published(f.now, list)
+			n.SetPublishedPeers(f.now, list)
 		}
 		f.run(time.Second)
 		Expect(count()["dc0"]).To(Equal(3))
@@ -415,13 +415,13 @@
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
 			switch rng.IntN(6) {
 			case 0:
-				c.Published(now, peers(rng.IntN(8)))
+				c.SetPublishedPeers(now, peers(rng.IntN(8)))
 			case 1:
-				c.Failed(now, uint64(rng.IntN(20)))
+				c.HandleProbeFailure(now, uint64(rng.IntN(20)))
 			case 2:
-				c.Acked(now, uint64(rng.IntN(20)), member(), []membership.Member{member()}, rng.Uint64())
+				c.HandleProbeAck(now, uint64(rng.IntN(20)), member(), []membership.Member{member()}, rng.Uint64())
 			case 3:
-				if got := c.Receive(now, member(), []membership.Member{member(), member()}); len(got) > 12 {
+				if got := c.HandleProbe(now, member(), []membership.Member{member(), member()}); len(got) > 12 {
 					t.Fatalf("%d members in one message", len(got))
 				}
 			default:
@@ -440,7 +440,7 @@
 			}
 		}
 		twin := core(0, 7)
-		twin.Merge(0, c.All())
+		twin.Merge(0, c.FullList())
 		if c.Self().Incarnation == twin.Self().Incarnation && c.Digest() != twin.Digest() {
 			t.Fatal("the digest is not that of the list")
 		}
@@ -462,7 +462,7 @@
 				start, from := time.Now(), f.now
 				for i := range restarts {
 					f.nodes[i%n] = core(i%n, uint64(2000+i))
-					f.nodes[i%n].Published(f.now, peers(n))
+					f.nodes[i%n].SetPublishedPeers(f.now, peers(n))
 					f.run(25 * time.Second)
 				}
 				cpu := time.Since(start)
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -8,13 +8,13 @@
 
 // Tick moves time on and returns the actions that are due. Call it several
 // times within ProbeTimeout.
-func (c *Core) Tick(now time.Duration) []Action {
+func (c *Node) Tick(now time.Duration) []Action {
 	c.forgive(now)
 	c.expireProbes(now)
 	c.expireMembers(now)
 	c.refresh()
 	if now >= c.probeAt && c.self.State != Left {
-		c.probeAt = now + c.cfg.ProbeEvery
+		c.probeAt = now + c.cfg.ProbeInterval
 		c.startProbe(now)
 	}
 	if c.urgent && now >= c.pushAt {
@@ -30,7 +30,7 @@
 // run. A process that was paused finds every probe unanswered and every
 // suspicion run out; without this it would declare its peers dead on waking,
 // while it was itself the one that was away.
-func (c *Core) forgive(now time.Duration) {
+func (c *Node) forgive(now time.Duration) {
 	gap := now - c.lastTick
 	c.lastTick = now
 	if gap < pausedAfter {
@@ -45,14 +45,14 @@
 }
 
 // pushAll sends news to every neighbour without waiting for its turn.
-func (c *Core) pushAll() {
+func (c *Node) pushAll() {
 	for _, n := range c.neighbours {
 		c.out = append(c.out, Action{Kind: ActionProbe, To: n, Updates: c.updates(n), Timeout: c.cfg.ProbeTimeout})
 	}
 }
 
 // startProbe probes the next neighbour, or now and then a lost member.
-func (c *Core) startProbe(now time.Duration) {
+func (c *Node) startProbe(now time.Duration) {
 	c.round++
 	target := ""
 	if c.round%lostEvery == 0 || len(c.neighbours) == 0 {
@@ -67,12 +67,12 @@
 	c.nextProbe++
 	c.probes[c.nextProbe] = &probe{target: target, deadline: now + c.cfg.ProbeTimeout}
 	c.out = append(c.out, Action{
-		Kind: ActionProbe, Probe: c.nextProbe, To: target, Updates: c.updates(target), Timeout: c.cfg.ProbeTimeout,
+		Kind: ActionProbe, ProbeID: c.nextProbe, To: target, Updates: c.updates(target), Timeout: c.cfg.ProbeTimeout,
 	})
 }
 
 // lost draws a member that is believed dead, or that never answered.
-func (c *Core) lost() string {
+func (c *Node) lost() string {
 	var all []string
 	for address, r := range c.records {
 		if r.State == Dead && !r.leaving {
@@ -86,9 +86,9 @@
 	return all[c.rng.IntN(len(all))]
 }
 
-// Acked takes the answer to a probe: who answered, what it tells, and the
+// HandleProbeAck takes the answer to a probe: who answered, what it tells, and the
 // digest of its list.
-func (c *Core) Acked(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
+func (c *Node) HandleProbeAck(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
 	p := c.probes[id]
 	delete(c.probes, id)
 	c.learn(now, from, true)
@@ -98,24 +98,24 @@
 	}
 }
 
-// Failed tells that a probe got no answer, before its deadline has passed.
-func (c *Core) Failed(now time.Duration, id uint64) {
+// HandleProbeFailure tells that a probe got no answer, before its deadline has passed.
+func (c *Node) HandleProbeFailure(now time.Duration, id uint64) {
 	if p := c.probes[id]; p != nil && !p.indirect {
 		c.askRelays(now, id, p)
 	}
 }
 
-// ViaReached tells that a relay reached the target of a probe.
-func (c *Core) ViaReached(id uint64) { delete(c.probes, id) }
+// HandleIndirectProbeAck tells that a relay reached the target of a probe.
+func (c *Node) HandleIndirectProbeAck(id uint64) { delete(c.probes, id) }
 
-// Receive takes another process's probe and returns what to answer.
-func (c *Core) Receive(now time.Duration, from Member, updates []Member) []Member {
+// HandleProbe takes another process's probe and returns what to answer.
+func (c *Node) HandleProbe(now time.Duration, from Member, updates []Member) []Member {
 	c.learn(now, from, true)
 	c.Merge(now, updates)
 	return c.updates(from.Address)
 }
 
-func (c *Core) expireProbes(now time.Duration) {
+func (c *Node) expireProbes(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.probes)) {
 		p := c.probes[id]
 		if p.deadline > now {
@@ -132,7 +132,7 @@
 
 // askRelays lets others try. A link that is broken only between this process
 // and the target must not make the target a suspect.
-func (c *Core) askRelays(now time.Duration, id uint64, p *probe) {
+func (c *Node) askRelays(now time.Duration, id uint64, p *probe) {
 	p.indirect = true
 	p.deadline = now + c.cfg.ProbeTimeout
 	if r := c.records[p.target]; r == nil || r.gone() || !r.heard {
@@ -143,13 +143,13 @@
 	}
 	for _, relay := range c.relaysFor(p.target) {
 		c.out = append(c.out, Action{
-			Kind: ActionProbeVia, Probe: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
+			Kind: ActionIndirectProbe, ProbeID: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
 		})
 	}
 }
 
 // suspect notes that a member was not reached.
-func (c *Core) suspect(now time.Duration, address string) {
+func (c *Node) suspect(now time.Duration, address string) {
 	r := c.records[address]
 	if r == nil || r.gone() {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-func (c *Core) expireMembers(now time.Duration) {
+func (c *Node) expireMembers(now time.Duration) {
 	if now < c.sweepAt {
 		return
 	}
@@ -194,7 +194,7 @@
 // starts, lists change all the time, and news of hundreds of members at a dozen
 // a message take a minute to get around: hosts that each know another part of
 // the fleet choose other relays and owners.
-func (c *Core) compare(now time.Duration, peer string, theirs uint64) {
+func (c *Node) compare(now time.Duration, peer string, theirs uint64) {
 	pair := digestPair{c.digest, theirs}
 	settled := c.peerDigests[peer] == pair
 	c.peerDigests[peer] = pair
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -29,10 +29,10 @@
 	return out
 }
 
-// Readers is how many processes of a data centre watch the configuration
+// ReadersPerDataCentre is how many processes of a data centre watch the configuration
 // service. Three outlast two failures at once; more would spend calls of a
 // rate that grows more slowly than the fleet.
-const Readers = 3
+const ReadersPerDataCentre = 3
 
 // readerKey is the rendezvous key of the role.
 const readerKey = "configuration-reader"
@@ -41,8 +41,8 @@
 // process that is cut off from its data centre finds itself alone and reads,
 // which costs a call a second and harms nothing.
 func (v *View) IsReader() bool {
-	ranked := Rank(readerKey, v.Live(v.Self.DataCentre))
-	return slices.Contains(ranked[:min(Readers, len(ranked))], v.Self.Address)
+	ranked := Rank(readerKey, v.LiveAddresses(v.Self.DataCentre))
+	return slices.Contains(ranked[:min(ReadersPerDataCentre, len(ranked))], v.Self.Address)
 }
 
 func hash(key, address string) uint64 {
--- a/internal/decide/membership/spread.go
+++ b/internal/decide/membership/spread.go
@@ -9,12 +9,12 @@
 )
 
 // tell puts news of a member up for passing on.
-func (c *Core) tell(m Member) { c.news[m.Address] = &news{Member: m} }
+func (c *Node) tell(m Member) { c.news[m.Address] = &news{Member: m} }
 
 // updates picks the news for one message: what was passed on least goes first,
 // and always what is believed of the receiver itself when that is not alive,
 // so that it can refute.
-func (c *Core) updates(to string) []Member {
+func (c *Node) updates(to string) []Member {
 	limit := c.resendLimit()
 	pending := make([]*news, 0, len(c.news))
 	for address, n := range c.news {
@@ -44,12 +44,12 @@
 	return out
 }
 
-func (c *Core) resendLimit() int {
+func (c *Node) resendLimit() int {
 	return resend * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
 }
 
 // refresh rebuilds neighbours and view after a change.
-func (c *Core) refresh() {
+func (c *Node) refresh() {
 	if !c.dirty && c.view != nil {
 		return
 	}
@@ -74,11 +74,11 @@
 }
 
 // pickNeighbours gives this process's successor on each ring.
-func (c *Core) pickNeighbours() []string {
-	own := ringHashes(c.self.Address, c.cfg.Rings)
+func (c *Node) pickNeighbours() []string {
+	own := ringHashes(c.self.Address, c.cfg.RingCount)
 	all := func(string, *record) bool { return true }
 	picked := map[string]bool{}
-	for ring := range c.cfg.Rings {
+	for ring := range c.cfg.RingCount {
 		// Distances wrap around, as on a ring.
 		if s := c.nearest(func(r *record) uint64 { return r.rings[ring] - own[ring] }, all); s != "" {
 			picked[s] = true
@@ -91,7 +91,7 @@
 // so a connection to it, and some of data centres that are neither this
 // process's nor the target's. When two data centres lose each other, relays in
 // either of them can't help, and members that are well would be taken for dead.
-func (c *Core) relaysFor(target string) []string {
+func (c *Node) relaysFor(target string) []string {
 	t := c.records[target]
 	third := func(r *record) bool { return r.DataCentre != c.self.DataCentre && r.DataCentre != t.DataCentre }
 	anywhere := func(*record) bool { return true }
@@ -101,8 +101,8 @@
 
 // predecessors adds to some processes those that come before a member on a ring
 // and are of a kind, until there are so many.
-func (c *Core) predecessors(out []string, t *record, target string, most int, kind func(*record) bool) []string {
-	for ring := range c.cfg.Rings {
+func (c *Node) predecessors(out []string, t *record, target string, most int, kind func(*record) bool) []string {
+	for ring := range c.cfg.RingCount {
 		if len(out) >= most {
 			break
 		}
@@ -117,7 +117,7 @@
 }
 
 // nearest gives the member at the least distance that takes part and fits.
-func (c *Core) nearest(distance func(*record) uint64, fits func(string, *record) bool) string {
+func (c *Node) nearest(distance func(*record) uint64, fits func(string, *record) bool) string {
 	best, at := "", uint64(math.MaxUint64)
 	for address, r := range c.records {
 		if r.gone() || !fits(address, r) {
--- a/internal/decide/membership/types.go
+++ b/internal/decide/membership/types.go
@@ -56,10 +56,10 @@
 // Config holds a core's figures; the zero value of a field means its default.
 type Config struct {
 	Self Member
-	// ProbeEvery is the time between two probes. One a second, sent and
+	// ProbeInterval is the time between two probes. One a second, sent and
 	// received, costs about 1 KB/s with framing and names a dead process
 	// within some six seconds.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 	// ProbeTimeout bounds a probe, and the indirect probes after it. Links
 	// take 1.5 ms one way; 500 ms leaves room for a busy host and a new TLS
 	// connection.
@@ -68,10 +68,10 @@
 	// of the suspect's neighbours and grows with the logarithm of the fleet,
 	// as the way of a refutation does.
 	SuspectFor time.Duration
-	// Rings is the number of neighbours. With six, news gets through 3,300
+	// RingCount is the number of neighbours. With six, news gets through 3,300
 	// members in at most six hops, and with a third of them gone at once it
 	// still reaches all but one in the worst of 20 random draws (graph_test.go).
-	Rings int
+	RingCount int
 	// MaxUpdates bounds the news of members in one message.
 	MaxUpdates int
 	// ForgetAfter is how long a dead member is remembered that the published
@@ -121,12 +121,12 @@
 			*d = v
 		}
 	}
-	def(&c.ProbeEvery, defaultProbeEvery)
+	def(&c.ProbeInterval, defaultProbeEvery)
 	def(&c.ProbeTimeout, DefaultProbeTimeout)
 	def(&c.SuspectFor, defaultSuspectFor)
 	def(&c.ForgetAfter, defaultForgetAfter)
-	if c.Rings == 0 {
-		c.Rings = defaultRings
+	if c.RingCount == 0 {
+		c.RingCount = defaultRings
 	}
 	if c.MaxUpdates == 0 {
 		c.MaxUpdates = defaultMaxUpdates
@@ -142,8 +142,8 @@
 	// ActionProbe: send Updates to To, report Acked or Failed. Probe 0 only
 	// carries news; its failure means nothing.
 	ActionProbe ActionKind = iota + 1
-	// ActionProbeVia: ask To to probe Target, report ViaReached when it did.
-	ActionProbeVia
+	// ActionIndirectProbe: ask To to probe Target, report ViaReached when it did.
+	ActionIndirectProbe
 	// ActionSync: exchange whole member lists with To, hand the answer to
 	// Sync on both sides.
 	ActionSync
@@ -152,7 +152,7 @@
 // Action is one thing for the network to do.
 type Action struct {
 	Kind    ActionKind
-	Probe   uint64
+	ProbeID uint64
 	To      string
 	Target  string
 	Updates []Member
@@ -174,9 +174,9 @@
 	Neighbours []string
 }
 
-// Live gives the members that may take roles in a data centre: alive or only
+// LiveAddresses gives the members that may take roles in a data centre: alive or only
 // suspect, and not leaving. An empty name means all data centres.
-func (v *View) Live(dataCentre string) []string {
+func (v *View) LiveAddresses(dataCentre string) []string {
 	var out []string
 	for _, m := range v.Members {
 		if m.State <= Suspect && !v.Leaving[m.Address] && (dataCentre == "" || m.DataCentre == dataCentre) {
--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -28,10 +28,10 @@
 
 // Config holds the figures; both are times on the steady clock.
 type Config struct {
-	// ReturnGrace is how long after the store's return a target whose entry is
+	// RecoveryGrace is how long after the store's return a target whose entry is
 	// gone is still taken for alive: entries lapse with the store and come
 	// back within about two seconds.
-	ReturnGrace time.Duration
+	RecoveryGrace time.Duration
 	// LapseAfter is how long the store must have been away for entries of live
 	// targets to lapse.
 	LapseAfter time.Duration
@@ -42,8 +42,8 @@
 
 // Defaults of Config.
 const (
-	// DefaultReturnGrace: entries are back within about two seconds.
-	DefaultReturnGrace = 2200 * time.Millisecond
+	// DefaultRecoveryGrace: entries are back within about two seconds.
+	DefaultRecoveryGrace = 2200 * time.Millisecond
 	// DefaultLapseAfter: an entry lapses after three heartbeats, of 1.2 s, without
 	// one; the last may have come just before the store went away.
 	DefaultLapseAfter = 2400 * time.Millisecond
@@ -85,8 +85,8 @@
 
 // New returns an empty mirror.
 func New(cfg Config) *Mirror {
-	if cfg.ReturnGrace == 0 {
-		cfg.ReturnGrace = DefaultReturnGrace
+	if cfg.RecoveryGrace == 0 {
+		cfg.RecoveryGrace = DefaultRecoveryGrace
 	}
 	if cfg.LapseAfter == 0 {
 		cfg.LapseAfter = DefaultLapseAfter
@@ -94,14 +94,14 @@
 	if cfg.KeepGone == 0 {
 		cfg.KeepGone = DefaultKeepGone
 	}
-	return &Mirror{cfg: cfg, records: map[string]entry{}, seen: map[string]*directory.Seen{}, returned: -cfg.ReturnGrace, index: directory.NewIndex(nil)}
+	return &Mirror{cfg: cfg, records: map[string]entry{}, seen: map[string]*directory.Seen{}, returned: -cfg.RecoveryGrace, index: directory.NewIndex(nil)}
 }
 
 // Revision is the store's revision up to which all changes are known here.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// StoreLost notes that the store did not answer.
-func (m *Mirror) StoreLost() { m.away = true }
+// StoreFailed notes that the store did not answer.
+func (m *Mirror) StoreFailed() { m.away = true }
 
 // StoreAnswered notes that the store answered; it starts the grace for lapsed
 // entries when the store had been away for long enough.
@@ -112,14 +112,14 @@
 	m.away = false
 }
 
-// Confirm notes that nothing newer than what is known here was published at a
+// ConfirmUpToDate notes that nothing newer than what is known here was published at a
 // time: the store had answered somebody.
-func (m *Mirror) Confirm(at time.Duration) { m.current = max(m.current, at) }
+func (m *Mirror) ConfirmUpToDate(at time.Duration) { m.current = max(m.current, at) }
 
-// Whole takes a complete reading that was begun at a revision: what it lacks
+// ApplySnapshot takes a complete reading that was begun at a revision: what it lacks
 // was removed by then, but for the configuration, which peers pass on apart. It
 // tells whether anything changed that matters to requests.
-func (m *Mirror) Whole(now time.Duration, records []directory.Record, at uint64) bool {
+func (m *Mirror) ApplySnapshot(now time.Duration, records []directory.Record, at uint64) bool {
 	if at > m.revision {
 		m.floor = at
 	}
@@ -133,12 +133,12 @@
 			changed = m.put(now, directory.Record{Key: key, Revision: at, Gone: true}) || changed
 		}
 	}
-	return m.Changes(now, records, at) || changed
+	return m.ApplyChanges(now, records, at) || changed
 }
 
-// Changes takes records; at is the revision up to which they complete what was
+// ApplyChanges takes records; at is the revision up to which they complete what was
 // known, 0 when they don't say.
-func (m *Mirror) Changes(now time.Duration, records []directory.Record, at uint64) bool {
+func (m *Mirror) ApplyChanges(now time.Duration, records []directory.Record, at uint64) bool {
 	changed := false
 	for _, r := range records {
 		changed = m.put(now, r) || changed
@@ -147,11 +147,11 @@
 	return changed
 }
 
-// Merge takes records that another process passed on, as Changes does, and passes
+// MergeFromPeer takes records that another process passed on, as Changes does, and passes
 // them on in turn even if they change nothing here: that process may have known
 // states in between that this one never did, such as a target that came and went.
-func (m *Mirror) Merge(now time.Duration, records []directory.Record, at uint64) bool {
-	changed := m.Changes(now, records, at)
+func (m *Mirror) MergeFromPeer(now time.Duration, records []directory.Record, at uint64) bool {
+	changed := m.ApplyChanges(now, records, at)
 	for _, r := range records {
 		if e := m.records[r.Key]; e.Revision == r.Revision {
 			e.matters = r.Revision
@@ -257,9 +257,9 @@
 	return x == y && (a.ColdUntil > 0) == (b.ColdUntil > 0)
 }
 
-// Left gives the targets that were heard to leave, or whose entries went, since
+// TakeDeparted gives the targets that were heard to leave, or whose entries went, since
 // it was last called.
-func (m *Mirror) Left() []string {
+func (m *Mirror) TakeDeparted() []string {
 	left := m.left
 	m.left = nil
 	return left
@@ -289,10 +289,10 @@
 	return slices.DeleteFunc(m.Since(0), func(r directory.Record) bool { return r.Gone })
 }
 
-// Base gives the revision from which Delta leads: the one that it is asked for
+// DeltaBase gives the revision from which Delta leads: the one that it is asked for
 // or, where removals since then may be unknown here, 0, which stands for all that
 // exists.
-func (m *Mirror) Base(after uint64) uint64 {
+func (m *Mirror) DeltaBase(after uint64) uint64 {
 	if after >= m.floor {
 		return after
 	}
@@ -326,15 +326,15 @@
 		return s
 	}
 	out := *s
-	lapsed := e.Gone && e.heard >= m.returned && e.heard < m.returned+m.cfg.ReturnGrace
-	out.Listed = lapsed && now < m.returned+m.cfg.ReturnGrace
+	lapsed := e.Gone && e.heard >= m.returned && e.heard < m.returned+m.cfg.RecoveryGrace
+	out.Listed = lapsed && now < m.returned+m.cfg.RecoveryGrace
 	return &out
 }
 
-// NextChange is the time at which the view changes by itself, 0 when it does
+// NextViewChange is the time at which the view changes by itself, 0 when it does
 // not.
-func (m *Mirror) NextChange(now time.Duration) time.Duration {
-	if end := m.returned + m.cfg.ReturnGrace; now < end {
+func (m *Mirror) NextViewChange(now time.Duration) time.Duration {
+	if end := m.returned + m.cfg.RecoveryGrace; now < end {
 		return end
 	}
 	return 0
--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -26,15 +26,15 @@
 // Config holds the figures of a tenure; the zero value of a field means its
 // default.
 type Config struct {
-	// ConfirmFor is how long one confirmation of the host list counts. Default
+	// ConfirmationTTL is how long one confirmation of the host list counts. Default
 	// 4 s: a watch that waits for one second and is counted from its beginning
 	// is up to two seconds old when the next one is answered; twice that rides
 	// out one lost answer. A longer time keeps an owner through more, and lets
 	// its successor wait longer.
-	ConfirmFor time.Duration
-	// ActFor is how long an owner's act may take effect after it was decided:
+	ConfirmationTTL time.Duration
+	// ActionTTL is how long an owner's act may take effect after it was decided:
 	// the life of a lease. Default 3 s.
-	ActFor time.Duration
+	ActionTTL time.Duration
 }
 
 const (
@@ -54,7 +54,7 @@
 	ever      bool
 }
 
-// Set says whether the list of the given revision names this process. Call it
+// SetOwner says whether the list of the given revision names this process. Call it
 // for each list that is read, also when the answer stays the same, and before
 // that list is confirmed.
 //
@@ -64,7 +64,7 @@
 // target that has one request too many after two changes of the list. A gap
 // of less than maxGap can't hide such an owner, since it had no time to become
 // sole. Revisions can't tell: other values of the service raise them too.
-func (t *Tenure) Set(now time.Duration, revision uint64, owner bool) {
+func (t *Tenure) SetOwner(now time.Duration, revision uint64, owner bool) {
 	unseen := revision != t.revision && (!t.ever || now-t.confirmed > maxGap)
 	if owner && (!t.owner || unseen) {
 		t.began = now
@@ -80,24 +80,24 @@
 	t.ever = true
 }
 
-// Owner tells whether the list names this process.
-func (t *Tenure) Owner() bool { return t.owner }
+// IsOwner tells whether the list names this process.
+func (t *Tenure) IsOwner() bool { return t.owner }
 
 // Revision is the list's revision.
 func (t *Tenure) Revision() uint64 { return t.revision }
 
-// Began is when the list was first seen to name this process.
-func (t *Tenure) Began() time.Duration { return t.began }
+// StartedAt is when the list was first seen to name this process.
+func (t *Tenure) StartedAt() time.Duration { return t.began }
 
-// SoleFrom is the moment from which no act of an earlier owner takes effect.
+// ExclusiveFrom is the moment from which no act of an earlier owner takes effect.
 // An earlier owner acts for ConfirmFor after its last confirmation, which came
 // before this tenure began, and its last act takes effect within ActFor.
-func (t *Tenure) SoleFrom(cfg Config) time.Duration {
-	return t.began + cmp.Or(cfg.ConfirmFor, defaultConfirmFor) + cmp.Or(cfg.ActFor, defaultActFor)
+func (t *Tenure) ExclusiveFrom(cfg Config) time.Duration {
+	return t.began + cmp.Or(cfg.ConfirmationTTL, defaultConfirmFor) + cmp.Or(cfg.ActionTTL, defaultActFor)
 }
 
-// Sole tells whether this process is the only one that acts as owner now.
-func (t *Tenure) Sole(now time.Duration, cfg Config) bool {
-	confirmed := t.ever && now-t.confirmed <= cmp.Or(cfg.ConfirmFor, defaultConfirmFor)
-	return t.owner && confirmed && now > t.SoleFrom(cfg)
+// IsExclusive tells whether this process is the only one that acts as owner now.
+func (t *Tenure) IsExclusive(now time.Duration, cfg Config) bool {
+	confirmed := t.ever && now-t.confirmed <= cmp.Or(cfg.ConfirmationTTL, defaultConfirmFor)
+	return t.owner && confirmed && now > t.ExclusiveFrom(cfg)
 }
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -21,11 +21,11 @@
 var _ = DescribeTable("a tenure is sole only while confirmed, after its predecessor's acts",
 	func(now, before time.Duration, revision uint64, owner bool, confirmed time.Duration, want bool) {
 		var t ownership.Tenure
-		t.Set(0, 1, true)
+		t.SetOwner(0, 1, true)
 		t.Confirm(before)
-		t.Set(5*time.Second, revision, owner)
+		t.SetOwner(5*time.Second, revision, owner)
 		t.Confirm(confirmed)
-		Expect(t.Sole(now, ownership.Config{})).To(Equal(want))
+		Expect(t.IsExclusive(now, ownership.Config{})).To(Equal(want))
 	},
 	Entry("waited and confirmed", 8*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, true),
 	Entry("too early", 7*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, false),
--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -22,9 +22,9 @@
 
 // Config holds the figures.
 type Config struct {
-	// Want is the number of readers of the hosts that share them. With two, the
+	// ReaderCount is the number of readers of the hosts that share them. With two, the
 	// loss of one costs nothing.
-	Want int
+	ReaderCount int
 	// HeardFor is how long a host's word holds. Hosts ask readers every 200 ms
 	// in turn; two questions to each may fail.
 	HeardFor time.Duration
@@ -33,13 +33,13 @@
 	SettleFor time.Duration
 }
 
-// Default gives the figures in use.
-func Default() Config {
-	return Config{Want: 2, HeardFor: 1200 * time.Millisecond, SettleFor: 5 * time.Second}
+// DefaultConfig gives the figures in use.
+func DefaultConfig() Config {
+	return Config{ReaderCount: 2, HeardFor: 1200 * time.Millisecond, SettleFor: 5 * time.Second}
 }
 
-// Readers holds what one host knows of the others.
-type Readers struct {
+// Selector holds what one host knows of the others.
+type Selector struct {
 	cfg   Config
 	heard map[string]word
 }
@@ -50,20 +50,20 @@
 }
 
 // New returns a Readers that has heard of nobody: its host reads.
-func New(cfg Config) *Readers { return &Readers{cfg: cfg, heard: map[string]word{}} }
+func New(cfg Config) *Selector { return &Selector{cfg: cfg, heard: map[string]word{}} }
 
-// Heard notes whether a host said that it reads the store with success.
-func (r *Readers) Heard(now time.Duration, host string, reading bool) {
+// RecordReport notes whether a host said that it reads the store with success.
+func (r *Selector) RecordReport(now time.Duration, host string, reading bool) {
 	r.heard[host] = word{now, reading}
 }
 
-// Read tells whether self is to read, given the live hosts in the order of
+// ShouldRead tells whether self is to read, given the live hosts in the order of
 // their rank; fresh tells whether what self knows is new enough. While a fleet
 // starts, hosts know few others and hear of no better reader, and most would take
 // the role in turn. So a host that has just started and is not among the best by
 // its own rank reads only while it lacks news.
-func (r *Readers) Read(now time.Duration, self string, ranked []string, fresh bool) bool {
-	if now < r.cfg.SettleFor && fresh && !r.Among(self, ranked) {
+func (r *Selector) ShouldRead(now time.Duration, self string, ranked []string, fresh bool) bool {
+	if now < r.cfg.SettleFor && fresh && !r.IsPreferred(self, ranked) {
 		return false
 	}
 	better := 0
@@ -75,19 +75,19 @@
 			better++
 		}
 	}
-	return better < r.Wanted()
+	return better < r.ReaderCount()
 }
 
-// Wanted is the number of readers that there should be.
-func (r *Readers) Wanted() int { return r.cfg.Want }
+// ReaderCount is the number of readers that there should be.
+func (r *Selector) ReaderCount() int { return r.cfg.ReaderCount }
 
-// Among tells whether self is among those that read when all is well.
-func (r *Readers) Among(self string, ranked []string) bool {
-	return slices.Contains(ranked[:min(len(ranked), r.Wanted())], self)
+// IsPreferred tells whether self is among those that read when all is well.
+func (r *Selector) IsPreferred(self string, ranked []string) bool {
+	return slices.Contains(ranked[:min(len(ranked), r.ReaderCount())], self)
 }
 
-// Known gives the hosts that are known to read, in the order of ranked.
-func (r *Readers) Known(now time.Duration, self string, ranked []string) []string {
+// KnownReaders gives the hosts that are known to read, in the order of ranked.
+func (r *Selector) KnownReaders(now time.Duration, self string, ranked []string) []string {
 	var out []string
 	for _, host := range ranked {
 		if host != self && r.reads(now, host) {
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (r *Readers) reads(now time.Duration, host string) bool {
+func (r *Selector) reads(now time.Duration, host string) bool {
 	w, known := r.heard[host]
 	return known && w.reading && now-w.at < r.cfg.HeardFor
 }
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/storeoutage/storeoutage.go
@@ -1,4 +1,4 @@
-// Package silence notices early that the store has stopped answering, and
+// Package storeoutage notices early that the store has stopped answering, and
 // spreads the questions that hosts ask targets meanwhile.
 //
 // Load pattern: engines are reclaimed with one and a half seconds' notice every
@@ -15,7 +15,7 @@
 // to a later call ends it.
 //
 // It is not safe for concurrent use; times are on the steady clock.
-package silence
+package storeoutage
 
 import "time"
 
@@ -47,9 +47,9 @@
 	ever bool
 }
 
-// Answered takes the time that an answer took beyond the wait that was asked
+// RecordAnswer takes the time that an answer took beyond the wait that was asked
 // for.
-func (d *Detector) Answered(took time.Duration) {
+func (d *Detector) RecordAnswer(took time.Duration) {
 	took = max(took, 0)
 	if !d.timed {
 		d.mean, d.deviation, d.timed = took, took/2, true
@@ -59,17 +59,17 @@
 	d.mean += time.Duration(meanWeight * float64(took-d.mean))
 }
 
-// Patience is the time beyond the wait after which an answer is overdue.
-func (d *Detector) Patience() time.Duration {
+// AnswerTimeout is the time beyond the wait after which an answer is overdue.
+func (d *Detector) AnswerTimeout() time.Duration {
 	if !d.timed {
 		return startPatience
 	}
 	return max(d.mean+lateDeviations*d.deviation, leastPatience)
 }
 
-// Overdue notes that an answer that was due at a time has not come, here or at
+// RecordOverdue notes that an answer that was due at a time has not come, here or at
 // another host. It tells whether that is a silence not known of before.
-func (d *Detector) Overdue(due time.Duration) bool {
+func (d *Detector) RecordOverdue(due time.Duration) bool {
 	if d.ever && due < d.due+sameSilence {
 		return false
 	}
@@ -77,22 +77,22 @@
 	return true
 }
 
-// Due gives when the last overdue answer should have come; false when all came
+// LastOverdue gives when the last overdue answer should have come; false when all came
 // in time.
-func (d *Detector) Due() (time.Duration, bool) { return d.due, d.ever }
+func (d *Detector) LastOverdue() (time.Duration, bool) { return d.due, d.ever }
 
-// Suspect tells whether the store may be silent, given the start of the last
+// IsSuspect tells whether the store may be silent, given the start of the last
 // call that it is known to have answered, at any host.
-func (d *Detector) Suspect(answered time.Duration) bool { return d.ever && answered < d.due }
+func (d *Detector) IsSuspect(answered time.Duration) bool { return d.ever && answered < d.due }
 
 // laterAskers is the number of hosts that ask a target in each round but the
 // first, on the mean.
 const laterAskers = 2
 
-// Asks tells whether a host asks a target in a round, where so many hosts have
+// ShouldAsk tells whether a host asks a target in a round, where so many hosts have
 // something running there. All ask in the first round: with turns drawn at
 // random a third of the targets would not be asked, and the notice may already
 // run. draw is in [0, 1).
-func Asks(first bool, hosts int, draw float64) bool {
+func ShouldAsk(first bool, hosts int, draw float64) bool {
 	return first || draw*float64(hosts) < laterAskers
 }
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -1,4 +1,4 @@
-package silence_test
+package storeoutage_test
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 )
 
 func TestSilence(t *testing.T) {
@@ -19,49 +19,49 @@
 var _ = Describe("the silence of the store", func() {
 	// Guards against a fixed timeout that is too long for a store of milliseconds.
 	It("is noticed within tenths of a second where answers come in milliseconds", func() {
-		var d silence.Detector
+		var d storeoutage.Detector
 		for range 20 {
-			d.Answered(8 * time.Millisecond)
+			d.RecordAnswer(8 * time.Millisecond)
 		}
-		Expect(d.Patience()).To(BeNumerically("<=", 100*time.Millisecond))
+		Expect(d.AnswerTimeout()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
 	// Guards against a slow store that is taken for a silent one at each call.
 	It("is not seen in answers of a store that is always slow", func() {
-		var d silence.Detector
+		var d storeoutage.Detector
 		draw := rand.New(rand.NewPCG(1, 2))
 		early := 0
 		for i := range 200 {
 			took := time.Duration(200+draw.IntN(80)) * time.Millisecond
-			if i > 20 && took > d.Patience() {
+			if i > 20 && took > d.AnswerTimeout() {
 				early++
 			}
-			d.Answered(took)
+			d.RecordAnswer(took)
 		}
 		Expect(early).To(BeNumerically("<=", 2))
 	})
 
 	It("ends with the answer to a later call", func() {
-		var d silence.Detector
-		Expect(d.Suspect(0)).To(BeFalse())
-		Expect(d.Overdue(5 * time.Second)).To(BeTrue())
-		Expect(d.Suspect(4 * time.Second)).To(BeTrue())
-		Expect(d.Suspect(5 * time.Second)).To(BeFalse())
+		var d storeoutage.Detector
+		Expect(d.IsSuspect(0)).To(BeFalse())
+		Expect(d.RecordOverdue(5 * time.Second)).To(BeTrue())
+		Expect(d.IsSuspect(4 * time.Second)).To(BeTrue())
+		Expect(d.IsSuspect(5 * time.Second)).To(BeFalse())
 	})
 
 	// Guards against hosts that tell each other of one silence for ever, each time
 	// a few milliseconds later.
 	It("is one silence, however often hosts tell each other of it", func() {
-		var here, there silence.Detector
+		var here, there storeoutage.Detector
 		at := 5 * time.Second
-		Expect(here.Overdue(at)).To(BeTrue())
+		Expect(here.RecordOverdue(at)).To(BeTrue())
 		for range 1000 {
 			at += 3 * time.Millisecond
-			there.Overdue(at)
-			at, _ = there.Due()
-			Expect(here.Overdue(at)).To(BeFalse())
+			there.RecordOverdue(at)
+			at, _ = there.LastOverdue()
+			Expect(here.RecordOverdue(at)).To(BeFalse())
 		}
-		Expect(here.Suspect(5*time.Second + time.Millisecond)).To(BeFalse())
+		Expect(here.IsSuspect(5*time.Second + time.Millisecond)).To(BeFalse())
 	})
 })
 
@@ -75,8 +75,8 @@
 		for range rounds {
 			n := 0
 			for range hosts {
-				Expect(silence.Asks(true, hosts, draw.Float64())).To(BeTrue())
-				if silence.Asks(false, hosts, draw.Float64()) {
+				Expect(storeoutage.ShouldAsk(true, hosts, draw.Float64())).To(BeTrue())
+				if storeoutage.ShouldAsk(false, hosts, draw.Float64()) {
 					n++
 				}
 			}
@@ -90,7 +90,7 @@
 	})
 
 	It("are always asked by the only host", func() {
-		Expect(silence.Asks(false, 1, 0.999)).To(BeTrue())
-		Expect(silence.Asks(false, 0, 0.999)).To(BeTrue())
+		Expect(storeoutage.ShouldAsk(false, 1, 0.999)).To(BeTrue())
+		Expect(storeoutage.ShouldAsk(false, 0, 0.999)).To(BeTrue())
 	})
 })
--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -17,7 +17,7 @@
 
 func (a *activeRequest) serve(ctx context.Context) error {
 	switch {
-	case a.order.Conclude():
+	case a.order.MarkComplete():
 		return a.sink.finish()
 	case a.Resume != nil:
 		return a.resumeGeneration(ctx)
@@ -60,8 +60,8 @@
 		f = failure.Wrap(err, failure.KindDeadline, "the caller left")
 	}
 	switch {
-	case a.order.Reached() > 0:
-		f = a.order.Lost(err)
+	case a.order.DeliveredTokens() > 0:
+		f = a.order.LostError(err)
 	case a.mayHaveStarted && f.Executed == failure.ExecutedNo && f.Kind != failure.KindPoison:
 		_ = f.Unknown()
 	}
@@ -147,7 +147,7 @@
 		if a.timeToFirstToken == 0 {
 			a.timeToFirstToken = time.Since(startedAt)
 		}
-		lease.Produced(int(a.order.Next()))
+		lease.Produced(int(a.order.NextOffset()))
 	}
 	err = a.relayWithReconnects(ctx, events, err, lease.Target, progress)
 	a.cancelAbandoned(ctx, lease.Target, generation, err)
@@ -157,7 +157,7 @@
 // cancelAbandoned cancels a generation that nobody can resume, since its tokens
 // would take capacity from other requests.
 func (a *activeRequest) cancelAbandoned(ctx context.Context, target, generation string, err error) {
-	abandoned := ctx.Err() != nil && a.order.Reached() == 0
+	abandoned := ctx.Err() != nil && a.order.DeliveredTokens() == 0
 	if err != nil && (abandoned || a.order.MayRestart()) {
 		go a.engine.cancelGeneration(target, generation)
 	}
@@ -172,7 +172,7 @@
 	events, err := a.engine.resume(ctx, h.Target, h.Generation, h.Offset)
 	progress := func() {
 		if lease != nil {
-			lease.Produced(int(a.order.Next()))
+			lease.Produced(int(a.order.NextOffset()))
 		}
 	}
 	err = a.relayWithReconnects(ctx, events, err, h.Target, progress)
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -94,7 +94,7 @@
 	*Relay
 	Request
 	sink             sink
-	order            delivery.Order
+	order            delivery.Sequencer
 	quotedGeneration string
 	frame            engineFrame
 	event            sse.Event
@@ -126,7 +126,7 @@
 func (a *activeRequest) prepare(w http.ResponseWriter) {
 	mode := delivery.Stream
 	if a.Service.Delivery == table.DeliveryWhole || !a.Stream {
-		mode = delivery.Whole
+		mode = delivery.Buffered
 	}
 	id := uuid.NewString()
 	if a.Resume != nil {
@@ -157,7 +157,7 @@
 	switch {
 	case !a.Stream:
 		return &document
-	case mode == delivery.Whole:
+	case mode == delivery.Buffered:
 		return &bufferedStreamSink{documentSink: document, stream: newStreamSink(w, a.keyRing, h, info)}
 	default:
 		return newStreamSink(w, a.keyRing, h, info)
--- a/internal/entry/generation/stream.go
+++ b/internal/entry/generation/stream.go
@@ -22,14 +22,14 @@
 		if err == nil {
 			return a.sink.finish()
 		}
-		if !a.canReconnect(ctx, err) || !a.order.Reopen() {
+		if !a.canReconnect(ctx, err) || !a.order.TryResume() {
 			return err
 		}
 		a.Accounting.Update(func(c *accounting.Counts) { c.Resumes++ })
 		if !sleep(ctx, reconnectDelay) {
 			return err
 		}
-		events, err = a.engine.resume(ctx, target, a.order.Generation(), a.order.Next())
+		events, err = a.engine.resume(ctx, target, a.order.Generation(), a.order.NextOffset())
 	}
 }
 
@@ -60,9 +60,9 @@
 func (a *activeRequest) relayStream(events *engineStream, progress func()) error {
 	for {
 		if err := events.next(&a.event); err != nil {
-			if a.order.Conclude() {
+			if a.order.MarkComplete() {
 				// Only the final event is missing; the answer is complete.
-				a.order.Release()
+				a.order.MarkReleased()
 				return nil
 			}
 			return streamError(err)
@@ -110,7 +110,7 @@
 	}
 	switch a.order.Check(f) {
 	case delivery.Complete:
-		a.order.Release()
+		a.order.MarkReleased()
 		return true, nil
 	case delivery.Duplicate:
 		return false, nil
@@ -121,7 +121,7 @@
 	}
 	progress()
 	a.countTokens(int(f.Tokens))
-	return false, a.sink.writeFrame(&a.frame, a.order.Next())
+	return false, a.sink.writeFrame(&a.frame, a.order.NextOffset())
 }
 
 func (a *activeRequest) parseEvent() (delivery.Frame, error) {
@@ -141,7 +141,7 @@
 	}
 	now := time.Now()
 	a.lastProgressAt = now
-	if a.order.Next() == uint64(tokens) {
+	if a.order.NextOffset() == uint64(tokens) {
 		a.Accounting.FirstToken(now.Sub(a.ArrivedAt))
 	}
 	a.Accounting.Tokens(tokens, now.Sub(a.lastTokenAt))
--- a/internal/entry/plain/at_most_once.go
+++ b/internal/entry/plain/at_most_once.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"filbertdeck/internal/accounting"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
@@ -32,7 +32,7 @@
 
 // Forwarder forwards a call to the entry that owns its key.
 type Forwarder interface {
-	Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error)
+	Forward(ctx context.Context, owner idempotency.Process, key string, revision uint64, call Call) (*idempotency.Answer, bool, error)
 }
 
 // AtMostOnceRelay relays calls that may run at most once.
@@ -41,12 +41,12 @@
 	Client    AtMostOnceDoer
 	Picker    Picker
 	KeyRing   *handle.Ring
-	Self      once.Process
+	Self      idempotency.Process
 	Board     *state.Board
 	Forwarder Forwarder
 
 	mu        sync.Mutex
-	registry  *once.Register
+	registry  *idempotency.Registry
 	startTime time.Time
 }
 
@@ -54,7 +54,7 @@
 // this time.
 func (r *AtMostOnceRelay) Init() {
 	r.startTime = time.Now()
-	r.registry = once.New(once.Config{Self: r.Self})
+	r.registry = idempotency.New(idempotency.Config{Self: r.Self})
 }
 
 func (r *AtMostOnceRelay) now() time.Duration { return time.Since(r.startTime) }
@@ -75,25 +75,25 @@
 func (r *AtMostOnceRelay) RecordSize() (keys, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.registry.Len(), r.registry.Bytes()
+	return r.registry.Len(), r.registry.AnswerBytes()
 }
 
 // parseKey parses an idempotency key, which is either minted by an entry or
 // chosen by the caller.
-func (r *AtMostOnceRelay) parseKey(text, account string) (once.Key, error) {
+func (r *AtMostOnceRelay) parseKey(text, account string) (idempotency.Key, error) {
 	if text == "" {
-		return once.Key{}, failure.New(failure.KindKeyRequired, "this service requires the header %s", HeaderIdempotencyKey)
+		return idempotency.Key{}, failure.New(failure.KindKeyRequired, "this service requires the header %s", HeaderIdempotencyKey)
 	}
 	if !handle.IsMinted(text) {
-		return once.CallerKey(text)
+		return idempotency.CallerKey(text)
 	}
 	minted, err := r.KeyRing.OpenMinted(text, account)
 	if err != nil {
-		return once.Key{}, err
+		return idempotency.Key{}, err
 	}
-	owner := once.Process{Address: minted.Owner, Incarnation: minted.Incarnation}
+	owner := idempotency.Process{Address: minted.Owner, Incarnation: minted.Incarnation}
 	id := owner.Address + "/" + strconv.FormatUint(minted.Incarnation, 16) + "/" + strconv.FormatUint(minted.Sequence, 16)
-	return once.MintedKey(id, owner, minted.Age0), nil
+	return idempotency.MintedKey(id, owner, minted.Age0), nil
 }
 
 // Serve relays the call. It has already written the error that it returns to the
@@ -120,13 +120,13 @@
 
 // Run runs the call, replays its recorded answer, or forwards it to the key's
 // owner. The second result reports a replay.
-func (r *AtMostOnceRelay) Run(ctx context.Context, call Call, keyText string, origin *Origin) (*once.Answer, bool, error) {
+func (r *AtMostOnceRelay) Run(ctx context.Context, call Call, keyText string, origin *Origin) (*idempotency.Answer, bool, error) {
 	key, err := r.parseKey(keyText, call.Account.Name)
 	if err != nil {
 		return nil, false, err
 	}
-	request := once.Call{
-		Account: call.Account.Name, Key: key, Fingerprint: call.fingerprint(), Wall: time.Now(),
+	request := idempotency.Call{
+		Account: call.Account.Name, Key: key, Fingerprint: call.fingerprint(), WallTime: time.Now(),
 	}
 	if origin != nil {
 		request.Forwarded = true
@@ -134,18 +134,18 @@
 	}
 	decision, revision := r.beginCall(request)
 	switch decision.Action {
-	case once.Replay:
+	case idempotency.Replay:
 		return decision.Answer, true, nil
-	case once.Forward:
+	case idempotency.Forward:
 		return r.Forwarder.Forward(ctx, decision.Owner, keyText, revision, call)
-	case once.Refuse:
+	case idempotency.Refuse:
 		return nil, false, decision.Err
 	}
 	answer, err := r.execute(ctx, call, key)
 	return answer, false, err
 }
 
-func (r *AtMostOnceRelay) beginCall(request once.Call) (once.Decision, uint64) {
+func (r *AtMostOnceRelay) beginCall(request idempotency.Call) (idempotency.Decision, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	revision := r.refreshHosts()
@@ -161,11 +161,11 @@
 	}
 	if hosts.Revision != confirmed.HostsRevision {
 		// The list on the blackboard is older than the confirmed one.
-		r.registry.Heard(r.now(), confirmed.HostsRevision)
+		r.registry.ObservePeerRevision(r.now(), confirmed.HostsRevision)
 		return hosts.Revision
 	}
-	r.registry.SetHosts(r.now(), once.HostList{
-		Revision: hosts.Revision, Live: hosts.LiveEntries(), Confirmed: confirmed.ConfirmedAt.Sub(r.startTime),
+	r.registry.ConfirmHosts(r.now(), idempotency.HostList{
+		Revision: hosts.Revision, LiveHosts: hosts.LiveEntries(), ConfirmedAt: confirmed.ConfirmedAt.Sub(r.startTime),
 	})
 	return hosts.Revision
 }
@@ -180,7 +180,7 @@
 
 // execute runs a call that this process may run. The call continues when its
 // caller disconnects, and its outcome is recorded for a later retry.
-func (r *AtMostOnceRelay) execute(ctx context.Context, call Call, key once.Key) (*once.Answer, error) {
+func (r *AtMostOnceRelay) execute(ctx context.Context, call Call, key idempotency.Key) (*idempotency.Answer, error) {
 	lease, err := acquireLease(ctx, r.Admission, r.Picker, call, nil)
 	if err != nil {
 		r.recordNotRun(call, key)
@@ -196,7 +196,7 @@
 	return answer, err
 }
 
-func (r *AtMostOnceRelay) send(ctx context.Context, call Call, key once.Key, lease *admit.Lease) (*once.Answer, error) {
+func (r *AtMostOnceRelay) send(ctx context.Context, call Call, key idempotency.Key, lease *admit.Lease) (*idempotency.Answer, error) {
 	req, err := call.newTargetRequest(lease.Target)
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 
 // checkMayRun verifies, right before the first byte is sent, that this process
 // may still run the call.
-func (r *AtMostOnceRelay) checkMayRun(call Call, key once.Key) error {
+func (r *AtMostOnceRelay) checkMayRun(call Call, key idempotency.Key) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshHosts()
@@ -233,22 +233,22 @@
 	return nil
 }
 
-func (r *AtMostOnceRelay) recordNotRun(call Call, key once.Key) {
+func (r *AtMostOnceRelay) recordNotRun(call Call, key idempotency.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registry.NotRun(call.Account.Name, key)
+	r.registry.MarkNotRun(call.Account.Name, key)
 }
 
-func (r *AtMostOnceRelay) recordOutcome(call Call, key once.Key, answer *once.Answer, err error) {
+func (r *AtMostOnceRelay) recordOutcome(call Call, key idempotency.Key, answer *idempotency.Answer, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	account := call.Account.Name
 	switch {
 	case err == nil:
-		r.registry.Finish(account, key, answer)
+		r.registry.MarkFinished(account, key, answer)
 	case failure.From(err).Executed == failure.ExecutedNo:
-		r.registry.NotRun(account, key)
+		r.registry.MarkNotRun(account, key)
 	default:
-		r.registry.Lost(account, key)
+		r.registry.MarkLost(account, key)
 	}
 }
--- a/internal/entry/plain/call.go
+++ b/internal/entry/plain/call.go
@@ -12,7 +12,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/table"
 )
@@ -73,7 +73,7 @@
 
 // readAnswer reads a target's complete response. A partial response is a
 // failure with unknown outcome, since the target may have run the call.
-func readAnswer(resp *http.Response) (*once.Answer, error) {
+func readAnswer(resp *http.Response) (*idempotency.Answer, error) {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
@@ -82,17 +82,17 @@
 	if len(body) > maxAnswerBytes {
 		return nil, failure.New(failure.KindTargetFailed, "the target's response exceeds %d bytes", maxAnswerBytes).Ran()
 	}
-	a := &once.Answer{Status: resp.StatusCode, Body: body}
+	a := &idempotency.Answer{Status: resp.StatusCode, Body: body}
 	for _, name := range responseHeaders {
 		if value := resp.Header.Get(name); value != "" {
-			a.Headers = append(a.Headers, once.Header{Name: name, Value: value})
+			a.Headers = append(a.Headers, idempotency.Header{Name: name, Value: value})
 		}
 	}
 	return a, nil
 }
 
 // writeAnswer writes an answer to the caller.
-func writeAnswer(w http.ResponseWriter, a *once.Answer) {
+func writeAnswer(w http.ResponseWriter, a *idempotency.Answer) {
 	for _, h := range a.Headers {
 		w.Header().Set(h.Name, h.Value)
 	}
@@ -100,7 +100,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-func headersToProto(headers []once.Header) []*filbertv1.Header {
+func headersToProto(headers []idempotency.Header) []*filbertv1.Header {
 	out := make([]*filbertv1.Header, len(headers))
 	for i, h := range headers {
 		out[i] = &filbertv1.Header{Name: h.Name, Value: h.Value}
@@ -108,10 +108,10 @@
 	return out
 }
 
-func headersFromProto(headers []*filbertv1.Header) []once.Header {
-	out := make([]once.Header, len(headers))
+func headersFromProto(headers []*filbertv1.Header) []idempotency.Header {
+	out := make([]idempotency.Header, len(headers))
 	for i, h := range headers {
-		out[i] = once.Header{Name: h.Name, Value: h.Value}
+		out[i] = idempotency.Header{Name: h.Name, Value: h.Value}
 	}
 	return out
 }
--- a/internal/entry/plain/forward.go
+++ b/internal/entry/plain/forward.go
@@ -10,7 +10,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/rpc"
@@ -67,10 +67,10 @@
 // Forward sends the call to the owner of its key. If the owner does not answer,
 // the outcome is unknown even when it could not be reached: it may have run an
 // earlier attempt of the same call.
-func (p *PeerForwarder) Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error) {
+func (p *PeerForwarder) Forward(ctx context.Context, owner idempotency.Process, key string, revision uint64, call Call) (*idempotency.Answer, bool, error) {
 	conn, err := p.conn(owner.Address)
 	if err != nil {
-		return nil, false, once.OwnerUnreachable(err)
+		return nil, false, idempotency.OwnerUnreachable(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, atMostOnceTimeout)
 	defer cancel()
@@ -81,7 +81,7 @@
 	})
 	if err != nil {
 		p.closeConn(owner.Address, conn)
-		return nil, false, once.OwnerUnreachable(err)
+		return nil, false, idempotency.OwnerUnreachable(err)
 	}
 	if reply.Problem != "" {
 		return nil, false, failure.FromProblem(failure.Problem{
@@ -89,7 +89,7 @@
 			Detail: "answer of the entry that owns the key", RetryAfterMS: int64(reply.RetryAfterMs),
 		})
 	}
-	return &once.Answer{Status: int(reply.Status), Headers: headersFromProto(reply.Headers), Body: reply.Body}, reply.Replayed, nil
+	return &idempotency.Answer{Status: int(reply.Status), Headers: headersFromProto(reply.Headers), Body: reply.Body}, reply.Replayed, nil
 }
 
 func forwardedHeaders(h http.Header) []*filbertv1.Header {
--- a/internal/entry/plain/idempotent.go
+++ b/internal/entry/plain/idempotent.go
@@ -8,7 +8,7 @@
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/decide/hedge"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
@@ -62,7 +62,7 @@
 // sendWithRetries tries targets until one answers. Repeating the call is safe:
 // either the table declares the service's calls repeatable, or the method is
 // safe.
-func (r *IdempotentRelay) sendWithRetries(ctx context.Context, call Call) (*once.Answer, error) {
+func (r *IdempotentRelay) sendWithRetries(ctx context.Context, call Call) (*idempotency.Answer, error) {
 	key := retrybudget.Key{Account: call.Account.Name, Service: call.Service.Name}
 	r.RetryBudget.First(r.now(), key)
 	var failedTargets []string
@@ -89,7 +89,7 @@
 // attemptResult is the result of one attempt; target is empty if admission gave
 // none.
 type attemptResult struct {
-	answer *once.Answer
+	answer *idempotency.Answer
 	target string
 	err    error
 }
@@ -97,8 +97,8 @@
 // sendHedged sends the call, and again to another target if the answer is late
 // and the hedging budget allows it. The first complete answer is returned.
 func (r *IdempotentRelay) sendHedged(ctx context.Context, call Call, failedTargets []string, firstAttempt bool) attemptResult {
-	hedger := r.Hedges.Of(r.now(), call.Service.Name)
-	delay, ok := hedger.Begin(firstAttempt)
+	hedger := r.Hedges.ForService(r.now(), call.Service.Name)
+	delay, ok := hedger.StartCall(firstAttempt)
 	if !ok {
 		return r.sendObserved(ctx, call, failedTargets, hedger)
 	}
@@ -152,7 +152,7 @@
 		return "", false
 	}
 	backlog, otherTargets := r.Board.HedgeInputs(call.Service.Name, target)
-	refusal := hedger.Second(r.now(), hedge.Situation{Repeatable: true, Backlog: backlog, OtherTargets: otherTargets})
+	refusal := hedger.AllowSecond(r.now(), hedge.Conditions{Repeatable: true, Backlog: backlog, OtherTargets: otherTargets})
 	return target, refusal == hedge.None
 }
 
@@ -173,7 +173,7 @@
 	return attemptResult{answer: answer, target: lease.Target, err: err}
 }
 
-func (r *IdempotentRelay) send(ctx context.Context, call Call, lease *admit.Lease) (*once.Answer, error) {
+func (r *IdempotentRelay) send(ctx context.Context, call Call, lease *admit.Lease) (*idempotency.Answer, error) {
 	req, err := call.newTargetRequest(lease.Target)
 	if err != nil {
 		return nil, err
--- a/internal/entry/state/picker.go
+++ b/internal/entry/state/picker.go
@@ -44,7 +44,7 @@
 	views atomic.Pointer[viewSet]
 
 	mu          sync.Mutex
-	dataCentres *drain.Centres
+	dataCentres *drain.DataCentres
 }
 
 // viewSet holds the views of all services' pools. It is immutable except for the
@@ -60,7 +60,7 @@
 func NewPicker(b *Board, entry, dataCentre string) *Picker {
 	return &Picker{
 		board: b, entry: entry, dataCentre: dataCentre, startTime: time.Now(),
-		config: decide.Config{NewsFor: backlogValidity}, dataCentres: drain.NewCentres(drain.Config{}),
+		config: decide.Config{NewsFor: backlogValidity}, dataCentres: drain.NewDataCentres(drain.RampConfig{}),
 	}
 }
 
@@ -120,7 +120,7 @@
 		ms, known := backlogs[views[i].ID]
 		views[i].Backlog, views[i].Heard = time.Duration(ms)*time.Millisecond, known
 		views[i].Sent = int(set.pendingAsks[views[i].ID].Load())
-		views[i].Share = p.dataCentres.Share(now, views[i].DataCentre)
+		views[i].Share = p.dataCentres.WorkShare(now, views[i].DataCentre)
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dataCentres.Set(p.now(), drained)
+	p.dataCentres.SetDrained(p.now(), drained)
 }
 
 func newPoolView(pool *filbertv1.Pool) decide.View {
