--- a/internal/directory/types.go
+++ b/internal/directory/types.go
@@ -1,9 +1,9 @@
-// Package directory holds what operators and targets publish, in the types
-// that the gateway decides with: routes, services, client accounts, targets
-// and data centres that are taken out.
+// Package directory defines the published state in the types that the gateway
+// decides with: routes, services, client accounts, targets and drained data
+// centres.
 //
-// A View is an immutable snapshot of all of it. A request keeps the view that
-// it began with, so that it never sees half a change.
+// A View is an immutable snapshot of that state. A request keeps the view that
+// it started with, so that it never sees a partially applied change.
 package directory
 
 import (
@@ -11,51 +11,54 @@
 	"time"
 )
 
-// RequestKind says what may be repeated of a route's requests.
+// RequestKind tells how often a request of a route may be executed.
 type RequestKind int
 
-// The kinds of requests.
+// Request kinds.
 const (
-	// Once requests run at most once for each attempt of a client.
+	// Once is for requests that are executed at most once for each attempt of a
+	// client.
 	Once RequestKind = iota + 1
-	// Repeatable requests may run more than once.
+	// Repeatable is for requests that may be executed more than once.
 	Repeatable
-	// Generation requests are answered by a stream of events from one run.
+	// Generation is for requests that are answered by a stream of events from
+	// one execution.
 	Generation
 )
 
 var kindNames = map[RequestKind]string{Once: "once", Repeatable: "repeatable", Generation: "generation"}
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k RequestKind) String() string { return kindNames[k] }
 
-// Backend is one of the services that share a route's requests.
+// Backend is a service that receives a share of a route's requests.
 type Backend struct {
 	Service string `json:"service"`
-	// Weight is relative to the other backends' weights.
+	// Weight is relative to the weights of the route's other backends.
 	Weight int `json:"weight"`
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route assigns the requests of a host and path prefix to services.
 type Route struct {
 	Name   string      `json:"name"`
 	Host   string      `json:"host"`
 	Prefix string      `json:"prefix"`
 	Kind   RequestKind `json:"kind"`
-	// Timeout is the longest that a client is kept waiting for the end.
+	// Timeout is the maximum time until the answer is complete.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the time to the answer, of generations to the first event.
+	// Objective is the latency objective: the time to the answer, or for a
+	// generation to its first event.
 	Objective time.Duration `json:"objective"`
-	// PauseObjective is the longest pause between two events.
+	// PauseObjective is the objective for the longest pause between two events.
 	PauseObjective time.Duration `json:"pause_objective"`
-	// Attempts bounds the targets that one request is sent to.
+	// Attempts is the maximum number of targets that one request is sent to.
 	Attempts int `json:"attempts"`
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority orders requests; 0 is the most urgent.
 	Priority int       `json:"priority"`
 	Backends []Backend `json:"backends"`
-	// Public routes need no key of a client account.
+	// Public is set if requests need no client account's key.
 	Public bool `json:"public"`
-	// Resumable generations may be continued by another run.
+	// Resumable is set if another execution may continue a generation.
 	Resumable bool `json:"resumable"`
 }
 
@@ -63,33 +66,36 @@
 type Engine struct {
 	Slots        int `json:"slots"`
 	MemoryTokens int `json:"memory_tokens"`
-	// Moves says that engines copy running generations to each other, Backups
-	// that they keep copies of each other's as these grow.
+	// Moves is set if engines can copy running generations to each other,
+	// Backups if each keeps copies of the others' generations and updates them
+	// as they grow.
 	Moves   bool `json:"moves"`
 	Backups bool `json:"backups"`
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int `json:"tokens_per_event"`
-	// BytesPerToken and LinkMbps give the time that a copy takes.
+	// BytesPerToken and LinkMbps determine how long a copy takes.
 	BytesPerToken float64 `json:"bytes_per_token"`
 	LinkMbps      float64 `json:"link_mbps"`
-	// CopyKept is how long an engine keeps a copy that nothing is added to;
-	// 0 when unknown.
+	// CopyKept is how long an engine keeps a copy that no longer grows; 0 if
+	// unknown.
 	CopyKept time.Duration `json:"copy_kept"`
-	// HoldLimit is the longest time for which an engine keeps memory and a place
-	// for a request that is to come; 0 when engines don't.
+	// HoldLimit is the longest time for which an engine reserves memory and a
+	// slot for a request that is still to come; 0 if engines make no
+	// reservations.
 	HoldLimit time.Duration `json:"hold_limit"`
 }
 
-// Service is a kind of target.
+// Service describes a service and what each of its targets can take.
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"health_path"`
-	// MaxConnections is what a target takes from all hosts together.
+	// MaxConnections is the number of connections that a target accepts from all
+	// hosts together.
 	MaxConnections int `json:"max_connections"`
-	// ColdRate is the requests a second that a cold target bears; 0 when
-	// targets of the service don't start cold.
+	// ColdRate is the number of requests per second that a cold target can take;
+	// 0 if targets of the service do not start cold.
 	ColdRate float64 `json:"cold_rate"`
-	// Engine is nil for plain services.
+	// Engine is nil for services that are not model engines.
 	Engine *Engine `json:"engine,omitempty"`
 }
 
@@ -97,11 +103,11 @@
 type Account struct {
 	Name string   `json:"name"`
 	Keys []string `json:"keys"`
-	// Priority overrules the route's when it is not nil.
+	// Priority overrides the priority of the route unless it is nil.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size and the timeouts of callers' requests.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int64         `json:"body_bytes"`
@@ -109,42 +115,43 @@
 	IdleTimeout   time.Duration `json:"idle_timeout"`
 }
 
-// Config is one version of what operators ask for.
+// Config is one version of the configuration that operators publish.
 type Config struct {
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
-	// Accounts is nil when no request needs a key.
+	// Accounts is nil if no request needs a key.
 	Accounts []Account `json:"accounts"`
 	Limits   Limits    `json:"limits"`
 }
 
-// Target is one live or leaving target.
+// Target is a live or leaving target.
 type Target struct {
-	// ID names one life of the target; addresses are used again by others.
+	// ID identifies one lifetime of the target; its address may later belong to
+	// another target.
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	Slots      int    `json:"slots"`
-	// Leaving targets get no new work.
+	// Leaving targets get no new requests.
 	Leaving bool `json:"leaving"`
-	// ColdFor is how much longer the target was cold when it said so.
+	// ColdFor is the remaining warm-up time at the time of the target's report.
 	ColdFor time.Duration `json:"cold_for"`
-	// Started is when the target started, in Unix milliseconds. A target may
-	// start again under the same id.
+	// Started is the start time of the target in Unix milliseconds. A target may
+	// restart under the same ID.
 	Started int64 `json:"started"`
 }
 
 // Record is one published item. Exactly one of the typed fields is set, or
-// none when the item is gone or can't be read.
+// none if the item was deleted or cannot be read.
 type Record struct {
 	Key string `json:"key"`
-	// Revision is the store's at the record's last change; it only rises.
+	// Revision is the store's revision at the record's last change; it only rises.
 	Revision uint64 `json:"revision"`
 	Gone     bool   `json:"gone,omitempty"`
-	// Fault says why the item can't be read; what held before holds on for a
-	// configuration, and a target without a readable item is not used.
+	// Fault says why the item cannot be read. An unreadable configuration leaves
+	// the previous one in force; a target without a readable item is not used.
 	Fault      string  `json:"fault,omitempty"`
 	Config     *Config `json:"config,omitempty"`
 	Target     *Target `json:"target,omitempty"`
@@ -156,9 +163,9 @@
 
 const targetPrefix = "target/"
 
-// TargetKey is the key of a target's record.
+// TargetKey returns the key of a target's record.
 func TargetKey(id string) string { return targetPrefix + id }
 
-// TargetOf gives the id of the target whose record has a key; of another
-// record, its key.
+// TargetOf returns the ID of the target that a record's key belongs to, and
+// the key itself for any other record.
 func TargetOf(key string) string { return strings.TrimPrefix(key, targetPrefix) }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -6,92 +6,94 @@
 	"time"
 )
 
-// View is an immutable picture of everything published.
+// View is an immutable snapshot of the published state.
 type View struct {
-	// Revision is the store's newest revision that the view covers.
+	// Revision is the newest store revision that the view covers.
 	Revision uint64
 	// Config is nil until a configuration is known.
-	Config  *Config
-	index   *Index
-	targets map[string]*Seen
-	pools   map[string][]*Seen
-	drained map[string]bool
+	Config             *Config
+	index              *Index
+	targetsByID        map[string]*Seen
+	targetsByService   map[string][]*Seen
+	drainedDataCentres map[string]bool
 }
 
-// Seen is a target with the moment at which this process first saw it in its
-// present life, on the process's steady clock.
+// Seen is a target with the time at which this process first saw it in its
+// current lifetime, on the process's monotonic clock.
 type Seen struct {
 	Target
 	Since time.Duration
-	// ColdUntil is when the target says it is warm, on the steady clock.
+	// ColdUntil is the end of the target's warm-up as the target reported it, on
+	// the monotonic clock.
 	ColdUntil time.Duration
-	// Listed is false once the target's item is gone; it is kept for those
-	// requests that still run there.
+	// Listed is false once the target's record is deleted. Such a target is kept
+	// for the requests that still run on it.
 	Listed bool
 }
 
-// Index finds the parts of one configuration. Targets come and go many times
-// for each new configuration, and sorting a thousand routes for each of them
-// would take a small host's processor.
+// Index holds the lookup tables of one configuration. It is built once for each
+// configuration: targets change far more often, and sorting a thousand routes
+// at each of their changes would use up a small host's CPU.
 type Index struct {
-	config   *Config
-	services map[string]*Service
-	accounts map[string]*Account
-	routes   map[string][]*Route
+	config         *Config
+	servicesByName map[string]*Service
+	accountsByKey  map[string]*Account
+	routesByHost   map[string][]*Route
 }
 
-// NewIndex indexes a configuration; nil stands for none.
+// NewIndex builds the index of a configuration, which may be nil.
 func NewIndex(cfg *Config) *Index {
-	x := &Index{config: cfg, services: map[string]*Service{}, accounts: map[string]*Account{}, routes: map[string][]*Route{}}
+	index := &Index{config: cfg, servicesByName: map[string]*Service{}, accountsByKey: map[string]*Account{}, routesByHost: map[string][]*Route{}}
 	if cfg == nil {
-		return x
+		return index
 	}
 	for i := range cfg.Services {
-		x.services[cfg.Services[i].Name] = &cfg.Services[i]
+		index.servicesByName[cfg.Services[i].Name] = &cfg.Services[i]
 	}
 	for i := range cfg.Accounts {
 		for _, key := range cfg.Accounts[i].Keys {
-			x.accounts[key] = &cfg.Accounts[i]
+			index.accountsByKey[key] = &cfg.Accounts[i]
 		}
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
-		x.routes[r.Host] = append(x.routes[r.Host], r)
+		index.routesByHost[r.Host] = append(index.routesByHost[r.Host], r)
 	}
-	for _, routes := range x.routes {
-		// The longest prefix that fits wins, so it has to be met first.
+	for _, routes := range index.routesByHost {
+		// The first match is used, so the longest prefix comes first.
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	return x
+	return index
 }
 
-// NewView builds a view of a configuration, nil for none. Targets are keyed by
-// id.
+// NewView builds a view of a configuration, which may be nil. Targets are
+// keyed by ID.
 func NewView(revision uint64, cfg *Config, targets map[string]*Seen, drained []string) *View {
 	return NewIndexedView(revision, NewIndex(cfg), targets, drained)
 }
 
-// NewIndexedView builds a view of a configuration that was indexed before.
+// NewIndexedView builds a view from the existing index of a configuration.
 func NewIndexedView(revision uint64, index *Index, targets map[string]*Seen, drained []string) *View {
 	v := &View{
-		Revision: revision, Config: index.config, index: index, targets: targets,
-		pools: map[string][]*Seen{}, drained: map[string]bool{},
+		Revision: revision, Config: index.config, index: index, targetsByID: targets,
+		targetsByService: map[string][]*Seen{}, drainedDataCentres: map[string]bool{},
 	}
 	for _, dc := range drained {
-		v.drained[dc] = true
+		v.drainedDataCentres[dc] = true
 	}
 	for _, t := range targets {
-		v.pools[t.Service] = append(v.pools[t.Service], t)
+		v.targetsByService[t.Service] = append(v.targetsByService[t.Service], t)
 	}
-	for _, pool := range v.pools {
+	for _, pool := range v.targetsByService {
 		slices.SortFunc(pool, func(a, b *Seen) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return v
 }
 
-// Route gives the route of a host and path: the longest prefix that fits.
+// Route returns the route of a host and path, the one with the longest
+// matching prefix.
 func (v *View) Route(host, path string) (*Route, bool) {
-	for _, r := range v.index.routes[host] {
+	for _, r := range v.index.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -99,49 +101,49 @@
 	return nil, false
 }
 
-// NeedsKey tells whether the requests of a route need a client account's key.
+// NeedsKey reports whether requests of a route need a client account's key.
 func (v *View) NeedsKey(r *Route) bool { return v.Config.Accounts != nil && !r.Public }
 
-// Account gives the client account that holds a key.
+// Account returns the client account that a key belongs to.
 func (v *View) Account(key string) (*Account, bool) {
-	a, ok := v.index.accounts[key]
+	a, ok := v.index.accountsByKey[key]
 	return a, ok
 }
 
-// Service gives a service by name.
+// Service returns a service by name.
 func (v *View) Service(name string) (*Service, bool) {
-	s, ok := v.index.services[name]
+	s, ok := v.index.servicesByName[name]
 	return s, ok
 }
 
-// Target gives a target by id.
+// Target returns a target by ID.
 func (v *View) Target(id string) (*Seen, bool) {
-	t, ok := v.targets[id]
+	t, ok := v.targetsByID[id]
 	return t, ok
 }
 
-// Pool gives a service's targets, leaving and drained ones included, in the
-// order of their ids. The caller must not change it.
-func (v *View) Pool(service string) []*Seen { return v.pools[service] }
+// Pool returns a service's targets, including leaving and drained ones, sorted
+// by ID. The caller must not modify the slice.
+func (v *View) Pool(service string) []*Seen { return v.targetsByService[service] }
 
-// Drained tells whether operators have taken a data centre out.
-func (v *View) Drained(dataCentre string) bool { return v.drained[dataCentre] }
+// Drained reports whether operators have drained a data centre.
+func (v *View) Drained(dataCentre string) bool { return v.drainedDataCentres[dataCentre] }
 
-// TakesNew tells whether a target may get new work as far as is published.
+// TakesNew reports whether the published state allows new requests on a target.
 func (v *View) TakesNew(t *Seen) bool {
-	return t.Listed && !t.Leaving && !v.drained[t.DataCentre]
+	return t.Listed && !t.Leaving && !v.drainedDataCentres[t.DataCentre]
 }
 
-// Pick chooses one of a route's backends by weight; draw is in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// Pick selects a backend by weight and returns its service; random is in [0, 1).
+func (r *Route) Pick(random float64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
 	}
-	left := draw * float64(total)
+	remaining := random * float64(total)
 	for _, b := range r.Backends {
-		left -= float64(b.Weight)
-		if left < 0 {
+		remaining -= float64(b.Weight)
+		if remaining < 0 {
 			return b.Service
 		}
 	}
