--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin feeds the administration interface from this process's own
-// state.
+// Package admin supplies the administration interface with the state of this
+// process.
 package admin
 
 import (
@@ -17,8 +17,8 @@
 	"filbertdeck/internal/failure"
 )
 
-// Tokens reads the digests of the operators' and the monitor's keys.
-func Tokens(operators, monitors []string) ([]adminapi.Token, error) {
+// ParseTokens parses the digests of the operators' and the monitor's keys.
+func ParseTokens(operators, monitors []string) ([]adminapi.Token, error) {
 	var tokens []adminapi.Token
 	for role, digests := range map[adminapi.Role][]string{
 		adminapi.RoleOperator: operators, adminapi.RoleMonitor: monitors,
@@ -34,7 +34,7 @@
 	return tokens, nil
 }
 
-// Router serves health and readiness without a key and everything else by the
+// Router serves health and readiness without a key and passes /admin/ to the
 // administration interface.
 func Router(api http.Handler, ready func() bool) *mux.Router {
 	r := mux.NewRouter()
@@ -50,7 +50,7 @@
 	return r
 }
 
-// Source gives the figures of this process.
+// Source provides the figures of this process.
 type Source struct {
 	Self  string
 	State *state.Service
@@ -61,20 +61,20 @@
 func (s *Source) TargetStatus(service, address string) (adminapi.TargetStatus, bool) {
 	var status adminapi.TargetStatus
 	found := false
-	for _, owned := range s.owned() {
-		if !slices.Contains(owned.plan.Services, service) {
+	for _, running := range s.runningPools() {
+		if !slices.Contains(running.plan.Services, service) {
 			continue
 		}
-		for _, t := range owned.snapshot.Targets {
+		for _, t := range running.snapshot.Targets {
 			if t.Address == address {
-				status, found = statusOf(t, owned.snapshot.Waiting), true
+				status, found = targetStatus(t, running.snapshot.Waiting), true
 			}
 		}
 	}
 	return status, found
 }
 
-func statusOf(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
+func targetStatus(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
 		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Bears,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
@@ -82,37 +82,37 @@
 	}
 }
 
-// AccountStatus implements adminapi.AccountSource from the accounting of the
-// entries of this host.
+// AccountStatus implements adminapi.AccountSource with the accounting of this
+// host's entries.
 func (s *Source) AccountStatus(name string) (running, waiting int, tokens uint64) {
 	for _, snapshot := range s.State.Accounting() {
-		for _, l := range snapshot.Lines {
-			if l.Account == name {
-				running += int(l.InProgress)
-				tokens += l.PromptTokens + l.OutputTokens
+		for _, line := range snapshot.Lines {
+			if line.Account == name {
+				running += int(line.InProgress)
+				tokens += line.PromptTokens + line.OutputTokens
 			}
 		}
 	}
 	return running, waiting, tokens
 }
 
-type ownedPool struct {
+type runningPool struct {
 	plan     pools.Plan
 	snapshot admission.Snapshot
 }
 
-// owned asks the allocators that run here for their state.
-func (s *Source) owned() []ownedPool {
+// runningPools returns the pools that run here with their allocators' state.
+func (s *Source) runningPools() []runningPool {
 	var runners []*pool.Runner
-	var out []ownedPool
-	s.Pools.Each(func(p pools.Plan, r *pool.Runner) {
+	var result []runningPool
+	s.Pools.ForEach(func(p pools.Plan, r *pool.Runner) {
 		runners = append(runners, r)
-		out = append(out, ownedPool{plan: p})
+		result = append(result, runningPool{plan: p})
 	})
 	for i, r := range runners {
-		out[i].snapshot = r.Snapshot()
+		result[i].snapshot = r.Snapshot()
 	}
-	return out
+	return result
 }
 
 // Accounting implements adminapi.AccountingSource.
@@ -122,8 +122,8 @@
 		doc.Entries = append(doc.Entries, adminapi.AccountingHost{
 			Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Reached: true,
 		})
-		for _, l := range snapshot.Lines {
-			row := rowOf(snapshot, l)
+		for _, line := range snapshot.Lines {
+			row := accountingRow(snapshot, line)
 			doc.Rows = append(doc.Rows, row)
 			if !row.Balanced() {
 				doc.Faults = append(doc.Faults, row)
@@ -133,13 +133,13 @@
 	return doc
 }
 
-func rowOf(s accounting.Snapshot, l accounting.Line) adminapi.AccountingRow {
-	const perMilli = 1000
+func accountingRow(snapshot accounting.Snapshot, line accounting.Line) adminapi.AccountingRow {
+	const microsPerMilli = 1000
 	return adminapi.AccountingRow{
-		Entry: s.Host, Incarnation: s.Incarnation, Account: l.Account, Service: l.Service,
-		Received: l.Received, Refused: l.Refused, Ran: l.Ran, Unknown: l.Unknown, InProgress: l.InProgress,
-		Failed: l.Failed, WaitMS: l.WaitUS / perMilli, StallMS: l.StallUS / perMilli, Tokens: l.OutputTokens,
-		Hedges: l.Hedges, Retries: l.Retries, Resumes: l.Resumes, Replays: l.Replays, OutOfPlace: l.OutOfPlace,
-		FirstToken: l.FirstToken, TokenGap: l.TokenGap, NoStall: l.NoStall, Whole: l.Whole, Lookup: l.Lookup,
+		Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Account: line.Account, Service: line.Service,
+		Received: line.Received, Refused: line.Refused, Ran: line.Ran, Unknown: line.Unknown, InProgress: line.InProgress,
+		Failed: line.Failed, WaitMS: line.WaitUS / microsPerMilli, StallMS: line.StallUS / microsPerMilli, Tokens: line.OutputTokens,
+		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, OutOfPlace: line.OutOfPlace,
+		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Whole: line.Whole, Lookup: line.Lookup,
 	}
 }
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -31,30 +31,31 @@
 	"filbertdeck/internal/targetclient"
 )
 
-// Options build the program from its settings.
+// Options returns the modules that build the program from its settings.
 func (s *Settings) Options() []fx.Option {
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newBoard, newStore, newWatcher, newMembers, newGossip,
-			newManager, newNews, newSessions, newState, newAdmin, newQuotaPeers, newQuota,
+			secure.New, (*secure.Identity).Credentials, newConfigBoard, newStore, newWatcher, newGossipBoard, newGossip,
+			newManager, newNewsStore, newSessions, newState, newAdmin, newQuotaPeers, newQuota,
 		),
-		fx.Invoke(limitMemory, serveAdmin, serveRPC, runManager, runWatcher, runGossip, runQuota, runNews),
+		fx.Invoke(setMemoryLimit, serveAdmin, serveRPC, runManager, runWatcher, runGossip, runQuota, runNewsStore),
 	}
 }
 
-// limitMemory lets the collector run earlier as the process comes near its
-// budget of 32 MB a node: the live heap may otherwise double between two
-// collections. The limit is soft; a process that needs more gets it.
-func limitMemory(s *Settings) {
-	if s.MemoryLimit > 0 {
-		debug.SetMemoryLimit(s.MemoryLimit << 20)
+// setMemoryLimit makes the garbage collector run earlier as the process
+// approaches its budget of 32 MB per node; the live heap may otherwise double
+// between two collections. The limit is soft: a process that needs more memory
+// gets it.
+func setMemoryLimit(s *Settings) {
+	if s.MemoryLimitMiB > 0 {
+		debug.SetMemoryLimit(s.MemoryLimitMiB << 20)
 	}
 }
 
-func newBoard() *configwatch.Board { return &configwatch.Board{} }
+func newConfigBoard() *configwatch.Board { return &configwatch.Board{} }
 
-func newMembers() *gossip.Board { return &gossip.Board{} }
+func newGossipBoard() *gossip.Board { return &gossip.Board{} }
 
 func newStore(b *configwatch.Board, log *slog.Logger, reg gometrics.Registry) (*configwatch.Store, error) {
 	return configwatch.NewStore(b, configwatch.StoreConfig{Log: log, Metrics: reg})
@@ -68,11 +69,11 @@
 	return configwatch.NewWatcher(client, store), nil
 }
 
-// newGossip draws the incarnation: a process that is replaced at the same
-// address is another member.
+// newGossip uses the start time as the incarnation: a process that replaces
+// another one at the same address is a different member.
 func newGossip(
-	s *Settings, store *configwatch.Store, b *configwatch.Board, members *gossip.Board, w *configwatch.Watcher,
-	n *news.Board, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, store *configwatch.Store, b *configwatch.Board, gossipBoard *gossip.Board, w *configwatch.Watcher,
+	newsStore *news.Store, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
 ) (*gossip.Controller, error) {
 	transport := creds.Client
 	if transport == nil {
@@ -87,10 +88,10 @@
 		},
 		Store: store, Hosts: &b.Hosts, Credentials: transport, SetReader: w.SetReader, Log: log, Metrics: reg,
 		Hooks: gossip.Hooks{
-			SupplyPools: n.SupplyPools, TakePools: n.TakePools, SupplyPoison: n.SupplyPoison, TakePoison: n.TakePoison,
-			Urgent: n.Urgent(),
+			SupplyPools: newsStore.SupplyPools, TakePools: newsStore.ReceivePools, SupplyPoison: newsStore.SupplyPoison, TakePoison: newsStore.ReceivePoison,
+			Urgent: newsStore.Urgent(),
 		},
-	}, members)
+	}, gossipBoard)
 }
 
 func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *pools.Manager {
@@ -104,11 +105,11 @@
 ) *quota.Controller {
 	return quota.New(quota.Config{
 		Self: s.Listen, Incarnation: uint64(time.Now().UnixMilli()), Table: &b.Table, Hosts: &b.Hosts,
-		Pools: quota.Running(m), Transport: peers, Metrics: reg,
+		Pools: quota.RunningPools(m), Transport: peers, Metrics: reg,
 	})
 }
 
-func newNews(s *Settings, m *pools.Manager) *news.Board { return news.New(s.Listen, m) }
+func newNewsStore(s *Settings, m *pools.Manager) *news.Store { return news.New(s.Listen, m) }
 
 func newSessions(m *pools.Manager) *sessions.Server {
 	server := sessions.New(m)
@@ -116,15 +117,15 @@
 	return server
 }
 
-func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, n *news.Board, members *gossip.Board, store *configwatch.Store) *state.Service {
+func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, newsStore *news.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
-		Board: b, Pools: m, Sessions: server, Backlog: n.Backlog, Ready: store.Ready,
-		Gone: func() []string { return gone(members.Members.Get()) },
+		Board: b, Pools: m, Sessions: server, Backlog: newsStore.Backlog, Ready: store.Ready,
+		Departed: func() []string { return departedMembers(gossipBoard.Members.Get()) },
 	}
 }
 
-// gone lists the members that are known to be dead or to have left.
-func gone(v *membership.View) []string {
+// departedMembers returns the members that are known to be dead or to have left.
+func departedMembers(v *membership.View) []string {
 	if v == nil {
 		return nil
 	}
@@ -138,22 +139,22 @@
 }
 
 func newAdmin(
-	s *Settings, b *configwatch.Board, members *gossip.Board, service *state.Service, m *pools.Manager, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, gossipBoard *gossip.Board, service *state.Service, m *pools.Manager, reg gometrics.Registry,
 ) (http.Handler, error) {
-	tokens, err := admin.Tokens(s.OperatorKeys, s.MonitorKeys)
+	tokens, err := admin.ParseTokens(s.OperatorKeys, s.MonitorKeys)
 	if err != nil {
 		return nil, err
 	}
 	source := &admin.Source{Self: s.Listen, State: service, Pools: m}
 	return adminapi.New(adminapi.Config{
 		Self: s.Listen, Tokens: tokens, Table: &b.Table, Hosts: &b.Hosts, Targets: &b.Targets, Rollout: &b.Rollout,
-		Members: &members.Members, TargetFigures: source, AccountFigures: source, Accounting: source, Metrics: reg,
+		Members: &gossipBoard.Members, TargetFigures: source, AccountFigures: source, Accounting: source, Metrics: reg,
 	}), nil
 }
 
-// runWatcher starts as a reader of the configuration service: a process that
-// knows nobody yet has no other source. Gossip takes the role away once it
-// sees that others have it.
+// runWatcher starts as a reader of the configuration service, the only source
+// of a process that knows no peers yet. Gossip takes the role away once it
+// knows of other readers.
 func runWatcher(lc fx.Lifecycle, w *configwatch.Watcher) {
 	w.SetReader(true)
 	process.Background(lc, w.Run)
@@ -168,15 +169,15 @@
 
 func runManager(lc fx.Lifecycle, m *pools.Manager) { process.Background(lc, m.Run) }
 
-func runNews(lc fx.Lifecycle, n *news.Board) { process.Background(lc, n.Run) }
+func runNewsStore(lc fx.Lifecycle, n *news.Store) { process.Background(lc, n.Run) }
 
-// leaveLimit bounds telling the neighbours of a planned stop.
-const leaveLimit = time.Second
+// leaveTimeout bounds the time for announcing a planned stop to the neighbours.
+const leaveTimeout = time.Second
 
 func runGossip(lc fx.Lifecycle, c *gossip.Controller) {
 	process.Background(lc, c.Run)
 	lc.Append(fx.StopHook(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, leaveLimit)
+		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
 		c.Leave(ctx)
 	}))
--- a/internal/control/news/news.go
+++ b/internal/control/news/news.go
@@ -1,5 +1,5 @@
-// Package news carries what allocators tell the fleet through gossip: the
-// backlog of each pool, and the evidence of crashes.
+// Package news exchanges the reports of allocators with other control processes
+// through gossip: the backlog of each pool and evidence of crashes.
 package news
 
 import (
@@ -16,86 +16,88 @@
 )
 
 const (
-	// messageItems bounds the items of each kind in one message of gossip, so
-	// that its size does not grow with the fleet: 8 items are some 400 bytes.
-	messageItems = 8
-	// poolRounds is how often an item is handed on. Each process talks to six
-	// neighbours; four rounds reach 3,300 nodes several times over.
-	poolRounds = 4
-	// crashRounds is how often a crash is handed on: to the six neighbours at
-	// once, and in two answers to probes of others.
-	crashRounds = 8
-	// collectEvery is how often the allocators are asked for crashes: short
-	// against the second after which a client sends a request again that got no
-	// answer, which then meets the next target.
-	collectEvery = 200 * time.Millisecond
-	// stepBacklog is the change of a backlog that is worth telling: half the
-	// bonus that an entry gives its own data centre.
-	stepBacklog = 25 * time.Millisecond
-	// tellAgain repeats a backlog that did not change, so that a pool without
-	// news is one whose allocator is gone.
-	tellAgain = 5 * time.Second
+	// maxMessageItems bounds the items of each kind in one gossip message, so
+	// that its size does not grow with the fleet: 8 items take about 400 bytes.
+	maxMessageItems = 8
+	// backlogRetransmits is how often a backlog is passed on. Each process has
+	// six neighbours; four rounds reach 3,300 nodes several times over.
+	backlogRetransmits = 4
+	// crashRetransmits is how often a crash is passed on: immediately to the six
+	// neighbours, and in two answers to probes from others.
+	crashRetransmits = 8
+	// collectInterval is the interval at which allocators are asked for crashes.
+	// It is short compared with the second after which a client retries a
+	// request that got no answer, which then reaches the next target.
+	collectInterval = 200 * time.Millisecond
+	// minBacklogChange is the smallest change of a backlog that is announced:
+	// half the bonus that an entry gives its own data centre.
+	minBacklogChange = 25 * time.Millisecond
+	// backlogRepeatInterval is the interval at which an unchanged backlog is
+	// announced again, so that a pool without announcements is one whose
+	// allocator is gone.
+	backlogRepeatInterval = 5 * time.Second
 )
 
-// Board keeps the news of this process and of others. It is safe for
-// concurrent use.
-type Board struct {
+// Store holds the backlogs and crashes of this process and those received from
+// peers. It is safe for concurrent use.
+type Store struct {
 	self  string
 	pools *pools.Manager
 	start time.Time
 
-	mu      sync.Mutex
-	heard   *decide.News
-	told    map[string]told
-	version uint64
-	crashes map[uint64]crash
-	// siblings are crashes of a pool here that the other pools don't know yet.
-	siblings []poison.Crash
-	urgent   chan struct{}
+	mu        sync.Mutex
+	backlogs  *decide.News
+	announced map[string]announcement
+	version   uint64
+	crashes   map[uint64]crash
+	// unsharedCrashes are the crashes of one local pool that the other local
+	// pools do not know yet.
+	unsharedCrashes []poison.Crash
+	urgent          chan struct{}
 }
 
-type told struct {
+type announcement struct {
 	backlog time.Duration
 	at      time.Duration
 }
 
 type crash struct {
-	news   *filbertv1.PoisonNews
-	at     time.Duration
-	passed int
+	message    *filbertv1.PoisonNews
+	happenedAt time.Duration
+	sends      int
 }
 
-// New returns a board without news.
-func New(self string, m *pools.Manager) *Board {
-	return &Board{
-		self: self, pools: m, start: time.Now(), heard: decide.NewNews(),
-		told: map[string]told{}, crashes: map[uint64]crash{},
+// New returns an empty store.
+func New(self string, m *pools.Manager) *Store {
+	return &Store{
+		self: self, pools: m, start: time.Now(), backlogs: decide.NewNews(),
+		announced: map[string]announcement{}, crashes: map[uint64]crash{},
 		version: uint64(time.Now().UnixMilli()), urgent: make(chan struct{}, 1),
 	}
 }
 
-func (b *Board) now() time.Duration { return time.Since(b.start) }
+func (s *Store) now() time.Duration { return time.Since(s.start) }
 
-// Backlog is the wait in a pool, own or heard of.
-func (b *Board) Backlog(name string) (time.Duration, bool) {
-	if r, _, ok := b.pools.Runner(name); ok {
+// Backlog returns the wait in a pool, of this process or announced by a peer.
+func (s *Store) Backlog(name string) (time.Duration, bool) {
+	if r, _, ok := s.pools.Runner(name); ok {
 		return r.Backlog(), true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.heard.Backlog(b.now(), name)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.backlogs.Backlog(s.now(), name)
 }
 
-// SupplyPools gives the backlogs for the next message of gossip.
-func (b *Board) SupplyPools() []*filbertv1.PoolNews {
-	own := b.own()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for name, backlog := range own {
-		b.tell(name, backlog)
+// SupplyPools returns the backlogs for the next gossip message.
+func (s *Store) SupplyPools() []*filbertv1.PoolNews {
+	backlogs := s.ownBacklogs()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, backlog := range backlogs {
+		s.announceBacklog(name, backlog)
 	}
 	var out []*filbertv1.PoolNews
-	for _, item := range b.heard.Spread(b.now(), messageItems, poolRounds) {
+	for _, item := range s.backlogs.Spread(s.now(), maxMessageItems, backlogRetransmits) {
 		out = append(out, &filbertv1.PoolNews{
 			Pool: item.Pool, Control: item.Control, BacklogMs: uint32(item.Backlog.Milliseconds()), Version: item.Version,
 		})
@@ -103,161 +105,161 @@
 	return out
 }
 
-// own gives the backlogs of the pools that this process owns.
-func (b *Board) own() map[string]time.Duration {
-	own := map[string]time.Duration{}
-	b.pools.Each(func(p pools.Plan, r *pool.Runner) {
-		if b.pools.Owns(p) {
-			own[p.ID] = r.Backlog()
+// ownBacklogs returns the backlogs of the pools that this process owns.
+func (s *Store) ownBacklogs() map[string]time.Duration {
+	backlogs := map[string]time.Duration{}
+	s.pools.ForEach(func(p pools.Plan, r *pool.Runner) {
+		if s.pools.IsOwner(p) {
+			backlogs[p.ID] = r.Backlog()
 		}
 	})
-	return own
+	return backlogs
 }
 
-// tell makes an item of a backlog that changed, or was not told for long.
-func (b *Board) tell(name string, backlog time.Duration) {
-	now := b.now()
-	last, ok := b.told[name]
-	if ok && (backlog-last.backlog).Abs() < stepBacklog && now-last.at < tellAgain {
+// announceBacklog announces a backlog that changed or is due to be repeated.
+func (s *Store) announceBacklog(name string, backlog time.Duration) {
+	now := s.now()
+	last, ok := s.announced[name]
+	if ok && (backlog-last.backlog).Abs() < minBacklogChange && now-last.at < backlogRepeatInterval {
 		return
 	}
-	b.told[name] = told{backlog: backlog, at: now}
-	b.version++
-	b.heard.Hear(now, decide.Item{Pool: name, Control: b.self, Backlog: backlog, Version: b.version})
+	s.announced[name] = announcement{backlog: backlog, at: now}
+	s.version++
+	s.backlogs.Hear(now, decide.Item{Pool: name, Control: s.self, Backlog: backlog, Version: s.version})
 }
 
-// TakePools takes the backlogs that a peer supplied.
-func (b *Board) TakePools(list []*filbertv1.PoolNews) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// ReceivePools stores the backlogs that a peer sent.
+func (s *Store) ReceivePools(list []*filbertv1.PoolNews) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, n := range list {
-		b.heard.Hear(b.now(), decide.Item{
+		s.backlogs.Hear(s.now(), decide.Item{
 			Pool: n.Pool, Control: n.Control, Backlog: time.Duration(n.BacklogMs) * time.Millisecond, Version: n.Version,
 		})
 	}
 }
 
-// SupplyPoison gives the crashes for the next message of gossip: those of the
-// pools that run here, and those that were heard of.
-func (b *Board) SupplyPoison() []*filbertv1.PoisonNews {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// SupplyPoison returns the crashes for the next gossip message: those of local
+// pools, and those received from peers.
+func (s *Store) SupplyPoison() []*filbertv1.PoisonNews {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []*filbertv1.PoisonNews
-	for id, c := range b.crashes {
-		age := b.now() - c.at
-		if age > crashLife {
-			delete(b.crashes, id)
+	for id, c := range s.crashes {
+		age := s.now() - c.happenedAt
+		if age > crashTTL {
+			delete(s.crashes, id)
 			continue
 		}
-		if c.passed >= crashRounds || len(out) == messageItems {
+		if c.sends >= crashRetransmits || len(out) == maxMessageItems {
 			continue
 		}
-		c.passed++
-		b.crashes[id] = c
+		c.sends++
+		s.crashes[id] = c
 		out = append(out, &filbertv1.PoisonNews{
-			Id: id, AgeMs: uint32(age.Milliseconds()), Fingerprints: c.news.Fingerprints,
+			Id: id, AgeMs: uint32(age.Milliseconds()), Fingerprints: c.message.Fingerprints,
 		})
 	}
 	return out
 }
 
-// crashLife is how long a crash is handed on; the detectors keep it longer.
-const crashLife = time.Minute
+// crashTTL is how long a crash is passed on; the detectors keep it longer.
+const crashTTL = time.Minute
 
-// Urgent is received from once there are crashes that peers should hear of at
-// once. Were they left to the next probes, a caller that sends its request again
-// each second would be a hop ahead of the news, and each pool that it reaches
+// Urgent returns a channel that signals crashes to be sent to peers without
+// delay. If they waited for the next probes, a caller that retries its request
+// every second would stay a hop ahead of them, and each pool that it reaches
 // would lose a target.
-func (b *Board) Urgent() <-chan struct{} { return b.urgent }
+func (s *Store) Urgent() <-chan struct{} { return s.urgent }
 
-func (b *Board) hurry() {
+func (s *Store) signalUrgent() {
 	select {
-	case b.urgent <- struct{}{}:
+	case s.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Run collects the crashes of the pools that run here until ctx ends.
-func (b *Board) Run(ctx context.Context) {
-	ticker := time.NewTicker(collectEvery)
+// Run collects the crashes of local pools until ctx ends.
+func (s *Store) Run(ctx context.Context) {
+	ticker := time.NewTicker(collectInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			b.tellSiblings()
-			b.collect()
+			s.shareLocalCrashes()
+			s.collect()
 		}
 	}
 }
 
-// collect asks each allocator for its evidence. The answers come on the
-// allocators' goroutines.
-func (b *Board) collect() {
-	b.pools.Each(func(_ pools.Plan, r *pool.Runner) {
+// collect asks each allocator for evidence of crashes. The answers arrive on
+// the allocators' goroutines.
+func (s *Store) collect() {
+	s.pools.ForEach(func(_ pools.Plan, r *pool.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) {
-			b.keep(a.PoisonEvidence(now, messageItems))
+			s.recordCrashes(a.PoisonEvidence(now, maxMessageItems))
 		})
 	})
 }
 
-func (b *Board) keep(list []poison.Crash) {
+func (s *Store) recordCrashes(list []poison.Crash) {
 	if len(list) == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, c := range list {
-		if _, known := b.crashes[c.ID]; known || c.Age >= crashLife {
+		if _, known := s.crashes[c.ID]; known || c.Age >= crashTTL {
 			continue
 		}
-		b.crashes[c.ID] = crash{
-			at: b.now() - c.Age, news: &filbertv1.PoisonNews{Id: c.ID, Fingerprints: c.Fingerprints},
+		s.crashes[c.ID] = crash{
+			happenedAt: s.now() - c.Age, message: &filbertv1.PoisonNews{Id: c.ID, Fingerprints: c.Fingerprints},
 		}
-		b.siblings = append(b.siblings, c)
-		b.hurry()
+		s.unsharedCrashes = append(s.unsharedCrashes, c)
+		s.signalUrgent()
 	}
 }
 
-// tellSiblings hands the crashes of one pool to the other pools of this process.
-// Peers don't do it: what they echo is known here. It is not done where a crash
-// is collected, on the goroutine of an allocator: two that hand to each other
-// while their queues are full would wait for ever.
-func (b *Board) tellSiblings() {
-	b.mu.Lock()
-	crashes := b.siblings
-	b.siblings = nil
-	b.mu.Unlock()
-	b.merge(crashes)
+// shareLocalCrashes passes the crashes of one local pool to the other local
+// pools. Peers don't do that: a crash that they send back is known here. It is
+// not called on the goroutine of the allocator that reports a crash: two
+// allocators that send to each other while their queues are full would deadlock.
+func (s *Store) shareLocalCrashes() {
+	s.mu.Lock()
+	crashes := s.unsharedCrashes
+	s.unsharedCrashes = nil
+	s.mu.Unlock()
+	s.mergeIntoAllocators(crashes)
 }
 
-func (b *Board) merge(crashes []poison.Crash) {
+func (s *Store) mergeIntoAllocators(crashes []poison.Crash) {
 	if len(crashes) == 0 {
 		return
 	}
-	b.pools.Each(func(_ pools.Plan, r *pool.Runner) {
+	s.pools.ForEach(func(_ pools.Plan, r *pool.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoison(now, crashes) })
 	})
 }
 
-// TakePoison takes the crashes that a peer supplied and hands them to every
-// allocator of this process.
-func (b *Board) TakePoison(list []*filbertv1.PoisonNews) {
-	fresh := make([]poison.Crash, 0, len(list))
-	b.mu.Lock()
+// ReceivePoison stores the crashes that a peer sent and passes new ones to every
+// local allocator.
+func (s *Store) ReceivePoison(list []*filbertv1.PoisonNews) {
+	newCrashes := make([]poison.Crash, 0, len(list))
+	s.mu.Lock()
 	for _, n := range list {
-		if known, ok := b.crashes[n.Id]; ok && len(known.news.Fingerprints) >= len(n.Fingerprints) {
+		if known, ok := s.crashes[n.Id]; ok && len(known.message.Fingerprints) >= len(n.Fingerprints) {
 			continue
 		}
 		age := time.Duration(n.AgeMs) * time.Millisecond
-		b.crashes[n.Id] = crash{at: b.now() - age, news: n}
-		fresh = append(fresh, poison.Crash{ID: n.Id, Age: age, Fingerprints: n.Fingerprints})
+		s.crashes[n.Id] = crash{happenedAt: s.now() - age, message: n}
+		newCrashes = append(newCrashes, poison.Crash{ID: n.Id, Age: age, Fingerprints: n.Fingerprints})
 	}
-	b.mu.Unlock()
-	if len(fresh) == 0 {
+	s.mu.Unlock()
+	if len(newCrashes) == 0 {
 		return
 	}
-	b.hurry()
-	b.merge(fresh)
+	s.signalUrgent()
+	s.mergeIntoAllocators(newCrashes)
 }
--- a/internal/control/news/news_test.go
+++ b/internal/control/news/news_test.go
@@ -25,48 +25,49 @@
 
 func TestNews(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "news of control processes")
+	RunSpecs(t, "exchange of backlogs and crashes between control processes")
 }
 
-// nobody answers no poller.
-type nobody struct{}
+// unreachableClient fails every request.
+type unreachableClient struct{}
 
-func (nobody) Do(*http.Request) (*http.Response, error) {
+func (unreachableClient) Do(*http.Request) (*http.Response, error) {
 	return nil, failure.New(failure.KindTargetLost, "no target")
 }
 
 const self = "127.0.0.1:9"
 
-// twoPools runs a board over a manager with a pool for each of two services.
-func twoPools() (*news.Board, map[string]*pool.Runner, chan admission.Decision) {
+// startTwoPools starts a store over a manager with one pool for each of two
+// services.
+func startTwoPools() (*news.Store, map[string]*pool.Runner, chan admission.Decision) {
 	board := &configwatch.Board{}
-	tables, _ := board.Table.Claim()
-	hosts, _ := board.Hosts.Claim()
+	tableWriter, _ := board.Table.Claim()
+	hostsWriter, _ := board.Hosts.Claim()
 	t := &table.Table{Services: map[string]*table.Service{}}
 	for name, address := range map[string]string{"reports": "127.0.0.1:1", "sites": "127.0.0.1:2"} {
 		t.Services[name] = &table.Service{
 			Name: name, Type: table.ServiceLookup, QueueLimit: 10, Targets: []table.Target{{Address: address, DataCentre: "north"}},
 		}
 	}
-	tables.Publish(t)
-	hosts.Publish(&configwatch.Hosts{
+	tableWriter.Publish(t)
+	hostsWriter.Publish(&configwatch.Hosts{
 		Version: rollout.Version{Revision: 1}, ConfirmedAt: time.Now(),
 		List: []configservice.Host{{Name: "h", DataCentre: "north", Control: self, State: configservice.StateLive}},
 	})
-	m := pools.NewManager(self, board, func() bool { return true }, nobody{}, slog.New(slog.DiscardHandler))
+	m := pools.NewManager(self, board, func() bool { return true }, unreachableClient{}, slog.New(slog.DiscardHandler))
 	decisions := make(chan admission.Decision, 10)
 	m.SetDeliver(func(_ string, d admission.Decision) { decisions <- d })
-	b := news.New(self, m)
+	store := news.New(self, m)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go m.Run(ctx)
-	go b.Run(ctx)
+	go store.Run(ctx)
 	runners := map[string]*pool.Runner{}
 	Eventually(func() int {
-		m.Each(func(p pools.Plan, r *pool.Runner) { runners[p.Services[0]] = r })
+		m.ForEach(func(p pools.Plan, r *pool.Runner) { runners[p.Services[0]] = r })
 		return len(runners)
 	}).Should(Equal(2))
-	return b, runners, decisions
+	return store, runners, decisions
 }
 
 func evidence(r *pool.Runner) []poison.Crash {
@@ -76,11 +77,11 @@
 }
 
 var _ = Describe("evidence of a crash", func() {
-	// A request crashes a target of one pool, and its caller sends it again at
-	// once, to another pool. Without the evidence that pool loses a target too,
-	// also when both pools are run by the same process.
-	It("reaches the other pools of the process, and peers at once", func() {
-		b, runners, decisions := twoPools()
+	// A request crashes a target of one pool, and its caller retries it at once
+	// in another pool. Without the evidence that pool loses a target too, even if
+	// the same process runs both pools.
+	It("reaches the other pools of the process, and peers immediately", func() {
+		store, runners, decisions := startTwoPools()
 		r := runners["reports"]
 		r.Report(admission.Report{Target: "127.0.0.1:1", Incarnation: 1, Bears: 10})
 		r.Ask(admission.Ask{Request: 1, Account: "park", Fingerprint: 7, MaxWait: time.Minute})
@@ -88,26 +89,26 @@
 		Eventually(decisions).Should(Receive(&d))
 		Expect(d.Granted()).To(BeTrue())
 		r.Settle(admission.Settlement{Lease: d.Lease, Outcome: admission.OutcomeTargetCrashed})
-		Eventually(b.Urgent()).Should(Receive())
-		told := b.SupplyPoison()
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Fingerprints).To(Equal([]uint64{7}))
+		Eventually(store.Urgent()).Should(Receive())
+		supplied := store.SupplyPoison()
+		Expect(supplied).To(HaveLen(1))
+		Expect(supplied[0].Fingerprints).To(Equal([]uint64{7}))
 		Eventually(func() []poison.Crash { return evidence(runners["sites"]) }).Should(HaveLen(1))
-		b.TakePoison(told)
-		Expect(b.Urgent()).NotTo(Receive(), "its own news, echoed")
+		store.ReceivePoison(supplied)
+		Expect(store.Urgent()).NotTo(Receive(), "a local crash that a peer sends back")
 	})
 
-	It("is passed on at once where it is new, to a bounded number of peers", func() {
-		b, runners, _ := twoPools()
-		heard := []*filbertv1.PoisonNews{{Id: 3, Fingerprints: []uint64{7}}}
-		b.TakePoison(heard)
-		Expect(b.Urgent()).To(Receive())
+	It("is passed on immediately if it is new, and a bounded number of times", func() {
+		store, runners, _ := startTwoPools()
+		received := []*filbertv1.PoisonNews{{Id: 3, Fingerprints: []uint64{7}}}
+		store.ReceivePoison(received)
+		Expect(store.Urgent()).To(Receive())
 		Expect(evidence(runners["sites"])).To(HaveLen(1))
-		b.TakePoison(heard)
-		Expect(b.Urgent()).NotTo(Receive())
+		store.ReceivePoison(received)
+		Expect(store.Urgent()).NotTo(Receive())
 		sent := 0
 		for range 20 {
-			sent += len(b.SupplyPoison())
+			sent += len(store.SupplyPoison())
 		}
 		Expect(sent).To(Equal(8))
 	})
--- a/internal/control/pool/runner.go
+++ b/internal/control/pool/runner.go
@@ -1,6 +1,6 @@
-// Package pool runs one admission allocator on a goroutine of its own and
-// gives it its clock: everything that reaches the allocator is an event with
-// the time of this process.
+// Package pool runs one admission allocator on its own goroutine and supplies
+// its clock: everything that reaches the allocator is an event with the time of
+// this process.
 package pool
 
 import (
@@ -12,58 +12,59 @@
 )
 
 const (
-	// busyTick is how often time moves on while requests wait: a refusal is due
-	// to the caller within ten milliseconds of its moment.
-	busyTick = 5 * time.Millisecond
-	// idleTick expires leases; it costs an idle process next to nothing.
-	idleTick = 250 * time.Millisecond
-	// eventQueue bounds the events that wait. A full queue makes the sender
-	// wait, which slows the sessions and thereby the entries.
-	eventQueue = 4096
+	// busyInterval is the time between two decisions while requests wait: a
+	// refusal must reach the caller within ten milliseconds of its due time.
+	busyInterval = 5 * time.Millisecond
+	// idleInterval is the time between two decisions otherwise. They expire
+	// leases and cost an idle process next to nothing.
+	idleInterval = 250 * time.Millisecond
+	// eventQueueSize bounds the queued events. A full queue blocks the sender,
+	// which slows down the sessions and thereby the entries.
+	eventQueueSize = 4096
 )
 
-// Deliver hands a decision to the session of its holder.
+// Deliver passes a decision to the session of its holder.
 type Deliver func(pool string, d admission.Decision)
 
 type event func(a *admission.Allocator, now time.Duration)
 
 // Runner owns one allocator.
 type Runner struct {
-	name    string
-	alloc   *admission.Allocator
-	deliver Deliver
-	events  chan event
-	stop    chan struct{}
-	stopped sync.WaitGroup
-	start   time.Time
+	name      string
+	allocator *admission.Allocator
+	deliver   Deliver
+	events    chan event
+	stop      chan struct{}
+	loopDone  sync.WaitGroup
+	startedAt time.Time
 
-	busy    atomic.Bool
-	backlog atomic.Int64 // microseconds
+	busy          atomic.Bool
+	backlogMicros atomic.Int64 // microseconds
 }
 
 // NewRunner starts an allocator for the pool called name.
 func NewRunner(name string, cfg admission.Config, deliver Deliver) *Runner {
 	r := &Runner{
-		name: name, alloc: admission.New(cfg), deliver: deliver,
-		events: make(chan event, eventQueue), stop: make(chan struct{}), start: time.Now(),
+		name: name, allocator: admission.New(cfg), deliver: deliver,
+		events: make(chan event, eventQueueSize), stop: make(chan struct{}), startedAt: time.Now(),
 	}
-	r.stopped.Add(1)
+	r.loopDone.Add(1)
 	go r.loop()
 	return r
 }
 
-// Close stops the runner; asks that wait get no decision.
+// Close stops the runner; waiting requests get no decision.
 func (r *Runner) Close() {
 	close(r.stop)
-	r.stopped.Wait()
+	r.loopDone.Wait()
 }
 
-// Backlog is the wait that a request would meet now.
+// Backlog returns the wait that a new request would have.
 func (r *Runner) Backlog() time.Duration {
-	return time.Duration(r.backlog.Load()) * time.Microsecond
+	return time.Duration(r.backlogMicros.Load()) * time.Microsecond
 }
 
-// Busy tells whether requests wait or run here.
+// Busy reports whether requests wait or run in the pool.
 func (r *Runner) Busy() bool { return r.busy.Load() }
 
 // Do runs change on the allocator's goroutine.
@@ -79,12 +80,12 @@
 	r.Do(func(a *admission.Allocator, now time.Duration) { a.Ask(now, ask) })
 }
 
-// Withdraw takes a request back.
+// Withdraw cancels a waiting request.
 func (r *Runner) Withdraw(holder admission.Holder, request uint64) {
 	r.Do(func(a *admission.Allocator, now time.Duration) { a.Withdraw(now, holder, request) })
 }
 
-// Renew keeps leases alive.
+// Renew extends leases.
 func (r *Runner) Renew(holder admission.Holder, renewals []admission.Renewal) {
 	r.Do(func(a *admission.Allocator, now time.Duration) { a.Renew(now, holder, renewals) })
 }
@@ -94,17 +95,17 @@
 	r.Do(func(a *admission.Allocator, now time.Duration) { a.Settle(now, s) })
 }
 
-// Report takes a target's load.
+// Report applies a target's load report.
 func (r *Runner) Report(report admission.Report) {
 	r.Do(func(a *admission.Allocator, now time.Duration) { a.Report(now, report) })
 }
 
-// Confirm says that the host list was the newest one at the moment at.
+// Confirm records that the host list was the newest one at the time at.
 func (r *Runner) Confirm(at time.Time) {
-	r.Do(func(a *admission.Allocator, _ time.Duration) { a.Confirm(at.Sub(r.start)) })
+	r.Do(func(a *admission.Allocator, _ time.Duration) { a.Confirm(at.Sub(r.startedAt)) })
 }
 
-// Snapshot copies the allocator's state for counters.
+// Snapshot returns a copy of the allocator's state for counters.
 func (r *Runner) Snapshot() admission.Snapshot {
 	out := make(chan admission.Snapshot, 1)
 	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.Snapshot(now) })
@@ -116,7 +117,7 @@
 	}
 }
 
-// QuotaUses tells what the accounts with leased limits do.
+// QuotaUses returns the use of the accounts with leased limits.
 func (r *Runner) QuotaUses() []admission.QuotaUse {
 	out := make(chan []admission.QuotaUse, 1)
 	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.QuotaUses(now) })
@@ -129,29 +130,29 @@
 }
 
 func (r *Runner) loop() {
-	defer r.stopped.Done()
-	timer := time.NewTimer(idleTick)
+	defer r.loopDone.Done()
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-r.stop:
 			return
 		case e := <-r.events:
-			e(r.alloc, r.now())
-			r.drainEvents()
+			e(r.allocator, r.now())
+			r.processPendingEvents()
 		case <-timer.C:
 		}
 		r.decide()
-		timer.Reset(r.tick())
+		timer.Reset(r.timerInterval())
 	}
 }
 
-// drainEvents takes what has gathered, so that one decision covers it all.
-func (r *Runner) drainEvents() {
-	for range eventQueue {
+// processPendingEvents runs the queued events, so that one decision covers them.
+func (r *Runner) processPendingEvents() {
+	for range eventQueueSize {
 		select {
 		case e := <-r.events:
-			e(r.alloc, r.now())
+			e(r.allocator, r.now())
 		default:
 			return
 		}
@@ -159,18 +160,18 @@
 }
 
 func (r *Runner) decide() {
-	for _, d := range r.alloc.Decide(r.now()) {
+	for _, d := range r.allocator.Decide(r.now()) {
 		r.deliver(r.name, d)
 	}
-	r.backlog.Store(r.alloc.Backlog().Microseconds())
-	r.busy.Store(r.alloc.Waiting() > 0 || r.alloc.Running() > 0)
+	r.backlogMicros.Store(r.allocator.Backlog().Microseconds())
+	r.busy.Store(r.allocator.Waiting() > 0 || r.allocator.Running() > 0)
 }
 
-func (r *Runner) tick() time.Duration {
-	if r.alloc.Waiting() > 0 {
-		return busyTick
+func (r *Runner) timerInterval() time.Duration {
+	if r.allocator.Waiting() > 0 {
+		return busyInterval
 	}
-	return idleTick
+	return idleInterval
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.start) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
--- a/internal/control/pools/group.go
+++ b/internal/control/pools/group.go
@@ -9,8 +9,9 @@
 	"filbertdeck/internal/table"
 )
 
-// group is a set of services that share targets, directly or through others.
-type group struct {
+// serviceGroup is a set of services that share targets, directly or through
+// other services.
+type serviceGroup struct {
 	services   []string
 	generation bool
 	queueLimit int
@@ -18,40 +19,40 @@
 	leaving    map[string]bool
 }
 
-// name is the same in all processes: the services in the order of their names.
-func (g *group) name() string { return strings.Join(g.services, "+") }
+// name joins the sorted names of the services, so all processes agree on it.
+func (g *serviceGroup) name() string { return strings.Join(g.services, "+") }
 
-// groups puts the services with targets into groups.
-func groups(t *table.Table) []*group {
-	byTarget := map[string]*group{}
-	var all []*group
+// groupServices partitions the services that have targets into groups.
+func groupServices(t *table.Table) []*serviceGroup {
+	byTarget := map[string]*serviceGroup{}
+	var result []*serviceGroup
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
 		s := t.Services[name]
 		if len(s.Targets) == 0 {
 			continue
 		}
-		g := &group{leaving: map[string]bool{}}
+		g := &serviceGroup{leaving: map[string]bool{}}
 		g.add(t, s)
 		for _, target := range s.Targets {
 			other := byTarget[target.Address]
-			if i := slices.Index(all, other); i >= 0 {
-				g.join(other)
-				all = slices.Delete(all, i, i+1)
+			if i := slices.Index(result, other); i >= 0 {
+				g.merge(other)
+				result = slices.Delete(result, i, i+1)
 			}
 		}
 		for _, target := range g.targets {
 			byTarget[target.Address] = g
 		}
-		all = append(all, g)
+		result = append(result, g)
 	}
-	for _, g := range all {
+	for _, g := range result {
 		slices.Sort(g.services)
 	}
-	slices.SortFunc(all, func(a, b *group) int { return strings.Compare(a.name(), b.name()) })
-	return all
+	slices.SortFunc(result, func(a, b *serviceGroup) int { return strings.Compare(a.name(), b.name()) })
+	return result
 }
 
-func (g *group) add(t *table.Table, s *table.Service) {
+func (g *serviceGroup) add(t *table.Table, s *table.Service) {
 	g.services = append(g.services, s.Name)
 	g.generation = g.generation || s.Type == table.ServiceGeneration
 	g.queueLimit += s.QueueLimit
@@ -61,15 +62,15 @@
 	}
 }
 
-func (g *group) addTarget(target decide.Target, leaving bool) {
+func (g *serviceGroup) addTarget(target decide.Target, leaving bool) {
 	if _, known := g.leaving[target.Address]; !known {
 		g.targets = append(g.targets, target)
 	}
 	g.leaving[target.Address] = g.leaving[target.Address] || leaving
 }
 
-// join takes another group in.
-func (g *group) join(other *group) {
+// merge adds the services and targets of another group.
+func (g *serviceGroup) merge(other *serviceGroup) {
 	g.services = append(g.services, other.services...)
 	g.generation = g.generation || other.generation
 	g.queueLimit += other.queueLimit
--- a/internal/control/pools/manager.go
+++ b/internal/control/pools/manager.go
@@ -16,32 +16,32 @@
 	"filbertdeck/internal/table"
 )
 
-// Manager keeps the runners of the pools that this process may admit to.
+// Manager runs the allocators of the pools that this process may admit to.
 type Manager struct {
 	self   string
 	board  *configwatch.Board
 	ready  func() bool
-	client targets.Doer
+	client targets.HTTPClient
 	log    *slog.Logger
 
 	deliver pool.Deliver
 
-	// seenTable, seenPlan and seenHosts are what the plans and shares in force
-	// were made from.
-	seenTable *table.Table
-	seenPlan  uint64
-	seenHosts uint64
+	// currentTable, currentFingerprint and currentHostsRevision identify what the
+	// plans and shares in force were computed from.
+	currentTable         *table.Table
+	currentFingerprint   uint64
+	currentHostsRevision uint64
 
-	mu      sync.Mutex
-	running map[string]*running
-	plans   atomic.Pointer[[]Plan]
-	changed chan struct{}
-	// fence rises with the published list, so that an order of an earlier
-	// owner is recognised by targets that check.
+	mu           sync.Mutex
+	runningPools map[string]*runningPool
+	plans        atomic.Pointer[[]Plan]
+	changed      chan struct{}
+	// fence is the revision of the published host list. It rises with each list,
+	// so targets that check it recognise the requests of an earlier owner.
 	fence atomic.Uint64
 }
 
-type running struct {
+type runningPool struct {
 	plan Plan
 	// owner is set while this process is the pool's published owner.
 	owner   atomic.Bool
@@ -50,19 +50,19 @@
 }
 
 // NewManager returns a manager without pools. self is this process's address
-// in the published list; ready tells whether the documents in force may be
+// in the published list; ready reports whether the documents in force may be
 // acted on.
-func NewManager(self string, board *configwatch.Board, ready func() bool, client targets.Doer, log *slog.Logger) *Manager {
+func NewManager(self string, board *configwatch.Board, ready func() bool, client targets.HTTPClient, log *slog.Logger) *Manager {
 	return &Manager{
 		self: self, board: board, ready: ready, client: client, log: log,
-		running: map[string]*running{}, changed: make(chan struct{}),
+		runningPools: map[string]*runningPool{}, changed: make(chan struct{}),
 	}
 }
 
-// SetDeliver says where decisions go; it is called before Run.
+// SetDeliver sets the receiver of decisions; it must be called before Run.
 func (m *Manager) SetDeliver(d pool.Deliver) { m.deliver = d }
 
-// Plans gives the pools in force, nil before the first.
+// Plans returns the pools in force, or nil before the first plan.
 func (m *Manager) Plans() *[]Plan { return m.plans.Load() }
 
 // Changed returns a channel that is closed at the next change of the pools.
@@ -72,14 +72,15 @@
 	return m.changed
 }
 
-// lookAgain is how often a process that is not ready yet looks again.
-const lookAgain = 50 * time.Millisecond
+// readyPollInterval is the interval at which waitReady checks readiness.
+const readyPollInterval = 50 * time.Millisecond
 
-// waitReady holds pools back until this process has asked its peers for newer
-// documents. One that was started while the configuration service was restored
-// would otherwise admit by an old list, to targets that are leaving.
+// waitReady delays the start of pools until this process has asked its peers
+// for newer documents. A process that is started while the configuration
+// service is being restored would otherwise use an old list and admit to
+// targets that are leaving.
 func (m *Manager) waitReady(ctx context.Context) {
-	ticker := time.NewTicker(lookAgain)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !m.ready() {
 		select {
@@ -94,38 +95,38 @@
 func (m *Manager) Run(ctx context.Context) {
 	m.waitReady(ctx)
 	for ctx.Err() == nil {
-		tables, hosts := m.board.Table.Changed(), m.board.Hosts.Changed()
+		tableChanged, hostsChanged := m.board.Table.Changed(), m.board.Hosts.Changed()
 		m.update(ctx)
 		select {
-		case <-tables:
-		case <-hosts:
+		case <-tableChanged:
+		case <-hostsChanged:
 		case <-ctx.Done():
 		}
 	}
 	m.stopAll()
 }
 
-// update makes the plans anew when table or hosts changed. The host list is
-// also published at each confirmation; that alone only renews the allocators'
-// trust in it.
+// update recomputes the plans if the table or the hosts changed. The host list
+// is also published at each confirmation; a confirmation alone only extends the
+// time for which allocators trust the list.
 func (m *Manager) update(ctx context.Context) {
 	t, hosts := m.board.Table.Get(), m.board.Hosts.Get()
 	if t == nil || hosts == nil {
 		return
 	}
-	changed := t != m.seenTable
-	m.seenTable = t
-	switch plan := fingerprint(t); {
-	case plan != m.seenPlan || hosts.Version.Revision != m.seenHosts:
-		m.seenPlan, m.seenHosts = plan, hosts.Version.Revision
-		m.replan(ctx, t, hosts)
+	changed := t != m.currentTable
+	m.currentTable = t
+	switch fingerprint := planFingerprint(t); {
+	case fingerprint != m.currentFingerprint || hosts.Version.Revision != m.currentHostsRevision:
+		m.currentFingerprint, m.currentHostsRevision = fingerprint, hosts.Version.Revision
+		m.recomputePlans(ctx, t, hosts)
 	case changed:
-		m.reshare(t)
+		m.updateShares(t)
 	}
-	m.confirm(hosts.ConfirmedAt)
+	m.confirmHosts(hosts.ConfirmedAt)
 }
 
-func (m *Manager) replan(ctx context.Context, t *table.Table, hosts *configwatch.Hosts) {
+func (m *Manager) recomputePlans(ctx context.Context, t *table.Table, hosts *configwatch.Hosts) {
 	plans := Plans(t, hosts.List)
 	m.fence.Store(hosts.Version.Revision)
 	m.mu.Lock()
@@ -136,67 +137,67 @@
 	m.changed = make(chan struct{})
 }
 
-// reshare puts an edit of accounts' rows in force: it changes no pool, and most
-// edits are of that kind.
-func (m *Manager) reshare(t *table.Table) {
-	shares := sharesOf(t)
+// updateShares applies an edit of account rows, which changes no pool. Most
+// edits are of this kind.
+func (m *Manager) updateShares(t *table.Table) {
+	shares := accountShares(t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.running {
+	for _, r := range m.runningPools {
 		r.runner.Do(func(a *admission.Allocator, now time.Duration) { a.SetShares(now, shares) })
 	}
 }
 
-func (m *Manager) confirm(at time.Time) {
+func (m *Manager) confirmHosts(at time.Time) {
 	if at.IsZero() {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.running {
+	for _, r := range m.runningPools {
 		r.runner.Confirm(at)
 	}
 }
 
-// reconcile starts, changes and stops runners to match the plans.
+// reconcile starts, updates and stops runners to match the plans.
 func (m *Manager) reconcile(ctx context.Context, plans []Plan, t *table.Table) {
-	wanted := map[string]bool{}
-	shares := sharesOf(t)
+	desired := map[string]bool{}
+	shares := accountShares(t)
 	for _, p := range plans {
 		rank := slices.Index(p.Owners, m.self)
 		if rank < 0 {
 			continue
 		}
-		wanted[p.ID] = true
-		m.apply(ctx, p, rank == 0, shares)
+		desired[p.ID] = true
+		m.startOrUpdate(ctx, p, rank == 0, shares)
 	}
-	for name, r := range m.running {
-		if !wanted[name] {
-			m.stop(name, r)
+	for name, r := range m.runningPools {
+		if !desired[name] {
+			m.stopPool(name, r)
 		}
 	}
 }
 
-func (m *Manager) apply(ctx context.Context, p Plan, owner bool, shares []admission.Share) {
-	r, ok := m.running[p.ID]
+func (m *Manager) startOrUpdate(ctx context.Context, p Plan, owner bool, shares []admission.Share) {
+	r, ok := m.runningPools[p.ID]
 	if !ok {
 		cfg := admission.Config{Seed: rand.Uint64(), QueueLimit: p.QueueLimit}
-		r = &running{runner: pool.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
-		m.running[p.ID] = r
+		r = &runningPool{runner: pool.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
+		m.runningPools[p.ID] = r
 		m.log.Info("pool taken up", "pool", p.ID, "owner", owner)
 	}
 	r.plan = p
 	r.owner.Store(owner)
-	targetStates, revision := p.TargetStates, m.seenHosts
+	targetStates, revision := p.TargetStates, m.currentHostsRevision
 	r.runner.Do(func(a *admission.Allocator, now time.Duration) {
 		a.SetOwnership(now, revision, owner)
 		a.SetTargets(now, targetStates)
 		a.SetShares(now, shares)
 	})
-	m.poll(ctx, r)
+	m.reconcilePollers(ctx, r)
 }
 
-func sharesOf(t *table.Table) []admission.Share {
+func accountShares(t *table.Table) []admission.Share {
 	shares := make([]admission.Share, 0, len(t.Accounts))
 	for _, a := range t.Accounts {
 		shares = append(shares, admission.Share{
@@ -207,67 +208,68 @@
 	return shares
 }
 
-// poll starts and stops pollers to match the pool's targets.
-func (m *Manager) poll(ctx context.Context, r *running) {
-	wanted := map[string]bool{}
+// reconcilePollers starts and stops pollers to match the pool's targets.
+func (m *Manager) reconcilePollers(ctx context.Context, r *runningPool) {
+	desired := map[string]bool{}
 	for _, address := range r.plan.Targets {
-		wanted[address] = true
+		desired[address] = true
 		if _, ok := r.pollers[address]; ok {
 			continue
 		}
 		pollCtx, cancel := context.WithCancel(ctx)
 		r.pollers[address] = cancel
-		p := &targets.Poller{Target: address, Client: m.client, Sink: r.runner.Report, Fast: r.fast, Generation: r.plan.Generation}
+		p := &targets.Poller{Target: address, Client: m.client, Sink: r.runner.Report, AtFullRate: r.atFullRate, Generation: r.plan.Generation}
 		go p.Run(pollCtx)
 	}
 	for address, cancel := range r.pollers {
-		if !wanted[address] {
+		if !desired[address] {
 			cancel()
 			delete(r.pollers, address)
 		}
 	}
 }
 
-// fast tells whether the pool's targets are read at the full pace: by the owner,
-// and by whoever admits to them.
-func (r *running) fast() bool { return r.owner.Load() || r.runner.Busy() }
+// atFullRate reports whether the pool's targets are polled at the full rate: by
+// the owner, and by any process that admits to them.
+func (r *runningPool) atFullRate() bool { return r.owner.Load() || r.runner.Busy() }
 
-func (m *Manager) stop(name string, r *running) {
+func (m *Manager) stopPool(name string, r *runningPool) {
 	for _, cancel := range r.pollers {
 		cancel()
 	}
 	r.runner.Close()
-	delete(m.running, name)
+	delete(m.runningPools, name)
 	m.log.Info("pool given up", "pool", name)
 }
 
 func (m *Manager) stopAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, r := range m.running {
-		m.stop(name, r)
+	for name, r := range m.runningPools {
+		m.stopPool(name, r)
 	}
 }
 
-// Runner finds the runner of a pool that this process may admit to.
+// Runner returns the runner of a pool that this process may admit to, with the
+// current fence.
 func (m *Manager) Runner(name string) (*pool.Runner, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, ok := m.running[name]
+	r, ok := m.runningPools[name]
 	if !ok {
 		return nil, 0, false
 	}
 	return r.runner, m.fence.Load(), true
 }
 
-// Each calls f with every pool that runs here.
-func (m *Manager) Each(f func(p Plan, r *pool.Runner)) {
+// ForEach calls f for every pool that runs here.
+func (m *Manager) ForEach(f func(p Plan, r *pool.Runner)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, r := range m.running {
+	for _, r := range m.runningPools {
 		f(r.plan, r.runner)
 	}
 }
 
-// Owns tells whether this process is the published owner of a pool.
-func (m *Manager) Owns(p Plan) bool { return len(p.Owners) > 0 && p.Owners[0] == m.self }
+// IsOwner reports whether this process is the published owner of a pool.
+func (m *Manager) IsOwner(p Plan) bool { return len(p.Owners) > 0 && p.Owners[0] == m.self }
--- a/internal/control/pools/plan.go
+++ b/internal/control/pools/plan.go
@@ -1,7 +1,7 @@
 // Package pools runs the allocators of the pools that this process may admit
-// to. Which pools there are, and who may admit to each, is decided in
-// internal/decide/pools from what is published, so that all processes with the
-// same view agree without a message.
+// to. internal/decide/pools derives the pools and their owners from the
+// published state, so that all processes with the same view agree without
+// exchanging messages.
 package pools
 
 import (
@@ -17,47 +17,46 @@
 	"filbertdeck/internal/table"
 )
 
-// maxOwners is how many control processes are ranked for a pool: the owner and
-// two that may stand in. With three hosts gone at once a pool of four targets
-// waits for the list or the membership to notice.
+// maxOwners is the number of control processes that may admit to a pool: the
+// owner and two standbys. If the hosts of all three fail together, a pool of
+// four targets waits until the host list or the membership reflects it.
 const maxOwners = 3
 
-// Plan is one pool as every process computes it from what is published.
+// Plan is one pool as every process computes it from the published state.
 type Plan struct {
 	decide.Pool
-	// Services are those that the pool's targets serve.
+	// Services are the services of the pool's targets.
 	Services []string
-	// Generation tells model engines from plain services.
+	// Generation is set for pools of model engines.
 	Generation bool
-	// QueueLimit bounds the asks that wait, of all its services together.
+	// QueueLimit bounds the waiting requests of all its services together.
 	QueueLimit int
-	// Owners are control addresses in the order of their rank by the published
-	// list alone.
+	// Owners are control addresses, ranked by the published list alone.
 	Owners []string
-	// TargetStates are the pool's targets with their state.
+	// TargetStates holds the state of each of the pool's targets.
 	TargetStates []admission.Target
-	// Drained is set while the pool's data centre is taken out.
+	// Drained is set while the pool's data centre is drained.
 	Drained bool
 }
 
 // Plans computes the pools. Services that share targets share pools: with an
-// allocator for each service, every one of them would give a cold target the
-// one request that it bears.
+// allocator for each service, each of them would give a cold target the one
+// request that it can take.
 func Plans(t *table.Table, hosts []configservice.Host) []Plan {
-	ranking := decide.NewRanking(hostsOf(hosts))
+	ranking := decide.NewRanking(rankingHosts(hosts))
 	var plans []Plan
-	for _, g := range groups(t) {
+	for _, g := range groupServices(t) {
 		for _, pool := range decide.Partition(g.name(), g.targets) {
 			plans = append(plans, Plan{
 				Pool: pool, Services: g.services, Generation: g.generation, QueueLimit: g.queueLimit,
-				Owners: owners(pool, ranking), TargetStates: targetStates(pool, g.leaving), Drained: t.Drained[pool.DataCentre],
+				Owners: rankedOwners(pool, ranking), TargetStates: targetStates(pool, g.leaving), Drained: t.Drained[pool.DataCentre],
 			})
 		}
 	}
 	return plans
 }
 
-func hostsOf(hosts []configservice.Host) []decide.Host {
+func rankingHosts(hosts []configservice.Host) []decide.Host {
 	out := make([]decide.Host, len(hosts))
 	for i, h := range hosts {
 		out[i] = decide.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
@@ -65,7 +64,7 @@
 	return out
 }
 
-func owners(pool decide.Pool, ranking *decide.Ranking) []string {
+func rankedOwners(pool decide.Pool, ranking *decide.Ranking) []string {
 	out := make([]string, 0, maxOwners)
 	for _, h := range ranking.First(pool, maxOwners) {
 		out = append(out, h.Control)
@@ -81,14 +80,14 @@
 	return out
 }
 
-// fingerprint is equal for tables that give the same plans for one list of
-// hosts: accounts' rows take no part.
-func fingerprint(t *table.Table) uint64 {
-	d := xxhash.New()
+// planFingerprint is equal for tables that give the same plans for the same
+// list of hosts. Account rows are not included.
+func planFingerprint(t *table.Table) uint64 {
+	digest := xxhash.New()
 	add := func(parts ...string) {
 		for _, part := range parts {
-			_, _ = d.WriteString(part)
-			_, _ = d.Write([]byte{0})
+			_, _ = digest.WriteString(part)
+			_, _ = digest.Write([]byte{0})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
@@ -99,5 +98,5 @@
 		}
 	}
 	add(slices.Sorted(maps.Keys(t.Drained))...)
-	return d.Sum64()
+	return digest.Sum64()
 }
--- a/internal/control/pools/plan_test.go
+++ b/internal/control/pools/plan_test.go
@@ -34,11 +34,11 @@
 
 var hosts = []configservice.Host{{Name: "h", DataCentre: "north", Control: "127.0.0.1:1", State: configservice.StateLive}}
 
-var _ = Describe("the plan of pools", func() {
-	// Reports and summaries run on the same engines. With a pool for each, two
-	// allocators give a cold engine the one request that it bears, it falls
-	// over, and callers of both services wait for its restart.
-	It("gives each target to one pool, whatever services share it", func() {
+var _ = Describe("planning of pools", func() {
+	// Reports and summaries run on the same engines. With a pool for each
+	// service, two allocators give a cold engine the one request that it can
+	// take, it crashes, and callers of both services wait for its restart.
+	It("assigns each target to one pool, also if several services share it", func() {
 		t := tableOf(
 			service("reports", table.ServiceGeneration, "127.0.0.1:11", "127.0.0.1:12"),
 			service("summaries", table.ServiceGeneration, "127.0.0.1:12", "127.0.0.1:13"),
@@ -62,7 +62,7 @@
 		Expect(plans[1].Generation).To(BeFalse())
 	})
 
-	It("marks targets that leave, by themselves or with their data centre", func() {
+	It("marks targets that leave or whose data centre is drained", func() {
 		t := tableOf(service("reports", table.ServiceGeneration, "127.0.0.1:11", "127.0.0.1:12"))
 		t.Services["reports"].Targets[0].Leaving = true
 		Expect(pools.Plans(t, hosts)[0].TargetStates).To(ContainElement(HaveField("Leaving", true)))
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -17,59 +17,62 @@
 	"filbertdeck/internal/table"
 )
 
-// Figures of the controller.
+// Intervals and bounds of the controller.
 const (
-	// tickEvery is how often the pools are looked at: the wait that an account's
-	// first request has before its part is asked for.
-	tickEvery = 100 * time.Millisecond
-	// roundEvery is how often leases are renewed, a third of their life.
-	roundEvery = time.Second
-	// settleFor is how long a pool that was just taken up starts nothing of
-	// limited accounts. Entries renew their leases within it, so that what runs
-	// is counted; before that the pool looks idle, and would start as much again.
-	settleFor = 3 * time.Second
-	// releaseAfter is how long the parts of a pool that was given up still count.
-	// What ran by them is counted at the pool's next allocator, once entries have
-	// found it and it has settled: before that neither would count it.
-	releaseAfter = 10 * time.Second
-	// maxDemands bounds the demands of one pool in one round, 15 KB.
-	maxDemands = 256
+	// stepInterval is the interval at which pools are examined, and so the
+	// longest wait of an account's first request until its part is asked for.
+	stepInterval = 100 * time.Millisecond
+	// renewInterval is the interval of lease renewals, a third of a lease's
+	// duration.
+	renewInterval = time.Second
+	// settlePeriod is how long a pool that is new at this process starts no
+	// requests of limited accounts. Entries renew their leases within it, so that
+	// running requests are counted; before that the pool looks idle and would
+	// start as many again.
+	settlePeriod = 3 * time.Second
+	// releaseDelay is how long the parts of a removed pool still count. Requests
+	// that run under them are counted by the pool's next allocator once entries
+	// have found it and it has settled; until then neither would count them.
+	releaseDelay = 10 * time.Second
+	// maxDemandsPerPool bounds the demands of one pool in one round, 15 KB.
+	maxDemandsPerPool = 256
 )
 
-// Pool is what the controller needs of an allocator that runs here. Values are
-// compared: a pool that was given up and taken up again is another one.
+// Pool is an allocator that runs here. Pools are compared by value: one that was
+// removed and started again is a different pool.
 type Pool interface {
-	// Uses tells what accounts with limits do; it resets their counts of tokens.
+	// Uses returns the use of limited accounts and resets their token counts.
 	Uses() []admission.QuotaUse
-	// SetParts puts parts in force. Until counts from the controller's start.
+	// SetParts applies parts. Until counts from the controller's start time.
 	SetParts(start time.Time, parts []admission.Part)
 }
 
-// Transport carries a request to an owner. It bounds the time of the call.
+// Transport sends a request to an owner. It bounds the duration of the call.
 type Transport interface {
 	Renew(ctx context.Context, owner string, req *filbertv1.RenewQuotaRequest) (*filbertv1.RenewQuotaReply, error)
 }
 
-// Config holds what the controller works with; all but Metrics, Now and Spawn
-// are required.
+// Config configures a controller; all fields but Metrics, Now and Spawn are
+// required.
 type Config struct {
-	// Self is this process's address in the published list, Incarnation its
+	// Self is this process's address in the published list. Incarnation is its
 	// start, higher than that of any earlier process at the address.
 	Self        string
 	Incarnation uint64
 	Table       *blackboard.Section[table.Table]
 	Hosts       *blackboard.Section[configwatch.Hosts]
-	// Pools lists the pools that run here by their names.
+	// Pools returns the pools that run here by name.
 	Pools     func() map[string]Pool
 	Transport Transport
 	Metrics   metrics.Registry
 	// Now is the clock, time.Now by default.
 	Now func() time.Time
-	// Spawn runs a call beside the controller, on a goroutine by default.
+	// Spawn runs a call concurrently, on a new goroutine by default.
 	Spawn func(call func())
 }
 
-// Controller leases and asks. It is safe for concurrent use.
+// Controller leases the limits that this process owns and requests leases for
+// the pools that run here. It is safe for concurrent use.
 type Controller struct {
 	filbertv1.UnimplementedQuotaServer
 
@@ -77,22 +80,22 @@
 	start   time.Time
 	metrics counters
 
-	mu       sync.Mutex
-	table    *table.Table
-	hosts    *configwatch.Hosts
-	limits   map[string]quota.Limits
-	accounts *pools.Accounts
-	owner    *quota.Owner
-	arrivals arrivals
-	holders  map[string]*holder
-	retired  []retired
-	// busy names the owners with a call in progress.
-	busy  map[string]bool
-	round time.Duration
+	mu              sync.Mutex
+	table           *table.Table
+	hosts           *configwatch.Hosts
+	limits          map[string]quota.Limits
+	accounts        *pools.Accounts
+	owner           *quota.Owner
+	requestFilter   requestFilter
+	holders         map[string]*holder
+	pendingReleases []pendingRelease
+	// callsInProgress holds the owners with a call in progress.
+	callsInProgress map[string]bool
+	lastRound       time.Duration
 }
 
 type counters struct {
-	demands, leases, late, failed, sent, received metrics.Counter
+	demands, leases, lateDemands, failedCalls, bytesSent, bytesReceived metrics.Counter
 }
 
 // New returns a controller.
@@ -108,22 +111,22 @@
 	}
 	return &Controller{
 		cfg: cfg, start: cfg.Now(), metrics: newCounters(cfg.Metrics), limits: map[string]quota.Limits{},
-		accounts: pools.NewAccounts(), owner: quota.NewOwner(quota.Config{}), arrivals: newArrivals(),
-		holders: map[string]*holder{}, busy: map[string]bool{}, round: -roundEvery,
+		accounts: pools.NewAccounts(), owner: quota.NewOwner(quota.Config{}), requestFilter: newRequestFilter(),
+		holders: map[string]*holder{}, callsInProgress: map[string]bool{}, lastRound: -renewInterval,
 	}
 }
 
 func newCounters(r metrics.Registry) counters {
-	c := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("quota."+name, r) }
+	newCounter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("quota."+name, r) }
 	return counters{
-		demands: c("demands"), leases: c("leases"), late: c("demands_late"), failed: c("calls_failed"),
-		sent: c("bytes_sent"), received: c("bytes_received"),
+		demands: newCounter("demands"), leases: newCounter("leases"), lateDemands: newCounter("demands_late"), failedCalls: newCounter("calls_failed"),
+		bytesSent: newCounter("bytes_sent"), bytesReceived: newCounter("bytes_received"),
 	}
 }
 
-// Run asks and puts in force until ctx ends.
+// Run renews and applies leases until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -135,13 +138,13 @@
 	}
 }
 
-// Step looks at the pools once: it sends the demands that are due and puts the
-// parts in force.
+// Step examines the pools once: it sends the demands that are due and applies
+// the parts.
 func (c *Controller) Step(ctx context.Context) {
 	c.mu.Lock()
-	c.follow()
-	calls := c.collect(c.now())
-	c.putInForce(c.now())
+	c.syncBlackboard()
+	calls := c.collectCalls(c.now())
+	c.applyParts(c.now())
 	c.mu.Unlock()
 	for _, call := range calls {
 		c.cfg.Spawn(func() { c.renew(ctx, call) })
@@ -150,8 +153,8 @@
 
 func (c *Controller) now() time.Duration { return c.cfg.Now().Sub(c.start) }
 
-// follow takes what the blackboard shows of table and hosts.
-func (c *Controller) follow() {
+// syncBlackboard applies the published table and hosts.
+func (c *Controller) syncBlackboard() {
 	t, hosts := c.cfg.Table.Get(), c.cfg.Hosts.Get()
 	if t == nil || hosts == nil {
 		return
@@ -160,7 +163,7 @@
 	newTable := t != c.table
 	c.hosts, c.table = hosts, t
 	if newHosts {
-		c.accounts.SetHosts(hostsOf(hosts.List))
+		c.accounts.SetHosts(ownerHosts(hosts.List))
 	}
 	if newTable {
 		c.setLimits(t)
@@ -168,8 +171,8 @@
 	if newHosts || newTable {
 		c.owner.SetOwned(c.now(), hosts.Version.Revision, c.accounts.Owned(c.cfg.Self))
 	}
-	// The list comes before its confirmation: the other way round a list that
-	// was never confirmed would be trusted for what was said of the one before.
+	// The list is set before its confirmation: in the other order a list that was
+	// never confirmed would be trusted on the confirmation of the previous one.
 	if !hosts.ConfirmedAt.IsZero() {
 		c.owner.Confirm(hosts.ConfirmedAt.Sub(c.start))
 	}
@@ -188,7 +191,7 @@
 	c.accounts.SetAccounts(names)
 }
 
-func hostsOf(list []configservice.Host) []pools.Host {
+func ownerHosts(list []configservice.Host) []pools.Host {
 	out := make([]pools.Host, len(list))
 	for i, h := range list {
 		out[i] = pools.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
--- a/internal/control/quota/demands.go
+++ b/internal/control/quota/demands.go
@@ -13,119 +13,120 @@
 	"filbertdeck/internal/decide/quota"
 )
 
-// call is one request to one owner.
-type call struct {
-	owner string
-	asked time.Duration
-	req   *filbertv1.RenewQuotaRequest
-	// holders are those of the demands, in their order.
+// ownerCall is one request to one owner.
+type ownerCall struct {
+	owner  string
+	sentAt time.Duration
+	req    *filbertv1.RenewQuotaRequest
+	// holders are the holders of the demands, in the same order.
 	holders []*holder
 }
 
-// collect gathers the demands that are due, by owner. In a round all pools
-// renew; between two only pools that urgently want something ask, and renew
-// what happens to be due in the same message.
-func (c *Controller) collect(now time.Duration) []*call {
+// collectCalls gathers the due demands by owner. In a round all pools renew;
+// between rounds only pools with urgent demands ask, and renew in the same
+// message the leases that are due.
+func (c *Controller) collectCalls(now time.Duration) []*ownerCall {
 	c.syncHolders(now)
-	inRound := now-c.round >= roundEvery
-	if inRound {
-		c.round = now
+	isRound := now-c.lastRound >= renewInterval
+	if isRound {
+		c.lastRound = now
 	}
-	calls := map[string]*call{}
-	for _, r := range c.dueReleases(now) {
+	calls := map[string]*ownerCall{}
+	for _, r := range c.takeDueReleases(now) {
 		c.addRelease(calls, r)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.holders)) {
 		h := c.holders[name]
-		h.look(now, c.limits)
-		if now-h.taken < settleFor || !inRound && !h.urgent(now, c.limits) {
+		h.measure(now, c.limits)
+		if now-h.startedAt < settlePeriod || !isRound && !h.hasUrgentDemand(now, c.limits) {
 			continue
 		}
 		for _, r := range h.leases.Drop(now, name, h.uses) {
 			c.addRelease(calls, r)
 		}
-		for _, d := range h.leases.Due(now, name, h.uses, maxDemands) {
+		for _, d := range h.leases.Due(now, name, h.uses, maxDemandsPerPool) {
 			c.addDemand(calls, h, d)
 		}
 	}
-	return c.ready(now, calls)
+	return c.startCalls(now, calls)
 }
 
-func (c *Controller) callTo(calls map[string]*call, account string) *call {
+func (c *Controller) callFor(calls map[string]*ownerCall, account string) *ownerCall {
 	owner, ok := c.accounts.Owner(account)
 	if !ok {
 		return nil
 	}
-	to := calls[owner]
-	if to == nil {
-		to = &call{owner: owner, req: &filbertv1.RenewQuotaRequest{From: c.cfg.Self, Incarnation: c.cfg.Incarnation}}
-		calls[owner] = to
+	call := calls[owner]
+	if call == nil {
+		call = &ownerCall{owner: owner, req: &filbertv1.RenewQuotaRequest{From: c.cfg.Self, Incarnation: c.cfg.Incarnation}}
+		calls[owner] = call
 	}
-	return to
+	return call
 }
 
-func (c *Controller) addDemand(calls map[string]*call, h *holder, d quota.Demand) {
-	to := c.callTo(calls, d.Account)
-	if to == nil {
+func (c *Controller) addDemand(calls map[string]*ownerCall, h *holder, d quota.Demand) {
+	call := c.callFor(calls, d.Account)
+	if call == nil {
 		return
 	}
-	to.holders = append(to.holders, h)
-	to.req.Demands = append(to.req.Demands, &filbertv1.QuotaDemand{
+	call.holders = append(call.holders, h)
+	call.req.Demands = append(call.req.Demands, &filbertv1.QuotaDemand{
 		Account: d.Account, Pool: d.Holder, Running: uint32(d.Running), Waiting: uint32(d.Waiting),
 		TokensPerSecond: uint32(math.Ceil(d.TokensPerSecond)), Known: d.Known,
 	})
 }
 
-func (c *Controller) addRelease(calls map[string]*call, r quota.Release) {
-	if to := c.callTo(calls, r.Account); to != nil {
-		to.req.Releases = append(to.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.Known})
+func (c *Controller) addRelease(calls map[string]*ownerCall, r quota.Release) {
+	if call := c.callFor(calls, r.Account); call != nil {
+		call.req.Releases = append(call.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.Known})
 	}
 }
 
-// ready leaves out the owners that have not answered the call before: they may
-// be gone, and calls would pile up. Their demands are asked again.
-func (c *Controller) ready(now time.Duration, calls map[string]*call) []*call {
-	var out []*call
+// startCalls marks and returns the calls that can be made. It leaves out owners
+// that have not answered their previous call: they may be gone, and calls would
+// accumulate. Their demands are sent again later.
+func (c *Controller) startCalls(now time.Duration, calls map[string]*ownerCall) []*ownerCall {
+	var out []*ownerCall
 	for _, owner := range slices.Sorted(maps.Keys(calls)) {
-		if c.busy[owner] {
+		if c.callsInProgress[owner] {
 			continue
 		}
-		to := calls[owner]
-		to.asked, to.req.SentUs = now, uint64(now.Microseconds())
-		c.busy[owner] = true
-		out = append(out, to)
+		call := calls[owner]
+		call.sentAt, call.req.SentUs = now, uint64(now.Microseconds())
+		c.callsInProgress[owner] = true
+		out = append(out, call)
 	}
 	return out
 }
 
-// renew makes a call and takes its grants.
-func (c *Controller) renew(ctx context.Context, to *call) {
-	c.metrics.demands.Inc(int64(len(to.req.Demands)))
-	reply, err := c.ask(ctx, to)
+// renew makes a call and applies its grants.
+func (c *Controller) renew(ctx context.Context, call *ownerCall) {
+	c.metrics.demands.Inc(int64(len(call.req.Demands)))
+	reply, err := c.send(ctx, call)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, to.owner)
+	delete(c.callsInProgress, call.owner)
 	if err != nil {
-		c.metrics.failed.Inc(1)
+		c.metrics.failedCalls.Inc(1)
 		return
 	}
-	if len(reply.Grants) != len(to.req.Demands) {
+	if len(reply.Grants) != len(call.req.Demands) {
 		return
 	}
 	for i, g := range reply.Grants {
-		to.holders[i].leases.Granted(to.asked, grantOf(to.req.Demands[i].Account, g))
+		call.holders[i].leases.Granted(call.sentAt, grantOf(call.req.Demands[i].Account, g))
 	}
-	c.putInForce(c.now())
+	c.applyParts(c.now())
 }
 
-func (c *Controller) ask(ctx context.Context, to *call) (*filbertv1.RenewQuotaReply, error) {
-	if to.owner == c.cfg.Self {
-		return c.Lease(to.req), nil
+func (c *Controller) send(ctx context.Context, call *ownerCall) (*filbertv1.RenewQuotaReply, error) {
+	if call.owner == c.cfg.Self {
+		return c.Lease(call.req), nil
 	}
-	c.metrics.sent.Inc(int64(proto.Size(to.req)))
-	reply, err := c.cfg.Transport.Renew(ctx, to.owner, to.req)
+	c.metrics.bytesSent.Inc(int64(proto.Size(call.req)))
+	reply, err := c.cfg.Transport.Renew(ctx, call.owner, call.req)
 	if err == nil {
-		c.metrics.received.Inc(int64(proto.Size(reply)))
+		c.metrics.bytesReceived.Inc(int64(proto.Size(reply)))
 	}
 	return reply, err
 }
--- a/internal/control/quota/doc.go
+++ b/internal/control/quota/doc.go
@@ -1,24 +1,24 @@
-// Package quota keeps the limits of client accounts over the whole fleet. It
-// runs what internal/decide/quota decides: one holder for each pool that runs
-// here, which asks for parts of the limits, and one owner, which leases the
-// limits of the accounts that the published list gives to this process.
+// Package quota enforces the limits of client accounts across the fleet. It
+// applies the decisions of internal/decide/quota: one holder for each pool that
+// runs here, which requests parts of the limits, and one owner, which leases the
+// limits of the accounts that the published list assigns to this process.
 //
-// Without it each pool applies the row's max_running by itself, and an account
-// runs as many times its limit as there are pools that it reaches; nobody
-// applies tokens_per_second at all.
+// Without it each pool would apply the row's max_running by itself, so that an
+// account could run its limit in every pool that it reaches, and nothing would
+// apply tokens_per_second.
 //
-// Messages: every pool's demands go out once a second, those for the same owner
-// in one call. Between these rounds only accounts whose requests wait are asked
-// for. A node talks to the owners of the accounts that are active in its pools,
-// so its cost grows with these and neither with the table nor with the fleet.
+// The demands of all pools are sent once a second, in one call for each owner.
+// Between these rounds only accounts with waiting requests ask. A node talks to
+// the owners of the accounts that are active in its pools, so its cost grows
+// with these accounts, not with the table or the fleet.
 //
-// Every call has a timeout, and one that runs into it closes its connection:
-// something between the two hosts may have lost track of it, and a new one
-// works. Until an answer comes the lease in force goes on to its end; then the
-// account's requests wait in the pool's queue.
+// Every call has a timeout. A call that exceeds it closes its connection:
+// something between the two hosts may have lost the connection's state, and a
+// new connection works. Without an answer the lease in force stays valid until
+// it expires; then the account's requests wait in the pool's queue.
 //
-// What isn't kept: a generation whose entry died runs on at its engine for the
-// engine's grace time, uncounted. A pool that moved to another process is counted
-// at both for ten seconds, for a minute when its process died, so that the
-// account gets less than its row meanwhile.
+// The limits are not exact in two cases. A generation whose entry died continues
+// at its engine for the engine's grace time without being counted. A pool that
+// moves to another process is counted at both for ten seconds, or for a minute
+// if its process died, so that the account gets less than its limit meanwhile.
 package quota
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -10,26 +10,27 @@
 	"filbertdeck/internal/decide/quota"
 )
 
-// rateMemory is the time constant of an account's measured rate: output comes
-// in lumps with the entries' renewals, one a second.
-const rateMemory = 2 * time.Second
+// rateTimeConstant is the time constant of the smoothed token rate of an
+// account: output is reported in batches with the entries' renewals, once a
+// second.
+const rateTimeConstant = 2 * time.Second
 
-// holder is one pool that runs here, with its leases.
+// holder requests and keeps the leases of one pool that runs here.
 type holder struct {
-	pool   Pool
-	leases *quota.Holder
-	taken  time.Duration
-	seen   time.Duration
-	uses   []quota.Use
-	rates  map[string]float64
-	// inForce is what the allocator was told last.
-	inForce map[string]admission.Part
+	pool       Pool
+	leases     *quota.Holder
+	startedAt  time.Duration
+	measuredAt time.Duration
+	uses       []quota.Use
+	rates      map[string]float64
+	// applied holds the parts that the allocator was told last.
+	applied map[string]admission.Part
 }
 
 func newHolder(now time.Duration, p Pool) *holder {
 	return &holder{
-		pool: p, leases: quota.NewHolder(quota.Config{}), taken: now, seen: now,
-		rates: map[string]float64{}, inForce: map[string]admission.Part{},
+		pool: p, leases: quota.NewHolder(quota.Config{}), startedAt: now, measuredAt: now,
+		rates: map[string]float64{}, applied: map[string]admission.Part{},
 	}
 }
 
@@ -38,7 +39,7 @@
 	running := c.cfg.Pools()
 	for name, h := range c.holders {
 		if running[name] != h.pool {
-			c.retire(now, name, h)
+			c.removeHolder(now, name, h)
 		}
 	}
 	for name, p := range running {
@@ -48,37 +49,37 @@
 	}
 }
 
-// retired is a part of a pool that was given up.
-type retired struct {
+// pendingRelease is a part of a removed pool, to be released at dueAt.
+type pendingRelease struct {
 	release quota.Release
-	at      time.Duration
+	dueAt   time.Duration
 }
 
-// retire gives a pool's parts up. Without it their owners take the pool for one
-// that fell silent, and the account misses them for a minute each time that a
-// pool moves with the host list.
-func (c *Controller) retire(now time.Duration, name string, h *holder) {
+// removeHolder schedules the release of a removed pool's parts. Without the
+// release their owners would treat the pool as silent, and the account would
+// miss the parts for a minute each time that a new host list moves a pool.
+func (c *Controller) removeHolder(now time.Duration, name string, h *holder) {
 	delete(c.holders, name)
 	for _, r := range h.leases.Drop(math.MaxInt64, name, nil) {
-		c.retired = append(c.retired, retired{r, now + releaseAfter})
+		c.pendingReleases = append(c.pendingReleases, pendingRelease{r, now + releaseDelay})
 	}
 }
 
-// dueReleases takes out the retired parts whose time has come.
-func (c *Controller) dueReleases(now time.Duration) (due []quota.Release) {
-	c.retired = slices.DeleteFunc(c.retired, func(r retired) bool {
-		if now >= r.at {
+// takeDueReleases removes and returns the releases that are due.
+func (c *Controller) takeDueReleases(now time.Duration) (due []quota.Release) {
+	c.pendingReleases = slices.DeleteFunc(c.pendingReleases, func(r pendingRelease) bool {
+		if now >= r.dueAt {
 			due = append(due, r.release)
 		}
-		return now >= r.at
+		return now >= r.dueAt
 	})
 	return due
 }
 
-// look reads what the pool does, and books its tokens.
-func (h *holder) look(now time.Duration, limits map[string]quota.Limits) {
-	elapsed := now - h.seen
-	h.seen = now
+// measure reads the pool's use of limited accounts and charges their tokens.
+func (h *holder) measure(now time.Duration, limits map[string]quota.Limits) {
+	elapsed := now - h.measuredAt
+	h.measuredAt = now
 	h.uses = h.uses[:0]
 	rates := map[string]float64{}
 	for _, u := range h.pool.Uses() {
@@ -87,11 +88,11 @@
 			continue
 		}
 		h.leases.Charge(now, u.Account, u.Produced)
-		rates[u.Account] = smooth(h.rates[u.Account], u.Produced, elapsed)
+		rates[u.Account] = smoothRate(h.rates[u.Account], u.Produced, elapsed)
 		use := quota.Use{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
 		if use.Waiting > 0 {
-			// How much the waiting requests will produce isn't known: the owner
-			// shares the row's rate evenly among the pools that want it all.
+			// The output of waiting requests is unknown. They ask for the whole
+			// rate, which the owner shares evenly among the pools that do so.
 			use.TokensPerSecond = limit.TokensPerSecond
 		}
 		h.uses = append(h.uses, use)
@@ -99,48 +100,47 @@
 	h.rates = rates
 }
 
-func smooth(rate float64, produced int, elapsed time.Duration) float64 {
+func smoothRate(rate float64, produced int, elapsed time.Duration) float64 {
 	if elapsed <= 0 {
 		return rate
 	}
-	part := 1 - math.Exp(-elapsed.Seconds()/rateMemory.Seconds())
-	return rate + part*(float64(produced)/elapsed.Seconds()-rate)
+	weight := 1 - math.Exp(-elapsed.Seconds()/rateTimeConstant.Seconds())
+	return rate + weight*(float64(produced)/elapsed.Seconds()-rate)
 }
 
-// urgent tells whether requests wait that a demand could let start.
-func (h *holder) urgent(now time.Duration, limits map[string]quota.Limits) bool {
+// hasUrgentDemand reports whether requests wait that a new lease could start.
+func (h *holder) hasUrgentDemand(now time.Duration, limits map[string]quota.Limits) bool {
 	return slices.ContainsFunc(h.uses, func(u quota.Use) bool {
 		if u.Waiting == 0 {
 			return false
 		}
-		full := limits[u.Account].Running > 0 && u.Running >= h.leases.Running(now, u.Account)
-		return full || h.leases.RenewAt(u.Account) <= now
+		atLimit := limits[u.Account].Running > 0 && u.Running >= h.leases.Running(now, u.Account)
+		return atLimit || h.leases.RenewAt(u.Account) <= now
 	})
 }
 
-// parts gives what changed since the allocator was told last.
-func (h *holder) parts(now time.Duration, limits map[string]quota.Limits) []admission.Part {
+// changedParts returns the parts that changed since the allocator was last told.
+func (h *holder) changedParts(now time.Duration, limits map[string]quota.Limits) []admission.Part {
 	next := make(map[string]admission.Part, len(h.uses))
 	var changed []admission.Part
 	for _, u := range h.uses {
-		p := h.part(now, u.Account, limits[u.Account])
+		p := h.currentPart(now, u.Account, limits[u.Account])
 		next[u.Account] = p
-		if h.inForce[u.Account] != p {
+		if h.applied[u.Account] != p {
 			changed = append(changed, p)
 		}
 	}
-	// An account that does nothing here just now keeps what is in force, until
-	// the lease is over.
-	for account, p := range h.inForce {
+	// An account that is idle at present keeps its part until the lease expires.
+	for account, p := range h.applied {
 		if _, used := next[account]; !used && now < p.Until {
 			next[account] = p
 		}
 	}
-	h.inForce = next
+	h.applied = next
 	return changed
 }
 
-func (h *holder) part(now time.Duration, account string, limits quota.Limits) admission.Part {
+func (h *holder) currentPart(now time.Duration, account string, limits quota.Limits) admission.Part {
 	rate := quota.Limits{TokensPerSecond: limits.TokensPerSecond}
 	p := admission.Part{Account: account, Until: h.leases.Expires(account)}
 	p.MayStart = now < p.Until && h.leases.MayStart(now, account, rate, 0)
@@ -151,11 +151,11 @@
 	return p
 }
 
-// putInForce tells the allocators what changed.
-func (c *Controller) putInForce(now time.Duration) {
+// applyParts passes the changed parts to the allocators.
+func (c *Controller) applyParts(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(c.holders)) {
 		h := c.holders[name]
-		if changed := h.parts(now, c.limits); len(changed) > 0 {
+		if changed := h.changedParts(now, c.limits); len(changed) > 0 {
 			h.pool.SetParts(c.start, changed)
 		}
 	}
--- a/internal/control/quota/owner.go
+++ b/internal/control/quota/owner.go
@@ -9,10 +9,10 @@
 	"filbertdeck/internal/decide/quota"
 )
 
-type renewals = grpc.BidiStreamingServer[filbertv1.RenewQuotaRequest, filbertv1.RenewQuotaReply]
+type renewStream = grpc.BidiStreamingServer[filbertv1.RenewQuotaRequest, filbertv1.RenewQuotaReply]
 
 // Renew implements the Quota service.
-func (c *Controller) Renew(stream renewals) error {
+func (c *Controller) Renew(stream renewStream) error {
 	var first *filbertv1.RenewQuotaRequest
 	for {
 		req, err := stream.Recv()
@@ -29,16 +29,15 @@
 	}
 }
 
-// Lease answers one request: it leases parts of the accounts that this process
-// owns.
+// Lease answers one request with leases on the accounts that this process owns.
 func (c *Controller) Lease(req *filbertv1.RenewQuotaRequest) *filbertv1.RenewQuotaReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follow()
+	c.syncBlackboard()
 	now := c.now()
 	sent := time.Duration(req.SentUs) * time.Microsecond
-	if !c.arrivals.take(now, req.From, req.Incarnation, sent) {
-		c.metrics.late.Inc(int64(len(req.Demands)))
+	if !c.requestFilter.accept(now, req.From, req.Incarnation, sent) {
+		c.metrics.lateDemands.Inc(int64(len(req.Demands)))
 		return &filbertv1.RenewQuotaReply{}
 	}
 	for _, r := range req.Releases {
@@ -51,9 +50,10 @@
 	return reply
 }
 
-// holderName names a pool at a process. A process that was replaced at the same
-// address goes on as the same holder: what it runs is told again by the entries
-// before it asks (settleFor), and its predecessor's grants count meanwhile.
+// holderName identifies a pool at a process. A process that replaces another
+// one at the same address continues as the same holder: entries report its
+// running requests before it asks (settlePeriod), and until then the grants of
+// its predecessor count.
 func holderName(from, pool string) string { return pool + "@" + from }
 
 func (c *Controller) lease(now time.Duration, from string, d *filbertv1.QuotaDemand) *filbertv1.QuotaGrant {
--- a/internal/control/quota/peers.go
+++ b/internal/control/quota/peers.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// callTimeout bounds a request: several fit into the life of a lease.
+	// callTimeout bounds a request; several fit into the duration of a lease.
 	callTimeout = 500 * time.Millisecond
-	// idleAfter is when a connection that nobody uses is closed. Owners change
-	// with the accounts that are active.
-	idleAfter = time.Minute
+	// idleTimeout is the time after which an unused connection is closed. The
+	// owners in use change with the accounts that are active.
+	idleTimeout = time.Minute
 )
 
-// Peers is the Transport over grpc.
+// Peers implements Transport over gRPC.
 type Peers struct {
 	creds rpc.Credentials
 
-	mu     sync.Mutex
-	conns  map[string]*peer
-	swept  time.Time
-	closed bool
+	mu      sync.Mutex
+	peers   map[string]*peer
+	sweptAt time.Time
+	closed  bool
 }
 
-// peer is one owner. Its stream carries one request at a time, so that a reply
-// can't be taken for that of another request.
+// peer is the connection to one owner. Its stream carries one request at a
+// time, so that a reply cannot be taken for that of another request.
 type peer struct {
-	conn *grpc.ClientConn
-	used time.Time
+	conn     *grpc.ClientConn
+	lastUsed time.Time
 
 	mu     sync.Mutex
 	stream filbertv1.Quota_RenewClient
@@ -43,52 +43,52 @@
 
 // NewPeers returns a transport without connections.
 func NewPeers(creds rpc.Credentials) *Peers {
-	return &Peers{creds: creds, conns: map[string]*peer{}}
+	return &Peers{creds: creds, peers: map[string]*peer{}}
 }
 
 // Renew implements Transport.
 func (p *Peers) Renew(ctx context.Context, owner string, req *filbertv1.RenewQuotaRequest) (*filbertv1.RenewQuotaReply, error) {
-	to, err := p.get(owner)
+	ownerPeer, err := p.peerFor(owner)
 	if err != nil {
 		return nil, err
 	}
-	reply, late, err := to.renew(ctx, req)
+	reply, timedOut, err := ownerPeer.renew(ctx, req)
 	if err == nil {
 		return reply, nil
 	}
-	// The connection may be silent for good while a new one would work.
-	if late {
-		p.drop(owner, to)
+	// The connection may have failed silently, and a new one works.
+	if timedOut {
+		p.closePeer(owner, ownerPeer)
 	}
-	return nil, failure.Wrap(err, failure.KindControlLost, "owner %s of an account did not answer", owner)
+	return nil, failure.Wrap(err, failure.KindControlLost, "account owner %s did not answer", owner)
 }
 
-// renew sends one request and waits for its reply; late says that it ran into
-// its timeout. After a failure the next request opens a new stream: on the old
-// one the reply to this request could still come.
-func (t *peer) renew(ctx context.Context, req *filbertv1.RenewQuotaRequest) (reply *filbertv1.RenewQuotaReply, late bool, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.stream == nil {
+// renew sends one request and waits for its reply; timedOut reports whether it
+// exceeded callTimeout. After a failure the next request opens a new stream, as
+// the reply to this request could still arrive on the old one.
+func (p *peer) renew(ctx context.Context, req *filbertv1.RenewQuotaRequest) (reply *filbertv1.RenewQuotaReply, timedOut bool, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.stream == nil {
 		var streamCtx context.Context
-		streamCtx, t.cancel = context.WithCancel(ctx)
-		stop := time.AfterFunc(callTimeout, t.cancel)
-		t.stream, err = filbertv1.NewQuotaClient(t.conn).Renew(streamCtx)
+		streamCtx, p.cancel = context.WithCancel(ctx)
+		stop := time.AfterFunc(callTimeout, p.cancel)
+		p.stream, err = filbertv1.NewQuotaClient(p.conn).Renew(streamCtx)
 		if err != nil {
-			t.reset()
+			p.reset()
 			return nil, !stop.Stop(), err
 		}
 		stop.Stop()
 	} else {
 		req.From, req.Incarnation = "", 0
 	}
-	stop := time.AfterFunc(callTimeout, t.cancel)
-	reply, err = exchange(t.stream, req)
-	late = !stop.Stop()
-	if err != nil || late {
-		t.reset()
+	stop := time.AfterFunc(callTimeout, p.cancel)
+	reply, err = exchange(p.stream, req)
+	timedOut = !stop.Stop()
+	if err != nil || timedOut {
+		p.reset()
 	}
-	return reply, late, err
+	return reply, timedOut, err
 }
 
 func exchange(stream filbertv1.Quota_RenewClient, req *filbertv1.RenewQuotaRequest) (*filbertv1.RenewQuotaReply, error) {
@@ -98,51 +98,51 @@
 	return stream.Recv()
 }
 
-func (t *peer) reset() {
-	t.cancel()
-	t.stream = nil
+func (p *peer) reset() {
+	p.cancel()
+	p.stream = nil
 }
 
-func (p *Peers) get(owner string) (*peer, error) {
+func (p *Peers) peerFor(owner string) (*peer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, failure.New(failure.KindStopping, "quota has stopped")
+		return nil, failure.New(failure.KindStopping, "the quota transport is closed")
 	}
-	p.sweep(time.Now())
-	if c := p.conns[owner]; c != nil {
-		c.used = time.Now()
+	p.closeIdle(time.Now())
+	if c := p.peers[owner]; c != nil {
+		c.lastUsed = time.Now()
 		return c, nil
 	}
 	conn, err := rpc.Dial(owner, p.creds)
 	if err != nil {
 		return nil, err
 	}
-	c := &peer{conn: conn, used: time.Now()}
-	p.conns[owner] = c
+	c := &peer{conn: conn, lastUsed: time.Now()}
+	p.peers[owner] = c
 	return c, nil
 }
 
-func (p *Peers) sweep(now time.Time) {
-	if now.Sub(p.swept) < idleAfter {
+func (p *Peers) closeIdle(now time.Time) {
+	if now.Sub(p.sweptAt) < idleTimeout {
 		return
 	}
-	p.swept = now
-	for owner, c := range p.conns {
-		if now.Sub(c.used) > idleAfter {
+	p.sweptAt = now
+	for owner, c := range p.peers {
+		if now.Sub(c.lastUsed) > idleTimeout {
 			_ = c.conn.Close()
-			delete(p.conns, owner)
+			delete(p.peers, owner)
 		}
 	}
 }
 
-func (p *Peers) drop(owner string, to *peer) {
+func (p *Peers) closePeer(owner string, ownerPeer *peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.conns[owner] == to {
-		delete(p.conns, owner)
+	if p.peers[owner] == ownerPeer {
+		delete(p.peers, owner)
 	}
-	_ = to.conn.Close()
+	_ = ownerPeer.conn.Close()
 }
 
 // Close closes all connections.
@@ -150,8 +150,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for owner, c := range p.conns {
+	for owner, c := range p.peers {
 		_ = c.conn.Close()
-		delete(p.conns, owner)
+		delete(p.peers, owner)
 	}
 }
--- a/internal/control/quota/peers_test.go
+++ b/internal/control/quota/peers_test.go
@@ -15,44 +15,44 @@
 	"filbertdeck/internal/rpc"
 )
 
-// relay passes connections on to a server. A connection that was made before
-// silence was called for passes nothing on for good; later ones work.
-type relay struct {
+// tcpProxy forwards connections to a server. dropOpenConnections makes it
+// discard all further data of the connections that are open; later ones work.
+type tcpProxy struct {
 	net.Listener
-	to   string
-	mu   sync.Mutex
-	open []*atomic.Bool
+	upstream  string
+	mu        sync.Mutex
+	dropFlags []*atomic.Bool
 }
 
-func newRelay(to string) *relay {
+func newTCPProxy(upstream string) *tcpProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	r := &relay{Listener: l, to: to}
-	go r.serve()
-	return r
+	p := &tcpProxy{Listener: l, upstream: upstream}
+	go p.serve()
+	return p
 }
 
-func (r *relay) serve() {
+func (p *tcpProxy) serve() {
 	for {
-		from, err := r.Accept()
+		from, err := p.Accept()
 		if err != nil {
 			return
 		}
-		to, err := net.Dial("tcp", r.to)
+		to, err := net.Dial("tcp", p.upstream)
 		if err != nil {
 			_ = from.Close()
 			continue
 		}
-		dead := &atomic.Bool{}
-		r.mu.Lock()
-		r.open = append(r.open, dead)
-		r.mu.Unlock()
-		go pass(from, to, dead)
-		go pass(to, from, dead)
+		drop := &atomic.Bool{}
+		p.mu.Lock()
+		p.dropFlags = append(p.dropFlags, drop)
+		p.mu.Unlock()
+		go forward(from, to, drop)
+		go forward(to, from, drop)
 	}
 }
 
-func pass(from, to net.Conn, dead *atomic.Bool) {
+func forward(from, to net.Conn, drop *atomic.Bool) {
 	defer func() { _ = to.Close() }()
 	buf := make([]byte, 4096)
 	for {
@@ -60,57 +60,57 @@
 		if err != nil {
 			return
 		}
-		if !dead.Load() {
+		if !drop.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
-func (r *relay) silence() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, dead := range r.open {
-		dead.Store(true)
+func (p *tcpProxy) dropOpenConnections() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, drop := range p.dropFlags {
+		drop.Store(true)
 	}
 }
 
 var _ = Describe("a connection to an owner", func() {
-	// Something between two hosts loses track of a connection, which stays open
-	// and passes nothing on. Were it kept, the pool's accounts would wait until
-	// somebody restarts a process, though a new connection works.
-	It("is replaced once a request on it got no answer", func() {
-		w := newWorld(1, 1, park)
+	// Something between two hosts loses the state of a connection, which stays
+	// open and passes no more data. If it were kept, the pool's accounts would
+	// wait until a process is restarted, although a new connection works.
+	It("is replaced after a request on it got no answer", func() {
+		sim := newSimulation(1, 1, parkAccount)
 		server := rpc.NewServer(rpc.Credentials{})
-		filbertv1.RegisterQuotaServer(server, w.nodes[0].ctl)
+		filbertv1.RegisterQuotaServer(server, sim.nodes[0].controller)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
-		between := newRelay(l.Addr().String())
-		defer func() { _ = between.Close() }()
+		proxy := newTCPProxy(l.Addr().String())
+		defer func() { _ = proxy.Close() }()
 		peers := quota.NewPeers(rpc.Credentials{})
 		defer peers.Close()
 
 		sent := uint64(0)
 		renew := func() error {
 			sent++
-			reply, err := peers.Renew(context.Background(), between.Addr().String(), &filbertv1.RenewQuotaRequest{
+			reply, err := peers.Renew(context.Background(), proxy.Addr().String(), &filbertv1.RenewQuotaRequest{
 				From: "127.0.0.1:9", Incarnation: 1, SentUs: sent,
 				Demands: []*filbertv1.QuotaDemand{{Account: "park", Pool: "p", Waiting: 1}},
 			})
 			if err == nil {
-				Expect(reply.Grants).To(HaveLen(1), "the sender of each request is known")
+				Expect(reply.Grants).To(HaveLen(1), "the owner knows the sender of each request")
 			}
 			return err
 		}
 		Expect(renew()).To(Succeed())
 		Expect(renew()).To(Succeed())
-		between.silence()
+		proxy.dropOpenConnections()
 		err = renew()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindControlLost))
 		Expect(renew()).To(Succeed())
 
-		// The owner's process is replaced: its connections end.
+		// The owner's process is replaced, which closes its connections.
 		server.Stop()
 		Expect(renew()).NotTo(Succeed())
 		peers.Close()
--- a/internal/control/quota/quota_test.go
+++ b/internal/control/quota/quota_test.go
@@ -17,172 +17,176 @@
 	RunSpecs(t, "account limits between control processes")
 }
 
-// settled is when the first owner leases: it waits out its predecessors.
-const settled = 9 * time.Second
+// ownerSettleTime is when the first owner starts to lease: until then it waits
+// for the leases of possible predecessors to expire.
+const ownerSettleTime = 9 * time.Second
 
-var park = table.Account{Name: "park", MaxRunning: 3}
+var parkAccount = table.Account{Name: "park", MaxRunning: 3}
 
-func (w *world) started() (all []int) {
-	for _, n := range w.nodes[1:] {
-		all = append(all, n.pool.starts["park"])
+func (s *simulation) poolStarts() (all []int) {
+	for _, n := range s.nodes[1:] {
+		all = append(all, n.pool.startCounts["park"])
 	}
 	return all
 }
 
 var _ = Describe("a limit over several pools", func() {
-	DescribeTable("is never exceeded, and is used again after the fault", func(fault func(w *world)) {
+	DescribeTable("is never exceeded, and is used again after the fault", func(injectFault func(sim *simulation)) {
 		for seed := range uint64(3) {
-			w := newWorld(seed, 5, park)
-			w.run(settled)
-			Expect(w.started()).To(HaveEach(BeNumerically("<=", 3)))
-			Expect(w.nodes[1].pool.starts["free"]).To(BeNumerically(">", 2), "no limit, no wait")
-			fault(w)
-			before := w.started()
-			w.run(75 * time.Second)
-			Expect(w.most).To(Equal(3), fmt.Sprint("seed ", seed))
-			sum := 0
-			for i, n := range w.started() {
-				sum += n - before[i]
+			sim := newSimulation(seed, 5, parkAccount)
+			sim.run(ownerSettleTime)
+			Expect(sim.poolStarts()).To(HaveEach(BeNumerically("<=", 3)))
+			Expect(sim.nodes[1].pool.startCounts["free"]).To(BeNumerically(">", 2), "an account without a limit does not wait")
+			injectFault(sim)
+			before := sim.poolStarts()
+			sim.run(75 * time.Second)
+			Expect(sim.maxRunning).To(Equal(3), fmt.Sprint("seed ", seed))
+			starts := 0
+			for i, n := range sim.poolStarts() {
+				starts += n - before[i]
 			}
 			// Three places for 75 s and requests of 3 s on average give 75 starts;
-			// what was counted for a silent process is missing for a minute.
-			Expect(sum).To(BeNumerically(">", 15), fmt.Sprint("seed ", seed))
+			// the part of a silent process is missing for a minute.
+			Expect(starts).To(BeNumerically(">", 15), fmt.Sprint("seed ", seed))
 		}
 	},
-		// Four pools want three places. Rounded down, a fair part is none, and
-		// the account's callers would wait below their limit for ever.
-		Entry("without a fault", func(w *world) {
-			w.run(time.Minute)
-			Expect(w.started()).To(HaveEach(BeNumerically(">", 4)))
+		// Four pools want three places. If a fair part were rounded down to none,
+		// the account's callers would wait below their limit forever.
+		Entry("without a fault", func(sim *simulation) {
+			sim.run(time.Minute)
+			Expect(sim.poolStarts()).To(HaveEach(BeNumerically(">", 4)))
 		}),
-		// The owner's host dies and the list names it for half a minute more.
-		// Callers of the account wait meanwhile; they are not refused.
-		Entry("when the owner dies", func(w *world) {
-			w.run(20 * time.Second)
-			w.nodes[0].dead = true
-			w.run(4 * time.Second)
-			before := w.started()
-			w.run(20 * time.Second)
-			Expect(w.started()).To(Equal(before), "nobody leases")
-			w.publishHosts(w.nodes[1:])
+		// The owner's host crashes, and the list names it for half a minute more.
+		// Callers of the account wait in that time; they are not refused.
+		Entry("when the owner crashes", func(sim *simulation) {
+			sim.run(20 * time.Second)
+			sim.nodes[0].crashed = true
+			sim.run(4 * time.Second)
+			before := sim.poolStarts()
+			sim.run(20 * time.Second)
+			Expect(sim.poolStarts()).To(Equal(before), "no process leases")
+			sim.publishHosts(sim.nodes[1:])
 		}),
-		// The fleet is split for a minute. The side without the owner starts
-		// nothing of the account: its part may be in use on the other side.
-		Entry("when the fleet is split", func(w *world) {
-			w.run(20 * time.Second)
-			w.nodes[3].cut, w.nodes[4].cut = true, true
-			w.run(4 * time.Second)
-			before := w.started()
-			w.run(time.Minute)
-			Expect(w.started()[2:]).To(Equal(before[2:]))
-			Expect(w.started()[0]).To(BeNumerically(">", before[0]))
-			w.nodes[3].cut, w.nodes[4].cut = false, false
+		// The network is partitioned for a minute. The side without the owner
+		// starts no requests of the account: its part may be in use on the other
+		// side.
+		Entry("when the network is partitioned", func(sim *simulation) {
+			sim.run(20 * time.Second)
+			sim.nodes[3].partitioned, sim.nodes[4].partitioned = true, true
+			sim.run(4 * time.Second)
+			before := sim.poolStarts()
+			sim.run(time.Minute)
+			Expect(sim.poolStarts()[2:]).To(Equal(before[2:]))
+			Expect(sim.poolStarts()[0]).To(BeNumerically(">", before[0]))
+			sim.nodes[3].partitioned, sim.nodes[4].partitioned = false, false
 		}),
-		// Hosts come and go, and with them the owner, each time before the one
-		// before has waited out its time. No pool may lose its place in the sum.
-		Entry("when the owner changes", func(w *world) {
+		// The owner changes repeatedly, each time before the previous one has
+		// finished waiting for its predecessor's leases. No pool's requests may be
+		// missing from the sum.
+		Entry("when the owner changes", func(sim *simulation) {
 			for i := range 4 {
-				w.publishHosts(w.nodes[(i+1)%2:])
-				w.run(15 * time.Second)
+				sim.publishHosts(sim.nodes[(i+1)%2:])
+				sim.run(15 * time.Second)
 			}
-			w.publishHosts(w.nodes)
+			sim.publishHosts(sim.nodes)
 		}),
 		// A control process is paused until its part has been given to others.
-		// When it wakes up, callers' requests have gathered and its allocator
-		// decides before anybody has told it that the lease is over.
-		Entry("when a holder is paused", func(w *world) {
-			w.run(20 * time.Second)
-			w.nodes[2].paused = true
-			w.run(80 * time.Second)
-			w.nodes[2].wake()
+		// When it resumes, requests have queued up, and its allocator decides
+		// before it is told that the lease has expired.
+		Entry("when a holder is paused", func(sim *simulation) {
+			sim.run(20 * time.Second)
+			sim.nodes[2].paused = true
+			sim.run(80 * time.Second)
+			sim.nodes[2].resume()
 		}),
-		// The owner is paused for eight seconds and finds demands in its
-		// connections' buffers by which the pools run less than they do.
-		Entry("when the owner is paused", func(w *world) {
-			w.run(20 * time.Second)
-			w.nodes[0].paused = true
-			w.run(8 * time.Second)
-			w.nodes[0].wake()
-			late := metrics.GetOrRegisterCounter("quota.demands_late", w.nodes[0].counts)
+		// The owner is paused for eight seconds and then finds demands in its
+		// connections' buffers that report less than the pools run by then.
+		Entry("when the owner is paused", func(sim *simulation) {
+			sim.run(20 * time.Second)
+			sim.nodes[0].paused = true
+			sim.run(8 * time.Second)
+			sim.nodes[0].resume()
+			late := metrics.GetOrRegisterCounter("quota.demands_late", sim.nodes[0].registry)
 			Expect(late.Count()).To(BeNumerically(">", 0))
 		}),
-		// A control process is replaced at the same address. It knows of nothing
-		// that runs until the entries have renewed their leases.
-		Entry("when a holder is replaced", func(w *world) {
-			for _, n := range w.nodes[2:] {
-				n.pool.want = 0
-				n.pool.empty("park")
+		// A control process is replaced at the same address. The new one knows of
+		// no running requests until the entries have renewed their leases.
+		Entry("when a holder is replaced", func(sim *simulation) {
+			for _, n := range sim.nodes[2:] {
+				n.pool.demand = 0
+				n.pool.withdrawAll("park")
 			}
-			w.run(20 * time.Second)
-			n, old := w.nodes[1], w.nodes[1].pool
+			sim.run(20 * time.Second)
+			n, old := sim.nodes[1], sim.nodes[1].pool
 			Expect(old.running("park")).To(Equal(3))
-			n.pool = newMemoryPool(w, 99)
-			n.pool.jobs, n.pool.starts, n.pool.renewsFrom = old.jobs, old.starts, w.now+2*time.Second
-			w.publishRow(w.row)
+			n.pool = newSimulatedPool(sim, 99)
+			n.pool.requests, n.pool.startCounts, n.pool.renewAfter = old.requests, old.startCounts, sim.now+2*time.Second
+			sim.publishRow(sim.accountRow)
 		}),
 	)
 
-	// An operator lowers a row while the account runs at its limit. What runs
-	// goes on; new requests wait until it is below the new limit.
-	It("follows a row that is lowered, raised and taken out", func() {
-		w := newWorld(7, 4, table.Account{Name: "park", MaxRunning: 9})
-		w.run(settled + 20*time.Second)
-		Expect(w.running()).To(Equal(9))
-		w.publishRow(park)
-		w.run(10 * time.Second)
-		w.most = 0
-		w.run(20 * time.Second)
-		Expect(w.most).To(Equal(3))
-		w.publishRow(table.Account{Name: "park"})
-		w.run(2 * time.Second)
-		Expect(w.running()).To(Equal(60))
+	// An operator lowers a limit while the account uses all of it. Running
+	// requests continue; new ones wait until the account is below the new limit.
+	It("follows a limit that is lowered and then removed", func() {
+		sim := newSimulation(7, 4, table.Account{Name: "park", MaxRunning: 9})
+		sim.run(ownerSettleTime + 20*time.Second)
+		Expect(sim.running()).To(Equal(9))
+		sim.publishRow(parkAccount)
+		sim.run(10 * time.Second)
+		sim.maxRunning = 0
+		sim.run(20 * time.Second)
+		Expect(sim.maxRunning).To(Equal(3))
+		sim.publishRow(table.Account{Name: "park"})
+		sim.run(2 * time.Second)
+		Expect(sim.running()).To(Equal(60))
 	})
 
-	// An account that used one pool moves to another. The first holds a lease
-	// of which it uses nothing; without a release it would count for a minute.
+	// The requests of an account move from one pool to another. The first pool
+	// holds a lease that it no longer uses; without a release it would count for
+	// a minute.
 	It("moves with the demand within seconds", func() {
-		w := newWorld(8, 3, park)
-		w.nodes[2].pool.want = 0
-		w.run(settled + 20*time.Second)
-		Expect(w.nodes[1].pool.running("park")).To(Equal(3))
-		w.nodes[1].pool.want, w.nodes[2].pool.want = 0, 20
-		w.nodes[1].pool.empty("park")
-		w.run(14 * time.Second)
-		Expect(w.nodes[2].pool.running("park")).To(Equal(3))
-		Expect(w.most).To(Equal(3))
+		sim := newSimulation(8, 3, parkAccount)
+		sim.nodes[2].pool.demand = 0
+		sim.run(ownerSettleTime + 20*time.Second)
+		Expect(sim.nodes[1].pool.running("park")).To(Equal(3))
+		sim.nodes[1].pool.demand, sim.nodes[2].pool.demand = 0, 20
+		sim.nodes[1].pool.withdrawAll("park")
+		sim.run(14 * time.Second)
+		Expect(sim.nodes[2].pool.running("park")).To(Equal(3))
+		Expect(sim.maxRunning).To(Equal(3))
 	})
 
-	// The host list gives a pool to another process, as it does all day. The
-	// entries follow with what runs. Counted at both, it would keep the account
-	// from starting anything for a minute each time.
+	// The host list assigns a pool to another process, which is routine. The
+	// entries follow with the running requests. If these were counted at both
+	// processes, the account could start nothing for a minute each time.
 	It("follows a pool that moves to another process", func() {
-		w := newWorld(10, 4, park)
-		w.nodes[2].pool.want, w.nodes[3].pool.want = 0, 0
-		w.run(settled + 20*time.Second)
-		old := w.nodes[1].pool
-		// One may have ended in the last tick.
+		sim := newSimulation(10, 4, parkAccount)
+		sim.nodes[2].pool.demand, sim.nodes[3].pool.demand = 0, 0
+		sim.run(ownerSettleTime + 20*time.Second)
+		old := sim.nodes[1].pool
+		// One request may have ended in the last tick.
 		Expect(old.running("park")).To(BeNumerically(">=", 2))
-		w.nodes[1].pool = nil
-		next := newMemoryPool(w, 98)
-		next.jobs, next.renewsFrom = old.jobs, w.now+time.Second
-		w.nodes[2].pool = next
-		w.publishRow(w.row)
-		w.nodes[3].pool.want = 20
-		w.run(20 * time.Second)
-		Expect(w.running()).To(BeNumerically(">=", 2))
-		Expect(w.nodes[3].pool.starts["park"]).To(BeNumerically(">", 0))
-		Expect(w.most).To(Equal(3), "also while other pools want what it gives up")
+		sim.nodes[1].pool = nil
+		next := newSimulatedPool(sim, 98)
+		next.requests, next.renewAfter = old.requests, sim.now+time.Second
+		sim.nodes[2].pool = next
+		sim.publishRow(sim.accountRow)
+		sim.nodes[3].pool.demand = 20
+		sim.run(20 * time.Second)
+		Expect(sim.running()).To(BeNumerically(">=", 2))
+		Expect(sim.nodes[3].pool.startCounts["park"]).To(BeNumerically(">", 0))
+		Expect(sim.maxRunning).To(Equal(3), "even while other pools ask for the released part")
 	})
 
-	// A rate can't cut a generation, so starts are held back until what was
-	// produced is paid for.
-	It("bounds the tokens of a second", func() {
-		w := newWorld(9, 4, table.Account{Name: "park", TokensPerSecond: 200})
-		w.run(settled)
-		w.produced = 0
-		w.run(5 * time.Minute)
-		perSecond := float64(w.produced) / 300
-		AddReportEntry("tokens a second, limit 200", perSecond)
+	// A rate limit cannot cut off a running generation, so starts are held back
+	// until the rate has covered the tokens that were produced.
+	It("bounds the tokens per second", func() {
+		sim := newSimulation(9, 4, table.Account{Name: "park", TokensPerSecond: 200})
+		sim.run(ownerSettleTime)
+		sim.producedTokens = 0
+		sim.run(5 * time.Minute)
+		perSecond := float64(sim.producedTokens) / 300
+		AddReportEntry("tokens per second, limit 200", perSecond)
 		Expect(perSecond).To(BeNumerically("~", 200, 40))
 	})
 })
--- /dev/null
+++ b/internal/control/quota/runner_pool.go
@@ -0,0 +1,36 @@
+package quota
+
+import (
+	"time"
+
+	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/decide/admission"
+)
+
+// RunningPools returns a function that lists the pools that a manager runs.
+func RunningPools(m *pools.Manager) func() map[string]Pool {
+	return func() map[string]Pool {
+		out := map[string]Pool{}
+		m.ForEach(func(p pools.Plan, r *pool.Runner) { out[p.ID] = runnerPool{r} })
+		return out
+	}
+}
+
+// runnerPool implements Pool with the runner of a pool.
+type runnerPool struct{ *pool.Runner }
+
+// Uses implements Pool.
+func (r runnerPool) Uses() []admission.QuotaUse { return r.QuotaUses() }
+
+// SetParts implements Pool.
+func (r runnerPool) SetParts(start time.Time, parts []admission.Part) {
+	r.Do(func(a *admission.Allocator, now time.Duration) {
+		for _, p := range parts {
+			// The end is converted from the controller's clock when the event runs:
+			// time that the event waited in the queue must not extend the lease.
+			p.Until = now + time.Until(start.Add(p.Until))
+			a.SetPart(now, p)
+		}
+	})
+}
--- a/internal/control/sessions/handle.go
+++ b/internal/control/sessions/handle.go
@@ -7,30 +7,30 @@
 	"filbertdeck/internal/decide/admission"
 )
 
-func (s *Server) handle(ss *session, m *filbertv1.EntryMessage) {
+func (s *Server) handleMessage(sess *session, m *filbertv1.EntryMessage) {
 	switch body := m.Body.(type) {
 	case *filbertv1.EntryMessage_Ask:
-		s.ask(ss, body.Ask)
+		s.ask(sess, body.Ask)
 	case *filbertv1.EntryMessage_Withdraw:
 		if r, _, ok := s.pools.Runner(body.Withdraw.Pool); ok {
-			r.Withdraw(ss.holder, body.Withdraw.Request)
+			r.Withdraw(sess.holder, body.Withdraw.Request)
 		}
 	case *filbertv1.EntryMessage_Renewals:
-		s.renew(ss, body.Renewals)
-		ss.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Alive{Alive: &filbertv1.Alive{}}})
+		s.renew(sess, body.Renewals)
+		sess.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Alive{Alive: &filbertv1.Alive{}}})
 	case *filbertv1.EntryMessage_Settle:
 		s.settle(body.Settle)
 	}
 }
 
-func (s *Server) ask(ss *session, a *filbertv1.Ask) {
+func (s *Server) ask(sess *session, a *filbertv1.Ask) {
 	r, _, ok := s.pools.Runner(a.Pool)
 	if !ok {
-		ss.send(refusal(a.Request, filbertv1.RefusalReason_REFUSAL_REASON_NOT_OWNER, retryNotOwner))
+		sess.send(newRefusal(a.Request, filbertv1.RefusalReason_REFUSAL_REASON_NOT_OWNER, notOwnerRetryDelay))
 		return
 	}
 	r.Ask(admission.Ask{
-		Holder: ss.holder, Request: a.Request, Account: a.Account, Service: a.Service,
+		Holder: sess.holder, Request: a.Request, Account: a.Account, Service: a.Service,
 		PromptTokens: int(a.PromptTokens), MaxTokens: int(a.MaxTokens),
 		Fingerprint: a.Fingerprint, Prefix: a.Prefix,
 		MaxWait: time.Duration(a.WaitMs) * time.Millisecond, Avoid: a.Avoid,
@@ -38,20 +38,20 @@
 	})
 }
 
-func (s *Server) renew(ss *session, m *filbertv1.Renewals) {
-	for _, of := range m.Pools {
-		r, _, ok := s.pools.Runner(of.Pool)
+func (s *Server) renew(sess *session, m *filbertv1.Renewals) {
+	for _, poolRenewals := range m.Pools {
+		r, _, ok := s.pools.Runner(poolRenewals.Pool)
 		if !ok {
 			continue
 		}
-		renewals := make([]admission.Renewal, len(of.Renewals))
-		for i, one := range of.Renewals {
+		renewals := make([]admission.Renewal, len(poolRenewals.Renewals))
+		for i, renewal := range poolRenewals.Renewals {
 			renewals[i] = admission.Renewal{
-				Lease: admission.LeaseID(one.Lease), Target: one.Target, Account: one.Account, Service: one.Service,
-				PromptTokens: int(one.PromptTokens), Produced: int(one.Produced),
+				Lease: admission.LeaseID(renewal.Lease), Target: renewal.Target, Account: renewal.Account, Service: renewal.Service,
+				PromptTokens: int(renewal.PromptTokens), Produced: int(renewal.Produced),
 			}
 		}
-		r.Renew(ss.holder, renewals)
+		r.Renew(sess.holder, renewals)
 	}
 }
 
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -1,5 +1,5 @@
-// Package sessions serves the entries' sessions: it turns their messages into
-// events of the pools' allocators and hands the decisions back.
+// Package sessions serves the sessions of entries: it passes their messages to
+// the pools' allocators as events and sends the decisions back.
 package sessions
 
 import (
@@ -14,80 +14,81 @@
 	"filbertdeck/internal/failure"
 )
 
-// Pools finds the runner of a pool that this process may admit to now. The
-// fence leads the requests that are sent under its grants.
+// Pools finds the runner of a pool that this process may admit to at present.
+// The fence goes with every request that is sent under one of its grants.
 type Pools interface {
 	Runner(name string) (r *pool.Runner, fence uint64, ok bool)
 }
 
-// sendQueue bounds the decisions that wait for one entry's connection.
-const sendQueue = 4096
+// sendQueueSize bounds the messages that wait for one entry's connection.
+const sendQueueSize = 4096
 
-// retryNotOwner is told to an entry whose view of the owners is old.
-const retryNotOwner = 200 * time.Millisecond
+// notOwnerRetryDelay is the retry delay for an entry whose view of the owners
+// is out of date.
+const notOwnerRetryDelay = 200 * time.Millisecond
 
 // Server holds the open sessions.
 type Server struct {
 	pools Pools
 
-	mu   sync.Mutex
-	open map[admission.Holder]*session
+	mu           sync.Mutex
+	openSessions map[admission.Holder]*session
 }
 
 // New returns a server without sessions.
 func New(pools Pools) *Server {
-	return &Server{pools: pools, open: map[admission.Holder]*session{}}
+	return &Server{pools: pools, openSessions: map[admission.Holder]*session{}}
 }
 
-type stream = grpc.BidiStreamingServer[filbertv1.EntryMessage, filbertv1.ControlMessage]
+type entryStream = grpc.BidiStreamingServer[filbertv1.EntryMessage, filbertv1.ControlMessage]
 
 type session struct {
-	holder admission.Holder
-	out    chan *filbertv1.ControlMessage
-	done   chan struct{}
-	once   sync.Once
+	holder    admission.Holder
+	outgoing  chan *filbertv1.ControlMessage
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-func (s *session) close() { s.once.Do(func() { close(s.done) }) }
+func (s *session) close() { s.closeOnce.Do(func() { close(s.done) }) }
 
-// send queues a message. An entry that takes no messages is cut off: its
-// leases expire, and it asks again over a new connection.
+// send queues a message. If the queue is full, the session is closed: the
+// entry's leases expire, and it asks again over a new connection.
 func (s *session) send(m *filbertv1.ControlMessage) {
 	select {
-	case s.out <- m:
+	case s.outgoing <- m:
 	default:
 		s.close()
 	}
 }
 
 // Serve runs one session until either side ends it.
-func (s *Server) Serve(stream stream) error {
+func (s *Server) Serve(stream entryStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	hello := first.GetHello()
 	if hello == nil {
-		return failure.New(failure.KindBadRequest, "a session begins with hello")
+		return failure.New(failure.KindBadRequest, "the first message of a session must be hello")
 	}
-	ss := &session{
-		holder: admission.Holder{Entry: hello.Entry, Incarnation: hello.Incarnation},
-		out:    make(chan *filbertv1.ControlMessage, sendQueue), done: make(chan struct{}),
+	sess := &session{
+		holder:   admission.Holder{Entry: hello.Entry, Incarnation: hello.Incarnation},
+		outgoing: make(chan *filbertv1.ControlMessage, sendQueueSize), done: make(chan struct{}),
 	}
-	s.register(ss)
-	defer s.unregister(ss)
-	go s.receive(stream, ss)
-	return ss.sendLoop(stream)
+	s.register(sess)
+	defer s.unregister(sess)
+	go s.receive(stream, sess)
+	return sess.sendLoop(stream)
 }
 
-func (ss *session) sendLoop(stream stream) error {
+func (s *session) sendLoop(stream entryStream) error {
 	for {
 		select {
-		case m := <-ss.out:
+		case m := <-s.outgoing:
 			if err := stream.Send(m); err != nil {
 				return err
 			}
-		case <-ss.done:
+		case <-s.done:
 			return nil
 		case <-stream.Context().Done():
 			return nil
@@ -95,59 +96,59 @@
 	}
 }
 
-func (s *Server) receive(stream stream, ss *session) {
-	defer ss.close()
+func (s *Server) receive(stream entryStream, sess *session) {
+	defer sess.close()
 	for {
 		m, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		s.handle(ss, m)
+		s.handleMessage(sess, m)
 	}
 }
 
-// register replaces an older session of the same entry process: decisions go
-// to the connection that was opened last.
-func (s *Server) register(ss *session) {
+// register replaces an older session of the same entry process, so that
+// decisions go to the newest connection.
+func (s *Server) register(sess *session) {
 	s.mu.Lock()
-	old := s.open[ss.holder]
-	s.open[ss.holder] = ss
+	old := s.openSessions[sess.holder]
+	s.openSessions[sess.holder] = sess
 	s.mu.Unlock()
 	if old != nil {
 		old.close()
 	}
 }
 
-func (s *Server) unregister(ss *session) {
-	ss.close()
+func (s *Server) unregister(sess *session) {
+	sess.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[ss.holder] == ss {
-		delete(s.open, ss.holder)
+	if s.openSessions[sess.holder] == sess {
+		delete(s.openSessions, sess.holder)
 	}
 }
 
-// Deliver sends a decision to its holder. When the holder is gone its lease
-// expires by itself.
-func (s *Server) Deliver(name string, d admission.Decision) {
+// Deliver sends a decision to its holder. If the holder has no session, the
+// lease expires.
+func (s *Server) Deliver(poolName string, d admission.Decision) {
 	s.mu.Lock()
-	ss := s.open[d.Holder]
+	sess := s.openSessions[d.Holder]
 	s.mu.Unlock()
-	if ss == nil {
+	if sess == nil {
 		return
 	}
 	if !d.Granted() {
-		ss.send(refusal(d.Request, reasons[d.Reason], d.RetryAfter))
+		sess.send(newRefusal(d.Request, refusalReasons[d.Reason], d.RetryAfter))
 		return
 	}
-	_, fence, _ := s.pools.Runner(name)
-	ss.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Grant{Grant: &filbertv1.Grant{
+	_, fence, _ := s.pools.Runner(poolName)
+	sess.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Grant{Grant: &filbertv1.Grant{
 		Request: d.Request, Lease: uint64(d.Lease), Target: d.Target,
 		LeaseMs: uint32(d.LeaseFor.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
 	}}})
 }
 
-var reasons = map[admission.RefusalReason]filbertv1.RefusalReason{
+var refusalReasons = map[admission.RefusalReason]filbertv1.RefusalReason{
 	admission.RefusedOverloaded:   filbertv1.RefusalReason_REFUSAL_REASON_OVERLOADED,
 	admission.RefusedNoTarget:     filbertv1.RefusalReason_REFUSAL_REASON_NO_TARGET,
 	admission.RefusedPoison:       filbertv1.RefusalReason_REFUSAL_REASON_POISON,
@@ -157,8 +158,8 @@
 	admission.RefusedTooLarge:     filbertv1.RefusalReason_REFUSAL_REASON_TOO_LARGE,
 }
 
-func refusal(request uint64, reason filbertv1.RefusalReason, after time.Duration) *filbertv1.ControlMessage {
+func newRefusal(request uint64, reason filbertv1.RefusalReason, retryAfter time.Duration) *filbertv1.ControlMessage {
 	return &filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Refusal{Refusal: &filbertv1.Refusal{
-		Request: request, Reason: reason, RetryAfterMs: uint32(after.Milliseconds()),
+		Request: request, Reason: reason, RetryAfterMs: uint32(retryAfter.Milliseconds()),
 	}}}
 }
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -1,4 +1,4 @@
-// Package state serves the entries' view of the world: table, hosts, pools.
+// Package state serves the published state to entries: table, hosts and pools.
 package state
 
 import (
@@ -25,27 +25,30 @@
 	Board    *configwatch.Board
 	Pools    *pools.Manager
 	Sessions *sessions.Server
-	// Backlog gives the wait in any pool, own or heard of; false when unknown.
+	// Backlog returns the wait in a pool, of this process or announced by a peer;
+	// false if it is unknown.
 	Backlog func(pool string) (time.Duration, bool)
-	// Ready tells whether the table in force may be handed out: a process that
-	// was just started could hold an older one than its peers.
+	// Ready reports whether the table in force may be handed out. A process that
+	// was just started may hold an older table than its peers.
 	Ready func() bool
-	// Gone lists the control processes that are known to be gone, in order.
-	Gone func() []string
+	// Departed returns the control processes that are known to be dead or to
+	// have left, in a stable order.
+	Departed func() []string
 
 	mu         sync.Mutex
 	accounting map[string]*accounting.Merged
 }
 
-// backlogEvery is how often changed backlogs are pushed to the entries.
-const backlogEvery = 500 * time.Millisecond
+// backlogInterval is the interval at which changed backlogs are sent to entries.
+const backlogInterval = 500 * time.Millisecond
 
 // Session implements the Admission service.
 func (s *Service) Session(stream grpc.BidiStreamingServer[filbertv1.EntryMessage, filbertv1.ControlMessage]) error {
 	return s.Sessions.Serve(stream)
 }
 
-// Confirm tells how fresh the host list is.
+// Confirm returns the revisions in force and the age of the host list's last
+// confirmation.
 func (s *Service) Confirm(context.Context, *filbertv1.ConfirmRequest) (*filbertv1.ConfirmReply, error) {
 	hosts := s.Board.Hosts.Get()
 	reply := &filbertv1.ConfirmReply{Unconfirmed: true}
@@ -61,7 +64,7 @@
 	return reply, nil
 }
 
-// PutAccounting takes the counters of an entry: all rows, or those that
+// PutAccounting stores the counters of an entry: all rows, or those that
 // changed.
 func (s *Service) PutAccounting(_ context.Context, r *filbertv1.PutAccountingRequest) (*filbertv1.PutAccountingReply, error) {
 	var snapshot accounting.Snapshot
@@ -80,7 +83,7 @@
 	return &filbertv1.PutAccountingReply{}, nil
 }
 
-// Accounting gives the last counters of each entry.
+// Accounting returns the latest counters of each entry.
 func (s *Service) Accounting() []accounting.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,23 +94,23 @@
 	return all
 }
 
-// WatchState pushes what changes. Each section is sent whole, at first and
-// whenever its version changes.
+// WatchState streams the state. Each section is sent at first and whenever it
+// changes; the table and the backlogs are then reduced to what changed.
 func (s *Service) WatchState(_ *filbertv1.WatchStateRequest, stream grpc.ServerStreamingServer[filbertv1.StateUpdate]) error {
-	ticker := time.NewTicker(backlogEvery)
+	ticker := time.NewTicker(backlogInterval)
 	defer ticker.Stop()
-	var sent sentState
+	var sent streamState
 	for {
-		tables, hosts, plans := s.Board.Table.Changed(), s.Board.Hosts.Changed(), s.Pools.Changed()
+		tableChanged, hostsChanged, plansChanged := s.Board.Table.Changed(), s.Board.Hosts.Changed(), s.Pools.Changed()
 		if update := s.update(&sent); update != nil {
 			if err := stream.Send(update); err != nil {
 				return err
 			}
 		}
 		select {
-		case <-tables:
-		case <-hosts:
-		case <-plans:
+		case <-tableChanged:
+		case <-hostsChanged:
+		case <-plansChanged:
 		case <-ticker.C:
 		case <-stream.Context().Done():
 			return nil
@@ -115,16 +118,16 @@
 	}
 }
 
-// sentState remembers what a stream has received.
-type sentState struct {
-	table    *table.Table
-	hosts    uint64
-	plans    *[]pools.Plan
-	gone     []string
-	backlogs map[string]uint32
+// streamState is the state that a stream has sent.
+type streamState struct {
+	table         *table.Table
+	hostsRevision uint64
+	plans         *[]pools.Plan
+	departed      []string
+	backlogs      map[string]uint32
 }
 
-func (s *Service) update(sent *sentState) *filbertv1.StateUpdate {
+func (s *Service) update(sent *streamState) *filbertv1.StateUpdate {
 	if !s.Ready() {
 		return nil
 	}
@@ -133,8 +136,8 @@
 		update.Table = tableSection(sent.table, t)
 		sent.table = t
 	}
-	if h := s.Board.Hosts.Get(); h != nil && h.Version.Revision != sent.hosts {
-		sent.hosts = h.Version.Revision
+	if h := s.Board.Hosts.Get(); h != nil && h.Version.Revision != sent.hostsRevision {
+		sent.hostsRevision = h.Version.Revision
 		update.Hosts = hostsSection(h)
 	}
 	update.Pools = s.poolsSection(sent)
@@ -145,20 +148,20 @@
 	return update
 }
 
-// tableSection gives the table whole, or as its changes since the one that the
-// stream has: an edit of one row among 11,000 must not make every entry read
-// them all.
-func tableSection(sent, t *table.Table) *filbertv1.TableSection {
+// tableSection returns the whole table, or the changes since the previous table
+// of the stream: an edit of one row among 11,000 must not make every entry read
+// all of them.
+func tableSection(previous, t *table.Table) *filbertv1.TableSection {
 	section := &filbertv1.TableSection{Revision: t.Revision, Epoch: t.Epoch, Restores: t.Restores}
 	for name := range t.Drained {
 		section.Drained = append(section.Drained, name)
 	}
-	if sent == nil {
+	if previous == nil {
 		section.Pages = table.Encode(t)
 		return section
 	}
 	section.Delta = true
-	for _, c := range table.Changes(sent, t) {
+	for _, c := range table.Changes(previous, t) {
 		section.Changes = append(section.Changes, &filbertv1.RowChange{Key: c.Key, Text: c.Text})
 	}
 	return section
@@ -174,41 +177,41 @@
 	return section
 }
 
-// poolsSection lists all pools when the plan changed, or when a control process
-// is newly known to be gone or back; nil otherwise.
-func (s *Service) poolsSection(sent *sentState) *filbertv1.PoolsSection {
-	plans, gone := s.Pools.Plans(), s.Gone()
-	if plans == nil || (plans == sent.plans && slices.Equal(gone, sent.gone)) {
+// poolsSection lists all pools if the plans or the set of departed control
+// processes changed; it returns nil otherwise.
+func (s *Service) poolsSection(sent *streamState) *filbertv1.PoolsSection {
+	plans, departed := s.Pools.Plans(), s.Departed()
+	if plans == nil || (plans == sent.plans && slices.Equal(departed, sent.departed)) {
 		return nil
 	}
-	sent.plans, sent.gone = plans, gone
+	sent.plans, sent.departed = plans, departed
 	section := &filbertv1.PoolsSection{}
 	for _, p := range *plans {
 		section.Pools = append(section.Pools, &filbertv1.Pool{
 			Name: p.ID, Services: p.Services, DataCentre: p.DataCentre, Targets: p.Targets, Drained: p.Drained,
-			Owners: reachable(p.Owners, gone),
+			Owners: departedLast(p.Owners, departed),
 		})
 	}
 	return section
 }
 
-// reachable puts the owners that are known to be gone last: they are tried
-// when all others fail, since the knowledge may be wrong.
-func reachable(owners, gone []string) []string {
+// departedLast moves the owners that are known to have departed to the end.
+// They are still tried after all others, as that knowledge may be wrong.
+func departedLast(owners, departed []string) []string {
 	out := make([]string, 0, len(owners))
-	var last []string
+	var unavailable []string
 	for _, o := range owners {
-		if slices.Contains(gone, o) {
-			last = append(last, o)
+		if slices.Contains(departed, o) {
+			unavailable = append(unavailable, o)
 			continue
 		}
 		out = append(out, o)
 	}
-	return append(out, last...)
+	return append(out, unavailable...)
 }
 
-// backlogsSection gives the backlogs that changed; nil when none did.
-func (s *Service) backlogsSection(sent *sentState) *filbertv1.BacklogsSection {
+// backlogsSection returns the backlogs that changed, or nil if none did.
+func (s *Service) backlogsSection(sent *streamState) *filbertv1.BacklogsSection {
 	if sent.plans == nil {
 		return nil
 	}
@@ -222,7 +225,7 @@
 			continue
 		}
 		ms := uint32(backlog.Milliseconds())
-		if last, told := sent.backlogs[p.ID]; told && last == ms {
+		if previous, wasSent := sent.backlogs[p.ID]; wasSent && previous == ms {
 			continue
 		}
 		sent.backlogs[p.ID] = ms
--- a/internal/control/targets/poller.go
+++ b/internal/control/targets/poller.go
@@ -1,4 +1,4 @@
-// Package targets reads the load that targets report.
+// Package targets polls the load reports of targets.
 package targets
 
 import (
@@ -14,33 +14,34 @@
 )
 
 const (
-	// pollEvery is how often a target's load is read. At the target size a node
-	// polls the four targets of one pool; one report has some 300 bytes.
-	pollEvery = 500 * time.Millisecond
-	// pollLimit bounds one reading; a target that does not answer by then is
-	// asked over a new connection.
-	pollLimit = time.Second
-	// slowEvery is how many intervals pass between two readings by a process
-	// that only stands in for the pool's owner and admits nothing now: two such
-	// processes at the full pace would be two thirds of all readings.
-	slowEvery = 10
-	// cacheEvery is how many load readings pass between two readings of cache
-	// events, which come late anyway.
-	cacheEvery = 4
-	// maxReport bounds a report, in bytes.
-	maxReport = 256 << 10
+	// pollInterval is the time between two polls of a target's load. At the
+	// planned fleet size a node polls the four targets of one pool; one report
+	// has about 300 bytes.
+	pollInterval = 500 * time.Millisecond
+	// pollTimeout bounds one request; a target that does not answer in time is
+	// polled over a new connection.
+	pollTimeout = time.Second
+	// standbyPollRounds is the number of poll intervals between two polls by a
+	// standby of the pool's owner that admits nothing at present: two standbys
+	// that poll at the full rate would cause two thirds of all polls.
+	standbyPollRounds = 10
+	// cachePollRounds is the number of load polls between two polls of cache
+	// events, which are published with a delay anyway.
+	cachePollRounds = 4
+	// maxReportBytes bounds the size of a report.
+	maxReportBytes = 256 << 10
 )
 
-// Sink takes a target's report.
+// Sink receives a target's load reports.
 type Sink func(admission.Report)
 
-// Doer sends a request once.
-type Doer interface {
+// HTTPClient sends a request once, without retries.
+type HTTPClient interface {
 	Do(req *http.Request) (*http.Response, error)
 }
 
-// load is the body of a target's report (docs/protocols.md).
-type load struct {
+// loadReport is the body of a target's load report (docs/protocols.md).
+type loadReport struct {
 	Incarnation  uint64 `json:"incarnation"`
 	AgeMS        int64  `json:"age_ms"`
 	MemoryTokens int    `json:"memory_tokens"`
@@ -60,26 +61,26 @@
 	Evicted  []string `json:"evicted"`
 }
 
-// Poller reads one target until its context ends.
+// Poller polls one target until its context ends.
 type Poller struct {
 	Target string
-	Client Doer
+	Client HTTPClient
 	Sink   Sink
-	// Fast tells whether the target is to be read at the full pace.
-	Fast func() bool
-	// Generation is set for model engines, which publish cache events.
+	// AtFullRate reports whether the target is to be polled at the full rate.
+	AtFullRate func() bool
+	// Generation is set for model engines, which also publish cache events.
 	Generation bool
 
-	sequence uint64
+	cacheSequence uint64
 }
 
 // Run polls until ctx ends.
 func (p *Poller) Run(ctx context.Context) {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for round := 0; ctx.Err() == nil; round++ {
-		if p.Fast() || round%slowEvery == 0 {
-			p.poll(ctx, p.Generation && round%cacheEvery == 0)
+		if p.AtFullRate() || round%standbyPollRounds == 0 {
+			p.poll(ctx, p.Generation && round%cachePollRounds == 0)
 		}
 		select {
 		case <-ticker.C:
@@ -88,41 +89,41 @@
 	}
 }
 
-// poll reads the target once. A target that cannot be read reports nothing;
-// the allocator notices by the age of the last report.
-func (p *Poller) poll(ctx context.Context, withCache bool) {
-	asked := time.Now()
-	var l load
-	if err := p.get(ctx, "/v1/load", &l); err != nil {
+// poll reads the target's load once. It delivers no report if the target cannot
+// be read; the allocator notices by the age of the last report.
+func (p *Poller) poll(ctx context.Context, includeCache bool) {
+	requestedAt := time.Now()
+	var load loadReport
+	if err := p.getJSON(ctx, "/v1/load", &load); err != nil {
 		return
 	}
 	report := admission.Report{
-		Target: p.Target, Incarnation: l.Incarnation, MemoryTokens: l.MemoryTokens, UsedTokens: l.UsedTokens,
-		Running: l.Running, Waiting: l.Waiting, Preemptions: l.Preemptions, Bears: l.Bears,
-		StepTime: time.Duration(l.StepUS) * time.Microsecond, Stopping: l.Stopping,
+		Target: p.Target, Incarnation: load.Incarnation, MemoryTokens: load.MemoryTokens, UsedTokens: load.UsedTokens,
+		Running: load.Running, Waiting: load.Waiting, Preemptions: load.Preemptions, Bears: load.Bears,
+		StepTime: time.Duration(load.StepUS) * time.Microsecond, Stopping: load.Stopping,
 	}
-	if withCache {
+	if includeCache {
 		p.readCache(ctx, &report)
 	}
-	// The age counts from before the question: an answer that lay in a buffer
-	// must not look fresh.
-	report.Age = time.Duration(l.AgeMS)*time.Millisecond + time.Since(asked)
+	// The age includes the duration of the request: an answer that was delayed
+	// in a buffer must not look fresh.
+	report.Age = time.Duration(load.AgeMS)*time.Millisecond + time.Since(requestedAt)
 	p.Sink(report)
 }
 
 func (p *Poller) readCache(ctx context.Context, report *admission.Report) {
 	var events cacheEvents
-	if p.get(ctx, "/v1/cache/events?after="+strconv.FormatUint(p.sequence, 10), &events) != nil {
+	if p.getJSON(ctx, "/v1/cache/events?after="+strconv.FormatUint(p.cacheSequence, 10), &events) != nil {
 		return
 	}
-	p.sequence = events.Sequence
-	report.CachedPrefixes = hashes(events.Cached)
-	report.EvictedPrefixes = hashes(events.Evicted)
+	p.cacheSequence = events.Sequence
+	report.CachedPrefixes = parseHashes(events.Cached)
+	report.EvictedPrefixes = parseHashes(events.Evicted)
 }
 
-func hashes(texts []string) []uint64 {
-	out := make([]uint64, 0, len(texts))
-	for _, t := range texts {
+func parseHashes(decimals []string) []uint64 {
+	out := make([]uint64, 0, len(decimals))
+	for _, t := range decimals {
 		if h, err := strconv.ParseUint(t, 10, 64); err == nil {
 			out = append(out, h)
 		}
@@ -130,23 +131,23 @@
 	return out
 }
 
-func (p *Poller) get(ctx context.Context, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, pollLimit)
+func (p *Poller) getJSON(ctx context.Context, path string, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Target+path, nil)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "the question to the target could not be made")
+		return failure.Wrap(err, failure.KindInternal, "the request for the target's report could not be built")
 	}
 	resp, err := p.Client.Do(req)
 	if err != nil {
-		return failure.Wrap(err, failure.KindTargetLost, "the target does not report")
+		return failure.Wrap(err, failure.KindTargetLost, "the request for the target's report failed")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return failure.New(failure.KindTargetFailed, "the target reports with status %d", resp.StatusCode)
+		return failure.New(failure.KindTargetFailed, "the request for the target's report returned status %d", resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(into); err != nil {
-		return failure.Wrap(err, failure.KindTargetFailed, "the target's report cannot be read")
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(out); err != nil {
+		return failure.Wrap(err, failure.KindTargetFailed, "the target's report cannot be decoded")
 	}
 	return nil
 }
