--- a/internal/control/pool/runner.go
+++ b/internal/control/pool/runner.go
@@ -39,7 +39,7 @@
 	startedAt time.Time
 
 	busy          atomic.Bool
-	backlogMicros atomic.Int64 // microseconds
+	backlogMicros atomic.Int64
 }
 
 // NewRunner starts an allocator for the pool called name.
