--- a/internal/control/news/news.go
+++ b/internal/control/news/news.go
@@ -239,7 +239,7 @@
 		return
 	}
 	s.pools.ForEach(func(_ pools.Plan, r *pool.Runner) {
-		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoison(now, crashes) })
+		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoisonEvidence(now, crashes) })
 	})
 }
 
--- a/internal/control/pool/runner.go
+++ b/internal/control/pool/runner.go
@@ -102,7 +102,7 @@
 
 // Confirm records that the host list was the newest one at the time at.
 func (r *Runner) Confirm(at time.Time) {
-	r.Do(func(a *admission.Allocator, _ time.Duration) { a.Confirm(at.Sub(r.startedAt)) })
+	r.Do(func(a *admission.Allocator, _ time.Duration) { a.ConfirmOwnership(at.Sub(r.startedAt)) })
 }
 
 // Snapshot returns a copy of the allocator's state for counters.
@@ -118,9 +118,9 @@
 }
 
 // QuotaUses returns the use of the accounts with leased limits.
-func (r *Runner) QuotaUses() []admission.QuotaUse {
-	out := make(chan []admission.QuotaUse, 1)
-	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.QuotaUses(now) })
+func (r *Runner) QuotaUses() []admission.QuotaUsage {
+	out := make(chan []admission.QuotaUsage, 1)
+	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.TakeQuotaUsage(now) })
 	select {
 	case uses := <-out:
 		return uses
@@ -163,7 +163,7 @@
 	for _, d := range r.allocator.Decide(r.now()) {
 		r.deliver(r.name, d)
 	}
-	r.backlogMicros.Store(r.allocator.Backlog().Microseconds())
+	r.backlogMicros.Store(r.allocator.EstimatedWait().Microseconds())
 	r.busy.Store(r.allocator.Waiting() > 0 || r.allocator.Running() > 0)
 }
 
--- a/internal/control/quota/benchmark_test.go
+++ b/internal/control/quota/benchmark_test.go
@@ -61,10 +61,10 @@
 func (c countingConn) Addr() net.Addr { return c.LocalAddr() }
 
 // constantPool has the same requests in progress at all times.
-type constantPool struct{ uses []admission.QuotaUse }
+type constantPool struct{ uses []admission.QuotaUsage }
 
-func (p *constantPool) Uses() []admission.QuotaUse           { return p.uses }
-func (p *constantPool) SetParts(time.Time, []admission.Part) {}
+func (p *constantPool) Uses() []admission.QuotaUsage               { return p.uses }
+func (p *constantPool) SetParts(time.Time, []admission.QuotaGrant) {}
 
 const (
 	nodeCount = 33
@@ -89,7 +89,7 @@
 		for range poolsPerAccount {
 			if i%10 == 0 {
 				p := nodePools[random.IntN(nodeCount)]
-				p.uses = append(p.uses, admission.QuotaUse{Account: name, Running: 5})
+				p.uses = append(p.uses, admission.QuotaUsage{Account: name, Running: 5})
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 		name := fmt.Sprintf("account-%05d", i)
 		t.Accounts[name] = &table.Account{Name: name, MaxRunning: 100}
 		if i%172 == 0 {
-			p.uses = append(p.uses, admission.QuotaUse{Account: name, Running: 5})
+			p.uses = append(p.uses, admission.QuotaUsage{Account: name, Running: 5})
 		}
 	}
 	p.uses = slices.Clip(p.uses)
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -42,9 +42,9 @@
 // removed and started again is a different pool.
 type Pool interface {
 	// Uses returns the use of limited accounts and resets their token counts.
-	Uses() []admission.QuotaUse
+	Uses() []admission.QuotaUsage
 	// SetParts applies parts. Until counts from the controller's start time.
-	SetParts(start time.Time, parts []admission.Part)
+	SetParts(start time.Time, parts []admission.QuotaGrant)
 }
 
 // Transport sends a request to an owner. It bounds the duration of the call.
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -24,13 +24,13 @@
 	uses       []quota.Use
 	rates      map[string]float64
 	// applied holds the parts that the allocator was told last.
-	applied map[string]admission.Part
+	applied map[string]admission.QuotaGrant
 }
 
 func newHolder(now time.Duration, p Pool) *holder {
 	return &holder{
 		pool: p, leases: quota.NewHolder(quota.Config{}), startedAt: now, measuredAt: now,
-		rates: map[string]float64{}, applied: map[string]admission.Part{},
+		rates: map[string]float64{}, applied: map[string]admission.QuotaGrant{},
 	}
 }
 
@@ -87,8 +87,8 @@
 		if !limited {
 			continue
 		}
-		h.leases.Charge(now, u.Account, u.Produced)
-		rates[u.Account] = smoothRate(h.rates[u.Account], u.Produced, elapsed)
+		h.leases.Charge(now, u.Account, u.ProducedTokens)
+		rates[u.Account] = smoothRate(h.rates[u.Account], u.ProducedTokens, elapsed)
 		use := quota.Use{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
 		if use.Waiting > 0 {
 			// The output of waiting requests is unknown. They ask for the whole
@@ -120,9 +120,9 @@
 }
 
 // changedParts returns the parts that changed since the allocator was last told.
-func (h *holder) changedParts(now time.Duration, limits map[string]quota.Limits) []admission.Part {
-	next := make(map[string]admission.Part, len(h.uses))
-	var changed []admission.Part
+func (h *holder) changedParts(now time.Duration, limits map[string]quota.Limits) []admission.QuotaGrant {
+	next := make(map[string]admission.QuotaGrant, len(h.uses))
+	var changed []admission.QuotaGrant
 	for _, u := range h.uses {
 		p := h.currentPart(now, u.Account, limits[u.Account])
 		next[u.Account] = p
@@ -132,7 +132,7 @@
 	}
 	// An account that is idle at present keeps its part until the lease expires.
 	for account, p := range h.applied {
-		if _, used := next[account]; !used && now < p.Until {
+		if _, used := next[account]; !used && now < p.ExpiresAt {
 			next[account] = p
 		}
 	}
@@ -140,13 +140,13 @@
 	return changed
 }
 
-func (h *holder) currentPart(now time.Duration, account string, limits quota.Limits) admission.Part {
+func (h *holder) currentPart(now time.Duration, account string, limits quota.Limits) admission.QuotaGrant {
 	rate := quota.Limits{TokensPerSecond: limits.TokensPerSecond}
-	p := admission.Part{Account: account, Until: h.leases.Expires(account)}
-	p.MayStart = now < p.Until && h.leases.MayStart(now, account, rate, 0)
+	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.Expires(account)}
+	p.MayStart = now < p.ExpiresAt && h.leases.MayStart(now, account, rate, 0)
 	if limits.Running > 0 {
-		p.Running = h.leases.Running(now, account)
-		p.MayStart = p.MayStart && p.Running > 0
+		p.MaxRunning = h.leases.Running(now, account)
+		p.MayStart = p.MayStart && p.MaxRunning > 0
 	}
 	return p
 }
--- a/internal/control/quota/runner_pool.go
+++ b/internal/control/quota/runner_pool.go
@@ -21,16 +21,16 @@
 type runnerPool struct{ *pool.Runner }
 
 // Uses implements Pool.
-func (r runnerPool) Uses() []admission.QuotaUse { return r.QuotaUses() }
+func (r runnerPool) Uses() []admission.QuotaUsage { return r.QuotaUses() }
 
 // SetParts implements Pool.
-func (r runnerPool) SetParts(start time.Time, parts []admission.Part) {
+func (r runnerPool) SetParts(start time.Time, parts []admission.QuotaGrant) {
 	r.Do(func(a *admission.Allocator, now time.Duration) {
 		for _, p := range parts {
 			// The end is converted from the controller's clock when the event runs:
 			// time that the event waited in the queue must not extend the lease.
-			p.Until = now + time.Until(start.Add(p.Until))
-			a.SetPart(now, p)
+			p.ExpiresAt = now + time.Until(start.Add(p.ExpiresAt))
+			a.SetQuotaGrant(now, p)
 		}
 	})
 }
--- a/internal/control/quota/simulation_test.go
+++ b/internal/control/quota/simulation_test.go
@@ -107,7 +107,7 @@
 		n.tableWriter.Publish(t)
 		if n.pool != nil {
 			n.pool.allocator.SetShares(s.now, []admission.Share{
-				{Account: row.Name, MaxRunning: row.MaxRunning, Leased: row.Limited()}, {Account: "free"},
+				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.Limited()}, {Account: "free"},
 			})
 		}
 	}
@@ -218,17 +218,17 @@
 
 func newSimulatedPool(sim *simulation, seed uint64) *simulatedPool {
 	p := &simulatedPool{sim: sim, allocator: admission.New(admission.Config{Seed: seed}), startCounts: map[string]int{}, waitingCounts: map[string]int{}, demand: 20}
-	p.allocator.SetOwner(0, true)
+	p.allocator.SetConfirmedOwner(0, true)
 	p.allocator.SetTargets(sim.now, []admission.Target{{Address: "t"}})
 	return p
 }
 
-func (p *simulatedPool) Uses() []admission.QuotaUse { return p.allocator.QuotaUses(p.sim.now) }
+func (p *simulatedPool) Uses() []admission.QuotaUsage { return p.allocator.TakeQuotaUsage(p.sim.now) }
 
-func (p *simulatedPool) SetParts(start time.Time, parts []admission.Part) {
+func (p *simulatedPool) SetParts(start time.Time, parts []admission.QuotaGrant) {
 	for _, part := range parts {
-		part.Until += start.Sub(epoch)
-		p.allocator.SetPart(p.sim.now, part)
+		part.ExpiresAt += start.Sub(epoch)
+		p.allocator.SetQuotaGrant(p.sim.now, part)
 	}
 }
 
@@ -247,7 +247,7 @@
 // step simulates one tick: requests end, new ones arrive, and some start.
 func (p *simulatedPool) step() {
 	now := p.sim.now
-	p.allocator.Report(now, admission.Report{Target: "t", Incarnation: 1, Bears: 1000})
+	p.allocator.Report(now, admission.Report{Target: "t", Incarnation: 1, Capacity: 1000})
 	p.renew(now)
 	for account, demand := range map[string]int{p.sim.accountRow.Name: p.demand, "free": 2} {
 		for range max(0, demand-p.running(account)-p.waitingCounts[account]) {
@@ -284,7 +284,7 @@
 	for _, r := range p.requests {
 		produced := int(tokensPerSecond * (min(now, r.endsAt) - r.startedAt).Seconds())
 		if now >= r.endsAt {
-			p.allocator.Settle(now, admission.Settlement{Lease: r.lease, Outcome: admission.OutcomeDone, Produced: produced})
+			p.allocator.Settle(now, admission.Settlement{Lease: r.lease, Outcome: admission.OutcomeDone, ProducedTokens: produced})
 			if r.account == p.sim.accountRow.Name {
 				p.sim.producedTokens += produced
 			}
@@ -293,7 +293,7 @@
 		if now < p.renewAfter {
 			continue
 		}
-		p.allocator.Renew(now, admission.Holder{}, []admission.Renewal{{Lease: r.lease, Target: "t", Account: r.account, Produced: produced}})
+		p.allocator.Renew(now, admission.Holder{}, []admission.Renewal{{Lease: r.lease, Target: "t", Account: r.account, ProducedTokens: produced}})
 	}
 	p.requests = slices.DeleteFunc(p.requests, func(r *runningRequest) bool { return now >= r.endsAt })
 }
--- a/internal/control/sessions/handle.go
+++ b/internal/control/sessions/handle.go
@@ -48,7 +48,7 @@
 		for i, renewal := range poolRenewals.Renewals {
 			renewals[i] = admission.Renewal{
 				Lease: admission.LeaseID(renewal.Lease), Target: renewal.Target, Account: renewal.Account, Service: renewal.Service,
-				PromptTokens: int(renewal.PromptTokens), Produced: int(renewal.Produced),
+				PromptTokens: int(renewal.PromptTokens), ProducedTokens: int(renewal.Produced),
 			}
 		}
 		r.Renew(sess.holder, renewals)
@@ -69,7 +69,7 @@
 		return
 	}
 	r.Settle(admission.Settlement{
-		Lease: admission.LeaseID(m.Lease), Outcome: outcomes[m.Outcome], Produced: int(m.Produced),
+		Lease: admission.LeaseID(m.Lease), Outcome: outcomes[m.Outcome], ProducedTokens: int(m.Produced),
 		FirstToken: time.Duration(m.FirstTokenUs) * time.Microsecond,
 		Duration:   time.Duration(m.DurationUs) * time.Microsecond,
 	})
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -144,7 +144,7 @@
 	_, fence, _ := s.pools.Runner(poolName)
 	sess.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Grant{Grant: &filbertv1.Grant{
 		Request: d.Request, Lease: uint64(d.Lease), Target: d.Target,
-		LeaseMs: uint32(d.LeaseFor.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
+		LeaseMs: uint32(d.LeaseDuration.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
 	}}})
 }
 
--- a/internal/control/targets/poller.go
+++ b/internal/control/targets/poller.go
@@ -99,7 +99,7 @@
 	}
 	report := admission.Report{
 		Target: p.Target, Incarnation: load.Incarnation, MemoryTokens: load.MemoryTokens, UsedTokens: load.UsedTokens,
-		Running: load.Running, Waiting: load.Waiting, Preemptions: load.Preemptions, Bears: load.Bears,
+		Running: load.Running, Waiting: load.Waiting, Preemptions: load.Preemptions, Capacity: load.Bears,
 		StepTime: time.Duration(load.StepUS) * time.Microsecond, Stopping: load.Stopping,
 	}
 	if includeCache {
