--- a/internal/standin/app/server.go
+++ b/internal/standin/app/server.go
@@ -1,6 +1,6 @@
-// Package app is a small stand-in for a plain service beside the model
-// engines. It counts how often it ran each call, so that a test can tell
-// whether a booking ran twice.
+// Package app simulates an ordinary HTTP service, which runs next to the model
+// engines. It counts how often each call was executed, so that a test can
+// detect, for example, a booking that was executed twice.
 package app
 
 import (
@@ -16,99 +16,102 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// FaultKind names a scripted fault.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The faults of a plain service.
+// The faults that the service can simulate.
 const (
 	FaultNone FaultKind = "none"
-	// FaultSlow answers late.
+	// FaultSlow delays each response by Fault.DelayMS.
 	FaultSlow FaultKind = "slow"
-	// FaultDropAfterRun runs the call, then closes the connection.
+	// FaultDropAfterRun executes the call, then closes the connection without a
+	// response.
 	FaultDropAfterRun FaultKind = "drop_after_run"
-	// FaultFreeze neither runs nor answers until the fault is over; a call that
-	// waited runs then, also when its caller has left.
+	// FaultFreeze blocks all calls until the fault ends. Blocked calls are
+	// executed then, even if their callers have disconnected.
 	FaultFreeze FaultKind = "freeze"
-	// FaultRefuse answers 503 and says that the call did not run.
+	// FaultRefuse responds with status 503 and reports that the call was not
+	// executed.
 	FaultRefuse FaultKind = "refuse"
 )
 
-// Fault is one scripted fault, in force until the next.
+// Fault is an injected fault. It is active until the next one is set.
 type Fault struct {
 	Kind    FaultKind `json:"kind"`
 	DelayMS int64     `json:"delay_ms"`
-	// Count ends the fault after so many calls; 0 means no end.
+	// Count is the number of calls after which the fault ends; 0 means no limit.
 	Count int `json:"count"`
 }
 
-// Executions counts the calls that ran.
+// Executions counts the executed calls, in total and by idempotency key.
 type Executions struct {
 	Total int            `json:"total"`
 	ByKey map[string]int `json:"by_key"`
 }
 
-// Config holds the stand-in's settings.
+// Config holds the settings of the simulated service.
 type Config struct {
-	// Delay is the time that a call takes.
+	// Delay is the execution time of a call.
 	Delay time.Duration
-	// Bears is the number of concurrent calls that the load report tells.
-	Bears int
+	// Capacity is the number of concurrent calls that the load report states.
+	Capacity int
 }
 
-// Server is the plain service.
+// Server is the simulated service. Its methods are safe for concurrent use.
 type Server struct {
-	cfg         Config
-	incarnation int64
-	mu          sync.Mutex
-	executions  Executions
-	fault       Fault
-	changed     chan struct{}
-	running     int
+	cfg          Config
+	incarnation  int64
+	mu           sync.Mutex
+	executions   Executions
+	fault        Fault
+	faultChanged chan struct{}
+	running      int
 }
 
-// NewServer returns a service without faults.
+// NewServer returns a service with no active fault.
 func NewServer(cfg Config) *Server {
 	return &Server{
 		cfg: cfg, incarnation: time.Now().UnixNano(), executions: Executions{ByKey: map[string]int{}},
-		fault: Fault{Kind: FaultNone}, changed: make(chan struct{}),
+		fault: Fault{Kind: FaultNone}, faultChanged: make(chan struct{}),
 	}
 }
 
-// Close releases calls that wait in a fault.
+// Close ends the active fault, which unblocks frozen calls.
 func (s *Server) Close() { s.SetFault(Fault{Kind: FaultNone}) }
 
-// SetFault puts a fault in force.
+// SetFault activates a fault and wakes the calls that a freeze blocks.
 func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.faultChanged)
+	s.faultChanged = make(chan struct{})
 }
 
-// Executions gives a copy of the counts.
+// Executions returns a copy of the counts.
 func (s *Server) Executions() Executions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Executions{Total: s.executions.Total, ByKey: make(map[string]int, len(s.executions.ByKey))}
+	counts := Executions{Total: s.executions.Total, ByKey: make(map[string]int, len(s.executions.ByKey))}
 	for k, n := range s.executions.ByKey {
-		out.ByKey[k] = n
+		counts.ByKey[k] = n
 	}
-	return out
+	return counts
 }
 
-// Handler serves the administration interface and any other path as a call.
+// Handler serves the admin and load endpoints; a request to any other path is
+// a call of the service.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/healthz", func(http.ResponseWriter, *http.Request) {}).Methods(http.MethodGet)
-	r.HandleFunc("/admin/fault", s.setFault).Methods(http.MethodPost)
-	r.HandleFunc("/admin/executions", s.showExecutions).Methods(http.MethodGet)
-	r.HandleFunc("/v1/load", s.load).Methods(http.MethodGet)
-	r.PathPrefix("/").HandlerFunc(s.call)
+	r.HandleFunc("/admin/fault", s.handleSetFault).Methods(http.MethodPost)
+	r.HandleFunc("/admin/executions", s.handleExecutions).Methods(http.MethodGet)
+	r.HandleFunc("/v1/load", s.handleLoad).Methods(http.MethodGet)
+	r.PathPrefix("/").HandlerFunc(s.handleCall)
 	return r
 }
 
-func (s *Server) setFault(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSetFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if !web.ReadJSON(w, r, &f) {
 		return
@@ -119,32 +122,33 @@
 		w.WriteHeader(http.StatusNoContent)
 	default:
 		failure.Write(w, failure.New(failure.KindBadRequest,
-			"kind: %q is none of none, slow, drop_after_run, freeze, refuse", f.Kind))
+			"kind: %q is not one of none, slow, drop_after_run, freeze, refuse", f.Kind))
 	}
 }
 
-func (s *Server) showExecutions(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleExecutions(w http.ResponseWriter, _ *http.Request) {
 	web.WriteJSON(w, http.StatusOK, s.Executions())
 }
 
-// Load is the report of a plain service; the engine's fields that make no
-// sense here are absent.
+// Load is the load report of the service. It has no fields for memory, batch
+// steps or preemptions, which only engines have.
 type Load struct {
 	Incarnation int64 `json:"incarnation"`
 	AgeMS       int64 `json:"age_ms"`
 	Running     int   `json:"running"`
 	Waiting     int   `json:"waiting"`
-	Bears       int   `json:"bears"`
+	Capacity    int   `json:"bears"`
 	Stopping    bool  `json:"stopping"`
 }
 
-func (s *Server) load(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	web.WriteJSON(w, http.StatusOK, Load{Incarnation: s.incarnation, Running: s.running, Bears: s.cfg.Bears})
+	web.WriteJSON(w, http.StatusOK, Load{Incarnation: s.incarnation, Running: s.running, Capacity: s.cfg.Capacity})
 }
 
-// Reply is the answer to a call.
+// Reply is the response to a call. Executions is the number of executions with
+// the same idempotency key, or of all calls if the call has no key.
 type Reply struct {
 	Path       string `json:"path"`
 	Method     string `json:"method"`
@@ -152,56 +156,58 @@
 	Executions int    `json:"executions"`
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, web.MaxBody))
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, web.MaxBodyBytes))
 	if err != nil {
-		failure.Write(w, failure.Wrap(err, failure.KindBodyTooLarge, "body can't be read"))
+		failure.Write(w, failure.Wrap(err, failure.KindBodyTooLarge, "request body can't be read"))
 		return
 	}
-	fault := s.enter()
-	defer s.leave()
+	fault := s.beginCall()
+	defer s.endCall()
 	if fault.Kind == FaultRefuse {
 		w.Header().Set("Filbert-Executed", "no")
-		failure.Write(w, failure.New(failure.KindOverloaded, "refused by a scripted fault").After(time.Second))
+		failure.Write(w, failure.New(failure.KindOverloaded, "refused by an injected fault").After(time.Second))
 		return
 	}
 	time.Sleep(s.cfg.Delay + time.Duration(fault.DelayMS)*time.Millisecond)
-	n := s.run(keyOf(r, body))
+	executions := s.recordExecution(idempotencyKey(r, body))
 	if fault.Kind == FaultDropAfterRun {
-		web.Abort()
+		web.AbortConnection()
 	}
 	w.Header().Set("Filbert-Executed", "yes")
-	web.WriteJSON(w, http.StatusOK, Reply{Path: r.URL.RequestURI(), Method: r.Method, Body: string(body), Executions: n})
+	web.WriteJSON(w, http.StatusOK, Reply{Path: r.URL.RequestURI(), Method: r.Method, Body: string(body), Executions: executions})
 }
 
-// enter counts the call in, waits while the service is frozen, and gives the
-// fault that is in force then.
-func (s *Server) enter() Fault {
+// beginCall counts the call as running, waits while the service is frozen, and
+// returns the fault that applies to the call.
+func (s *Server) beginCall() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	for s.fault.Kind == FaultFreeze {
-		changed := s.changed
+		changed := s.faultChanged
 		s.mu.Unlock()
 		<-changed
 		s.mu.Lock()
 	}
-	f := s.fault
+	fault := s.fault
 	if s.fault.Count > 0 {
 		if s.fault.Count--; s.fault.Count == 0 {
 			s.fault = Fault{Kind: FaultNone}
 		}
 	}
-	return f
+	return fault
 }
 
-func (s *Server) leave() {
+func (s *Server) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-func (s *Server) run(key string) int {
+// recordExecution counts an execution and returns the number of executions with
+// the same key, or of all calls if key is empty.
+func (s *Server) recordExecution(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executions.Total++
@@ -212,8 +218,9 @@
 	return s.executions.ByKey[key]
 }
 
-// keyOf gives the call's idempotency key, from the header or the body's field.
-func keyOf(r *http.Request, body []byte) string {
+// idempotencyKey returns the idempotency key of a call, from the header or from
+// the field "key" of a JSON body.
+func idempotencyKey(r *http.Request, body []byte) string {
 	if key := r.Header.Get("Idempotency-Key"); key != "" {
 		return key
 	}
--- a/internal/standin/command/run.go
+++ b/internal/standin/command/run.go
@@ -23,36 +23,36 @@
 
 const usage = `Usage: filbert-standin {platform | engine | app} [--listen IP:PORT] [options]
 
-Small stand-ins for what filbertdeck meets, for tests and the demo:
-  platform   the configuration service: versioned values, read and watched
-  engine     a model engine with a continuous batch and scripted faults
-  app        a plain service that counts how often each call ran
+Simulated services for tests and the demo of filbertdeck:
+  platform   the configuration service: versioned values to read and watch
+  engine     a model engine with continuous batching and injected faults
+  app        an ordinary HTTP service that counts the executions of each call
 
 The first line on standard output is "listening ip:port".
-"filbert-standin engine --help" lists a stand-in's options.`
+"filbert-standin engine --help" lists the options of a service.`
 
-// The program's exit codes beside settings.ExitUsage.
+// The program's exit codes, in addition to settings.ExitUsage.
 const (
 	exitFailed = 1
-	// exitCrashed is that of a scripted crash.
+	// exitCrashed is the exit code of a simulated crash.
 	exitCrashed = 3
 )
 
-// Standin is what each of the stand-ins offers.
-type Standin interface {
+// Service is one of the simulated services.
+type Service interface {
 	Handler() http.Handler
 	Close()
 }
 
-// chosen holds the settings of the stand-in that was asked for.
-type chosen interface {
-	make() Standin
+// serviceSettings holds the settings of the selected service and constructs it.
+type serviceSettings interface {
+	newService() Service
 	address() string
 }
 
-// Main runs the program and gives its exit code.
+// Main runs the program and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
-	c, err := choose(args, out)
+	selected, err := parseArgs(args, out)
 	if settings.IsHelp(err) {
 		return 0
 	}
@@ -60,19 +60,19 @@
 		_, _ = fmt.Fprintln(errOut, err)
 		return settings.ExitUsage
 	}
-	if c == nil {
+	if selected == nil {
 		return 0
 	}
-	if err := run(c, out); err != nil {
+	if err := run(selected, out); err != nil {
 		_, _ = fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
 	return 0
 }
 
-// choose reads the settings of the stand-in that the first argument names. It
-// gives nil when only help or the version was asked for.
-func choose(args []string, out io.Writer) (chosen, error) {
+// parseArgs parses the settings of the service that the first argument selects.
+// It returns nil if only the help or the version was requested.
+func parseArgs(args []string, out io.Writer) (serviceSettings, error) {
 	name := ""
 	if len(args) > 0 {
 		name = args[0]
@@ -80,13 +80,13 @@
 	switch name {
 	case "platform":
 		s := &PlatformSettings{}
-		return s, parse(s, args, out)
+		return s, parseSettings(s, args, out)
 	case "engine":
 		s := &EngineSettings{}
-		return s, parse(s, args, out)
+		return s, parseSettings(s, args, out)
 	case "app":
 		s := &AppSettings{}
-		return s, parse(s, args, out)
+		return s, parseSettings(s, args, out)
 	case "-h", "--help":
 		_, err := fmt.Fprintln(out, usage)
 		return nil, err
@@ -97,47 +97,47 @@
 	return nil, failure.New(failure.KindSettingInvalid, "first argument is %q; allowed: platform, engine, app", name)
 }
 
-func parse(dest any, args []string, out io.Writer) error {
+func parseSettings(dest any, args []string, out io.Writer) error {
 	return settings.Parse(program+" "+args[0], usage, dest, args[1:], out)
 }
 
-// run serves until the process is told to stop.
-func run(c chosen, out io.Writer) error {
-	app := fx.New(fx.NopLogger, fx.Provide(c.make), fx.Invoke(func(lc fx.Lifecycle, st Standin) { serve(lc, c.address(), st, out) }))
-	if err := app.Start(context.Background()); err != nil {
+// run serves until the process receives a stop signal.
+func run(selected serviceSettings, out io.Writer) error {
+	fxApp := fx.New(fx.NopLogger, fx.Provide(selected.newService), fx.Invoke(func(lc fx.Lifecycle, service Service) { serve(lc, selected.address(), service, out) }))
+	if err := fxApp.Start(context.Background()); err != nil {
 		return err
 	}
-	<-app.Done()
-	return app.Stop(context.Background())
+	<-fxApp.Done()
+	return fxApp.Stop(context.Background())
 }
 
-// serve listens while the program runs.
-func serve(lc fx.Lifecycle, address string, st Standin, out io.Writer) {
+// serve adds the lifecycle hooks that start and stop the HTTP server.
+func serve(lc fx.Lifecycle, address string, service Service, out io.Writer) {
 	var listener *web.Listener
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) (err error) {
-			listener, err = web.Listen(address, st.Handler(), out)
+			listener, err = web.Listen(address, service.Handler(), out)
 			return err
 		},
 		OnStop: func(ctx context.Context) error {
-			st.Close()
+			service.Close()
 			return listener.Stop(ctx)
 		},
 	})
 }
 
-func (s *PlatformSettings) make() Standin {
+func (s *PlatformSettings) newService() Service {
 	return platform.NewServer(platform.Config{CallsPerSecond: s.CallsPerSecond})
 }
 
-func (s *AppSettings) make() Standin {
-	return app.NewServer(app.Config{Delay: s.Delay, Bears: s.Bears})
+func (s *AppSettings) newService() Service {
+	return app.NewServer(app.Config{Delay: s.Delay, Capacity: s.Capacity})
 }
 
-func (s *EngineSettings) make() Standin {
+func (s *EngineSettings) newService() Service {
 	cfg := engine.Config{
-		Model: s.model(), CheckFence: s.CheckFence, Grace: s.Grace, RestartAfter: s.RestartAfter,
-		Lengths: engine.Lengths{Median: s.MedianTokens, Sigma: s.SigmaTokens, Seed: s.Seed},
+		Model: s.modelConfig(), CheckFence: s.CheckFence, DisconnectGrace: s.DisconnectGrace, RestartAfter: s.RestartAfter,
+		OutputLengths: engine.LengthDistribution{MedianTokens: s.MedianTokens, Sigma: s.SigmaTokens, Seed: s.Seed},
 	}
 	if s.RestartAfter == 0 {
 		cfg.OnCrash = func() { os.Exit(exitCrashed) }
@@ -145,15 +145,15 @@
 	return engine.NewServer(cfg)
 }
 
-func (s *EngineSettings) model() model.Config {
+func (s *EngineSettings) modelConfig() model.Config {
 	m := model.DefaultConfig()
 	m.MemoryTokens, m.MaxBatch = s.MemoryTokens, s.MaxBatch
-	m.BaseStep, m.PerSequence, m.PerPrompt = s.BaseStep, s.PerSequence, s.PerPrompt
-	m.RampTime, m.FullBears, m.StallTime = s.RampTime, s.FullBears, s.StallTime
-	if s.FallOver == "crash" {
-		m.FallOver = model.FallOverCrash
+	m.BaseStep, m.PerSequence, m.PerPrompt = s.BaseStep, s.PerSequence, s.PerPromptToken
+	m.RampTime, m.FullBears, m.OverloadStallTime = s.WarmUpTime, s.WarmCapacity, s.StallTime
+	if s.OverloadEffect == "crash" {
+		m.OverloadEffect = model.OverloadCrash
 	}
-	m.ReportLag, m.CacheLag, m.CacheLoss = s.ReportLag, s.CacheLag, s.CacheLoss
+	m.ReportLag, m.CacheLag, m.CacheLossRate = s.ReportLag, s.CacheLag, s.CacheLossRate
 	m.Seed, m.Incarnation = s.Seed, 0
 	return m
 }
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -10,8 +10,8 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// refuse answers a request whose generation did not start.
-func refuse(w http.ResponseWriter, err error) {
+// writeRefusal responds to a request whose generation was not started.
+func writeRefusal(w http.ResponseWriter, err error) {
 	w.Header().Set(HeaderExecuted, string(failure.ExecutedNo))
 	failure.Write(w, err)
 }
@@ -23,28 +23,28 @@
 	}
 	g, job, err := s.newGeneration(r, body)
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	s.mu.Lock()
-	err = s.passFence(r.Header.Get(HeaderFence))
+	err = s.checkFenceHeader(r.Header.Get(HeaderFence))
 	if err == nil {
-		err = s.admit(g, job)
+		err = s.startGeneration(g, job)
 	}
 	var st *stream
 	if err == nil {
-		st = s.attach(g)
+		st = s.attachStream(g)
 	}
 	s.mu.Unlock()
 	switch {
 	case failure.KindOf(err) == failure.KindFenced:
-		refuseFenced(w, err)
+		writeFenceRefusal(w, err)
 	case err != nil:
-		refuse(w, err)
+		writeRefusal(w, err)
 	case body.Stream:
-		s.follow(w, r, st, 0)
+		s.streamTokens(w, r, st, 0)
 	default:
-		s.whole(w, r, st, body.Model)
+		s.respondWhole(w, r, st, body.Model)
 	}
 }
 
@@ -55,21 +55,21 @@
 		offset = 0
 	}
 	s.mu.Lock()
-	g := s.find(id)
+	g := s.findResumable(id)
 	if g == nil {
 		s.mu.Unlock()
-		failure.Write(w, notFound(id))
+		failure.Write(w, unknownGenerationError(id))
 		return
 	}
-	if offset < 0 || offset > g.produced {
-		produced := g.produced
+	if offset < 0 || offset > g.producedTokens {
+		produced := g.producedTokens
 		s.mu.Unlock()
 		failure.Write(w, failure.New(failure.KindBadRequest, "offset: 0 to %d are allowed", produced))
 		return
 	}
-	st := s.attach(g)
+	st := s.attachStream(g)
 	s.mu.Unlock()
-	s.follow(w, r, st, offset)
+	s.streamTokens(w, r, st, offset)
 }
 
 func (s *Server) deleteGeneration(w http.ResponseWriter, r *http.Request) {
@@ -78,18 +78,18 @@
 	defer s.mu.Unlock()
 	g := s.generations[id]
 	if g == nil {
-		failure.Write(w, notFound(id))
+		failure.Write(w, unknownGenerationError(id))
 		return
 	}
-	s.cancel(g)
+	s.cancelGeneration(g)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// choice and completion are the usual interface's answer.
+// choice is one choice of an OpenAI-compatible completion response.
 type choice struct {
-	Index  int    `json:"index"`
-	Text   string `json:"text"`
-	Finish string `json:"finish_reason"`
+	Index        int    `json:"index"`
+	Text         string `json:"text"`
+	FinishReason string `json:"finish_reason"`
 }
 
 type usage struct {
@@ -97,6 +97,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
+// completion is an OpenAI-compatible completion response.
 type completion struct {
 	ID         string   `json:"id"`
 	Object     string   `json:"object"`
@@ -106,17 +107,17 @@
 	Generation string   `json:"generation"`
 }
 
-// whole answers with the complete text once it is there.
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, st *stream, model string) {
-	defer s.detach(st)
+// respondWhole responds with the complete text when the generation has finished.
+func (s *Server) respondWhole(w http.ResponseWriter, r *http.Request, st *stream, model string) {
+	defer s.detachStream(st)
 	for {
-		s.awaitThaw(r)
-		v := s.look(st)
-		if v.severed || v.state == StateCancelled {
-			web.Abort()
+		s.waitWhileFrozen(r)
+		current := s.snapshot(st)
+		if current.aborted || current.state == StateCancelled {
+			web.AbortConnection()
 		}
-		if v.state == StateFinished {
-			web.WriteJSON(w, http.StatusOK, wholeAnswer(st.generation, model))
+		if current.state == StateFinished {
+			web.WriteJSON(w, http.StatusOK, newCompletion(st.generation, model))
 			return
 		}
 		select {
@@ -124,19 +125,19 @@
 		case <-r.Context().Done():
 			return
 		case <-s.closed:
-			web.Abort()
+			web.AbortConnection()
 		}
 	}
 }
 
-func wholeAnswer(g *generation, model string) completion {
+func newCompletion(g *generation, model string) completion {
 	var text []byte
-	for i := range g.length {
-		text = appendWord(text, Tail(g.id), i)
+	for i := range g.outputTokens {
+		text = appendTokenText(text, IDSuffix(g.id), i)
 	}
 	return completion{
 		ID: g.id, Object: "text_completion", Model: model, Generation: g.id,
-		Choices: []choice{{Text: string(text), Finish: g.finish}},
-		Usage:   usage{PromptTokens: g.promptTokens, CompletionTokens: g.length},
+		Choices: []choice{{Text: string(text), FinishReason: g.finishReason}},
+		Usage:   usage{PromptTokens: g.promptTokens, CompletionTokens: g.outputTokens},
 	}
 }
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -6,15 +6,15 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// idleWait is the longest sleep of the driver when nothing is due.
-const idleWait = time.Minute
+// maxIdleWait is the longest wait of the driver while no event is pending.
+const maxIdleWait = time.Minute
 
-// now is the model's time.
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+// modelTime returns the current time of the model: the time since NewServer.
+func (s *Server) modelTime() time.Duration { return time.Since(s.startTime) }
 
-// drive moves the model on as its events come due.
-func (s *Server) drive() {
-	defer s.done.Done()
+// runDriver advances the model whenever its next event is due.
+func (s *Server) runDriver() {
+	defer s.driverDone.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -24,35 +24,36 @@
 		case <-s.closed:
 			return
 		}
-		timer.Reset(s.advance())
+		timer.Reset(s.advanceModel())
 	}
 }
 
-// advance runs what is due and gives the time until more is.
-func (s *Server) advance() time.Duration {
+// advanceModel processes the due events and returns the time until the next.
+func (s *Server) advanceModel() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.take(s.model.Advance(s.now()))
+	s.applyEvents(s.model.Advance(s.modelTime()))
 	next, ok := s.model.NextEvent()
 	if !ok {
-		return idleWait
+		return maxIdleWait
 	}
-	return max(0, next-s.now())
+	return max(0, next-s.modelTime())
 }
 
-// nudge makes the driver look at the model again.
-func (s *Server) nudge() {
+// wakeDriver makes the driver check for the next event again.
+func (s *Server) wakeDriver() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take applies the model's events to the generations; the lock is held.
-func (s *Server) take(events []model.Event) {
+// applyEvents applies the model's events to the generations; the caller holds the
+// lock.
+func (s *Server) applyEvents(events []model.Event) {
 	for _, event := range events {
 		if event.Kind == model.EventCrashed {
-			s.die()
+			s.handleCrash()
 			return
 		}
 		g := s.jobs[event.ID]
@@ -61,53 +62,54 @@
 		}
 		switch event.Kind {
 		case model.EventToken:
-			g.produced = event.Produced
+			g.producedTokens = event.Produced
 		case model.EventPreempted:
 			g.preemptions++
 		case model.EventFinished:
-			s.end(g, StateFinished)
+			s.endGeneration(g, StateFinished)
 		}
-		g.notify()
+		g.notifyStreams()
 	}
 }
 
-// end closes a generation; the lock is held.
-func (s *Server) end(g *generation, state State) {
+// endGeneration sets the final state of a generation; the caller holds the lock.
+func (s *Server) endGeneration(g *generation, state State) {
 	g.state = state
-	g.ended = time.Now()
-	delete(s.jobs, g.job)
-	g.notify()
+	g.endedAt = time.Now()
+	delete(s.jobs, g.jobID)
+	g.notifyStreams()
 }
 
-// die loses every generation and connection; the lock is held.
-func (s *Server) die() {
-	if s.dead {
+// handleCrash drops all generations and closes all streams; the caller holds the
+// lock.
+func (s *Server) handleCrash() {
+	if s.crashed {
 		return
 	}
-	s.dead = true
+	s.crashed = true
 	for _, g := range s.jobs {
-		s.end(g, StateLost)
+		s.endGeneration(g, StateLost)
 	}
 	s.generations = map[string]*generation{}
 	for st := range s.streams {
-		st.sever()
+		st.abort()
 	}
 	if s.cfg.OnCrash != nil {
 		go s.cfg.OnCrash()
 	}
 	if s.cfg.RestartAfter > 0 {
-		time.AfterFunc(s.cfg.RestartAfter, s.revive)
+		time.AfterFunc(s.cfg.RestartAfter, s.restart)
 	}
 }
 
-// revive starts a dead engine again with a new incarnation.
-func (s *Server) revive() {
+// restart restarts a crashed engine with a new incarnation.
+func (s *Server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.dead {
+	if !s.crashed {
 		return
 	}
-	s.model.Restart(s.now())
-	s.dead, s.fence, s.frozenUntil = false, 0, time.Time{}
-	s.nudge()
+	s.model.Restart(s.modelTime())
+	s.crashed, s.newestFence, s.frozenUntil = false, 0, time.Time{}
+	s.wakeDriver()
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -8,153 +8,159 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// FaultKind names a scripted fault.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The faults of an engine.
+// The faults that the engine can simulate.
 const (
-	// FaultFreeze stops the whole engine for DurationMS; then it goes on as if
-	// nothing had happened.
+	// FaultFreeze suspends the whole engine for DurationMS; then it continues
+	// with all its state.
 	FaultFreeze FaultKind = "freeze"
-	// FaultCrash ends it.
+	// FaultCrash crashes the engine.
 	FaultCrash FaultKind = "crash"
-	// FaultCold takes its warmth without any sign but the lagging report.
-	FaultCold FaultKind = "cold"
-	// FaultCut closes Count streams (0: all); their generations run on.
-	FaultCut FaultKind = "cut"
-	// FaultSilent keeps Count streams open (0: all) and sends nothing on them
-	// for good; new connections work.
-	FaultSilent FaultKind = "silent"
-	// FaultSlow multiplies the step time by Factor.
+	// FaultLoseWarmUp resets the warm-up. Only the delayed load report shows it.
+	FaultLoseWarmUp FaultKind = "cold"
+	// FaultCloseStreams closes the connections of Count streams (0: all); their
+	// generations continue.
+	FaultCloseStreams FaultKind = "cut"
+	// FaultSilenceStreams keeps the connections of Count streams (0: all) open
+	// but never sends on them again; new connections work.
+	FaultSilenceStreams FaultKind = "silent"
+	// FaultSlow multiplies the step duration by Factor.
 	FaultSlow FaultKind = "slow"
-	// FaultMisnumber sends the next frame with a wrong offset or generation.
-	FaultMisnumber FaultKind = "misnumber"
-	// FaultReclaim tells that the engine stops, and ends it after NoticeMS.
+	// FaultCorruptFrame sends the next frame with a wrong offset or generation
+	// id.
+	FaultCorruptFrame FaultKind = "misnumber"
+	// FaultReclaim reports that the engine is stopping and crashes it after
+	// NoticeMS.
 	FaultReclaim FaultKind = "reclaim"
-	// FaultNone ends a freeze, slowness and a misnumbering to come.
+	// FaultNone ends a freeze and a slowdown, and removes a pending frame
+	// corruption.
 	FaultNone FaultKind = "none"
 )
 
-// Fault is one scripted fault.
+// Fault is an injected fault.
 type Fault struct {
 	Kind       FaultKind `json:"kind"`
 	DurationMS int64     `json:"duration_ms,omitempty"`
 	NoticeMS   int64     `json:"notice_ms,omitempty"`
 	Factor     float64   `json:"factor,omitempty"`
 	Count      int       `json:"count,omitempty"`
-	// Field is "offset" or "generation", for FaultMisnumber.
+	// Field is the corrupted field for FaultCorruptFrame: "offset" (the default)
+	// or "generation".
 	Field string `json:"field,omitempty"`
 }
 
-// The figures of faults that do not give theirs.
+// Parameters of faults that do not specify them.
 const (
-	defaultFreezeMS = 5000
-	defaultNoticeMS = 2000
-	defaultFactor   = 4
+	defaultFreezeMS   = 5000
+	defaultNoticeMS   = 2000
+	defaultSlowFactor = 4
 )
 
-type misnumbering int
+type frameCorruption int
 
 const (
-	misnumberNone misnumbering = iota
-	misnumberOffset
-	misnumberGeneration
+	corruptNone frameCorruption = iota
+	corruptOffset
+	corruptGeneration
 )
 
 func (s *Server) postFault(w http.ResponseWriter, r *http.Request) {
-	var f Fault
-	if !web.ReadJSON(w, r, &f) {
+	var fault Fault
+	if !web.ReadJSON(w, r, &fault) {
 		return
 	}
-	if err := s.SetFault(f); err != nil {
+	if err := s.SetFault(fault); err != nil {
 		failure.Write(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFault brings a fault about. It fails with KindBadRequest when there is no
-// such fault.
-func (s *Server) SetFault(f Fault) error {
+// SetFault injects a fault. It fails with KindBadRequest if the fault kind or the
+// field is unknown.
+func (s *Server) SetFault(fault Fault) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.nudge()
-	now := s.now()
-	s.take(s.model.Advance(now))
-	switch f.Kind {
+	defer s.wakeDriver()
+	now := s.modelTime()
+	s.applyEvents(s.model.Advance(now))
+	switch fault.Kind {
 	case FaultFreeze:
-		d := milliseconds(f.DurationMS, defaultFreezeMS)
-		s.frozenUntil = time.Now().Add(d)
-		s.model.Freeze(now, d)
+		duration := millisecondsOrDefault(fault.DurationMS, defaultFreezeMS)
+		s.frozenUntil = time.Now().Add(duration)
+		s.model.Freeze(now, duration)
 	case FaultCrash:
 		s.model.Crash(now)
-		s.take(s.model.Advance(now))
-	case FaultCold:
+		s.applyEvents(s.model.Advance(now))
+	case FaultLoseWarmUp:
 		s.model.Cold(now)
-	case FaultCut:
-		s.each(f.Count, (*stream).sever)
-	case FaultSilent:
-		s.each(f.Count, func(st *stream) { st.silent = true; st.nudge() })
+	case FaultCloseStreams:
+		s.forEachStream(fault.Count, (*stream).abort)
+	case FaultSilenceStreams:
+		s.forEachStream(fault.Count, func(st *stream) { st.silent = true; st.signal() })
 	case FaultSlow:
-		s.model.Slow(now, orFactor(f.Factor))
-	case FaultMisnumber:
-		return s.setMisnumber(f.Field)
+		s.model.Slow(now, factorOrDefault(fault.Factor))
+	case FaultCorruptFrame:
+		return s.setFrameCorruption(fault.Field)
 	case FaultReclaim:
-		s.model.Reclaim(now, milliseconds(f.NoticeMS, defaultNoticeMS))
+		s.model.Reclaim(now, millisecondsOrDefault(fault.NoticeMS, defaultNoticeMS))
 	case FaultNone:
-		s.frozenUntil, s.misnumber = time.Time{}, misnumberNone
-		s.model.Thaw(now)
+		s.frozenUntil, s.nextCorruption = time.Time{}, corruptNone
+		s.model.Unfreeze(now)
 		s.model.Slow(now, 1)
 	default:
-		return failure.New(failure.KindBadRequest, "kind: %q is no fault of an engine", f.Kind)
+		return failure.New(failure.KindBadRequest, "kind: %q is not an engine fault", fault.Kind)
 	}
 	return nil
 }
 
-func (s *Server) setMisnumber(field string) error {
+func (s *Server) setFrameCorruption(field string) error {
 	switch field {
 	case "", "offset":
-		s.misnumber = misnumberOffset
+		s.nextCorruption = corruptOffset
 	case "generation":
-		s.misnumber = misnumberGeneration
+		s.nextCorruption = corruptGeneration
 	default:
-		return failure.New(failure.KindBadRequest, "field: %q is none of offset, generation", field)
+		return failure.New(failure.KindBadRequest, "field: %q is not one of offset, generation", field)
 	}
 	return nil
 }
 
-// takeMisnumber gives the fault of the next frame and ends it.
-func (s *Server) takeMisnumber() misnumbering {
+// takeFrameCorruption returns the corruption of the next frame and clears it.
+func (s *Server) takeFrameCorruption() frameCorruption {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.misnumber
-	s.misnumber = misnumberNone
-	return m
+	corruption := s.nextCorruption
+	s.nextCorruption = corruptNone
+	return corruption
 }
 
-// each does something to count streams that are not silent, 0 meaning all.
-func (s *Server) each(count int, do func(*stream)) {
+// forEachStream calls apply for up to count streams that are not silent; 0 means
+// all.
+func (s *Server) forEachStream(count int, apply func(*stream)) {
 	for st := range s.streams {
 		if st.silent {
 			continue
 		}
-		do(st)
+		apply(st)
 		if count--; count == 0 {
 			return
 		}
 	}
 }
 
-func milliseconds(n, missing int64) time.Duration {
-	if n == 0 {
-		n = missing
+func millisecondsOrDefault(valueMS, defaultMS int64) time.Duration {
+	if valueMS == 0 {
+		valueMS = defaultMS
 	}
-	return time.Duration(n) * time.Millisecond
+	return time.Duration(valueMS) * time.Millisecond
 }
 
-func orFactor(f float64) float64 {
-	if f == 0 {
-		return defaultFactor
+func factorOrDefault(factor float64) float64 {
+	if factor == 0 {
+		return defaultSlowFactor
 	}
-	return f
+	return factor
 }
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -16,46 +16,47 @@
 	StateRunning   State = "running"
 	StateFinished  State = "finished"
 	StateCancelled State = "cancelled"
-	// StateLost means that the engine died.
+	// StateLost means that the engine crashed.
 	StateLost State = "lost"
 )
 
-// The reasons of a generation's end that callers see.
+// The values of finish_reason.
 const (
 	finishStop   = "stop"
 	finishLength = "length"
 )
 
-// tailLength is the characters of the generation's id in each word.
-const tailLength = 6
+// idSuffixLength is the number of characters of the generation's id in the text
+// of each token.
+const idSuffixLength = 6
 
-// maxID bounds a generation's id.
-const maxID = 128
+// maxIDLength limits the length of a generation's id, in characters.
+const maxIDLength = 128
 
-// generation is one answer being made; the server's lock guards it.
+// generation is the state of a generation; the server's lock protects it.
 type generation struct {
-	id           string
-	job          model.JobID
-	incarnation  uint64
-	priority     int
-	promptTokens int
-	length       int
-	finish       string
-	produced     int
-	preemptions  int
-	state        State
-	ended        time.Time
-	streams      map[*stream]struct{}
+	id             string
+	jobID          model.JobID
+	incarnation    uint64
+	priority       int
+	promptTokens   int
+	outputTokens   int
+	finishReason   string
+	producedTokens int
+	preemptions    int
+	state          State
+	endedAt        time.Time
+	streams        map[*stream]struct{}
 }
 
 // notify wakes the generation's streams.
-func (g *generation) notify() {
+func (g *generation) notifyStreams() {
 	for st := range g.streams {
-		st.nudge()
+		st.signal()
 	}
 }
 
-// Record is what GET /admin/records tells of a generation.
+// Record describes a generation in the response of GET /admin/records.
 type Record struct {
 	Generation   string `json:"generation"`
 	Incarnation  uint64 `json:"incarnation"`
@@ -70,11 +71,11 @@
 func (g *generation) record() Record {
 	return Record{
 		Generation: g.id, Incarnation: g.incarnation, Priority: g.priority, PromptTokens: g.promptTokens,
-		Length: g.length, Produced: g.produced, Preemptions: g.preemptions, State: g.state,
+		Length: g.outputTokens, Produced: g.producedTokens, Preemptions: g.preemptions, State: g.state,
 	}
 }
 
-// Records lists every generation started, oldest first.
+// Records returns the started generations, oldest first, at most maxRecords.
 func (s *Server) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,24 +86,26 @@
 	return out
 }
 
-// Tail gives the part of a generation's id that its words carry.
-func Tail(id string) string { return id[max(0, len(id)-tailLength):] }
+// IDSuffix returns the part of a generation's id that the text of its tokens
+// contains.
+func IDSuffix(id string) string { return id[max(0, len(id)-idSuffixLength):] }
 
-// Word gives the word at an index of a generation, with the space after it.
-func Word(id string, index int) string { return string(appendWord(nil, Tail(id), index)) }
+// TokenText returns the text of the token at an index of a generation, with a
+// trailing space.
+func TokenText(id string, index int) string { return string(appendTokenText(nil, IDSuffix(id), index)) }
 
-func appendWord(b []byte, tail string, index int) []byte {
+func appendTokenText(b []byte, idSuffix string, index int) []byte {
 	b = append(b, 'w')
 	b = strconv.AppendInt(b, int64(index), 10)
 	b = append(b, '-')
-	b = append(b, tail...)
+	b = append(b, idSuffix...)
 	return append(b, ' ')
 }
 
-// checkID allows ids that stand in JSON and in a path as they are.
+// checkID rejects ids that need escaping in JSON or in a URL path.
 func checkID(id string) error {
-	if id == "" || len(id) > maxID {
-		return failure.New(failure.KindBadRequest, "Filbert-Generation: 1 to %d characters are allowed", maxID)
+	if id == "" || len(id) > maxIDLength {
+		return failure.New(failure.KindBadRequest, "Filbert-Generation: 1 to %d characters are allowed", maxIDLength)
 	}
 	for _, c := range []byte(id) {
 		if c <= ' ' || c > '~' || c == '"' || c == '\\' || c == '/' || c == '%' || c == '?' || c == '#' {
@@ -112,45 +115,46 @@
 	return nil
 }
 
-// admit starts a generation; the lock is held.
-func (s *Server) admit(g *generation, job model.Job) error {
+// startGeneration submits a generation to the model; the caller holds the lock.
+func (s *Server) startGeneration(g *generation, job model.Job) error {
 	if s.generations[g.id] != nil {
-		return failure.New(failure.KindInProgress, "generation %q was started before", g.id)
+		return failure.New(failure.KindInProgress, "generation %q was already started", g.id)
 	}
-	s.nextJob++
-	g.job, job.ID = s.nextJob, s.nextJob
-	g.incarnation = s.model.Report(s.now()).Incarnation
-	if err := s.model.Submit(s.now(), job); err != nil {
+	s.lastJobID++
+	g.jobID, job.ID = s.lastJobID, s.lastJobID
+	g.incarnation = s.model.Report(s.modelTime()).Incarnation
+	if err := s.model.Submit(s.modelTime(), job); err != nil {
 		return err
 	}
-	s.generations[g.id], s.jobs[g.job] = g, g
+	s.generations[g.id], s.jobs[g.jobID] = g, g
 	s.records = append(s.records, g)
 	if len(s.records) > maxRecords {
 		delete(s.generations, s.records[0].id)
 		s.records = s.records[1:]
 	}
-	s.nudge()
+	s.wakeDriver()
 	return nil
 }
 
-// find gives a generation that can still be followed; the lock is held.
-func (s *Server) find(id string) *generation {
+// findResumable returns a generation whose output can still be read, or nil. The
+// caller holds the lock.
+func (s *Server) findResumable(id string) *generation {
 	g := s.generations[id]
 	if g == nil || g.state == StateCancelled {
 		return nil
 	}
-	if g.state != StateRunning && time.Since(g.ended) > s.cfg.Retain {
+	if g.state != StateRunning && time.Since(g.endedAt) > s.cfg.Retention {
 		return nil
 	}
 	return g
 }
 
-// cancel stops a generation that runs; the lock is held.
-func (s *Server) cancel(g *generation) {
+// cancelGeneration cancels a running generation; the caller holds the lock.
+func (s *Server) cancelGeneration(g *generation) {
 	if g.state != StateRunning {
 		return
 	}
-	s.model.Cancel(s.now(), g.job)
-	s.end(g, StateCancelled)
-	s.nudge()
+	s.model.Cancel(s.modelTime(), g.jobID)
+	s.endGeneration(g, StateCancelled)
+	s.wakeDriver()
 }
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -15,7 +15,7 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// The request headers that filbertdeck sets.
+// The headers of the protocol between filbertdeck and an engine.
 const (
 	HeaderGeneration = "Filbert-Generation"
 	HeaderPriority   = "Filbert-Priority"
@@ -23,50 +23,55 @@
 	HeaderExecuted   = "Filbert-Executed"
 )
 
-// charsPerToken is the usual rule of thumb for English prompts.
+// charsPerToken is the average number of characters per token that is commonly
+// assumed for English prompts.
 const charsPerToken = 4
 
-// crashMark in a prompt makes the engine die when it runs it.
-const crashMark = "[crash]"
+// crashMarker in a prompt makes the engine crash when it runs the prompt.
+const crashMarker = "[crash]"
 
-var lengthMark = regexp.MustCompile(`\[tokens=(\d{1,7})\]`)
+// lengthMarker in a prompt specifies the output length.
+var lengthMarker = regexp.MustCompile(`\[tokens=(\d{1,7})\]`)
 
-// Lengths is the log-normal distribution of output lengths, in tokens. The
-// defaults are the mixed load of the design's trial: median 300, sigma 1.
-type Lengths struct {
-	Median float64
-	Sigma  float64
-	// Max bounds a length when the request does not.
-	Max  int
-	Seed uint64
+// LengthDistribution is a log-normal distribution of output lengths, in tokens.
+// The defaults are those of the mixed load in the design's trial: median 300,
+// sigma 1.
+type LengthDistribution struct {
+	MedianTokens float64
+	Sigma        float64
+	// MaxTokens limits a length if the request has no max_tokens.
+	MaxTokens int
+	Seed      uint64
 }
 
 const (
-	defaultMedian = 300
-	defaultSigma  = 1.0
-	defaultMax    = 16384
+	defaultMedianTokens = 300
+	defaultSigma        = 1.0
+	defaultMaxTokens    = 16384
 )
 
-func (l Lengths) withDefaults() Lengths {
-	if l.Median == 0 {
-		l.Median = defaultMedian
+func (l LengthDistribution) withDefaults() LengthDistribution {
+	if l.MedianTokens == 0 {
+		l.MedianTokens = defaultMedianTokens
 	}
 	if l.Sigma == 0 {
 		l.Sigma = defaultSigma
 	}
-	if l.Max == 0 {
-		l.Max = defaultMax
+	if l.MaxTokens == 0 {
+		l.MaxTokens = defaultMaxTokens
 	}
 	return l
 }
 
-// draw gives the length of a generation; the same id gives the same length.
-func (l Lengths) draw(id string) int {
-	random := rand.New(rand.NewPCG(l.Seed, xxhash.Sum64String(id)))
-	return max(1, int(l.Median*math.Exp(l.Sigma*random.NormFloat64())))
+// sample returns the length of a generation. The same seed and id always give the
+// same length.
+func (l LengthDistribution) sample(id string) int {
+	rng := rand.New(rand.NewPCG(l.Seed, xxhash.Sum64String(id)))
+	return max(1, int(l.MedianTokens*math.Exp(l.Sigma*rng.NormFloat64())))
 }
 
-// completionRequest is the usual interface's body, as far as it matters here.
+// completionRequest holds the used fields of an OpenAI-compatible completion
+// request.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -74,7 +79,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// newGeneration makes a generation and its job of a request.
+// newGeneration creates a generation and its job from a request.
 func (s *Server) newGeneration(r *http.Request, body completionRequest) (*generation, model.Job, error) {
 	id := r.Header.Get(HeaderGeneration)
 	if id == "" {
@@ -83,38 +88,39 @@
 	if err := checkID(id); err != nil {
 		return nil, model.Job{}, err
 	}
-	priority, err := priorityOf(r)
+	priority, err := parsePriority(r)
 	if err != nil {
 		return nil, model.Job{}, err
 	}
 	g := &generation{id: id, priority: priority, state: StateRunning, streams: map[*stream]struct{}{}}
 	g.promptTokens = (len(body.Prompt) + charsPerToken - 1) / charsPerToken
-	g.length, g.finish = s.length(id, body)
+	g.outputTokens, g.finishReason = s.outputLength(id, body)
 	return g, model.Job{
-		Priority: priority, PromptTokens: g.promptTokens, Length: g.length,
-		Prefix: model.PrefixChain(body.Prompt), Crash: strings.Contains(body.Prompt, crashMark),
+		Priority: priority, PromptTokens: g.promptTokens, Length: g.outputTokens,
+		Prefix: model.PrefixChain(body.Prompt), Crash: strings.Contains(body.Prompt, crashMarker),
 	}, nil
 }
 
-func (s *Server) length(id string, body completionRequest) (int, string) {
+// outputLength returns the output length of a generation and its finish reason.
+func (s *Server) outputLength(id string, body completionRequest) (int, string) {
 	length := 0
-	if mark := lengthMark.FindStringSubmatch(body.Prompt); mark != nil {
-		length, _ = strconv.Atoi(mark[1])
+	if match := lengthMarker.FindStringSubmatch(body.Prompt); match != nil {
+		length, _ = strconv.Atoi(match[1])
 		length = max(1, length)
 	} else {
-		length = s.cfg.Lengths.draw(id)
+		length = s.cfg.OutputLengths.sample(id)
 	}
-	bound := s.cfg.Lengths.Max
+	limit := s.cfg.OutputLengths.MaxTokens
 	if body.MaxTokens > 0 {
-		bound = body.MaxTokens
+		limit = body.MaxTokens
 	}
-	if length > bound {
-		return bound, finishLength
+	if length > limit {
+		return limit, finishLength
 	}
 	return length, finishStop
 }
 
-func priorityOf(r *http.Request) (int, error) {
+func parsePriority(r *http.Request) (int, error) {
 	text := r.Header.Get(HeaderPriority)
 	if text == "" {
 		return 0, nil
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -9,7 +9,7 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// Load is the engine's lagging load report.
+// Load is the engine's delayed load report.
 type Load struct {
 	Incarnation  uint64 `json:"incarnation"`
 	AgeMS        int64  `json:"age_ms"`
@@ -18,23 +18,23 @@
 	Running      int    `json:"running"`
 	Waiting      int    `json:"waiting"`
 	Preemptions  uint64 `json:"preemptions"`
-	Bears        int    `json:"bears"`
+	Capacity     int    `json:"bears"`
 	StepUS       int64  `json:"step_us"`
 	Stopping     bool   `json:"stopping"`
 }
 
 func (s *Server) getLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	r := s.model.Report(s.now())
+	r := s.model.Report(s.modelTime())
 	s.mu.Unlock()
 	web.WriteJSON(w, http.StatusOK, Load{
 		Incarnation: r.Incarnation, AgeMS: r.Age.Milliseconds(), MemoryTokens: r.MemoryTokens,
 		UsedTokens: r.UsedTokens, Running: r.Running, Waiting: r.Waiting, Preemptions: r.Preemptions,
-		Bears: r.Bears, StepUS: r.StepTime.Microseconds(), Stopping: r.Stopping,
+		Capacity: r.Bears, StepUS: r.StepTime.Microseconds(), Stopping: r.Stopping,
 	})
 }
 
-// CacheEvents is the news of the prefix cache; hashes are decimal strings.
+// CacheEvents lists the changes of the prefix cache; hashes are decimal strings.
 type CacheEvents struct {
 	Sequence uint64   `json:"sequence"`
 	Gap      bool     `json:"gap"`
@@ -48,14 +48,14 @@
 		after = 0
 	}
 	s.mu.Lock()
-	n := s.model.CacheEvents(s.now(), after)
+	changes := s.model.CacheEvents(s.modelTime(), after)
 	s.mu.Unlock()
 	web.WriteJSON(w, http.StatusOK, CacheEvents{
-		Sequence: n.Sequence, Gap: n.Gap, Cached: decimals(n.Cached), Evicted: decimals(n.Evicted),
+		Sequence: changes.Sequence, Gap: changes.Gap, Cached: formatHashes(changes.Cached), Evicted: formatHashes(changes.Evicted),
 	})
 }
 
-func decimals(hashes []uint64) []string {
+func formatHashes(hashes []uint64) []string {
 	out := make([]string, len(hashes))
 	for i, h := range hashes {
 		out[i] = strconv.FormatUint(h, 10)
@@ -67,7 +67,7 @@
 	web.WriteJSON(w, http.StatusOK, s.Records())
 }
 
-// Stats gives the model's counters since the process started.
+// Stats returns the model's counters since NewServer.
 func (s *Server) Stats() model.Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,8 @@
 	web.WriteJSON(w, http.StatusOK, s.Stats())
 }
 
-// Order tells an engine to load something or to change its role.
+// Order is an instruction to load a model or an adapter, or to change the
+// engine's role.
 type Order struct {
 	Kind  string `json:"kind"`
 	Name  string `json:"name"`
@@ -91,19 +92,19 @@
 		return
 	}
 	if err := s.Order(order); err != nil {
-		refuseFenced(w, err)
+		writeFenceRefusal(w, err)
 		return
 	}
 	web.WriteJSON(w, http.StatusOK, order)
 }
 
-// Order carries an order out. It fails with KindBadRequest for an unknown kind
-// and, when the engine checks fences, with KindFenced for an old number.
+// Order executes an order. It fails with KindBadRequest for an unknown kind and,
+// if Config.CheckFence is set, with KindFenced for an old fencing token.
 func (s *Server) Order(order Order) error {
 	switch order.Kind {
 	case "load_model", "load_adapter", "set_role":
 	default:
-		return failure.New(failure.KindBadRequest, "kind: %q is none of load_model, load_adapter, set_role", order.Kind)
+		return failure.New(failure.KindBadRequest, "kind: %q is not one of load_model, load_adapter, set_role", order.Kind)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// Orders lists the orders carried out.
+// Orders returns the executed orders.
 func (s *Server) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +126,9 @@
 	web.WriteJSON(w, http.StatusOK, s.Orders())
 }
 
-// passFence checks the header of a request, if it has one; the lock is held.
-func (s *Server) passFence(text string) error {
+// checkFenceHeader checks the fencing token in a request's header, if there is
+// one; the caller holds the lock.
+func (s *Server) checkFenceHeader(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -137,21 +139,22 @@
 	return s.checkFence(fence)
 }
 
-// checkFence refuses a number older than the newest one seen: its sender was
-// replaced and may be acting on a world that has moved on. An engine that does
-// not check takes every number.
+// checkFence refuses a fencing token that is lower than the highest one seen: its
+// sender was replaced and may act on outdated state. If Config.CheckFence is not
+// set, it accepts every token.
 func (s *Server) checkFence(fence uint64) error {
-	if s.cfg.CheckFence && fence < s.fence {
-		return failure.New(failure.KindFenced, "fencing number %d is older than %d", fence, s.fence)
+	if s.cfg.CheckFence && fence < s.newestFence {
+		return failure.New(failure.KindFenced, "fencing token %d is older than %d", fence, s.newestFence)
 	}
-	s.fence = max(s.fence, fence)
+	s.newestFence = max(s.newestFence, fence)
 	return nil
 }
 
-// refuseFenced answers 412 to an old fencing number, as the protocol says.
-func refuseFenced(w http.ResponseWriter, err error) {
+// writeFenceRefusal responds with status 412 if err is due to an old fencing
+// token, as the protocol specifies.
+func writeFenceRefusal(w http.ResponseWriter, err error) {
 	if failure.KindOf(err) != failure.KindFenced {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	w.Header().Set(HeaderExecuted, string(failure.ExecutedNo))
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -9,56 +9,57 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// maxFrame bounds the tokens of one event, after a resume far behind.
-const maxFrame = 256
+// maxFrameTokens limits the tokens of one event, for a stream that resumes far
+// behind the generation.
+const maxFrameTokens = 256
 
-// stream is one connection that follows a generation; the server's lock guards
-// its flags.
+// stream is a connection that receives the output of a generation. The server's
+// lock protects its flags.
 type stream struct {
 	generation *generation
 	wake       chan struct{}
-	severed    bool
+	aborted    bool
 	silent     bool
 }
 
-func (st *stream) nudge() {
+func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sever closes the connection without an end of the stream.
-func (st *stream) sever() {
-	st.severed = true
-	st.nudge()
+// abort makes the stream close its connection without an end marker.
+func (st *stream) abort() {
+	st.aborted = true
+	st.signal()
 }
 
-// view is what a stream sees of its generation at one time.
-type view struct {
+// streamSnapshot is the state of a stream and its generation at one time.
+type streamSnapshot struct {
 	produced        int
 	state           State
-	severed, silent bool
+	aborted, silent bool
 }
 
-func (s *Server) look(st *stream) view {
+func (s *Server) snapshot(st *stream) streamSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := st.generation
-	return view{produced: g.produced, state: g.state, severed: st.severed, silent: st.silent}
+	return streamSnapshot{produced: g.producedTokens, state: g.state, aborted: st.aborted, silent: st.silent}
 }
 
-// attach makes a stream of a generation; the lock is held.
-func (s *Server) attach(g *generation) *stream {
+// attachStream adds a stream to a generation; the caller holds the lock.
+func (s *Server) attachStream(g *generation) *stream {
 	st := &stream{generation: g, wake: make(chan struct{}, 1)}
 	s.streams[st] = struct{}{}
 	g.streams[st] = struct{}{}
 	return st
 }
 
-// detach takes a stream away. A generation that nobody follows any more is
-// cancelled after the grace time, unless it was resumed.
-func (s *Server) detach(st *stream) {
+// detachStream removes a stream. A running generation without streams is
+// cancelled after Config.DisconnectGrace, unless it was resumed by then.
+func (s *Server) detachStream(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := st.generation
@@ -67,90 +68,91 @@
 	if len(g.streams) > 0 || g.state != StateRunning {
 		return
 	}
-	time.AfterFunc(s.cfg.Grace, func() {
+	time.AfterFunc(s.cfg.DisconnectGrace, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if len(g.streams) == 0 {
-			s.cancel(g)
+			s.cancelGeneration(g)
 		}
 	})
 }
 
-// follow sends a generation's tokens from offset on as they come.
-func (s *Server) follow(w http.ResponseWriter, r *http.Request, st *stream, offset int) {
-	defer s.detach(st)
-	f := newFrameWriter(w, st.generation)
-	f.open()
-	quiet := time.NewTicker(s.cfg.KeepAlive)
-	defer quiet.Stop()
+// streamTokens sends the tokens of a generation from offset on as they are
+// produced.
+func (s *Server) streamTokens(w http.ResponseWriter, r *http.Request, st *stream, offset int) {
+	defer s.detachStream(st)
+	frames := newFrameWriter(w, st.generation)
+	frames.writeHeader()
+	keepAlive := time.NewTicker(s.cfg.KeepAliveInterval)
+	defer keepAlive.Stop()
 	for {
-		s.awaitThaw(r)
-		v := s.look(st)
-		if v.severed || v.state == StateCancelled || v.state == StateLost {
-			web.Abort()
+		s.waitWhileFrozen(r)
+		current := s.snapshot(st)
+		if current.aborted || current.state == StateCancelled || current.state == StateLost {
+			web.AbortConnection()
 		}
-		if v.silent {
-			s.fallSilent(r.Context())
+		if current.silent {
+			s.holdSilently(r.Context())
 			return
 		}
-		if sent := s.send(f, v, offset); sent > offset {
+		if sent := s.sendProduced(frames, current, offset); sent > offset {
 			offset = sent
-			quiet.Reset(s.cfg.KeepAlive)
+			keepAlive.Reset(s.cfg.KeepAliveInterval)
 		}
-		if v.state == StateFinished && offset == v.produced {
-			f.done()
+		if current.state == StateFinished && offset == current.produced {
+			frames.writeDone()
 			return
 		}
 		select {
 		case <-st.wake:
-		case <-quiet.C:
-			f.keepAlive()
+		case <-keepAlive.C:
+			frames.writeKeepAlive()
 		case <-r.Context().Done():
 			return
 		case <-s.closed:
-			web.Abort()
+			web.AbortConnection()
 		}
 	}
 }
 
-// send writes what was produced after offset and gives the new offset.
-func (s *Server) send(f *frameWriter, v view, offset int) int {
-	last := f.generation.length
-	for offset < v.produced {
-		n := min(v.produced-offset, maxFrame)
-		f.frame(offset, n, offset+n == last, s.takeMisnumber())
+// sendProduced sends the tokens produced after offset and returns the new offset.
+func (s *Server) sendProduced(frames *frameWriter, current streamSnapshot, offset int) int {
+	end := frames.generation.outputTokens
+	for offset < current.produced {
+		n := min(current.produced-offset, maxFrameTokens)
+		frames.appendFrame(offset, n, offset+n == end, s.takeFrameCorruption())
 		offset += n
 	}
-	if offset == last && !f.finished {
-		f.frame(offset, 0, true, misnumberNone)
+	if offset == end && !frames.finalSent {
+		frames.appendFrame(offset, 0, true, corruptNone)
 	}
-	f.flush()
+	frames.flush()
 	return offset
 }
 
-// fallSilent keeps the connection open and sends nothing more, as when
-// something between the two ends has lost track of it.
-func (s *Server) fallSilent(ctx context.Context) {
+// holdSilently keeps the connection open without sending, as when a middlebox on
+// the path has lost the connection's state.
+func (s *Server) holdSilently(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-s.closed:
 	}
 }
 
-// frameWriter writes the events of one stream.
+// frameWriter writes the server-sent events of one stream.
 type frameWriter struct {
 	w          http.ResponseWriter
 	control    *http.ResponseController
 	generation *generation
-	buf        []byte
-	finished   bool
+	pending    []byte
+	finalSent  bool
 }
 
 func newFrameWriter(w http.ResponseWriter, g *generation) *frameWriter {
 	return &frameWriter{w: w, control: http.NewResponseController(w), generation: g}
 }
 
-func (f *frameWriter) open() {
+func (f *frameWriter) writeHeader() {
 	h := f.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -159,52 +161,52 @@
 	_ = f.control.Flush()
 }
 
-// frame adds an event with n tokens from offset on.
-func (f *frameWriter) frame(offset, n int, final bool, wrong misnumbering) {
-	id, told := f.generation.id, offset
-	switch wrong {
-	case misnumberOffset:
-		told++
-	case misnumberGeneration:
-		id = "other-" + id
+// appendFrame adds an event with n tokens from offset on to the pending output.
+func (f *frameWriter) appendFrame(offset, n int, final bool, corruption frameCorruption) {
+	generationID, sentOffset := f.generation.id, offset
+	switch corruption {
+	case corruptOffset:
+		sentOffset++
+	case corruptGeneration:
+		generationID = "other-" + generationID
 	}
-	b := append(f.buf, "id: "...)
-	b = strconv.AppendInt(b, int64(told+n), 10)
+	b := append(f.pending, "id: "...)
+	b = strconv.AppendInt(b, int64(sentOffset+n), 10)
 	b = append(b, "\ndata: {\"generation\":\""...)
-	b = append(b, id...)
+	b = append(b, generationID...)
 	b = append(b, "\",\"offset\":"...)
-	b = strconv.AppendInt(b, int64(told), 10)
+	b = strconv.AppendInt(b, int64(sentOffset), 10)
 	b = append(b, ",\"text\":\""...)
 	for i := range n {
-		b = appendWord(b, Tail(f.generation.id), offset+i)
+		b = appendTokenText(b, IDSuffix(f.generation.id), offset+i)
 	}
 	b = append(b, "\",\"tokens\":"...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	b = append(b, ",\"finish_reason\":"...)
 	if final {
-		b = strconv.AppendQuote(b, f.generation.finish)
-		f.finished = true
+		b = strconv.AppendQuote(b, f.generation.finishReason)
+		f.finalSent = true
 	} else {
 		b = append(b, "null"...)
 	}
-	f.buf = append(b, "}\n\n"...)
+	f.pending = append(b, "}\n\n"...)
 }
 
 func (f *frameWriter) flush() {
-	if len(f.buf) == 0 {
+	if len(f.pending) == 0 {
 		return
 	}
-	_, _ = f.w.Write(f.buf)
-	f.buf = f.buf[:0]
+	_, _ = f.w.Write(f.pending)
+	f.pending = f.pending[:0]
 	_ = f.control.Flush()
 }
 
-func (f *frameWriter) keepAlive() {
+func (f *frameWriter) writeKeepAlive() {
 	_, _ = f.w.Write([]byte(": keep-alive\n\n"))
 	_ = f.control.Flush()
 }
 
-func (f *frameWriter) done() {
+func (f *frameWriter) writeDone() {
 	_, _ = f.w.Write([]byte("data: [DONE]\n\n"))
 	_ = f.control.Flush()
 }
--- a/internal/standin/model/cache.go
+++ b/internal/standin/model/cache.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// journalSlots bounds the cache events kept; an older reader sees a gap.
-const journalSlots = 1024
+// maxJournalEvents is the number of cache events that are kept at least. A reader
+// that is further behind sees a gap.
+const maxJournalEvents = 1024
 
-// CacheNews is what changed in the prefix cache after a sequence number.
-type CacheNews struct {
-	// Sequence is to be passed in the next call.
+// CacheChanges lists the changes of the prefix cache after a sequence number.
+type CacheChanges struct {
+	// Sequence is the number to pass in the next call.
 	Sequence uint64
-	// Gap says that events are missing.
+	// Gap is set if events are missing.
 	Gap             bool
 	Cached, Evicted []uint64
 }
@@ -21,96 +22,99 @@
 type cacheEvent struct {
 	sequence uint64
 	at       time.Duration
-	lost     bool
+	dropped  bool
 	cached   []uint64
 	evicted  []uint64
 }
 
-// prefixCache holds the blocks of prompt prefixes, least recently used first
-// out.
+// prefixCache is an LRU cache of prompt prefix blocks, with a journal of its
+// changes.
 type prefixCache struct {
-	limit    int
-	lag      time.Duration
-	loss     float64
-	random   *rand.Rand
-	blocks   map[uint64]*list.Element
-	recent   *list.List
-	sequence uint64
-	journal  []cacheEvent
+	maxBlocks int
+	lag       time.Duration
+	lossRate  float64
+	rng       *rand.Rand
+	blocks    map[uint64]*list.Element
+	lru       *list.List
+	sequence  uint64
+	journal   []cacheEvent
 }
 
-func newPrefixCache(cfg Config, random *rand.Rand) *prefixCache {
+func newPrefixCache(cfg Config, rng *rand.Rand) *prefixCache {
 	return &prefixCache{
-		limit: cfg.CacheBlocks, lag: cfg.CacheLag, loss: cfg.CacheLoss, random: random,
-		blocks: map[uint64]*list.Element{}, recent: list.New(),
+		maxBlocks: cfg.CacheBlocks, lag: cfg.CacheLag, lossRate: cfg.CacheLossRate, rng: rng,
+		blocks: map[uint64]*list.Element{}, lru: list.New(),
 	}
 }
 
-// hit counts the leading blocks of a chain that are cached, and refreshes them.
-func (c *prefixCache) hit(chain []uint64) int {
+// lookup returns the number of leading blocks of a chain that are cached, and
+// marks them as recently used.
+func (c *prefixCache) lookup(chain []uint64) int {
 	for i, hash := range chain {
 		block, ok := c.blocks[hash]
 		if !ok {
 			return i
 		}
-		c.recent.MoveToFront(block)
+		c.lru.MoveToFront(block)
 	}
 	return len(chain)
 }
 
-// insert caches the blocks of a chain and evicts the oldest beyond the limit.
+// insert caches the blocks of a chain and evicts the least recently used blocks
+// beyond maxBlocks.
 func (c *prefixCache) insert(now time.Duration, chain []uint64) {
 	event := cacheEvent{at: now}
 	for _, hash := range chain {
 		if c.blocks[hash] == nil {
-			c.blocks[hash] = c.recent.PushFront(hash)
+			c.blocks[hash] = c.lru.PushFront(hash)
 			event.cached = append(event.cached, hash)
 		}
 	}
-	for c.recent.Len() > c.limit {
-		oldest := c.recent.Remove(c.recent.Back()).(uint64)
+	for c.lru.Len() > c.maxBlocks {
+		oldest := c.lru.Remove(c.lru.Back()).(uint64)
 		delete(c.blocks, oldest)
 		event.evicted = append(event.evicted, oldest)
 	}
 	if len(event.cached)+len(event.evicted) > 0 {
-		c.note(event)
+		c.appendEvent(event)
 	}
 }
 
-func (c *prefixCache) note(event cacheEvent) {
+func (c *prefixCache) appendEvent(event cacheEvent) {
 	c.sequence++
 	event.sequence = c.sequence
-	event.lost = c.loss > 0 && c.random.Float64() < c.loss
+	event.dropped = c.lossRate > 0 && c.rng.Float64() < c.lossRate
 	c.journal = append(c.journal, event)
-	if len(c.journal) > 2*journalSlots {
-		c.journal = append([]cacheEvent(nil), c.journal[len(c.journal)-journalSlots:]...)
+	if len(c.journal) > 2*maxJournalEvents {
+		c.journal = append([]cacheEvent(nil), c.journal[len(c.journal)-maxJournalEvents:]...)
 	}
 }
 
-// news gives the events after a sequence number that are old enough to show. A
-// number from an earlier incarnation is a gap, and the events start over.
-func (c *prefixCache) news(now time.Duration, after uint64) CacheNews {
-	n := CacheNews{Sequence: after}
+// changesAfter returns the events after a sequence number that are older than
+// the lag. A number from an earlier incarnation gives a gap, and the events from
+// the start.
+func (c *prefixCache) changesAfter(now time.Duration, after uint64) CacheChanges {
+	changes := CacheChanges{Sequence: after}
 	if after > c.sequence {
-		n.Sequence, n.Gap = 0, true
+		changes.Sequence, changes.Gap = 0, true
 	}
 	for _, event := range c.journal {
-		if event.sequence <= n.Sequence || event.at > now-c.lag {
+		if event.sequence <= changes.Sequence || event.at > now-c.lag {
 			continue
 		}
-		n.Gap = n.Gap || event.lost || event.sequence > n.Sequence+1
-		n.Sequence = event.sequence
-		if !event.lost {
-			n.Cached = append(n.Cached, event.cached...)
-			n.Evicted = append(n.Evicted, event.evicted...)
+		changes.Gap = changes.Gap || event.dropped || event.sequence > changes.Sequence+1
+		changes.Sequence = event.sequence
+		if !event.dropped {
+			changes.Cached = append(changes.Cached, event.cached...)
+			changes.Evicted = append(changes.Evicted, event.evicted...)
 		}
 	}
-	return n
+	return changes
 }
 
-// CacheEvents gives what changed in the prefix cache after a sequence number,
-// late and with gaps.
-func (e *Engine) CacheEvents(now time.Duration, after uint64) CacheNews {
-	e.catchUp(now)
-	return e.cache.news(e.now, after)
+// CacheEvents returns the changes of the prefix cache after a sequence number,
+// delayed by Config.CacheLag and with gaps for lost events.
+func (e *Engine) CacheEvents(now time.Duration, after uint64) CacheChanges {
+	e.advanceTo(now)
+	return e.cache.changesAfter(e.now, after)
 }
--- a/internal/standin/model/config.go
+++ b/internal/standin/model/config.go
@@ -2,84 +2,90 @@
 
 import "time"
 
-// FallOver says what an engine does when it is loaded with more than it bears.
-type FallOver int
+// OverloadEffect is the effect of more jobs than the capacity on a cold engine.
+type OverloadEffect int
 
-// The ways to fall over.
+// The effects of overload.
 const (
-	// FallOverStall stops all progress for Config.StallTime; the engine is cold
-	// after that.
-	FallOverStall FallOver = iota
-	// FallOverCrash ends the engine.
-	FallOverCrash
+	// OverloadStall stops all progress for Config.OverloadStallTime and resets
+	// the warm-up.
+	OverloadStall OverloadEffect = iota
+	// OverloadCrash crashes the engine.
+	OverloadCrash
 )
 
-// Config holds the engine's figures. A zero field takes the value of DefaultConfig,
-// but for those that say otherwise.
+// Config holds the parameters of an engine. A zero field takes the value of
+// DefaultConfig, unless its comment or withDefaults gives zero a meaning.
 type Config struct {
-	// MemoryTokens is the memory for keys and values, in tokens.
+	// MemoryTokens is the capacity of the KV cache, in tokens.
 	MemoryTokens int
-	// MaxBatch bounds the running sequences, MaxWaiting those in the queue.
+	// MaxBatch limits the running sequences, MaxWaiting the queued ones.
 	MaxBatch, MaxWaiting int
-	// BaseStep is the time of an empty batch step; each decoding sequence adds
-	// PerSequence, each prompt token computed in the step adds PerPrompt.
+	// BaseStep is the duration of an empty batch step. The other two are added
+	// for each decoding sequence and for each prompt token computed in the step.
 	BaseStep, PerSequence, PerPrompt time.Duration
-	// PrefillChunk bounds the prompt tokens computed in one step.
+	// PrefillChunk limits the prompt tokens computed in one step.
 	PrefillChunk int
-	// RampTime is the time of serving in which a cold engine comes to bear
-	// FullBears requests; it begins with one. 0 means that it starts warm.
+	// RampTime is the serving time in which the capacity of a cold engine grows
+	// from one job to that of a warm engine, which the second field holds. 0 means
+	// that the engine starts warm.
 	RampTime  time.Duration
 	FullBears int
-	// FallOver and StallTime say what too much load does to a cold engine.
-	FallOver  FallOver
-	StallTime time.Duration
-	// ColdGrace is the time after a warm engine turned cold in which too much
-	// load slows it but does not yet make it fall over.
-	ColdGrace time.Duration
-	// ReportLag is the age of a load report. Negative means none.
+	// OverloadEffect is the effect of overload on a cold engine;
+	// OverloadStallTime is the duration of a stall.
+	OverloadEffect    OverloadEffect
+	OverloadStallTime time.Duration
+	// ColdGracePeriod is the time after a running engine lost its warm-up in
+	// which overload slows it down but does not stall or crash it.
+	ColdGracePeriod time.Duration
+	// ReportLag is the age of a load report. Negative means no lag.
 	ReportLag time.Duration
 	// CacheBlocks is the size of the prefix cache, in blocks of BlockTokens.
 	CacheBlocks int
-	// CacheLag is the age of cache events; CacheLoss is the part of them that is
-	// lost, between 0 and 1, which shows as a gap. 0 means none for both.
-	CacheLag  time.Duration
-	CacheLoss float64
-	// Incarnation is told in reports; each restart counts it up.
+	// CacheLag is the age at which cache events become visible. CacheLossRate is
+	// the fraction of events, from 0 to 1, that are lost; readers see a gap for
+	// them. 0 means no lag and no loss.
+	CacheLag      time.Duration
+	CacheLossRate float64
+	// Incarnation is stated in reports; each restart increments it.
 	Incarnation uint64
-	// Seed drives what is random: the loss of cache events.
+	// Seed is the seed of the random loss of cache events.
 	Seed uint64
 }
 
-// BlockTokens is the tokens of one prefix block: 64 characters of a prompt at
-// the usual four characters a token.
+// BlockTokens is the number of tokens in a prefix block: 64 characters of a
+// prompt at the usual four characters per token.
 const BlockTokens = 16
 
-// coldSlowdown multiplies the step time of a cold engine that runs more than
-// it bears: graph compilation and weight loading compete with serving.
-const coldSlowdown = 3
+// coldSlowdownFactor multiplies the step duration of a cold engine that has more
+// jobs than its capacity: graph compilation and weight loading compete with
+// serving.
+const coldSlowdownFactor = 3
 
-// DefaultConfig gives the figures of one engine of the target size.
+// DefaultConfig returns the parameters of one engine in a deployment of the
+// planned size.
 //
-// 10,000 servers make 12 million tokens a second, 1,200 each. With these step
-// times 20 sequences make 1,330 tokens a second, 50 make 2,200, and at 204
-// sequences a step takes the 61 ms that the users allow between tokens. The
-// memory holds about 50 sequences of 2,000 tokens, so that memory and not the
-// batch is what long reports run out of. Prompt tokens cost 20 microseconds
-// each, 50,000 a second, the usual order for a server of eight accelerators;
-// a chunk of 512 adds 10 ms to the others' step.
+// 10,000 servers produce 12 million tokens per second, 1,200 each. With these
+// step durations, 20 sequences produce 1,330 tokens per second and 50 produce
+// 2,200; at 204 sequences a step takes 61 ms, the maximum time between tokens
+// that users accept. The memory holds about 50 sequences of 2,000 tokens, so that
+// long outputs are limited by memory, not by the batch size. A prompt token takes
+// 20 microseconds, which gives 50,000 per second, the usual order of magnitude
+// for a server with eight accelerators. A chunk of 512 prompt tokens adds 10 ms
+// to the step of the other sequences.
 func DefaultConfig() Config {
 	return Config{
 		MemoryTokens: 100_000, MaxBatch: 256, MaxWaiting: 1024,
 		BaseStep: 10 * time.Millisecond, PerSequence: 250 * time.Microsecond,
 		PerPrompt: 20 * time.Microsecond, PrefillChunk: 512,
 		RampTime: 20 * time.Second, FullBears: 64,
-		FallOver: FallOverStall, StallTime: 15 * time.Second, ColdGrace: time.Second,
+		OverloadEffect: OverloadStall, OverloadStallTime: 15 * time.Second, ColdGracePeriod: time.Second,
 		ReportLag: 500 * time.Millisecond, CacheBlocks: 4096,
-		CacheLag: 300 * time.Millisecond, CacheLoss: 0.02, Incarnation: 1,
+		CacheLag: 300 * time.Millisecond, CacheLossRate: 0.02, Incarnation: 1,
 	}
 }
 
-// withDefaults fills the fields whose zero value means nothing.
+// withDefaults sets the fields for which zero has no meaning of its own.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	setInt := func(field *int, value int) {
@@ -101,7 +107,7 @@
 	setTime(&c.BaseStep, d.BaseStep)
 	setTime(&c.PerSequence, d.PerSequence)
 	setTime(&c.PerPrompt, d.PerPrompt)
-	setTime(&c.StallTime, d.StallTime)
+	setTime(&c.OverloadStallTime, d.OverloadStallTime)
 	setTime(&c.ReportLag, d.ReportLag)
 	if c.Incarnation == 0 {
 		c.Incarnation = 1
--- a/internal/standin/model/doc.go
+++ b/internal/standin/model/doc.go
@@ -1,18 +1,19 @@
-// Package model is a model engine as a pure state machine: a continuous batch
-// over a memory of keys and values that can fill up, with preemption, request
-// priorities, a prefix cache, a cold start, load reports that lag, and
-// scripted faults. It has no clock, goroutine or network. Time is an argument,
-// counted from any fixed start, and never goes backwards from call to call.
+// Package model simulates an inference engine as a deterministic state machine:
+// continuous batching over a limited KV cache, with preemption, request
+// priorities, a prefix cache, warm-up after a cold start, delayed load reports,
+// and injected faults. It uses no clock, goroutine or network. Callers pass the
+// time, measured from any fixed start; it must not decrease from call to call.
 //
-// One Engine serves the stand-in process (package engine drives it by the wall
-// clock) and tests and experiments (which drive it by a fake clock). With the
-// same configuration and calls it does the same thing.
+// The simulator process drives an Engine by the wall clock (package engine);
+// tests and experiments drive it by a simulated clock. The same configuration
+// and the same calls always give the same results.
 //
-// What it leaves out: attention cost that grows with the context, memory in
-// blocks, swapping to the host's memory, and speculative decoding. None of
-// them changes which decision is right; they only move the figures.
+// The model omits attention cost that grows with the context, block-wise
+// allocation of the KV cache, swapping to the host's memory, and speculative
+// decoding. These change the figures, but not which scheduling decision is right.
 //
-// Invariants: memory in use is the sum over running sequences and never above
-// Config.MemoryTokens; a job is either waiting or running; a job's Produced
-// rises by one per EventToken and ends at Job.Length with one EventFinished.
+// Invariants: the memory in use is the sum over the running sequences and never
+// exceeds Config.MemoryTokens; a job is either waiting or running; the number of
+// tokens that a job has produced rises by one with each EventToken and ends at the
+// job's output length, with one EventFinished.
 package model
--- a/internal/standin/model/export_test.go
+++ b/internal/standin/model/export_test.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Verify checks the package's invariants.
-func (e *Engine) Verify() error {
-	held := 0
+// CheckInvariants returns an error if an invariant of the package is violated.
+func (e *Engine) CheckInvariants() error {
+	heldTokens := 0
 	for i, s := range e.running {
-		held += s.held
-		if s.index != i || !s.runs || e.jobs[s.job.ID] != s {
-			return fmt.Errorf("job %d runs but is not booked so", s.job.ID)
+		heldTokens += s.heldTokens
+		if s.index != i || !s.isRunning || e.jobs[s.job.ID] != s {
+			return fmt.Errorf("job %d is in the batch, but its index, state or job entry is wrong", s.job.ID)
 		}
 	}
 	switch {
-	case held != e.used:
-		return fmt.Errorf("used %d, held %d", e.used, held)
-	case e.used > e.cfg.MemoryTokens:
-		return fmt.Errorf("used %d of %d", e.used, e.cfg.MemoryTokens)
+	case heldTokens != e.usedTokens:
+		return fmt.Errorf("engine counts %d tokens in use, sequences hold %d", e.usedTokens, heldTokens)
+	case e.usedTokens > e.cfg.MemoryTokens:
+		return fmt.Errorf("%d tokens in use, memory has %d", e.usedTokens, e.cfg.MemoryTokens)
 	case len(e.jobs) != len(e.running)+len(e.waiting):
-		return fmt.Errorf("%d jobs, %d run, %d wait", len(e.jobs), len(e.running), len(e.waiting))
+		return fmt.Errorf("%d jobs, but %d running and %d waiting", len(e.jobs), len(e.running), len(e.waiting))
 	}
 	return nil
 }
 
-// Used gives the memory in use, without the lag of a report.
-func (e *Engine) Used() int { return e.used }
+// UsedTokens returns the memory currently in use, without the lag of a report.
+func (e *Engine) UsedTokens() int { return e.usedTokens }
 
-// Jobs gives the jobs in the engine.
-func (e *Engine) Jobs() int { return len(e.jobs) }
+// JobCount returns the number of waiting and running jobs.
+func (e *Engine) JobCount() int { return len(e.jobs) }
--- a/internal/standin/model/faults.go
+++ b/internal/standin/model/faults.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// Crash ends the engine and loses all its jobs.
+// Crash stops the engine; all its jobs are lost.
 func (e *Engine) Crash(now time.Duration) {
-	e.catchUp(now)
+	e.advanceTo(now)
 	if !e.crashed {
 		e.crash(0)
 	}
 }
 
-// Restart starts a dead engine again: empty, cold, with a new incarnation.
+// Restart restarts a crashed engine: empty, cold, with a new incarnation.
 func (e *Engine) Restart(now time.Duration) {
-	e.catchUp(now)
+	e.advanceTo(now)
 	e.cfg.Incarnation++
-	e.slow = 1
-	e.clear()
+	e.slowFactor = 1
+	e.reset()
 }
 
-// Freeze stops all progress for d and keeps everything, as a paused process
-// does.
+// Freeze stops all progress for the duration d and keeps all state, as a
+// suspended process does.
 func (e *Engine) Freeze(now, d time.Duration) {
-	e.catchUp(now)
+	e.advanceTo(now)
 	e.stall(d)
 }
 
-// Thaw ends a freeze early.
-func (e *Engine) Thaw(now time.Duration) {
-	e.catchUp(now)
-	left := max(0, e.stalledUntil-e.now)
-	e.stalledUntil -= left
+// Unfreeze ends a freeze early.
+func (e *Engine) Unfreeze(now time.Duration) {
+	e.advanceTo(now)
+	remaining := max(0, e.stalledUntil-e.now)
+	e.stalledUntil -= remaining
 	if e.stepping {
-		e.stepEnd -= left
+		e.stepEnd -= remaining
 	}
 }
 
-// Cold takes the engine's warmth without any other sign.
+// Cold resets the warm-up of the engine. Only the load reports show it.
 func (e *Engine) Cold(now time.Duration) {
-	e.catchUp(now)
-	e.served, e.turnedCold, e.coldSince = 0, true, e.now
-	e.record()
+	e.advanceTo(now)
+	e.servedTime, e.lostWarmUp, e.coldSince = 0, true, e.now
+	e.recordReport()
 }
 
-// Slow multiplies the time of each later step; 1 is the normal speed.
+// Slow multiplies the duration of each later step; 1 is the normal speed.
 func (e *Engine) Slow(now time.Duration, factor float64) {
-	e.catchUp(now)
-	e.slow = factor
+	e.advanceTo(now)
+	e.slowFactor = factor
 }
 
-// Reclaim tells that the engine's machine is taken away: reports say that it
-// is stopping, and it dies when the notice is over.
+// Reclaim simulates the reclaiming of the engine's host: reports state that the
+// engine is stopping, and it crashes when the notice period is over.
 func (e *Engine) Reclaim(now, notice time.Duration) {
-	e.catchUp(now)
+	e.advanceTo(now)
 	e.stopping = true
-	e.killAt = e.now + notice
-	e.record()
+	e.terminateAt = e.now + notice
+	e.recordReport()
 }
 
-// stall holds the step in progress and the next one back until d from now. Of
-// stalls that overlap the one that ends last counts.
+// stall delays the current step and the next one until d from now. If stalls
+// overlap, the one that ends last applies.
 func (e *Engine) stall(d time.Duration) {
-	longer := max(0, e.now+d-max(e.stalledUntil, e.now))
+	extension := max(0, e.now+d-max(e.stalledUntil, e.now))
 	e.stalledUntil = max(e.stalledUntil, e.now+d)
 	if e.stepping {
-		e.stepEnd += longer
+		e.stepEnd += extension
 	}
 }
 
-func (e *Engine) crash(by JobID) {
+func (e *Engine) crash(cause JobID) {
 	e.crashed, e.stepping = true, false
 	e.stats.Crashes++
 	e.jobs = map[JobID]*sequence{}
-	e.waiting, e.running, e.used = nil, nil, 0
-	e.events = append(e.events, Event{At: e.now, Kind: EventCrashed, ID: by})
+	e.waiting, e.running, e.usedTokens = nil, nil, 0
+	e.events = append(e.events, Event{At: e.now, Kind: EventCrashed, ID: cause})
 }
--- a/internal/standin/model/fuzz_test.go
+++ b/internal/standin/model/fuzz_test.go
@@ -8,23 +8,24 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// play turns bytes into calls, two bytes a call, and returns what happened.
-func play(script []byte) (string, error) {
-	e := small(func(c *model.Config) { c.RampTime, c.StallTime, c.CacheLoss = 300*ms, 200*ms, 0.3 })
-	now, log, next := time.Duration(0), "", model.JobID(1)
+// replayScript interprets each pair of bytes as a call and returns a log of the
+// events.
+func replayScript(script []byte) (string, error) {
+	e := newTestEngine(func(c *model.Config) { c.RampTime, c.OverloadStallTime, c.CacheLossRate = 300*ms, 200*ms, 0.3 })
+	now, log, nextID := time.Duration(0), "", model.JobID(1)
 	produced := map[model.JobID]int{}
 	for i := 0; i+1 < len(script); i += 2 {
 		arg := int(script[i+1])
 		now += time.Duration(arg%7) * 5 * ms
 		switch script[i] % 12 {
 		case 7:
-			e.Cancel(now, model.JobID(arg)%next)
+			e.Cancel(now, model.JobID(arg)%nextID)
 		case 8:
 			e.Cold(now)
 		case 9:
 			e.Freeze(now, time.Duration(arg)*ms)
 			if arg%4 == 0 {
-				e.Thaw(now + time.Duration(arg/2)*ms)
+				e.Unfreeze(now + time.Duration(arg/2)*ms)
 				now = e.Now()
 			}
 		case 10:
@@ -34,10 +35,10 @@
 			e.Restart(now)
 			produced = map[model.JobID]int{}
 		default:
-			j := job(next, arg%3, arg%40, 1+arg%50)
-			j.Prefix = []uint64{uint64(arg % 5), uint64(arg % 9)}
-			next++
-			_ = e.Submit(now, j)
+			job := newJob(nextID, arg%3, arg%40, 1+arg%50)
+			job.Prefix = []uint64{uint64(arg % 5), uint64(arg % 9)}
+			nextID++
+			_ = e.Submit(now, job)
 		}
 		for _, event := range e.Advance(now) {
 			log += fmt.Sprintf("%v ", event)
@@ -45,23 +46,23 @@
 				continue
 			}
 			if last, seen := produced[event.ID]; seen && event.Produced != last+1 {
-				return log, fmt.Errorf("job %d: token %d follows %d", event.ID, event.Produced, last)
+				return log, fmt.Errorf("job %d: token %d was produced after token %d", event.ID, event.Produced, last)
 			}
 			produced[event.ID] = event.Produced
 		}
-		if err := e.Verify(); err != nil {
+		if err := e.CheckInvariants(); err != nil {
 			return log, err
 		}
 	}
-	trace(e)
-	if e.Jobs() != 0 {
-		return log, fmt.Errorf("%d jobs never end", e.Jobs())
+	traceEvents(e)
+	if e.JobCount() != 0 {
+		return log, fmt.Errorf("%d jobs never finish", e.JobCount())
 	}
-	return log, e.Verify()
+	return log, e.CheckInvariants()
 }
 
-// FuzzEngine plays random calls and checks the invariants, that no job is lost
-// or starved, and that the same calls do the same.
+// FuzzEngine replays random calls. It checks the invariants, that no job is lost
+// or starved, and that a second replay gives the same events.
 func FuzzEngine(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 45, 0, 99, 7, 1, 8, 3, 0, 7, 9, 200, 10, 3, 11, 0, 0, 44})
 	f.Add([]byte{1, 39, 1, 79, 1, 119, 1, 159, 1, 199, 1, 239, 1, 38, 1, 78, 1, 118})
@@ -69,21 +70,21 @@
 		if len(script) > 400 {
 			return
 		}
-		first, err := play(script)
+		first, err := replayScript(script)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, _ := play(script); again != first {
-			t.Fatal("the same calls did something else")
+		if again, _ := replayScript(script); again != first {
+			t.Fatal("a second replay of the same calls gave other events")
 		}
 	})
 }
 
-// BenchmarkStep measures a step of a full batch.
+// BenchmarkStep measures a step with 200 decoding sequences.
 func BenchmarkStep(b *testing.B) {
 	e := model.New(model.Config{MemoryTokens: 1 << 40, MaxBatch: 256})
 	for i := range 200 {
-		if err := e.Submit(0, job(model.JobID(i+1), 0, 10, 1<<30)); err != nil {
+		if err := e.Submit(0, newJob(model.JobID(i+1), 0, 10, 1<<30)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/standin/model/job.go
+++ b/internal/standin/model/job.go
@@ -2,87 +2,91 @@
 
 import "time"
 
-// JobID names a job; the caller draws it and never uses it twice.
+// JobID identifies a job. The caller assigns it and never reuses it.
 type JobID uint64
 
-// Job is one generation to run.
+// Job describes a generation to run.
 type Job struct {
 	ID JobID
-	// Priority: higher is admitted first and preempted last.
+	// Priority orders admission and preemption: a job of higher priority is
+	// admitted first and preempted last.
 	Priority int
-	// PromptTokens are computed first, at least one; Length tokens are then
-	// produced. Nothing outside the engine knows Length ahead.
+	// PromptTokens is the number of tokens to compute first (at least one is
+	// computed). The other field is the number of tokens to produce then, which
+	// nothing outside the engine knows in advance.
 	PromptTokens, Length int
-	// Prefix is the chain of hashes of the prompt's leading blocks.
+	// Prefix holds the hashes of the prompt's leading blocks (PrefixChain).
 	Prefix []uint64
-	// Crash makes the engine die when it runs the job.
+	// Crash makes the engine crash when the prefill of the job ends.
 	Crash bool
 }
 
-// EventKind says what happened to a job.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of events.
+// The kinds of events. EventToken means that a job produced a token.
 const (
 	EventToken EventKind = iota + 1
 	EventFinished
 	EventPreempted
-	// EventCrashed says that the engine died and all its jobs with it; ID is
-	// the job that killed it, or 0.
+	// EventCrashed means that the engine crashed and lost all its jobs; ID is the
+	// job that caused the crash, or 0.
 	EventCrashed
-	// EventFellOver says that the engine got more than it bears and stalled.
-	EventFellOver
+	// EventOverloaded means that a cold engine received more jobs than its
+	// capacity and stalled.
+	EventOverloaded
 )
 
-// Event is something that happened at a time.
+// Event is a state change of a job or of the engine.
 type Event struct {
 	At   time.Duration
 	Kind EventKind
 	ID   JobID
-	// Produced is the job's tokens so far.
+	// Produced is the number of tokens that the job has produced.
 	Produced int
 }
 
-// sequence is a job in the engine.
+// sequence is the state of a waiting or running job.
 type sequence struct {
-	job      Job
-	arrival  uint64
-	started  uint64
-	produced int
-	// prefill is what is left to compute before the next token; chunk is the
-	// part of it that the current step computes.
-	prefill, chunk int
-	// held is the memory that the sequence holds, in tokens.
-	held  int
-	index int
-	runs  bool
+	job          Job
+	arrivalOrder uint64
+	startOrder   uint64
+	produced     int
+	// prefillTokens is the number of tokens left to compute before the next
+	// output token; chunkTokens is the part that the current step computes.
+	prefillTokens, chunkTokens int
+	// heldTokens is the memory that the sequence occupies.
+	heldTokens int
+	index      int
+	isRunning  bool
 }
 
-// context is the memory that the sequence needs when it is admitted.
-func (s *sequence) context() int { return s.job.PromptTokens + s.produced }
+// contextTokens returns the memory that the sequence needs at admission.
+func (s *sequence) contextTokens() int { return s.job.PromptTokens + s.produced }
 
-// before orders the queue: higher priority first, then by arrival. A preempted
-// sequence keeps its arrival and so goes ahead of later ones.
-func (s *sequence) before(o *sequence) bool {
+// admittedBefore orders the queue: higher priority first, then by arrival. A
+// preempted sequence keeps its arrival order, so it precedes later arrivals.
+func (s *sequence) admittedBefore(o *sequence) bool {
 	if s.job.Priority != o.job.Priority {
 		return s.job.Priority > o.job.Priority
 	}
-	return s.arrival < o.arrival
+	return s.arrivalOrder < o.arrivalOrder
 }
 
-// yieldsBefore orders victims: lowest priority first, then the latest started.
-func (s *sequence) yieldsBefore(o *sequence) bool {
+// preemptedBefore orders preemption victims: lowest priority first, then the
+// most recently started.
+func (s *sequence) preemptedBefore(o *sequence) bool {
 	if s.job.Priority != o.job.Priority {
 		return s.job.Priority < o.job.Priority
 	}
-	return s.started > o.started
+	return s.startOrder > o.startOrder
 }
 
-// queue is a heap of waiting sequences (container/heap).
+// queue is the heap of waiting sequences; it implements heap.Interface.
 type queue []*sequence
 
 func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].before(q[j]) }
+func (q queue) Less(i, j int) bool { return q[i].admittedBefore(q[j]) }
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
--- a/internal/standin/model/prefix.go
+++ b/internal/standin/model/prefix.go
@@ -6,20 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockChars is the characters of one prefix block.
+// blockChars is the number of characters in a prefix block.
 const blockChars = 64
 
-// PrefixChain gives the hashes of a prompt's whole blocks. Hash k covers block
-// k and hash k-1, so that equal hashes mean equal prompts up to there.
+// PrefixChain returns the hashes of the complete blocks of a prompt. Hash k
+// covers block k and hash k-1, so that equal hashes mean equal prompts up to the
+// end of that block.
 func PrefixChain(prompt string) []uint64 {
 	chain := make([]uint64, 0, len(prompt)/blockChars)
-	var earlier uint64
+	var previous uint64
 	var buf [8 + blockChars]byte
 	for ; len(prompt) >= blockChars; prompt = prompt[blockChars:] {
-		binary.LittleEndian.PutUint64(buf[:8], earlier)
+		binary.LittleEndian.PutUint64(buf[:8], previous)
 		copy(buf[8:], prompt[:blockChars])
-		earlier = xxhash.Sum64(buf[:])
-		chain = append(chain, earlier)
+		previous = xxhash.Sum64(buf[:])
+		chain = append(chain, previous)
 	}
 	return chain
 }
--- a/internal/standin/model/step.go
+++ b/internal/standin/model/step.go
@@ -5,152 +5,160 @@
 	"time"
 )
 
-// beginStep admits what fits, makes room for the running sequences to grow,
-// and starts a step, unless one runs already or there is nothing to do.
+// beginStep makes room for the running sequences to grow, admits waiting
+// sequences that fit, and starts a batch step. It does nothing if a step is in
+// progress, and starts none if no sequence is running.
 func (e *Engine) beginStep() {
 	if e.stepping {
 		return
 	}
-	e.makeRoom()
+	e.makeRoomForGrowth()
 	e.admit()
 	if len(e.running) == 0 {
 		return
 	}
-	d := e.planStep()
+	duration := e.planStep()
 	e.stepping = true
-	e.stepTime = d
-	e.stepEnd = max(e.now, e.stalledUntil) + d
+	e.stepTime = duration
+	e.stepEnd = max(e.now, e.stalledUntil) + duration
 }
 
-// makeRoom preempts until each running sequence can grow by one token.
-func (e *Engine) makeRoom() {
-	for e.used+len(e.running) > e.cfg.MemoryTokens {
-		e.preempt(e.victim())
+// makeRoomForGrowth preempts sequences until each running sequence can grow by
+// one token.
+func (e *Engine) makeRoomForGrowth() {
+	for e.usedTokens+len(e.running) > e.cfg.MemoryTokens {
+		e.preempt(e.nextVictim())
 	}
 }
 
-// admit starts waiting sequences in their order while memory and batch allow.
+// admit starts waiting sequences in queue order while memory and batch size
+// permit.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
 		s := e.waiting[0]
-		if !e.fits(s) && !e.yieldTo(s) {
+		if !e.fits(s) && !e.preemptFor(s) {
 			return
 		}
 		heap.Pop(&e.waiting)
-		e.start(s)
+		e.startSequence(s)
 	}
 }
 
-// fits leaves each running sequence, and the new one, room for one token.
+// fits reports whether s can be admitted so that each running sequence, including
+// s, still has room for one token.
 func (e *Engine) fits(s *sequence) bool {
-	room := e.cfg.MemoryTokens - e.used - len(e.running) - 1
-	return s.context() <= room && len(e.running) < e.cfg.MaxBatch
+	freeTokens := e.cfg.MemoryTokens - e.usedTokens - len(e.running) - 1
+	return s.contextTokens() <= freeTokens && len(e.running) < e.cfg.MaxBatch
 }
 
-// yieldTo preempts sequences of lower priority for s when that makes it fit.
-func (e *Engine) yieldTo(s *sequence) bool {
-	room, batch := e.cfg.MemoryTokens-e.used-len(e.running)-1, len(e.running)
+// preemptFor preempts sequences of lower priority until s fits. If that can't make
+// s fit, it preempts none and returns false.
+func (e *Engine) preemptFor(s *sequence) bool {
+	freeTokens, batchSize := e.cfg.MemoryTokens-e.usedTokens-len(e.running)-1, len(e.running)
 	for _, r := range e.running {
 		if r.job.Priority < s.job.Priority {
-			room += r.held + 1
-			batch--
+			freeTokens += r.heldTokens + 1
+			batchSize--
 		}
 	}
-	if s.context() > room || batch >= e.cfg.MaxBatch {
+	if s.contextTokens() > freeTokens || batchSize >= e.cfg.MaxBatch {
 		return false
 	}
 	for !e.fits(s) {
-		e.preempt(e.victim())
+		e.preempt(e.nextVictim())
 	}
 	return true
 }
 
-// start gives a sequence its memory and the work of its prefill. What it had
-// produced before a preemption is computed again.
-func (e *Engine) start(s *sequence) {
-	e.starts++
-	s.started, s.runs = e.starts, true
+// startSequence adds a sequence to the batch, allocates its memory and sets its
+// prefill work. Tokens produced before a preemption are computed again.
+func (e *Engine) startSequence(s *sequence) {
+	e.admissions++
+	s.startOrder, s.isRunning = e.admissions, true
 	s.index = len(e.running)
 	e.running = append(e.running, s)
-	s.held = s.context()
-	e.used += s.held
-	cached := min(e.cache.hit(s.job.Prefix)*BlockTokens, s.job.PromptTokens)
+	s.heldTokens = s.contextTokens()
+	e.usedTokens += s.heldTokens
+	cached := min(e.cache.lookup(s.job.Prefix)*BlockTokens, s.job.PromptTokens)
 	e.stats.PrefixHits += uint64(cached)
-	s.prefill = max(s.context()-cached, 1)
+	s.prefillTokens = max(s.contextTokens()-cached, 1)
 	if s.produced > 0 {
-		e.stats.Recomputed += uint64(s.prefill)
+		e.stats.Recomputed += uint64(s.prefillTokens)
 	}
 }
 
-// victim gives the running sequence that is preempted next.
-func (e *Engine) victim() *sequence {
-	v := e.running[0]
+// nextVictim returns the running sequence that is preempted next.
+func (e *Engine) nextVictim() *sequence {
+	victim := e.running[0]
 	for _, s := range e.running[1:] {
-		if s.yieldsBefore(v) {
-			v = s
+		if s.preemptedBefore(victim) {
+			victim = s
 		}
 	}
-	return v
+	return victim
 }
 
 func (e *Engine) preempt(s *sequence) {
 	e.release(s)
 	heap.Push(&e.waiting, s)
 	e.stats.Preemptions++
-	e.emit(EventPreempted, s)
+	e.emitJobEvent(EventPreempted, s)
 }
 
-// release takes a sequence out of the batch and frees its memory.
+// release removes a sequence from the batch and frees its memory.
 func (e *Engine) release(s *sequence) {
 	last := len(e.running) - 1
 	e.running[s.index] = e.running[last]
 	e.running[s.index].index = s.index
 	e.running[last] = nil
 	e.running = e.running[:last]
-	e.used -= s.held
-	s.held, s.chunk, s.runs = 0, 0, false
+	e.usedTokens -= s.heldTokens
+	s.heldTokens, s.chunkTokens, s.isRunning = 0, 0, false
 }
 
-// planStep spreads the prefill over the step and gives the step's time.
+// planStep assigns prefill chunks to sequences, up to Config.PrefillChunk tokens,
+// and returns the duration of the step.
 func (e *Engine) planStep() time.Duration {
 	budget, decoding := e.cfg.PrefillChunk, 0
 	for _, s := range e.running {
-		if s.prefill == 0 {
+		if s.prefillTokens == 0 {
 			decoding++
 			continue
 		}
-		s.chunk = min(s.prefill, budget)
-		budget -= s.chunk
+		s.chunkTokens = min(s.prefillTokens, budget)
+		budget -= s.chunkTokens
 	}
-	prompt := e.cfg.PrefillChunk - budget
-	d := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(prompt)*e.cfg.PerPrompt
-	if e.served < e.cfg.RampTime && len(e.jobs) > e.Bears() {
-		d *= coldSlowdown
+	promptTokens := e.cfg.PrefillChunk - budget
+	duration := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(promptTokens)*e.cfg.PerPrompt
+	if e.servedTime < e.cfg.RampTime && len(e.jobs) > e.Capacity() {
+		duration *= coldSlowdownFactor
 	}
-	return time.Duration(float64(d) * e.slow)
+	return time.Duration(float64(duration) * e.slowFactor)
 }
 
-// endStep gives each decoding sequence its token.
+// endStep completes the step for each sequence of the batch.
 func (e *Engine) endStep() {
 	e.stepping = false
-	e.served += e.stepTime
+	e.servedTime += e.stepTime
 	for i := 0; i < len(e.running); {
 		s := e.running[i]
-		e.stepOne(s)
+		e.completeStep(s)
 		if e.crashed {
 			return
 		}
-		if s.runs {
+		if s.isRunning {
 			i++
 		}
 	}
 }
 
-func (e *Engine) stepOne(s *sequence) {
-	if s.prefill > 0 {
-		s.prefill -= s.chunk
-		s.chunk = 0
-		if s.prefill > 0 {
+// completeStep completes the prefill chunk of a sequence, or produces its next
+// token if its prefill is done.
+func (e *Engine) completeStep(s *sequence) {
+	if s.prefillTokens > 0 {
+		s.prefillTokens -= s.chunkTokens
+		s.chunkTokens = 0
+		if s.prefillTokens > 0 {
 			return
 		}
 		if s.job.Crash {
@@ -160,14 +168,14 @@
 		e.cache.insert(e.now, s.job.Prefix)
 	}
 	s.produced++
-	s.held++
-	e.used++
+	s.heldTokens++
+	e.usedTokens++
 	e.stats.Tokens++
-	e.emit(EventToken, s)
+	e.emitJobEvent(EventToken, s)
 	if s.produced == s.job.Length {
 		e.release(s)
 		delete(e.jobs, s.job.ID)
 		e.stats.Finished++
-		e.emit(EventFinished, s)
+		e.emitJobEvent(EventFinished, s)
 	}
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in for the platform's configuration
-// service: versioned values that clients read and watch under a call rate, and
-// an administration interface by which tests play the operators and bring
-// about faults.
+// Package platform simulates the platform's configuration service: versioned
+// values that clients read and watch under a rate limit, and an admin interface
+// that tests use to edit values as operators do and to inject faults.
 package platform
 
 import (
@@ -17,128 +16,131 @@
 	"filbertdeck/internal/standin/web"
 )
 
-// Mode is the state of the service's health.
+// Mode is the simulated health of the service.
 type Mode string
 
 // The modes of the service.
 const (
 	ModeNormal Mode = "normal"
-	// ModeDown drops every call without an answer, as a dead server does.
+	// ModeDown closes the connection of each call without a response, as when
+	// the server has crashed.
 	ModeDown Mode = "down"
-	// ModeStale answers from the state at the time of the switch.
+	// ModeStale serves the state as of the time when the mode was set.
 	ModeStale Mode = "stale"
-	// ModeSlow answers late.
+	// ModeSlow delays each response.
 	ModeSlow Mode = "slow"
 )
 
-// MaxValue bounds a value in bytes, as the platform's service does.
-const MaxValue = 1 << 20
+// MaxValueBytes is the maximum size of a value, as in the platform's service.
+const MaxValueBytes = 1 << 20
 
-// DefaultRate is the calls a second that the platform's service bears over
-// all readers ("about two thousand").
+// DefaultRate is the number of calls per second that the platform's service
+// supports for all readers together ("about two thousand").
 const DefaultRate = 2000
 
-// Config holds the stand-in's settings.
+// Config holds the settings of the simulated service.
 type Config struct {
-	// CallsPerSecond is the rate over all readers; 0 means no limit.
+	// CallsPerSecond is the rate limit for all readers together; 0 means no limit.
 	CallsPerSecond int
-	// Now tells the time that the rate goes by; nil means the wall clock.
+	// Now is the clock of the rate limit; nil means time.Now.
 	Now func() time.Time
 }
 
-// Server is the configuration service. Handler and Close are safe for
-// concurrent use.
+// Server is the simulated configuration service. Its methods and its handler
+// are safe for concurrent use.
 type Server struct {
-	now     func() time.Time
-	mu      sync.Mutex
-	store   *store
-	stale   *store
-	mode    Mode
-	delay   time.Duration
-	limiter limiter
-	changed chan struct{}
-	closed  chan struct{}
-	once    sync.Once
+	now          func() time.Time
+	mu           sync.Mutex
+	store        *store
+	staleStore   *store
+	mode         Mode
+	delay        time.Duration
+	limiter      limiter
+	stateChanged chan struct{}
+	closed       chan struct{}
+	closeOnce    sync.Once
 }
 
-// NewServer returns an empty service in normal mode.
+// NewServer returns a service without values, in ModeNormal.
 func NewServer(cfg Config) *Server {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	return &Server{
 		now: cfg.Now, store: newStore(), mode: ModeNormal, limiter: limiter{perSecond: cfg.CallsPerSecond},
-		changed: make(chan struct{}), closed: make(chan struct{}),
+		stateChanged: make(chan struct{}), closed: make(chan struct{}),
 	}
 }
 
-// Close ends all waiting watches.
-func (s *Server) Close() { s.once.Do(func() { close(s.closed) }) }
+// Close ends all blocked watch calls.
+func (s *Server) Close() { s.closeOnce.Do(func() { close(s.closed) }) }
 
-// Handler serves the published protocol and the administration interface.
+// Handler serves the platform's published protocol and the admin interface.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/healthz", func(http.ResponseWriter, *http.Request) {}).Methods(http.MethodGet)
-	r.HandleFunc("/v1/values", s.values).Methods(http.MethodGet)
-	r.HandleFunc("/admin/values/{key:.+}", s.put).Methods(http.MethodPut)
-	r.HandleFunc("/admin/values/{key:.+}", s.remove).Methods(http.MethodDelete)
-	r.HandleFunc("/admin/mode", s.setMode).Methods(http.MethodPost)
-	r.HandleFunc("/admin/restore", s.restore).Methods(http.MethodPost)
-	r.HandleFunc("/admin/calls", s.calls).Methods(http.MethodGet)
+	r.HandleFunc("/v1/values", s.handleValues).Methods(http.MethodGet)
+	r.HandleFunc("/admin/values/{key:.+}", s.handlePut).Methods(http.MethodPut)
+	r.HandleFunc("/admin/values/{key:.+}", s.handleDelete).Methods(http.MethodDelete)
+	r.HandleFunc("/admin/mode", s.handleSetMode).Methods(http.MethodPost)
+	r.HandleFunc("/admin/restore", s.handleRestore).Methods(http.MethodPost)
+	r.HandleFunc("/admin/calls", s.handleCalls).Methods(http.MethodGet)
 	return r
 }
 
-// Put writes a value, as an operator's edit does, and gives its revision.
+// Put writes a value, as an operator's edit does, and returns its revision.
 func (s *Server) Put(key, value string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.wake()
+	defer s.wakeWatches()
 	return s.store.put(key, value)
 }
 
-// SetMode switches the service's health; delay is for ModeSlow.
+// SetMode sets the simulated health; delay is the response delay of ModeSlow.
 func (s *Server) SetMode(mode Mode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if mode == ModeStale && s.mode != ModeStale {
-		s.stale = s.store.restored(s.store.revision())
+		s.staleStore = s.store.atRevision(s.store.revision())
 	}
 	s.mode, s.delay = mode, delay
-	s.wake()
+	s.wakeWatches()
 }
 
-// wake lets every waiting watch look again; the caller holds the lock.
-func (s *Server) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+// wakeWatches makes every blocked watch check again; the caller holds the lock.
+func (s *Server) wakeWatches() {
+	close(s.stateChanged)
+	s.stateChanged = make(chan struct{})
 }
 
-// look gives what a reader sees now, and a channel closed at the next change.
-func (s *Server) look() (*store, Mode, time.Duration, <-chan struct{}) {
+// visibleStore returns the store that readers currently see, the mode, the
+// response delay, and a channel that is closed at the next change. The caller
+// holds the lock.
+func (s *Server) visibleStore() (*store, Mode, time.Duration, <-chan struct{}) {
 	if s.mode == ModeStale {
-		return s.stale, s.mode, 0, s.changed
+		return s.staleStore, s.mode, 0, s.stateChanged
 	}
-	return s.store, s.mode, s.delay, s.changed
+	return s.store, s.mode, s.delay, s.stateChanged
 }
 
-type query struct {
+type watchQuery struct {
 	prefix string
 	after  uint64
 	wait   time.Duration
 }
 
-func parseQuery(r *http.Request) (query, error) {
-	q := query{prefix: r.URL.Query().Get("prefix")}
-	after, err := number(r, "after")
+func parseQuery(r *http.Request) (watchQuery, error) {
+	q := watchQuery{prefix: r.URL.Query().Get("prefix")}
+	after, err := parseUintParam(r, "after")
 	if err != nil {
 		return q, err
 	}
-	wait, err := number(r, "wait_ms")
+	wait, err := parseUintParam(r, "wait_ms")
 	q.after, q.wait = after, time.Duration(wait)*time.Millisecond
 	return q, err
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func parseUintParam(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -150,27 +152,27 @@
 	return n, nil
 }
 
-func (s *Server) values(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleValues(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
 		failure.Write(w, err)
 		return
 	}
-	if !s.admit(w, q.prefix) {
+	if !s.admitCall(w, q.prefix) {
 		return
 	}
-	web.WriteJSON(w, http.StatusOK, s.await(r, q))
+	web.WriteJSON(w, http.StatusOK, s.awaitChange(r, q))
 }
 
-// admit counts the call; past the rate it answers 429, and while the service
-// is down it drops the connection.
-func (s *Server) admit(w http.ResponseWriter, prefix string) bool {
+// admitCall counts the call. It responds with status 429 if the rate limit is
+// exceeded, and closes the connection while the service is down.
+func (s *Server) admitCall(w http.ResponseWriter, prefix string) bool {
 	s.mu.Lock()
-	allowed := s.limiter.take(s.now(), prefix)
+	allowed := s.limiter.allow(s.now(), prefix)
 	mode := s.mode
 	s.mu.Unlock()
 	if mode == ModeDown {
-		web.Abort()
+		web.AbortConnection()
 	}
 	if !allowed {
 		failure.Write(w, failure.New(failure.KindAccountLimit, "call rate exceeded").After(time.Second))
@@ -178,47 +180,47 @@
 	return allowed
 }
 
-// await answers as soon as something under the prefix changed after the
-// revision, or with what there is when the wait is over. A reader that is
-// ahead of a restored store waits for the next change like any other, so that
-// it does not ask in a tight loop.
-func (s *Server) await(r *http.Request, q query) Answer {
+// awaitChange returns as soon as a key under the prefix has changed after the
+// given revision, or with the current state when the wait time is over. A reader
+// whose revision is newer than that of a restored store also waits for the next
+// change, so that it does not poll in a tight loop.
+func (s *Server) awaitChange(r *http.Request, q watchQuery) ReadResult {
 	timeout := time.NewTimer(q.wait)
 	defer timeout.Stop()
-	over := q.wait == 0
-	start := uint64(0)
-	for first := true; ; first = false {
+	expired := q.wait == 0
+	startRevision := uint64(0)
+	for firstPass := true; ; firstPass = false {
 		s.mu.Lock()
-		st, mode, delay, changed := s.look()
-		if first {
-			start = min(q.after, st.revision())
+		st, mode, delay, changed := s.visibleStore()
+		if firstPass {
+			startRevision = min(q.after, st.revision())
 		}
-		ready := over || st.changedAfter(q.prefix, start) || st.revision() < start
-		answer := Answer{}
+		ready := expired || st.changedAfter(q.prefix, startRevision) || st.revision() < startRevision
+		result := ReadResult{}
 		if ready {
-			answer = st.read(q.prefix, q.after)
+			result = st.read(q.prefix, q.after)
 		}
 		s.mu.Unlock()
 		if mode == ModeDown {
-			web.Abort()
+			web.AbortConnection()
 		}
 		if ready {
-			s.pause(r, delay)
-			return answer
+			s.delayResponse(r, delay)
+			return result
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
-			over = true
+			expired = true
 		case <-s.closed:
-			over = true
+			expired = true
 		}
 	}
 }
 
-func (s *Server) pause(r *http.Request, d time.Duration) {
+func (s *Server) delayResponse(r *http.Request, d time.Duration) {
 	if d == 0 {
 		return
 	}
@@ -229,10 +231,10 @@
 	}
 }
 
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValue))
+func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValueBytes))
 	if err != nil {
-		failure.Write(w, failure.Wrap(err, failure.KindBodyTooLarge, "a value is at most %d bytes", MaxValue))
+		failure.Write(w, failure.Wrap(err, failure.KindBodyTooLarge, "a value is at most %d bytes", MaxValueBytes))
 		return
 	}
 	web.WriteJSON(w, http.StatusOK, revisionBody{s.Put(mux.Vars(r)["key"], string(body))})
@@ -242,15 +244,15 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleDelete(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	rev := s.store.remove(mux.Vars(r)["key"])
-	s.wake()
+	rev := s.store.delete(mux.Vars(r)["key"])
+	s.wakeWatches()
 	s.mu.Unlock()
 	web.WriteJSON(w, http.StatusOK, revisionBody{rev})
 }
 
-func (s *Server) setMode(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSetMode(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Mode    Mode  `json:"mode"`
 		DelayMS int64 `json:"delay_ms"`
@@ -263,19 +265,19 @@
 		s.SetMode(body.Mode, time.Duration(body.DelayMS)*time.Millisecond)
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		failure.Write(w, failure.New(failure.KindBadRequest, "mode: %q is none of normal, down, stale, slow", body.Mode))
+		failure.Write(w, failure.New(failure.KindBadRequest, "mode: %q is not one of normal, down, stale, slow", body.Mode))
 	}
 }
 
-// Restore puts the store back to an older state, as a backup does.
+// Restore resets the store to an older revision, as a restore from backup does.
 func (s *Server) Restore(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store = s.store.restored(revision)
-	s.wake()
+	s.store = s.store.atRevision(revision)
+	s.wakeWatches()
 }
 
-func (s *Server) restore(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleRestore(w http.ResponseWriter, r *http.Request) {
 	var body revisionBody
 	if !web.ReadJSON(w, r, &body) {
 		return
@@ -284,8 +286,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) calls(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleCalls(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	web.WriteJSON(w, http.StatusOK, s.limiter.calls)
+	web.WriteJSON(w, http.StatusOK, s.limiter.stats)
 }
--- a/internal/standin/platform/server_test.go
+++ b/internal/standin/platform/server_test.go
@@ -17,37 +17,37 @@
 
 func TestPlatform(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "platform stand-in")
+	RunSpecs(t, "simulated configuration service")
 }
 
-var _ = Describe("the configuration service", func() {
+var _ = Describe("the simulated configuration service", func() {
 	var server *platform.Server
-	var site *httptest.Server
+	var httpServer *httptest.Server
 	var now time.Time
 
-	start := func(rate int) {
+	startServer := func(rate int) {
 		server = platform.NewServer(platform.Config{CallsPerSecond: rate, Now: func() time.Time { return now }})
-		site = httptest.NewServer(server.Handler())
-		DeferCleanup(site.Close)
+		httpServer = httptest.NewServer(server.Handler())
+		DeferCleanup(httpServer.Close)
 		DeferCleanup(server.Close)
 	}
 
 	call := func(method, path, body string) (int, string) {
-		r, err := http.NewRequest(method, site.URL+path, strings.NewReader(body))
+		r, err := http.NewRequest(method, httpServer.URL+path, strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		resp, err := http.DefaultClient.Do(r)
 		if err != nil {
 			return 0, ""
 		}
 		defer resp.Body.Close()
-		var out strings.Builder
-		_ = resp.Write(&out)
-		return resp.StatusCode, out.String()
+		var summary strings.Builder
+		_ = resp.Write(&summary)
+		return resp.StatusCode, summary.String()
 	}
 
-	// read gives the answer in short: revision, keys, and key@revision=value.
-	read := func(query string) string {
-		resp, err := http.Get(site.URL + "/v1/values?" + query)
+	// readValues summarizes the response: revision, keys, and key@revision=value.
+	readValues := func(query string) string {
+		resp, err := http.Get(httpServer.URL + "/v1/values?" + query)
 		if err != nil {
 			return "no answer"
 		}
@@ -55,25 +55,25 @@
 		if resp.StatusCode != http.StatusOK {
 			return fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Retry-After"))
 		}
-		var a platform.Answer
-		Expect(json.NewDecoder(resp.Body).Decode(&a)).To(Succeed())
-		out := fmt.Sprint(a.Revision, " ", a.Keys)
-		for _, v := range a.Values {
-			out += fmt.Sprintf(" %s@%d=%s", v.Key, v.Revision, v.Value)
+		var result platform.ReadResult
+		Expect(json.NewDecoder(resp.Body).Decode(&result)).To(Succeed())
+		summary := fmt.Sprint(result.Revision, " ", result.Keys)
+		for _, v := range result.Values {
+			summary += fmt.Sprintf(" %s@%d=%s", v.Key, v.Revision, v.Value)
 		}
-		return out
+		return summary
 	}
 
-	edit := func() {
+	writeSampleValues := func() {
 		server.Put("table/0001", "a")
 		server.Put("drain", "dc-1")
 		server.Put("table/0001", "b")
 	}
 
-	DescribeTable("answers what changed under a prefix", func(query, want string) {
-		start(0)
-		edit()
-		Expect(read(query)).To(Equal(want))
+	DescribeTable("returns the values that changed under a prefix", func(query, want string) {
+		startServer(0)
+		writeSampleValues()
+		Expect(readValues(query)).To(Equal(want))
 	},
 		Entry("all", "", "3 [drain table/0001] drain@2=dc-1 table/0001@3=b"),
 		Entry("prefix", "prefix=drain", "3 [drain] drain@2=dc-1"),
@@ -82,65 +82,65 @@
 		Entry("bad number", "after=x", "400 "),
 	)
 
-	DescribeTable("wakes a watch", func(write func(), want string) {
-		start(0)
-		edit()
-		answer := make(chan string, 1)
-		go func() { answer <- read("prefix=table/&after=3&wait_ms=60000") }()
+	DescribeTable("ends a blocked watch", func(write func(), want string) {
+		startServer(0)
+		writeSampleValues()
+		response := make(chan string, 1)
+		go func() { response <- readValues("prefix=table/&after=3&wait_ms=60000") }()
 		Eventually(func() string { _, body := call("GET", "/admin/calls", ""); return body }).
 			Should(ContainSubstring(`"total":1`))
 		write()
-		Eventually(answer, 5*time.Second).Should(Receive(Equal(want)))
+		Eventually(response, 5*time.Second).Should(Receive(Equal(want)))
 	},
 		Entry("by a write", func() { server.Put("table/0002", "c") }, "4 [table/0001 table/0002] table/0002@4=c"),
 		Entry("by a deletion", func() { call("DELETE", "/admin/values/table/0001", "") }, "4 []"),
 		Entry("by a restore", func() { call("POST", "/admin/restore", `{"revision":1}`) }, "1 [table/0001]"),
-		Entry("by its end", func() { call("POST", "/admin/mode", `{"mode":"down"}`) }, "no answer"),
+		Entry("by a switch to the mode down", func() { call("POST", "/admin/mode", `{"mode":"down"}`) }, "no answer"),
 	)
 
-	// Operators put an old backup in place. Readers that know later edits see
-	// the revision fall, and later edits get revisions that were given before.
-	It("gives a restored state with its old, lower revision", func() {
-		start(0)
-		edit()
+	// After operators restore an old backup, readers that have seen later edits
+	// observe a lower revision, and new edits reuse revision numbers.
+	It("serves a restored state with its old, lower revision", func() {
+		startServer(0)
+		writeSampleValues()
 		call("POST", "/admin/restore", `{"revision":2}`)
-		Expect(read("")).To(Equal("2 [drain table/0001] drain@2=dc-1 table/0001@1=a"))
+		Expect(readValues("")).To(Equal("2 [drain table/0001] drain@2=dc-1 table/0001@1=a"))
 		call("PUT", "/admin/values/table/0001", "other")
-		Expect(read("after=2")).To(Equal("3 [drain table/0001] table/0001@3=other"))
+		Expect(readValues("after=2")).To(Equal("3 [drain table/0001] table/0001@3=other"))
 	})
 
-	// The service answers, but from a replica that got stuck: edits are made
-	// and nobody sees them until it catches up.
+	// The service responds from a replica that lags behind: readers do not see
+	// new edits until the replica catches up.
 	It("hides edits while it is stale and shows them afterwards", func() {
-		start(0)
-		edit()
+		startServer(0)
+		writeSampleValues()
 		call("POST", "/admin/mode", `{"mode":"stale"}`)
 		server.Put("drain", "")
-		Expect(read("prefix=drain")).To(Equal("3 [drain] drain@2=dc-1"))
+		Expect(readValues("prefix=drain")).To(Equal("3 [drain] drain@2=dc-1"))
 		call("POST", "/admin/mode", `{"mode":"normal"}`)
-		Expect(read("prefix=drain&after=3&wait_ms=60000")).To(Equal("4 [drain] drain@4="))
+		Expect(readValues("prefix=drain&after=3&wait_ms=60000")).To(Equal("4 [drain] drain@4="))
 	})
 
-	It("drops calls while it is down, and refuses unknown modes and big values", func() {
-		start(0)
+	It("drops calls while it is down, and rejects unknown modes and oversized values", func() {
+		startServer(0)
 		server.SetMode(platform.ModeDown, 0)
-		Expect(read("")).To(Equal("no answer"))
+		Expect(readValues("")).To(Equal("no answer"))
 		server.SetMode(platform.ModeSlow, time.Millisecond)
-		Expect(read("")).To(Equal("0 []"))
+		Expect(readValues("")).To(Equal("0 []"))
 		status, _ := call("POST", "/admin/mode", `{"mode":"odd"}`)
 		Expect(status).To(Equal(http.StatusBadRequest))
-		status, _ = call("PUT", "/admin/values/big", strings.Repeat("x", platform.MaxValue+1))
+		status, _ = call("PUT", "/admin/values/big", strings.Repeat("x", platform.MaxValueBytes+1))
 		Expect(status).To(Equal(http.StatusRequestEntityTooLarge))
 	})
 
-	It("counts calls and answers 429 past the rate", func() {
-		start(2)
-		answers := ""
+	It("counts calls and responds with 429 when the rate limit is exceeded", func() {
+		startServer(2)
+		responses := ""
 		for range 3 {
-			answers += read("prefix=p") + ";"
+			responses += readValues("prefix=p") + ";"
 		}
 		now = now.Add(time.Second)
-		Expect(answers + read("prefix=p")).To(Equal("0 [];0 [];429 1;0 []"))
+		Expect(responses + readValues("prefix=p")).To(Equal("0 [];0 [];429 1;0 []"))
 		_, body := call("GET", "/admin/calls", "")
 		Expect(body).To(ContainSubstring(`"total":4,"refused":1`))
 	})
