--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -76,7 +76,7 @@
 
 func statusOf(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
-		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Bears,
+		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Capacity,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
--- a/internal/control/news/news.go
+++ b/internal/control/news/news.go
@@ -237,7 +237,7 @@
 		return
 	}
 	b.pools.Each(func(_ pools.Plan, r *pool.Runner) {
-		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoison(now, crashes) })
+		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoisonEvidence(now, crashes) })
 	})
 }
 
--- a/internal/control/news/news_test.go
+++ b/internal/control/news/news_test.go
@@ -82,7 +82,7 @@
 	It("reaches the other pools of the process, and peers at once", func() {
 		b, runners, decisions := twoPools()
 		r := runners["reports"]
-		r.Report(admission.Report{Target: "127.0.0.1:1", Incarnation: 1, Bears: 10})
+		r.Report(admission.Report{Target: "127.0.0.1:1", Incarnation: 1, Capacity: 10})
 		r.Ask(admission.Ask{Request: 1, Account: "park", Fingerprint: 7, MaxWait: time.Minute})
 		var d admission.Decision
 		Eventually(decisions).Should(Receive(&d))
--- a/internal/control/pools/manager.go
+++ b/internal/control/pools/manager.go
@@ -201,7 +201,7 @@
 	for _, a := range t.Accounts {
 		shares = append(shares, admission.Share{
 			Account: a.Name, Weight: a.Weight, MaxRunning: a.MaxRunning, Priority: a.Priority,
-			Leased: a.Limited(),
+			SharedLimits: a.Limited(),
 		})
 	}
 	return shares
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -40,9 +40,9 @@
 // compared: a pool that was given up and taken up again is another one.
 type Pool interface {
 	// Uses tells what accounts with limits do; it resets their counts of tokens.
-	Uses() []admission.QuotaUse
+	Uses() []admission.QuotaUsage
 	// SetParts puts parts in force. Until counts from the controller's start.
-	SetParts(start time.Time, parts []admission.Part)
+	SetParts(start time.Time, parts []admission.QuotaGrant)
 }
 
 // Transport carries a request to an owner. It bounds the time of the call.
--- a/internal/control/quota/runner.go
+++ b/internal/control/quota/runner.go
@@ -21,16 +21,16 @@
 type runner struct{ *pool.Runner }
 
 // Uses implements Pool.
-func (r runner) Uses() []admission.QuotaUse { return r.QuotaUses() }
+func (r runner) Uses() []admission.QuotaUsage { return r.QuotaUses() }
 
 // SetParts implements Pool.
-func (r runner) SetParts(start time.Time, parts []admission.Part) {
+func (r runner) SetParts(start time.Time, parts []admission.QuotaGrant) {
 	r.Do(func(a *admission.Allocator, now time.Duration) {
 		for _, p := range parts {
 			// The end is a point in time on the controller's clock; an event that
 			// waited must not make the lease longer.
-			p.Until = now + time.Until(start.Add(p.Until))
-			a.SetPart(now, p)
+			p.ExpiresAt = now + time.Until(start.Add(p.ExpiresAt))
+			a.SetQuotaGrant(now, p)
 		}
 	})
 }
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -143,7 +143,7 @@
 	_, fence, _ := s.pools.Runner(name)
 	ss.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Grant{Grant: &filbertv1.Grant{
 		Request: d.Request, Lease: uint64(d.Lease), Target: d.Target,
-		LeaseMs: uint32(d.LeaseFor.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
+		LeaseMs: uint32(d.LeaseDuration.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
 	}}})
 }
 
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -120,7 +120,7 @@
 	seeds chan struct{}
 
 	mu       sync.Mutex
-	core     *membership.Core
+	core     *membership.Node
 	heads    map[string]peerHeads
 	pulling  map[string]bool
 	version  uint64
@@ -239,7 +239,7 @@
 		c.peers.keep(view.Neighbours)
 		c.forgetHeads(view.Neighbours)
 		c.cfg.SetReader(view.IsReader())
-		c.cfg.Store.Peers(max(known, len(view.Live(""))-1))
+		c.cfg.Store.Peers(max(known, len(view.LiveAddresses(""))-1))
 	}
 	c.cfg.Store.Ready()
 	c.askMore(ctx, view)
@@ -266,7 +266,7 @@
 	switch a.Kind {
 	case membership.ActionProbe:
 		c.probe(ctx, a)
-	case membership.ActionProbeVia:
+	case membership.ActionIndirectProbe:
 		c.probeVia(ctx, a)
 	case membership.ActionSync:
 		c.sync(ctx, a)
@@ -308,7 +308,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.core.Published(c.now(), list)
+	c.core.SetPublishedPeers(c.now(), list)
 	c.known = others
 	c.mu.Unlock()
 	c.cfg.Store.Peers(others)
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -88,8 +88,8 @@
 	}
 	n.ctl, err = gossip.New(gossip.Config{
 		Membership: membership.Config{
-			Self:       membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
-			ProbeEvery: cmp.Or(cfg.every, probeEvery), Rings: cfg.rings,
+			Self:          membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
+			ProbeInterval: cmp.Or(cfg.every, probeEvery), RingCount: cfg.rings,
 		},
 		Seeds: list, Store: n.store, Hosts: &n.docs.Hosts, Credentials: cfg.creds,
 		SetReader: func(on bool) {
@@ -161,7 +161,7 @@
 }
 
 func live(count int) func(*node) bool {
-	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.Live("")) == count }
+	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.LiveAddresses("")) == count }
 }
 
 // soon bounds only a spec that hangs: 32 copies of this package at once, with
@@ -188,7 +188,7 @@
 			}
 			return count
 		}
-		Eventually(readers, soon, often).Should(Equal(membership.Readers))
+		Eventually(readers, soon, often).Should(Equal(membership.ReadersPerDataCentre))
 	})
 
 	// An edit comes just while a process works out its probes. A change that is
--- a/internal/controller/gossip/spread.go
+++ b/internal/controller/gossip/spread.go
@@ -23,7 +23,7 @@
 	if time.Since(c.asked) < askPause {
 		return
 	}
-	others := slices.DeleteFunc(view.Live(""), func(a string) bool { return a == view.Self.Address })
+	others := slices.DeleteFunc(view.LiveAddresses(""), func(a string) bool { return a == view.Self.Address })
 	unasked := c.cfg.Store.Unasked(others)
 	if len(unasked) == 0 {
 		return
--- a/internal/controller/published/news.go
+++ b/internal/controller/published/news.go
@@ -83,7 +83,7 @@
 		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
 		Reading: c.reading && !c.lost && c.confirmed, StoreRejects: c.rejectedAt(now), Config: c.doc.rows.Head(),
 	}
-	if due, ever := c.silence.Due(); ever && c.silence.Suspect(c.currentAt) {
+	if due, ever := c.silence.LastOverdue(); ever && c.silence.IsSuspect(c.currentAt) {
 		n.Overdue = max(now-due, time.Millisecond)
 	}
 	p := c.peers[address]
@@ -96,7 +96,7 @@
 	if records := c.mirror.Delta(lacks.records); len(records) > mostRecords {
 		n.Withheld = true
 	} else {
-		n.From, n.Records = c.mirror.Base(lacks.records), c.encode(records)
+		n.From, n.Records = c.mirror.DeltaBase(lacks.records), c.encode(records)
 	}
 	n.Delta = c.doc.deltaFrom(lacks.config, shortDelta)
 	if len(n.Records) > 0 || n.Delta != nil {
@@ -162,12 +162,12 @@
 func (c *Controller) takeChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
 	switch {
 	case from == 0 && to > 0:
-		return c.mirror.Whole(now, records, to)
+		return c.mirror.ApplySnapshot(now, records, to)
 	case from <= c.mirror.Revision():
-		return c.mirror.Merge(now, records, to)
+		return c.mirror.MergeFromPeer(now, records, to)
 	}
 	// What was published between is missing here.
-	return c.mirror.Merge(now, records, 0)
+	return c.mirror.MergeFromPeer(now, records, 0)
 }
 
 // takeDelta takes a short change of the configuration. One that doesn't fit is
@@ -189,7 +189,7 @@
 		return false
 	}
 	record := directory.Record{Key: directory.ConfigKey, Revision: c.doc.revision(), Config: cfg}
-	return c.mirror.Changes(now, []directory.Record{record}, 0)
+	return c.mirror.ApplyChanges(now, []directory.Record{record}, 0)
 }
 
 // Holds gives the store's revision at the configuration in force, 0 for none,
@@ -225,7 +225,7 @@
 
 // packRecords compresses what leads from a revision to what is held here.
 func (c *Controller) packRecords(after uint64) ([]byte, error) {
-	from, to := c.mirror.Base(after), c.mirror.Revision()
+	from, to := c.mirror.DeltaBase(after), c.mirror.Revision()
 	if c.packed.from == from && c.packed.to == to {
 		return c.packed.bytes, nil
 	}
@@ -312,7 +312,7 @@
 		c.currentAt = at
 	}
 	c.confirmed = true
-	c.mirror.Confirm(c.currentAt)
+	c.mirror.ConfirmUpToDate(c.currentAt)
 }
 
 // RejectedFor is how long a call that the store rejected counts against a host
@@ -351,14 +351,14 @@
 func (c *Controller) Suspects() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Suspect(c.currentAt)
+	return c.silence.IsSuspect(c.currentAt)
 }
 
 // overdue notes an answer of the store that was due at a time and has not come,
 // as a peer said or, with an empty name, this host saw. It is called with the
 // lock held.
 func (c *Controller) overdue(due time.Duration, peer string) {
-	if !c.silence.Overdue(due) || !c.silence.Suspect(c.currentAt) {
+	if !c.silence.RecordOverdue(due) || !c.silence.IsSuspect(c.currentAt) {
 		return
 	}
 	c.cfg.Log.Info("store suspected to be silent", "overdue_for", c.cfg.Now()-due, "peer", peer, "age", c.cfg.Now()-c.currentAt)
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/published/published_test.go
@@ -472,7 +472,7 @@
 		h.source.remove(directory.TargetKey("i-0"))
 		h.read()
 		Expect(lookAt(h)).To(BeTrue())
-		h.now += mirror.DefaultReturnGrace
+		h.now += mirror.DefaultRecoveryGrace
 		h.read()
 		Expect(lookAt(h)).To(BeFalse())
 	})
--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -26,10 +26,10 @@
 // Config holds the settings, which are durations on the monotonic clock; a
 // field that is zero takes its default.
 type Config struct {
-	// ReturnGrace is how long after the store's recovery a target whose entry
+	// RecoveryGrace is how long after the store's recovery a target whose entry
 	// is gone is still taken for alive: entries lapse while the store is down
 	// and come back within about two seconds.
-	ReturnGrace time.Duration
+	RecoveryGrace time.Duration
 	// MinLapseOutage is how long the store must have been down for the entries
 	// of live targets to lapse.
 	MinLapseOutage time.Duration
@@ -40,9 +40,9 @@
 
 // Defaults of Config.
 const (
-	// DefaultReturnGrace allows for entries to be back within about two
+	// DefaultRecoveryGrace allows for entries to be back within about two
 	// seconds.
-	DefaultReturnGrace = 2200 * time.Millisecond
+	DefaultRecoveryGrace = 2200 * time.Millisecond
 	// DefaultMinLapseOutage: an entry lapses after three heartbeats, of 1.2 s,
 	// without one; the last may have come just before the store went down.
 	DefaultMinLapseOutage = 2400 * time.Millisecond
@@ -86,8 +86,8 @@
 
 // New returns an empty mirror.
 func New(cfg Config) *Mirror {
-	if cfg.ReturnGrace == 0 {
-		cfg.ReturnGrace = DefaultReturnGrace
+	if cfg.RecoveryGrace == 0 {
+		cfg.RecoveryGrace = DefaultRecoveryGrace
 	}
 	if cfg.MinLapseOutage == 0 {
 		cfg.MinLapseOutage = DefaultMinLapseOutage
@@ -95,14 +95,14 @@
 	if cfg.RemovalRetention == 0 {
 		cfg.RemovalRetention = DefaultRemovalRetention
 	}
-	return &Mirror{cfg: cfg, records: map[string]entry{}, targets: map[string]*directory.Seen{}, recoveredAt: -cfg.ReturnGrace, index: directory.NewIndex(nil)}
+	return &Mirror{cfg: cfg, records: map[string]entry{}, targets: map[string]*directory.Seen{}, recoveredAt: -cfg.RecoveryGrace, index: directory.NewIndex(nil)}
 }
 
 // Revision returns the store's revision up to which all changes are known here.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// StoreLost records that the store did not answer.
-func (m *Mirror) StoreLost() { m.storeDown = true }
+// StoreFailed records that the store did not answer.
+func (m *Mirror) StoreFailed() { m.storeDown = true }
 
 // StoreAnswered records that the store answered. If the store had been down for
 // long enough, it starts the grace period for lapsed entries.
@@ -113,15 +113,15 @@
 	m.storeDown = false
 }
 
-// Confirm records that nothing newer than the known records had been published
+// ConfirmUpToDate records that nothing newer than the known records had been published
 // at the time at, because the store had answered some host.
-func (m *Mirror) Confirm(at time.Duration) { m.upToDateAt = max(m.upToDateAt, at) }
+func (m *Mirror) ConfirmUpToDate(at time.Duration) { m.upToDateAt = max(m.upToDateAt, at) }
 
-// Whole applies a full snapshot whose read began at the revision at. A record
+// ApplySnapshot applies a full snapshot whose read began at the revision at. A record
 // that it lacks was removed by then; the exception is the configuration, which
 // peers send separately. It reports whether anything changed that matters to
 // requests.
-func (m *Mirror) Whole(now time.Duration, records []directory.Record, at uint64) bool {
+func (m *Mirror) ApplySnapshot(now time.Duration, records []directory.Record, at uint64) bool {
 	if at > m.revision {
 		m.removalFloor = at
 	}
@@ -135,13 +135,13 @@
 			changed = m.put(now, directory.Record{Key: key, Revision: at, Gone: true}) || changed
 		}
 	}
-	return m.Changes(now, records, at) || changed
+	return m.ApplyChanges(now, records, at) || changed
 }
 
-// Changes applies records; at is the revision up to which they complete the
+// ApplyChanges applies records; at is the revision up to which they complete the
 // known records, or 0 if that is unknown. It reports whether anything changed
 // that matters to requests.
-func (m *Mirror) Changes(now time.Duration, records []directory.Record, at uint64) bool {
+func (m *Mirror) ApplyChanges(now time.Duration, records []directory.Record, at uint64) bool {
 	changed := false
 	for _, r := range records {
 		changed = m.put(now, r) || changed
@@ -150,12 +150,12 @@
 	return changed
 }
 
-// Merge applies records that another process passed on. It also marks them for
+// MergeFromPeer applies records that another process passed on. It also marks them for
 // passing on in turn, even those that change nothing here: that process may
 // have known states in between that this one never did, such as a target that
 // came and went.
-func (m *Mirror) Merge(now time.Duration, records []directory.Record, at uint64) bool {
-	changed := m.Changes(now, records, at)
+func (m *Mirror) MergeFromPeer(now time.Duration, records []directory.Record, at uint64) bool {
+	changed := m.ApplyChanges(now, records, at)
 	for _, r := range records {
 		if e := m.records[r.Key]; e.Revision == r.Revision {
 			e.routingRevision = r.Revision
@@ -264,9 +264,9 @@
 	return oldTarget == newTarget && (old.ColdUntil > 0) == (updated.ColdUntil > 0)
 }
 
-// Left returns the targets that were reported to leave, or whose entries were
+// TakeDeparted returns the targets that were reported to leave, or whose entries were
 // removed, since it was last called.
-func (m *Mirror) Left() []string {
+func (m *Mirror) TakeDeparted() []string {
 	departed := m.departed
 	m.departed = nil
 	return departed
@@ -297,10 +297,10 @@
 	return slices.DeleteFunc(m.ChangedSince(0), func(r directory.Record) bool { return r.Gone })
 }
 
-// Base returns the revision at which a delta starts: the requested one or,
+// DeltaBase returns the revision at which a delta starts: the requested one or,
 // where removals since then may be unknown here, 0, which stands for all
 // existing records.
-func (m *Mirror) Base(after uint64) uint64 {
+func (m *Mirror) DeltaBase(after uint64) uint64 {
 	if after >= m.removalFloor {
 		return after
 	}
@@ -335,15 +335,15 @@
 		return s
 	}
 	out := *s
-	lapsedWithStore := e.Gone && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.ReturnGrace
-	out.Listed = lapsedWithStore && now < m.recoveredAt+m.cfg.ReturnGrace
+	lapsedWithStore := e.Gone && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.RecoveryGrace
+	out.Listed = lapsedWithStore && now < m.recoveredAt+m.cfg.RecoveryGrace
 	return &out
 }
 
-// NextChange returns the time at which the view changes without a new record,
+// NextViewChange returns the time at which the view changes without a new record,
 // or 0 if it does not.
-func (m *Mirror) NextChange(now time.Duration) time.Duration {
-	if end := m.recoveredAt + m.cfg.ReturnGrace; now < end {
+func (m *Mirror) NextViewChange(now time.Duration) time.Duration {
+	if end := m.recoveredAt + m.cfg.RecoveryGrace; now < end {
 		return end
 	}
 	return 0
--- a/internal/decide/quota/doc.go
+++ b/internal/decide/quota/doc.go
@@ -75,7 +75,7 @@
 }
 
 func (c Config) tenure() ownership.Config {
-	return ownership.Config{ConfirmFor: c.ConfirmFor, ActFor: c.LeaseFor + c.Margin}
+	return ownership.Config{ConfirmationTTL: c.ConfirmFor, ActionTTL: c.LeaseFor + c.Margin}
 }
 
 // Limits are a row's limits; 0 means none.
--- a/internal/decide/quota/owner.go
+++ b/internal/decide/quota/owner.go
@@ -130,10 +130,10 @@
 		a := old[name]
 		if a == nil {
 			a = &account{leases: map[string]*lease{}}
-			a.tenure.Set(began, revision, true)
+			a.tenure.SetOwner(began, revision, true)
 		}
 		a.tenure.Confirm(o.confirmed)
-		a.tenure.Set(now, revision, true)
+		a.tenure.SetOwner(now, revision, true)
 		o.accounts[name] = a
 	}
 }
@@ -149,8 +149,8 @@
 	}
 	l := a.book(now, d, o.cfg.LingerFor)
 	a.tenure.Confirm(o.confirmed)
-	if !a.tenure.Sole(now, o.cfg.tenure()) {
-		return Grant{Account: d.Account, RetryAfter: max(a.tenure.SoleFrom(o.cfg.tenure())-now, o.cfg.LeaseFor/3)}
+	if !a.tenure.IsExclusive(now, o.cfg.tenure()) {
+		return Grant{Account: d.Account, RetryAfter: max(a.tenure.ExclusiveFrom(o.cfg.tenure())-now, o.cfg.LeaseFor/3)}
 	}
 	end := now + o.cfg.LeaseFor + o.cfg.Margin
 	running := a.runningPart(now, limits.Running, l)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -16,7 +16,7 @@
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/decide/hedge"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/callers"
@@ -47,8 +47,8 @@
 
 // newProcess draws the incarnation: another process at the same address is
 // another owner of idempotency keys.
-func newProcess(s *Settings) once.Process {
-	return once.Process{Address: s.PeerListen, Incarnation: rand.Uint64() | 1}
+func newProcess(s *Settings) idempotency.Process {
+	return idempotency.Process{Address: s.PeerListen, Incarnation: rand.Uint64() | 1}
 }
 
 // ringEvery is how often the key ring's file is looked at.
@@ -89,7 +89,7 @@
 	}, s.StopNotice, s.StopWait)
 }
 
-func newAdmission(lc fx.Lifecycle, self once.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
+func newAdmission(lc fx.Lifecycle, self idempotency.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
 	hello := &filbertv1.Hello{Entry: self.Address, Incarnation: self.Incarnation, DataCentre: s.DataCentre}
 	c := admit.New(hello, creds, b.Owners, reg)
 	lc.Append(fx.StopHook(c.Close))
@@ -98,7 +98,7 @@
 
 func newTargetClient() *targetclient.Client { return targetclient.New(targetclient.Settings{}) }
 
-func newPicker(b *state.Board, self once.Process, s *Settings) *state.Picker {
+func newPicker(b *state.Board, self idempotency.Process, s *Settings) *state.Picker {
 	return state.NewPicker(b, self.Address, s.DataCentre)
 }
 
@@ -123,7 +123,7 @@
 	return p
 }
 
-func newOnce(a *admit.Client, ring *handle.Ring, self once.Process, b *state.Board, pick *state.Picker, p *plain.Peers) *plain.Once {
+func newOnce(a *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, pick *state.Picker, p *plain.Peers) *plain.Once {
 	o := &plain.Once{
 		Admission: a, Client: targetclient.NewOnce(targetclient.Settings{}), Pick: pick,
 		Ring: ring, Self: self, Board: b, Forwarder: p,
@@ -141,7 +141,7 @@
 	}
 }
 
-func newWatcher(b *state.Board, books *accounting.Book, self once.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
+func newWatcher(b *state.Board, books *accounting.Book, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
 	controls := s.Control
 	if len(controls) == 0 {
 		controls = []string{defaultControl}
@@ -186,7 +186,7 @@
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, books *accounting.Book, b *state.Board, self once.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, books *accounting.Book, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
--- a/internal/entry/state/pick.go
+++ b/internal/entry/state/pick.go
@@ -42,7 +42,7 @@
 	views atomic.Pointer[viewSet]
 
 	mu      sync.Mutex
-	centres *drain.Centres
+	centres *drain.DataCentres
 }
 
 // viewSet is one immutable state of all services' pools.
@@ -57,7 +57,7 @@
 func NewPicker(b *Board, entry, dataCentre string) *Picker {
 	return &Picker{
 		board: b, entry: entry, dataCentre: dataCentre, start: time.Now(),
-		cfg: decide.Config{NewsFor: pushedNews}, centres: drain.NewCentres(drain.Config{}),
+		cfg: decide.Config{NewsFor: pushedNews}, centres: drain.NewDataCentres(drain.RampConfig{}),
 	}
 }
 
@@ -116,7 +116,7 @@
 		ms, known := backlogs[views[i].ID]
 		views[i].Backlog, views[i].Heard = time.Duration(ms)*time.Millisecond, known
 		views[i].Sent = int(set.sent[views[i].ID].Load())
-		views[i].Share = p.centres.Share(now, views[i].DataCentre)
+		views[i].Share = p.centres.WorkShare(now, views[i].DataCentre)
 	}
 }
 
@@ -168,7 +168,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.centres.Set(p.now(), out)
+	p.centres.SetDrained(p.now(), out)
 }
 
 func viewOf(pool *filbertv1.Pool) decide.View {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -38,7 +38,7 @@
 }
 
 // basis gives what a target is chosen by now.
-func (g *Gateway) basis() *basis { return &basis{view: g.view(), age: g.cfg.Age(), at: time.Now()} }
+func (g *Gateway) basis() *basis { return &basis{view: g.view(), age: g.cfg.ViewAge(), at: time.Now()} }
 
 // sent notes that the first byte is sent.
 func (b *basis) sent() { b.waited.Store(int64(time.Since(b.at))) }
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -93,7 +93,7 @@
 func (g *Gateway) generate(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
 	g.runs.add(gen)
 	defer g.runs.remove(gen)
 	l, err := gen.start()
@@ -127,7 +127,7 @@
 		gen.enter(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
 			"tokens", tokensOf(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", by, "tries", t.sent+t.unsent+1,
-			"running", place.chosen.Running, "promised", place.chosen.Tokens, "unread", place.chosen.Unread, "step", place.chosen.Step)
+			"running", place.chosen.Running, "promised", place.chosen.ReservedTokens, "unread", place.chosen.UnreadTokens, "step", place.chosen.TimePerToken)
 		l, err := gen.open(gen.send(target), target, place, by)
 		if err == nil {
 			gen.opened(l)
@@ -188,7 +188,7 @@
 		defer timer.Stop()
 	}
 	b := gen.cover(s, target)
-	end := gen.g.cfg.Suspects.begin(target, gen.fingerprint)
+	end := gen.g.cfg.CrashEvidence.begin(target, gen.fingerprint)
 	resp, answer, err := gen.g.open(ctx, s, by)
 	if answer.Leaving && gen.movable() {
 		gen.g.checkLeaving(target)
@@ -240,7 +240,7 @@
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Event(gen.pauses.last); full && gen.service.Engine != nil {
+		if mean, full := window.Add(gen.pauses.last); full && gen.service.Engine != nil {
 			gen.g.cfg.Loads.Stepped(l.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -118,9 +118,9 @@
 	out      *blackboard.Writer[directory.View]
 	cfg      *directory.Config
 	calls    *http.Client
-	loads    *gateway.Loads
+	loads    *gateway.TargetLoads
 	gateway  *gateway.Gateway
-	suspects *gateway.Suspects
+	suspects *gateway.CrashEvidence
 	targets  []*directory.Seen
 	// blind is set while nobody can say what is published.
 	blind atomic.Bool
@@ -143,16 +143,16 @@
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	d := &deck{out: out, cfg: testConfig(), loads: gateway.NewLoads("host-1", "dc-1", now), suspects: gateway.NewSuspects(now)}
+	d := &deck{out: out, cfg: testConfig(), loads: gateway.NewTargetLoads("host-1", "dc-1", now), suspects: gateway.NewCrashEvidence(now)}
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
-		Loads: d.loads, Suspects: d.suspects, Budget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Blind: d.blind.Load, Current: func() bool { return !d.blind.Load() }, Age: func() time.Duration { return 0 },
+		Loads: d.loads, CrashEvidence: d.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
+		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: d.blind.Load, ViewCurrent: func() bool { return !d.blind.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	d.gateway = g
 	ctx, cancel := context.WithCancel(context.Background())
-	go g.Run(ctx)
+	go g.MoveGenerations(ctx)
 	server := httptest.NewServer(g)
 	DeferCleanup(func() { cancel(); server.CloseClientConnections(); server.Close() })
 	d.url, d.calls = server.URL, server.Client()
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -23,7 +23,7 @@
 		var decks []*deck
 		for i := range hosts {
 			d := startDeck()
-			d.loads.BoundCold(gateway.ColdBound{Rank: func(string) (int, int) { return i, hosts }})
+			d.loads.SetColdRateLimit(gateway.ColdRateLimit{Rank: func(string) (int, int) { return i, hosts }})
 			decks = append(decks, d)
 			for _, t := range targets {
 				d.add(t.entry("app", "dc-1"))
--- a/internal/gateway/mover.go
+++ b/internal/gateway/mover.go
@@ -65,7 +65,7 @@
 		return
 	}
 	e := gen.service.Engine
-	wake.Sleep(ctx, gen.g.cfg.Migration.Wait(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
+	wake.Sleep(ctx, gen.g.cfg.Migration.CopyDelay(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
 	avoid := []string{from.ID}
 	for gen.started(ctx) && gen.runsAt(from) {
 		var over bool
@@ -208,5 +208,5 @@
 		return false
 	}
 	most := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
-	return gen.g.cfg.Migration.Stays(migration.MostLeft(most, p.events, p.last-p.first), leavesIn)
+	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(most, p.events, p.last-p.first), leavesIn)
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -29,7 +29,7 @@
 // is whole: one that breaks off must not look complete, and a repeatable
 // request may be sent elsewhere instead.
 func (g *Gateway) plain(ctx context.Context, x *exchange) {
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
 	var avoid []string
 	var last error
 	var answer *whole
@@ -134,7 +134,7 @@
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.Budget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.Retry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.meters.sentAgain.Inc(1)
@@ -144,7 +144,7 @@
 // try sends a request to one target. The error says whether it ran; an answer
 // without error is the target's own, also when it is a failure.
 func (g *Gateway) try(ctx context.Context, x *exchange, target *directory.Seen, by *basis) (*whole, error) {
-	end := g.cfg.Suspects.begin(target, x.fingerprint)
+	end := g.cfg.CrashEvidence.begin(target, x.fingerprint)
 	answer, err := g.fetch(ctx, x, target, by)
 	g.blame(ctx, target, err)
 	end(err == nil)
@@ -235,7 +235,7 @@
 		g.cfg.Loads.Unreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.stays(target) {
-		g.cfg.Suspects.broke(target, g.dial)
+		g.cfg.CrashEvidence.broke(target, g.dial)
 	}
 	g.cfg.Loads.Broke(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -187,10 +187,10 @@
 // behind the last event that the caller has. One that crashes engines would
 // else go from each to the next.
 func (gen *generation) anew(from *directory.Seen, why error) (*leg, error) {
-	if gen.runs >= gen.route.Attempts || gen.g.cfg.Suspects.guilty(gen.fingerprint) {
+	if gen.runs >= gen.route.Attempts || gen.g.cfg.CrashEvidence.guilty(gen.fingerprint) {
 		return nil, why
 	}
-	if !gen.g.cfg.Budget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, why
 	}
 	by := gen.g.basis()
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 )
 
@@ -61,8 +61,8 @@
 	return slices.Collect(maps.Values(seen))
 }
 
-// Run moves generations off leaving targets until ctx is done.
-func (g *Gateway) Run(ctx context.Context) {
+// MoveGenerations moves generations off leaving targets until ctx is done.
+func (g *Gateway) MoveGenerations(ctx context.Context) {
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
 	var asking askRound
@@ -100,7 +100,7 @@
 // few of the hosts of an engine ask it: what one hears the others know a tenth
 // of a second later.
 func (g *Gateway) askTargets(ctx context.Context, last askRound) askRound {
-	if !g.cfg.Blind() {
+	if !g.cfg.Disconnected() {
 		return askRound{}
 	}
 	now := g.cfg.Now()
@@ -108,7 +108,7 @@
 		return last
 	}
 	for _, t := range g.runs.targets() {
-		if silence.Asks(!last.blind, g.cfg.Loads.Hosts(t.ID), rand.Float64()) {
+		if storeoutage.ShouldAsk(!last.blind, g.cfg.Loads.Hosts(t.ID), rand.Float64()) {
 			go g.askTarget(ctx, t)
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // beginMove begins a move if the generation's target leaves and none was begun.
-func (gen *generation) beginMove(view *directory.View, loads *Loads) (*directory.Seen, *move, bool) {
+func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.Seen, *move, bool) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.at == nil || gen.move != nil || !gen.movable() {
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -32,8 +32,8 @@
 	take   func(peer string, news *filbertv1.PublishedNews, asked time.Time)
 
 	mu    sync.Mutex
-	plan  *fetch.Plan
-	giver fetch.Giver
+	plan  *fetch.PeerSelector
+	giver fetch.UploadLimiter
 	// whole is set when what is held here fits to no peer's changes.
 	whole bool
 }
@@ -42,7 +42,7 @@
 	draw := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &fetcher{
 		published: p, roles: roles, now: now, log: log, wanted: make(chan struct{}, 1),
-		plan: fetch.NewPlan(fetch.Default(), draw),
+		plan: fetch.NewPeerSelector(fetch.DefaultConfig(), draw),
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	near := f.roles.shares(peer)
 	f.mu.Lock()
-	f.plan.Announced(f.now(), peer, near, revision)
+	f.plan.RecordAnnouncement(f.now(), peer, near, revision)
 	f.mu.Unlock()
 	wake.Signal(f.wanted)
 }
@@ -64,14 +64,14 @@
 		rank := f.roles.rankOfSelf()
 		_, _, held := f.published.Holds()
 		f.mu.Lock()
-		peer, timeout, ok := f.plan.Next(f.now(), held, rank)
-		wants := f.plan.Wants()
+		peer, timeout, ok := f.plan.StartTransfer(f.now(), held, rank)
+		wants := f.plan.IsBehind()
 		f.mu.Unlock()
 		switch {
 		case ok:
 			outcome := f.fetch(ctx, c, peer, timeout)
 			f.mu.Lock()
-			f.plan.Done(f.now(), peer, outcome)
+			f.plan.FinishTransfer(f.now(), peer, outcome)
 			f.mu.Unlock()
 		case wants:
 			wake.Sleep(ctx, fetchEvery)
@@ -107,7 +107,7 @@
 		return fetch.Failed
 	}
 	f.take(peer, reply.GetNews(), asked)
-	return fetch.Taken
+	return fetch.Succeeded
 }
 
 // give answers a peer's fetch.
@@ -123,7 +123,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others, ok := f.giver.Give(f.now(), peer, bulk.Size())
+	others, ok := f.giver.Admit(f.now(), peer, bulk.Size())
 	if ok {
 		reply.Delta, reply.Records = bulk.Config, bulk.Records
 	} else {
--- a/internal/gatewayhost/fleet.go
+++ b/internal/gatewayhost/fleet.go
@@ -16,9 +16,9 @@
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/controller/gossip"
 	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/poison"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -42,8 +42,8 @@
 type fleet struct {
 	published *published.Controller
 	roles     *roles
-	loads     *gateway.Loads
-	suspects  *gateway.Suspects
+	loads     *gateway.TargetLoads
+	suspects  *gateway.CrashEvidence
 	fetcher   *fetcher
 	now       Clock
 	urgent    chan struct{}
@@ -54,7 +54,7 @@
 }
 
 func newFleet(
-	p *published.Controller, roles *roles, loads *gateway.Loads, suspects *gateway.Suspects, fetcher *fetcher, now Clock,
+	p *published.Controller, roles *roles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
 ) *fleet {
 	f := &fleet{
 		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
@@ -70,11 +70,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.loads.Changed():
-			if f.loads.ByOwners() {
+		case <-f.loads.LoadsChanged():
+			if f.loads.SendsToOwnersOnly() {
 				continue
 			}
-		case <-f.loads.Alerted():
+		case <-f.loads.AlertsChanged():
 		case <-f.published.News():
 			if heads := f.roles.others(); len(heads) > 0 {
 				for _, head := range heads {
@@ -83,7 +83,7 @@
 				wake.Sleep(ctx, tellEvery)
 				continue
 			}
-		case <-f.suspects.News():
+		case <-f.suspects.Changed():
 		}
 		wake.Signal(f.urgent)
 		wake.Sleep(ctx, tellEvery)
@@ -134,29 +134,29 @@
 }
 
 func (f *fleet) supplyLoads(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.News(peer), f.now())
+	return toWire(f.loads.PendingLoads(peer), f.now())
 }
 
 func (f *fleet) takeLoads(peer string, loads []*filbertv1.TargetLoad) {
-	f.loads.Take(peer, fromWire(loads, f.now()))
+	f.loads.MergeLoads(peer, fromWire(loads, f.now()))
 }
 
 func (f *fleet) supplyAlerts(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.Alerts(peer), f.now())
+	return toWire(f.loads.PendingAlerts(peer), f.now())
 }
 
 func (f *fleet) takeAlerts(peer string, alerts []*filbertv1.TargetLoad) {
-	f.loads.TakeAlerts(peer, fromWire(alerts, f.now()))
+	f.loads.MergeAlerts(peer, fromWire(alerts, f.now()))
 }
 
 // toWire gives counts as they are told at a time on the steady clock.
-func toWire(counts []loadshare.Count, now time.Duration) []*filbertv1.TargetLoad {
+func toWire(counts []targetload.HostLoad, now time.Duration) []*filbertv1.TargetLoad {
 	out := make([]*filbertv1.TargetLoad, len(counts))
 	for i, c := range counts {
 		out[i] = &filbertv1.TargetLoad{
-			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.Tokens), Unread: count(c.Unread), Leaving: c.Leaving,
-			StepUs: count(int(c.Step.Microseconds())), Copies: count(c.Copies), Failures: c.Failures,
-			Rate: toWireRate(c.Rate, now),
+			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.ReservedTokens), Unread: count(c.UnreadTokens), Leaving: c.Leaving,
+			StepUs: count(int(c.TimePerToken.Microseconds())), Copies: count(c.BackupTokens), Failures: c.FailureSeq,
+			Rate: toWireRate(c.AdvertisedRate, now),
 		}
 	}
 	return out
@@ -179,13 +179,13 @@
 
 func count(n int) uint32 { return uint32(max(n, 0)) }
 
-func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []loadshare.Count {
-	counts := make([]loadshare.Count, len(loads))
+func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []targetload.HostLoad {
+	counts := make([]targetload.HostLoad, len(loads))
 	for i, l := range loads {
-		counts[i] = loadshare.Count{
+		counts[i] = targetload.HostLoad{
 			Host: l.GetHost(), Target: l.GetTarget(), Version: l.GetVersion(), Leaving: l.GetLeaving(),
-			Step: time.Duration(l.GetStepUs()) * time.Microsecond, Failures: l.GetFailures(), Rate: fromWireRate(l.GetRate(), now),
-			Load: loadshare.Load{Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Unread: int(l.GetUnread()), Copies: int(l.GetCopies())},
+			TimePerToken: time.Duration(l.GetStepUs()) * time.Microsecond, FailureSeq: l.GetFailures(), AdvertisedRate: fromWireRate(l.GetRate(), now),
+			Load: targetload.Load{Running: int(l.GetRunning()), ReservedTokens: int(l.GetTokens()), UnreadTokens: int(l.GetUnread()), BackupTokens: int(l.GetCopies())},
 		}
 	}
 	return counts
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -96,15 +96,15 @@
 	return c, nil
 }
 
-func newLoads(s *Settings, now Clock, size *fleetSize) *gateway.Loads {
-	loads := gateway.NewLoads(s.Deployment.ListenPeers, s.DataCentre, now)
+func newLoads(s *Settings, now Clock, size *fleetSize) *gateway.TargetLoads {
+	loads := gateway.NewTargetLoads(s.Deployment.ListenPeers, s.DataCentre, now)
 	c := s.Deployment.Cold
-	loads.BoundCold(gateway.ColdBound{Factor: c.Factor, Extra: c.Extra, Rank: size.rank})
-	loads.CountHosts(size.count)
+	loads.SetColdRateLimit(gateway.ColdRateLimit{Factor: c.Factor, Extra: c.Extra, Rank: size.rank})
+	loads.SetHostCount(size.count)
 	return loads
 }
 
-func newSuspects(now Clock) *gateway.Suspects { return gateway.NewSuspects(now) }
+func newSuspects(now Clock) *gateway.CrashEvidence { return gateway.NewCrashEvidence(now) }
 
 // accountShare is the part of the fixed number of repeated sends that one
 // client account may use up by itself.
@@ -122,15 +122,15 @@
 }
 
 func newGateway(
-	s *Settings, b *published.Board, roles *roles, c *published.Controller, loads *gateway.Loads,
-	suspects *gateway.Suspects, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, b *published.Board, roles *roles, c *published.Controller, loads *gateway.TargetLoads,
+	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
 	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDial, Header: answerLimit, Silence: answerLimit})
 	return gateway.New(gateway.Config{
-		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: b, Loads: loads, Suspects: suspects, Budget: budget,
-		Client: client, Migration: migration.Default(), Blind: func() bool { return blind(c, roles) },
-		Age:     func() time.Duration { return knownAge(c) },
-		Current: func() bool { return current(c, s.Deployment.EditWithin) }, Log: log, Metrics: reg, Now: now,
+		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: b, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
+		Client: client, Migration: migration.Default(), Disconnected: func() bool { return blind(c, roles) },
+		ViewAge:     func() time.Duration { return knownAge(c) },
+		ViewCurrent: func() bool { return current(c, s.Deployment.EditWithin) }, Log: log, Metrics: reg, Now: now,
 	})
 }
 
@@ -175,15 +175,15 @@
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
 		return nil
-	}, drain.StopConfig{
-		AnnounceFor: announceFor, QuietFor: quietFor, AnnounceLimit: grace - finishMargin, OpenWhileBusy: true,
-		LingerFor: lingerFor, FinishLimit: grace,
+	}, drain.ShutdownConfig{
+		MinAnnounce: announceFor, QuietPeriod: quietFor, MaxAnnounce: grace - finishMargin, AcceptWhileBusy: true,
+		LingerDuration: lingerFor, DrainTimeout: grace,
 	})
 }
 
 func runPublished(lc fx.Lifecycle, c *published.Controller) { process.Background(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.Run) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
@@ -227,7 +227,7 @@
 			left := s.Deployment.StopGrace - stopMargin
 			ctx, cancel := context.WithTimeout(ctx, left)
 			defer cancel()
-			g.StopBy(time.Now().Add(runsFor), time.Now().Add(left))
+			g.AnnounceShutdown(time.Now().Add(runsFor), time.Now().Add(left))
 			server.SetKeepAlivesEnabled(false)
 			err := life.Stop(ctx)
 			return errors.Join(err, server.Close())
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		b.runner.Confirm(time.Now())
 		for _, t := range targets {
-			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Bears: bearsAll})
+			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Capacity: bearsAll})
 		}
 		time.Sleep(reportEvery)
 	}
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -11,7 +11,7 @@
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/decide/admission"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
 	"filbertdeck/internal/table"
 )
@@ -25,8 +25,8 @@
 	doc      *rollout.Document
 	join     *rollout.Join
 	ready    bool
-	hosts    once.HostList
-	register *once.Register
+	hosts    idempotency.HostList
+	register *idempotency.Registry
 	allocs   map[string]*admission.Allocator
 	waiting  map[uint64]func(admission.Decision)
 	leases   map[admission.LeaseID]*lease
@@ -66,8 +66,8 @@
 	h.inc++
 	h.up, h.wake, h.stopping, h.ready, h.serving = true, 0, false, false, 0
 	h.doc, h.join = rollout.NewDocument(), rollout.NewJoin(w.now)
-	h.hosts = once.HostList{}
-	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.inc}})
+	h.hosts = idempotency.HostList{}
+	h.register = idempotency.New(idempotency.Config{Self: idempotency.Process{Address: h.name, Incarnation: h.inc}})
 	h.allocs, h.waiting, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
 	h.answered = map[*host]time.Duration{}
 	h.watch()
@@ -99,8 +99,8 @@
 	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
 	h.take(delta)
 	h.join.Service()
-	h.hosts = once.HostList{Revision: s.hostsRev, Live: s.hosts, Confirmed: asked}
-	h.register.SetHosts(h.w.now, h.hosts)
+	h.hosts = idempotency.HostList{Revision: s.hostsRev, LiveHosts: s.hosts, ConfirmedAt: asked}
+	h.register.ConfirmHosts(h.w.now, h.hosts)
 	h.checkReady()
 	if !h.ready {
 		return // it would admit by what may be an old table
@@ -111,11 +111,11 @@
 			if !slices.Contains(p.Owners, h.name) {
 				continue
 			}
-			a = admission.New(admission.Config{LeaseFor: leaseFor, Seed: h.inc<<32 | uint64(len(h.allocs)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
+			a = admission.New(admission.Config{LeaseDuration: leaseFor, Seed: h.inc<<32 | uint64(len(h.allocs)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
 			h.allocs[p.ID] = a
 		}
 		a.SetOwnership(h.w.now, s.hostsRev, len(p.Owners) > 0 && p.Owners[0] == h.name)
-		a.Confirm(asked)
+		a.ConfirmOwnership(asked)
 		a.SetTargets(h.w.now, p.TargetStates)
 	}
 }
@@ -160,7 +160,7 @@
 		evidence := slices.Clone(h.allocs[id].PoisonEvidence(h.w.now, 20))
 		h.w.message(h.proc, peer.proc, func() {
 			for _, other := range sorted(peer.allocs) {
-				peer.allocs[other].MergePoison(h.w.now, evidence)
+				peer.allocs[other].MergePoisonEvidence(h.w.now, evidence)
 			}
 		}, nil)
 	}
@@ -192,7 +192,7 @@
 		t.Drained[h.row("drain")] = true
 	}
 	var live []configservice.Host
-	for _, name := range h.hosts.Live {
+	for _, name := range h.hosts.LiveHosts {
 		if i := slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == name }); i >= 0 {
 			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
 		}
@@ -272,7 +272,7 @@
 func (h *host) renew() {
 	for _, id := range sorted(h.leases) {
 		l, asked := h.leases[id], h.w.now
-		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, Produced: l.produced}}
+		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, ProducedTokens: l.produced}}
 		h.w.message(h.proc, l.owner.proc, func() {
 			a := l.owner.allocs[l.pool]
 			if a == nil {
@@ -293,7 +293,7 @@
 		return
 	}
 	delete(h.leases, l.id)
-	s := admission.Settlement{Lease: l.id, Outcome: o, Produced: l.produced, Duration: h.w.now - l.asked}
+	s := admission.Settlement{Lease: l.id, Outcome: o, ProducedTokens: l.produced, Duration: h.w.now - l.asked}
 	h.w.message(h.proc, l.owner.proc, func() {
 		if a := l.owner.allocs[l.pool]; a != nil {
 			a.Settle(h.w.now, s)
@@ -398,7 +398,7 @@
 		return
 	}
 	w.ids++
-	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(w.ids << 20), Target: best.name, LeaseFor: leaseFor}
+	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(w.ids << 20), Target: best.name, LeaseDuration: leaseFor}
 	holder := w.host(ask.Holder.Entry)
 	w.message(owner.proc, holder.proc, func() {
 		if got := holder.waiting[d.Request]; got != nil {
