--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -16,7 +16,7 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/admin"
-	"filbertdeck/internal/control/news"
+	"filbertdeck/internal/control/poolgossip"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/control/quota"
 	"filbertdeck/internal/control/sessions"
@@ -73,7 +73,7 @@
 // another one at the same address is a different member.
 func newGossip(
 	s *Settings, store *configwatch.Store, b *configwatch.Board, gossipBoard *gossip.Board, w *configwatch.Watcher,
-	newsStore *news.Store, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
+	newsStore *poolgossip.Store, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
 ) (*gossip.Controller, error) {
 	transport := creds.Client
 	if transport == nil {
@@ -109,7 +109,9 @@
 	})
 }
 
-func newNewsStore(s *Settings, m *pools.Manager) *news.Store { return news.New(s.Listen, m) }
+func newNewsStore(s *Settings, m *pools.Manager) *poolgossip.Store {
+	return poolgossip.New(s.Listen, m)
+}
 
 func newSessions(m *pools.Manager) *sessions.Server {
 	server := sessions.New(m)
@@ -117,7 +119,7 @@
 	return server
 }
 
-func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, newsStore *news.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
+func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, newsStore *poolgossip.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
 		Board: b, Pools: m, Sessions: server, Backlog: newsStore.Backlog, Ready: store.Ready,
 		Departed: func() []string { return departedMembers(gossipBoard.Members.Get()) },
@@ -169,7 +171,7 @@
 
 func runManager(lc fx.Lifecycle, m *pools.Manager) { process.Background(lc, m.Run) }
 
-func runNewsStore(lc fx.Lifecycle, n *news.Store) { process.Background(lc, n.Run) }
+func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.Background(lc, n.Run) }
 
 // leaveTimeout bounds the time for announcing a planned stop to the neighbours.
 const leaveTimeout = time.Second
--- a/internal/control/news/news.go
+++ b/internal/control/poolgossip/poolgossip.go
@@ -1,6 +1,6 @@
-// Package news exchanges the reports of allocators with other control processes
+// Package poolgossip exchanges the reports of allocators with other control processes
 // through gossip: the backlog of each pool and evidence of crashes.
-package news
+package poolgossip
 
 import (
 	"context"
--- a/internal/control/news/news_test.go
+++ b/internal/control/poolgossip/poolgossip_test.go
@@ -1,4 +1,4 @@
-package news_test
+package poolgossip_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/news"
 	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolgossip"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
@@ -39,7 +39,7 @@
 
 // startTwoPools starts a store over a manager with one pool for each of two
 // services.
-func startTwoPools() (*news.Store, map[string]*pool.Runner, chan admission.Decision) {
+func startTwoPools() (*poolgossip.Store, map[string]*pool.Runner, chan admission.Decision) {
 	board := &configwatch.Board{}
 	tableWriter, _ := board.Table.Claim()
 	hostsWriter, _ := board.Hosts.Claim()
@@ -57,7 +57,7 @@
 	m := pools.NewManager(self, board, func() bool { return true }, unreachableClient{}, slog.New(slog.DiscardHandler))
 	decisions := make(chan admission.Decision, 10)
 	m.SetDeliver(func(_ string, d admission.Decision) { decisions <- d })
-	store := news.New(self, m)
+	store := poolgossip.New(self, m)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go m.Run(ctx)
