--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -10,7 +10,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/adminapi"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
@@ -103,9 +103,9 @@
 
 // runningPools returns the pools that run here with their allocators' state.
 func (s *Source) runningPools() []runningPool {
-	var runners []*pool.Runner
+	var runners []*poolrunner.Runner
 	var result []runningPool
-	s.Pools.ForEach(func(p pools.Plan, r *pool.Runner) {
+	s.Pools.ForEach(func(p pools.Plan, r *poolrunner.Runner) {
 		runners = append(runners, r)
 		result = append(result, runningPool{plan: p})
 	})
--- a/internal/control/poolgossip/poolgossip_test.go
+++ b/internal/control/poolgossip/poolgossip_test.go
@@ -12,8 +12,8 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pool"
 	"filbertdeck/internal/control/poolgossip"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
@@ -39,7 +39,7 @@
 
 // startTwoPools starts a store over a manager with one pool for each of two
 // services.
-func startTwoPools() (*poolgossip.Store, map[string]*pool.Runner, chan admission.Decision) {
+func startTwoPools() (*poolgossip.Store, map[string]*poolrunner.Runner, chan admission.Decision) {
 	board := &configwatch.Board{}
 	tableWriter, _ := board.Table.Claim()
 	hostsWriter, _ := board.Hosts.Claim()
@@ -62,15 +62,15 @@
 	DeferCleanup(cancel)
 	go m.Run(ctx)
 	go store.Run(ctx)
-	runners := map[string]*pool.Runner{}
+	runners := map[string]*poolrunner.Runner{}
 	Eventually(func() int {
-		m.ForEach(func(p pools.Plan, r *pool.Runner) { runners[p.Services[0]] = r })
+		m.ForEach(func(p pools.Plan, r *poolrunner.Runner) { runners[p.Services[0]] = r })
 		return len(runners)
 	}).Should(Equal(2))
 	return store, runners, decisions
 }
 
-func evidence(r *pool.Runner) []poison.Crash {
+func evidence(r *poolrunner.Runner) []poison.Crash {
 	out := make(chan []poison.Crash, 1)
 	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.PoisonEvidence(now, 8) })
 	return <-out
--- a/internal/control/pools/manager.go
+++ b/internal/control/pools/manager.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/targets"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
@@ -24,7 +24,7 @@
 	client targets.HTTPClient
 	log    *slog.Logger
 
-	deliver pool.Deliver
+	deliver poolrunner.Deliver
 
 	// currentTable, currentFingerprint and currentHostsRevision identify what the
 	// plans and shares in force were computed from.
@@ -45,7 +45,7 @@
 	plan Plan
 	// owner is set while this process is the pool's published owner.
 	owner   atomic.Bool
-	runner  *pool.Runner
+	runner  *poolrunner.Runner
 	pollers map[string]context.CancelFunc
 }
 
@@ -60,7 +60,7 @@
 }
 
 // SetDeliver sets the receiver of decisions; it must be called before Run.
-func (m *Manager) SetDeliver(d pool.Deliver) { m.deliver = d }
+func (m *Manager) SetDeliver(d poolrunner.Deliver) { m.deliver = d }
 
 // Plans returns the pools in force, or nil before the first plan.
 func (m *Manager) Plans() *[]Plan { return m.plans.Load() }
@@ -182,7 +182,7 @@
 	r, ok := m.runningPools[p.ID]
 	if !ok {
 		cfg := admission.Config{Seed: rand.Uint64(), QueueLimit: p.QueueLimit}
-		r = &runningPool{runner: pool.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
+		r = &runningPool{runner: poolrunner.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
 		m.runningPools[p.ID] = r
 		m.log.Info("pool taken up", "pool", p.ID, "owner", owner)
 	}
@@ -252,7 +252,7 @@
 
 // Runner returns the runner of a pool that this process may admit to, with the
 // current fence.
-func (m *Manager) Runner(name string) (*pool.Runner, uint64, bool) {
+func (m *Manager) Runner(name string) (*poolrunner.Runner, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r, ok := m.runningPools[name]
@@ -263,7 +263,7 @@
 }
 
 // ForEach calls f for every pool that runs here.
-func (m *Manager) ForEach(f func(p Plan, r *pool.Runner)) {
+func (m *Manager) ForEach(f func(p Plan, r *poolrunner.Runner)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.runningPools {
--- a/internal/control/quota/runner_pool.go
+++ b/internal/control/quota/runner_pool.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/decide/admission"
 )
@@ -12,13 +12,13 @@
 func RunningPools(m *pools.Manager) func() map[string]Pool {
 	return func() map[string]Pool {
 		out := map[string]Pool{}
-		m.ForEach(func(p pools.Plan, r *pool.Runner) { out[p.ID] = runnerPool{r} })
+		m.ForEach(func(p pools.Plan, r *poolrunner.Runner) { out[p.ID] = runnerPool{r} })
 		return out
 	}
 }
 
 // runnerPool implements Pool with the runner of a pool.
-type runnerPool struct{ *pool.Runner }
+type runnerPool struct{ *poolrunner.Runner }
 
 // Uses implements Pool.
 func (r runnerPool) Uses() []admission.QuotaUsage { return r.QuotaUses() }
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/failure"
 )
@@ -17,7 +17,7 @@
 // Pools finds the runner of a pool that this process may admit to at present.
 // The fence goes with every request that is sent under one of its grants.
 type Pools interface {
-	Runner(name string) (r *pool.Runner, fence uint64, ok bool)
+	Runner(name string) (r *poolrunner.Runner, fence uint64, ok bool)
 }
 
 // sendQueueSize bounds the messages that wait for one entry's connection.
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -9,7 +9,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
@@ -33,20 +33,20 @@
 
 // bench is one pool served over gRPC on loopback.
 type bench struct {
-	runner *pool.Runner
+	runner *poolrunner.Runner
 	wire   wire
 	client *admit.Client
 	close  func()
 }
 
 // Runner implements sessions.Pools.
-func (b *bench) Runner(string) (*pool.Runner, uint64, bool) { return b.runner, 1, true }
+func (b *bench) Runner(string) (*poolrunner.Runner, uint64, bool) { return b.runner, 1, true }
 
 // newBench serves a pool of four targets.
 func newBench(ctx context.Context) (*bench, error) {
 	b := &bench{}
 	server := sessions.New(b)
-	b.runner = pool.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: bearsAll}, server.Deliver)
+	b.runner = poolrunner.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: bearsAll}, server.Deliver)
 	l, err := b.wire.listen()
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindInternal, "no free port")
