--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -10,8 +10,8 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/adminapi"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/poolrunner"
-	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/failure"
@@ -54,7 +54,7 @@
 type Source struct {
 	Self  string
 	State *state.Service
-	Pools *pools.Manager
+	Pools *poolmanager.Manager
 }
 
 // TargetStatus implements adminapi.TargetSource.
@@ -97,7 +97,7 @@
 }
 
 type runningPool struct {
-	plan     pools.Plan
+	plan     poolmanager.Plan
 	snapshot admission.Snapshot
 }
 
@@ -105,7 +105,7 @@
 func (s *Source) runningPools() []runningPool {
 	var runners []*poolrunner.Runner
 	var result []runningPool
-	s.Pools.ForEach(func(p pools.Plan, r *poolrunner.Runner) {
+	s.Pools.ForEach(func(p poolmanager.Plan, r *poolrunner.Runner) {
 		runners = append(runners, r)
 		result = append(result, runningPool{plan: p})
 	})
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -17,7 +17,7 @@
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/admin"
 	"filbertdeck/internal/control/poolgossip"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/quota"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
@@ -94,14 +94,14 @@
 	}, gossipBoard)
 }
 
-func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *pools.Manager {
-	return pools.NewManager(s.Listen, b, store.Ready, targetclient.New(targetclient.Settings{}), log)
+func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *poolmanager.Manager {
+	return poolmanager.NewManager(s.Listen, b, store.Ready, targetclient.New(targetclient.Settings{}), log)
 }
 
 func newQuotaPeers(creds rpc.Credentials) *quota.Peers { return quota.NewPeers(creds) }
 
 func newQuota(
-	s *Settings, b *configwatch.Board, m *pools.Manager, peers *quota.Peers, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, m *poolmanager.Manager, peers *quota.Peers, reg gometrics.Registry,
 ) *quota.Controller {
 	return quota.New(quota.Config{
 		Self: s.Listen, Incarnation: uint64(time.Now().UnixMilli()), Table: &b.Table, Hosts: &b.Hosts,
@@ -109,17 +109,17 @@
 	})
 }
 
-func newNewsStore(s *Settings, m *pools.Manager) *poolgossip.Store {
+func newNewsStore(s *Settings, m *poolmanager.Manager) *poolgossip.Store {
 	return poolgossip.New(s.Listen, m)
 }
 
-func newSessions(m *pools.Manager) *sessions.Server {
+func newSessions(m *poolmanager.Manager) *sessions.Server {
 	server := sessions.New(m)
 	m.SetDeliver(server.Deliver)
 	return server
 }
 
-func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, newsStore *poolgossip.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
+func newState(b *configwatch.Board, m *poolmanager.Manager, server *sessions.Server, newsStore *poolgossip.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
 		Board: b, Pools: m, Sessions: server, Backlog: newsStore.Backlog, Ready: store.Ready,
 		Departed: func() []string { return departedMembers(gossipBoard.Members.Get()) },
@@ -141,7 +141,7 @@
 }
 
 func newAdmin(
-	s *Settings, b *configwatch.Board, gossipBoard *gossip.Board, service *state.Service, m *pools.Manager, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, gossipBoard *gossip.Board, service *state.Service, m *poolmanager.Manager, reg gometrics.Registry,
 ) (http.Handler, error) {
 	tokens, err := admin.ParseTokens(s.OperatorKeys, s.MonitorKeys)
 	if err != nil {
@@ -169,7 +169,7 @@
 	})
 }
 
-func runManager(lc fx.Lifecycle, m *pools.Manager) { process.Background(lc, m.Run) }
+func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.Background(lc, m.Run) }
 
 func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.Background(lc, n.Run) }
 
--- a/internal/control/poolgossip/poolgossip.go
+++ b/internal/control/poolgossip/poolgossip.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"filbertdeck/internal/api/filbertv1"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/poolrunner"
-	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/poison"
 	decide "filbertdeck/internal/decide/pools"
@@ -42,7 +42,7 @@
 // peers. It is safe for concurrent use.
 type Store struct {
 	self  string
-	pools *pools.Manager
+	pools *poolmanager.Manager
 	start time.Time
 
 	mu        sync.Mutex
@@ -68,7 +68,7 @@
 }
 
 // New returns an empty store.
-func New(self string, m *pools.Manager) *Store {
+func New(self string, m *poolmanager.Manager) *Store {
 	return &Store{
 		self: self, pools: m, start: time.Now(), backlogs: decide.NewNews(),
 		announced: map[string]announcement{}, crashes: map[uint64]crash{},
@@ -108,7 +108,7 @@
 // ownBacklogs returns the backlogs of the pools that this process owns.
 func (s *Store) ownBacklogs() map[string]time.Duration {
 	backlogs := map[string]time.Duration{}
-	s.pools.ForEach(func(p pools.Plan, r *poolrunner.Runner) {
+	s.pools.ForEach(func(p poolmanager.Plan, r *poolrunner.Runner) {
 		if s.pools.IsOwner(p) {
 			backlogs[p.ID] = r.Backlog()
 		}
@@ -197,7 +197,7 @@
 // collect asks each allocator for evidence of crashes. The answers arrive on
 // the allocators' goroutines.
 func (s *Store) collect() {
-	s.pools.ForEach(func(_ pools.Plan, r *poolrunner.Runner) {
+	s.pools.ForEach(func(_ poolmanager.Plan, r *poolrunner.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) {
 			s.recordCrashes(a.PoisonEvidence(now, maxMessageItems))
 		})
@@ -238,7 +238,7 @@
 	if len(crashes) == 0 {
 		return
 	}
-	s.pools.ForEach(func(_ pools.Plan, r *poolrunner.Runner) {
+	s.pools.ForEach(func(_ poolmanager.Plan, r *poolrunner.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoisonEvidence(now, crashes) })
 	})
 }
--- a/internal/control/poolgossip/poolgossip_test.go
+++ b/internal/control/poolgossip/poolgossip_test.go
@@ -13,8 +13,8 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/poolgossip"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/poolrunner"
-	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/poison"
@@ -54,7 +54,7 @@
 		Version: rollout.Version{Revision: 1}, ConfirmedAt: time.Now(),
 		List: []configservice.Host{{Name: "h", DataCentre: "north", Control: self, State: configservice.StateLive}},
 	})
-	m := pools.NewManager(self, board, func() bool { return true }, unreachableClient{}, slog.New(slog.DiscardHandler))
+	m := poolmanager.NewManager(self, board, func() bool { return true }, unreachableClient{}, slog.New(slog.DiscardHandler))
 	decisions := make(chan admission.Decision, 10)
 	m.SetDeliver(func(_ string, d admission.Decision) { decisions <- d })
 	store := poolgossip.New(self, m)
@@ -64,7 +64,7 @@
 	go store.Run(ctx)
 	runners := map[string]*poolrunner.Runner{}
 	Eventually(func() int {
-		m.ForEach(func(p pools.Plan, r *poolrunner.Runner) { runners[p.Services[0]] = r })
+		m.ForEach(func(p poolmanager.Plan, r *poolrunner.Runner) { runners[p.Services[0]] = r })
 		return len(runners)
 	}).Should(Equal(2))
 	return store, runners, decisions
--- a/internal/control/pools/manager.go
+++ b/internal/control/poolmanager/manager.go
@@ -1,4 +1,4 @@
-package pools
+package poolmanager
 
 import (
 	"context"
@@ -127,7 +127,7 @@
 }
 
 func (m *Manager) recomputePlans(ctx context.Context, t *table.Table, hosts *configwatch.Hosts) {
-	plans := Plans(t, hosts.List)
+	plans := ComputePlans(t, hosts.List)
 	m.fence.Store(hosts.Version.Revision)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/control/pools/plan.go
+++ b/internal/control/poolmanager/plan.go
@@ -1,8 +1,8 @@
-// Package pools runs the allocators of the pools that this process may admit
+// Package poolmanager runs the allocators of the pools that this process may admit
 // to. internal/decide/pools derives the pools and their owners from the
 // published state, so that all processes with the same view agree without
 // exchanging messages.
-package pools
+package poolmanager
 
 import (
 	"maps"
@@ -39,10 +39,10 @@
 	Drained bool
 }
 
-// Plans computes the pools. Services that share targets share pools: with an
+// ComputePlans computes the pools. Services that share targets share pools: with an
 // allocator for each service, each of them would give a cold target the one
 // request that it can take.
-func Plans(t *table.Table, hosts []configservice.Host) []Plan {
+func ComputePlans(t *table.Table, hosts []configservice.Host) []Plan {
 	ranking := decide.NewRanking(rankingHosts(hosts))
 	var plans []Plan
 	for _, g := range groupServices(t) {
--- a/internal/control/quota/runner_pool.go
+++ b/internal/control/quota/runner_pool.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/poolrunner"
-	"filbertdeck/internal/control/pools"
 	"filbertdeck/internal/decide/admission"
 )
 
 // RunningPools returns a function that lists the pools that a manager runs.
-func RunningPools(m *pools.Manager) func() map[string]Pool {
+func RunningPools(m *poolmanager.Manager) func() map[string]Pool {
 	return func() map[string]Pool {
 		out := map[string]Pool{}
-		m.ForEach(func(p pools.Plan, r *poolrunner.Runner) { out[p.ID] = runnerPool{r} })
+		m.ForEach(func(p poolmanager.Plan, r *poolrunner.Runner) { out[p.ID] = runnerPool{r} })
 		return out
 	}
 }
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -12,7 +12,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/failure"
@@ -23,7 +23,7 @@
 type Service struct {
 	filbertv1.UnimplementedAdmissionServer
 	Board    *configwatch.Board
-	Pools    *pools.Manager
+	Pools    *poolmanager.Manager
 	Sessions *sessions.Server
 	// Backlog returns the wait in a pool, of this process or announced by a peer;
 	// false if it is unknown.
@@ -122,7 +122,7 @@
 type streamState struct {
 	table         *table.Table
 	hostsRevision uint64
-	plans         *[]pools.Plan
+	plans         *[]poolmanager.Plan
 	departed      []string
 	backlogs      map[string]uint32
 }
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
@@ -179,7 +179,7 @@
 }
 
 // plans computes the pools from this host's own view.
-func (h *host) plans() []pools.Plan {
+func (h *host) plans() []poolmanager.Plan {
 	w := h.w
 	reports, orders := &table.Service{Name: "reports", Type: table.ServiceGeneration}, &table.Service{Name: "orders", Type: table.ServiceOnce}
 	leaving := h.row("leaving")
@@ -197,8 +197,8 @@
 			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
 		}
 	}
-	plans := pools.Plans(t, live)
-	slices.SortFunc(plans, func(a, b pools.Plan) int { return strings.Compare(a.ID, b.ID) })
+	plans := poolmanager.ComputePlans(t, live)
+	slices.SortFunc(plans, func(a, b poolmanager.Plan) int { return strings.Compare(a.ID, b.ID) })
 	return plans
 }
 
