--- a/internal/control/poolmanager/manager.go
+++ b/internal/control/poolmanager/manager.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"filbertdeck/internal/control/poolrunner"
-	"filbertdeck/internal/control/targets"
+	"filbertdeck/internal/control/targetpoll"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/table"
@@ -21,7 +21,7 @@
 	self   string
 	board  *configwatch.Board
 	ready  func() bool
-	client targets.HTTPClient
+	client targetpoll.HTTPClient
 	log    *slog.Logger
 
 	deliver poolrunner.Deliver
@@ -52,7 +52,7 @@
 // NewManager returns a manager without pools. self is this process's address
 // in the published list; ready reports whether the documents in force may be
 // acted on.
-func NewManager(self string, board *configwatch.Board, ready func() bool, client targets.HTTPClient, log *slog.Logger) *Manager {
+func NewManager(self string, board *configwatch.Board, ready func() bool, client targetpoll.HTTPClient, log *slog.Logger) *Manager {
 	return &Manager{
 		self: self, board: board, ready: ready, client: client, log: log,
 		runningPools: map[string]*runningPool{}, changed: make(chan struct{}),
@@ -218,7 +218,7 @@
 		}
 		pollCtx, cancel := context.WithCancel(ctx)
 		r.pollers[address] = cancel
-		p := &targets.Poller{Target: address, Client: m.client, Sink: r.runner.Report, AtFullRate: r.atFullRate, Generation: r.plan.Generation}
+		p := &targetpoll.Poller{Target: address, Client: m.client, Sink: r.runner.Report, AtFullRate: r.atFullRate, Generation: r.plan.Generation}
 		go p.Run(pollCtx)
 	}
 	for address, cancel := range r.pollers {
--- a/internal/control/targets/poller.go
+++ b/internal/control/targetpoll/poller.go
@@ -1,5 +1,5 @@
-// Package targets polls the load reports of targets.
-package targets
+// Package targetpoll polls the load reports of targets.
+package targetpoll
 
 import (
 	"context"
