--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -95,7 +95,7 @@
 }
 
 func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *poolmanager.Manager {
-	return poolmanager.NewManager(s.Listen, b, store.Ready, targetclient.New(targetclient.Settings{}), log)
+	return poolmanager.NewManager(s.Listen, b, store.IsReady, targetclient.New(targetclient.Settings{}), log)
 }
 
 func newQuotaPeers(creds rpc.Credentials) *quota.Peers { return quota.NewPeers(creds) }
@@ -121,7 +121,7 @@
 
 func newState(b *configwatch.Board, m *poolmanager.Manager, server *sessions.Server, newsStore *poolgossip.Store, gossipBoard *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
-		Board: b, Pools: m, Sessions: server, Backlog: newsStore.Backlog, Ready: store.Ready,
+		Board: b, Pools: m, Sessions: server, Backlog: newsStore.Backlog, Ready: store.IsReady,
 		Departed: func() []string { return departedMembers(gossipBoard.Members.Get()) },
 	}
 }
@@ -194,7 +194,7 @@
 }
 
 func serveAdmin(lc fx.Lifecycle, s *Settings, id *secure.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
-	r := admin.Router(api, store.Ready)
+	r := admin.Router(api, store.IsReady)
 	metrics.Mount(r, reg)
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
 }
--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -149,14 +149,14 @@
 		Expect(board.Table.Get().Services["reports"].Targets[0].Leaving).To(BeTrue())
 		Expect(board.Hosts.Get().List).To(HaveLen(2))
 		Expect(board.Targets.Get().ByService["reports"]).To(HaveLen(1))
-		Expect(store.Ready()).To(BeTrue())
+		Expect(store.IsReady()).To(BeTrue())
 		svc.remove("drain")
 		Eventually(func() bool { return board.Table.Get().Drained["south"] }, "5s", "5ms").Should(BeFalse())
 	})
 
 	It("keeps the table in force when an edit is invalid, and reports the reason", func() {
 		svc.put("table/0001", tableWithWeight(-1))
-		refusalReason := func() string { return tableState().Refused.Reason }
+		refusalReason := func() string { return tableState().LatestRefusal.Reason }
 		Eventually(refusalReason, "5s", "5ms").Should(ContainSubstring("weight"))
 		Expect(weightInForce()).To(Equal(1.0))
 		svc.put("table/0001", tableWithWeight(3))
@@ -166,7 +166,7 @@
 
 	It("keeps the table in force when all of its pages are removed", func() {
 		svc.remove("table/0001")
-		Eventually(func() uint64 { return tableState().Refused.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
+		Eventually(func() uint64 { return tableState().LatestRefusal.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
 		Expect(weightInForce()).To(Equal(1.0))
 	})
 
@@ -193,7 +193,7 @@
 	It("keeps the table in force while the service is down, and reads the whole state afterwards", func() {
 		confirmedAt := store.ConfirmedAt()
 		svc.setError(failure.New(failure.KindConfigUnreadable, "down"))
-		Eventually(func() string { return board.Rollout.Get().Service.Failure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
+		Eventually(func() string { return board.Rollout.Get().Service.LastFailure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
 		Expect(weightInForce()).To(Equal(1.0))
 		svc.put("table/0001", tableWithWeight(2))
 		svc.setError(nil)
--- a/internal/controller/configwatch/publish.go
+++ b/internal/controller/configwatch/publish.go
@@ -70,11 +70,11 @@
 }
 
 func (s *Store) publishState() {
-	state := &State{Service: s.serviceState, Ready: s.ready, PeersAsked: s.join.Confirmed()}
+	state := &State{Service: s.serviceState, Ready: s.ready, PeersConfirmed: s.join.Confirmed()}
 	for _, name := range Sections {
 		doc := s.docs[name]
 		state.Documents = append(state.Documents, DocumentState{
-			Section: name, Head: doc.Head(), Rows: doc.Len(), Since: doc.inForceSince, Refused: doc.Refused(),
+			Section: name, Head: doc.Head(), Rows: doc.Len(), InForceSince: doc.inForceSince, LatestRefusal: doc.Refused(),
 		})
 	}
 	s.writers.rollout.Publish(state)
--- a/internal/controller/configwatch/readiness.go
+++ b/internal/controller/configwatch/readiness.go
@@ -65,9 +65,9 @@
 	return s.join.Unasked(peers)
 }
 
-// Ready reports whether this process may serve with the table in force. Once
+// IsReady reports whether this process may serve with the table in force. Once
 // ready, it stays ready.
-func (s *Store) Ready() bool {
+func (s *Store) IsReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready && s.join.Ready(s.now().Sub(s.startedAt), s.peerCount, s.table != nil, s.isBehindPeers()) {
@@ -89,7 +89,7 @@
 	}
 	s.mu.Unlock()
 	s.updateServiceState(func(state *ServiceState) {
-		state.AnsweredAt, state.Revision, state.Behind, state.Failure = s.now(), observed.revision, behind, ""
+		state.AnsweredAt, state.Revision, state.Behind, state.LastFailure = s.now(), observed.revision, behind, ""
 	})
 	if behind {
 		s.metrics.GetOrRegister("configwatch.answers_behind", metrics.NewCounter).(metrics.Counter).Inc(1)
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -67,7 +67,7 @@
 		return
 	}
 	w.reader = isReader
-	w.store.updateServiceState(func(s *ServiceState) { s.Reader = isReader })
+	w.store.updateServiceState(func(s *ServiceState) { s.IsReader = isReader })
 	w.store.log.Info("role of reader changed", "reader", isReader)
 	if !isReader && w.cancelRead != nil {
 		w.cancelRead()
@@ -122,7 +122,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.store.updateServiceState(func(s *ServiceState) { s.Failure = string(failure.KindOf(err)) })
+		w.store.updateServiceState(func(s *ServiceState) { s.LastFailure = string(failure.KindOf(err)) })
 		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.From(err).RetryAfter)
 		wake.Sleep(ctx, wait)
 		retryDelay = min(2*retryDelay, maxRetryDelay)
--- a/internal/controller/gossip/cluster_test.go
+++ b/internal/controller/gossip/cluster_test.go
@@ -137,7 +137,7 @@
 		l, a := listen()
 		newNode := cl.startNode(l, a, []string{cl.nodes[0].address, cl.nodes[1].address, cl.nodes[2].address}, "dc0", defaultProbeInterval)
 		cl.nodes = append(cl.nodes, newNode)
-		Eventually(newNode.store.Ready, hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(newNode.store.IsReady, hangTimeout, pollInterval).Should(BeTrue())
 		Expect(hasWeights(3, 1)(newNode)).To(BeTrue(), "a host started while the service is down")
 
 		cl.service.SetMode(standin.ModeNormal, 0)
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -248,7 +248,7 @@
 		c.cfg.SetReader(view.IsReader())
 		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.LiveAddresses(""))-1))
 	}
-	c.cfg.Store.Ready()
+	c.cfg.Store.IsReady()
 	c.probeUnsyncedPeer(ctx, view)
 	for _, action := range actions {
 		c.spawn(func() { c.perform(ctx, action) })
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -229,7 +229,7 @@
 	It("makes a new process fetch the newest table from peers before it is ready", func() {
 		nodes := startPlainFleet(4)
 		nodes[0].putTable(9, 11_000, 7)
-		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
 		// With a frozen clock the startup grace period never ends: only peers
 		// can make the process ready, however busy the test machine is.
@@ -238,9 +238,9 @@
 		newNode := startNode(l, a, []string{nodes[0].address, nodes[1].address, nodes[2].address}, frozenClock)
 		DeferCleanup(newNode.stop)
 		newNode.putTable(3, 10, 1)
-		Eventually(newNode.store.Ready, hangTimeout, "1ms").Should(BeTrue())
+		Eventually(newNode.store.IsReady, hangTimeout, "1ms").Should(BeTrue())
 		Expect(newNode.revision()).To(Equal(uint64(9)))
-		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersConfirmed }, hangTimeout, pollInterval).Should(BeTrue())
 	})
 
 	// Guards against a new process in a small fleet with fewer neighbours than
@@ -250,11 +250,11 @@
 		nodes := startPlainFleet(4)
 		Eventually(onAll(nodes, hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[0].putTable(9, 10, 7)
-		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
 		newNode := startNode(l, a, []string{nodes[0].address}, nodeConfig{ringCount: 1})
 		DeferCleanup(newNode.stop)
-		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, "1m", pollInterval).Should(BeTrue())
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersConfirmed }, "1m", pollInterval).Should(BeTrue())
 	})
 
 	It("distributes the time of the host list's confirmation, and never a later one", func() {
--- a/internal/controller/gossip/message.go
+++ b/internal/controller/gossip/message.go
@@ -27,7 +27,7 @@
 	store := c.cfg.Store
 	msg := &filbertv1.GossipMessage{
 		From: toMember(self), Members: toMembers(updates), MemberDigest: memberDigest,
-		Ready: store.Ready(),
+		Ready: store.IsReady(),
 	}
 	heads := c.localHeads()
 	msg.HeadsDigest = headsDigest(heads)
