--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -88,8 +88,8 @@
 		},
 		Store: store, Hosts: &b.Hosts, Credentials: transport, SetReader: w.SetReader, Log: log, Metrics: reg,
 		Hooks: gossip.Hooks{
-			SupplyPools: newsStore.SupplyPools, TakePools: newsStore.ReceivePools, SupplyPoison: newsStore.SupplyPoison, TakePoison: newsStore.ReceivePoison,
-			Urgent: newsStore.Urgent(),
+			SupplyPools: newsStore.SupplyPools, ReceivePools: newsStore.ReceivePools, SupplyPoison: newsStore.SupplyPoison, ReceivePoison: newsStore.ReceivePoison,
+			PushRequests: newsStore.Urgent(),
 		},
 	}, gossipBoard)
 }
@@ -181,7 +181,7 @@
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
 
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -282,8 +282,8 @@
 			}
 		}
 		second := startNode(m, b, []string{a}, nodeConfig{hooks: gossip.Hooks{
-			TakePools:  func(p []*filbertv1.PoolNews) { record(p[0].GetPool()) },
-			TakePoison: func(p []*filbertv1.PoisonNews) { record(fmt.Sprint(p[0].GetId())) },
+			ReceivePools:  func(p []*filbertv1.PoolNews) { record(p[0].GetPool()) },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { record(fmt.Sprint(p[0].GetId())) },
 		}})
 		DeferCleanup(second.stop)
 		Eventually(received, hangTimeout).Should(Receive(Equal("reports/0")))
@@ -298,11 +298,11 @@
 		m, b := listen()
 		urgent, received := make(chan struct{}), make(chan uint64, 100)
 		first := startNode(l, a, []string{b}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
-			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, Urgent: urgent,
+			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, PushRequests: urgent,
 		}})
 		DeferCleanup(first.stop)
 		second := startNode(m, b, []string{a}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
-			TakePoison: func(p []*filbertv1.PoisonNews) { received <- p[0].GetId() },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { received <- p[0].GetId() },
 		}})
 		DeferCleanup(second.stop)
 		Eventually(urgent, hangTimeout).Should(BeSent(struct{}{}))
@@ -312,7 +312,7 @@
 	It("announces a planned stop, and detects a crash", func() {
 		nodes := startPlainFleet(5)
 		Eventually(onAll(nodes, hasLiveMembers(5)), hangTimeout, pollInterval).Should(BeTrue())
-		nodes[4].ctl.Leave(context.Background())
+		nodes[4].ctl.AnnounceLeave(context.Background())
 		nodes[4].stop()
 		Eventually(onAll(nodes[:4], hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[3].stop()
--- a/internal/gatewayhost/exchange.go
+++ b/internal/gatewayhost/exchange.go
@@ -80,7 +80,7 @@
 		case <-e.published.News():
 			if peers := e.roles.peersToNotify(); len(peers) > 0 {
 				for _, peer := range peers {
-					c.Ask(ctx, peer)
+					c.ProbeNow(ctx, peer)
 				}
 				wake.Sleep(ctx, broadcastInterval)
 				continue
@@ -106,13 +106,13 @@
 		case <-tick.C:
 		}
 		for peer := range e.takeLaggingPeers() {
-			c.Ask(ctx, peer)
+			c.ProbeNow(ctx, peer)
 		}
 		if !e.published.Asks() && !e.roles.readsAsSubstitute() {
 			continue
 		}
 		if host, ok := e.roles.nextSource(); ok {
-			c.Ask(ctx, host)
+			c.ProbeNow(ctx, host)
 		} else {
 			wake.Signal(e.broadcastNow)
 		}
@@ -131,9 +131,9 @@
 
 func (e *peerExchange) hooks() gossip.Hooks {
 	return gossip.Hooks{
-		SupplyLoads: e.supplyLoads, TakeLoads: e.takeLoads, SupplyAlerts: e.supplyAlerts, TakeAlerts: e.takeAlerts,
-		SupplyPoison: e.supplyPoison, TakePoison: e.takePoison,
-		SupplyPublished: e.supplyPublished, TakePublished: e.takePublished, GiveBulk: e.fetcher.serveFetch, Urgent: e.broadcastNow,
+		SupplyLoads: e.supplyLoads, ReceiveLoads: e.takeLoads, SupplyAlerts: e.supplyAlerts, ReceiveAlerts: e.takeAlerts,
+		SupplyPoison: e.supplyPoison, ReceivePoison: e.takePoison,
+		SupplyPublished: e.supplyPublished, ReceivePublished: e.takePublished, ServeFetch: e.fetcher.serveFetch, PushRequests: e.broadcastNow,
 	}
 }
 
@@ -320,6 +320,6 @@
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -92,7 +92,7 @@
 		configRevision = 0
 	}
 	requestedAt := time.Now()
-	reply, err := c.FetchFrom(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
+	reply, err := c.FetchConfig(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
 	if err != nil {
 		f.log.Info("not fetched", "peer", peer, "config", configRevision, "revision", revision, "timeout", timeout, "error", err)
 		return fetch.Failed
