--- a/internal/controller/published/document.go
+++ b/internal/controller/recordsync/document.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"bytes"
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/recordsync/recordsync_test.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"context"
@@ -131,8 +131,8 @@
 
 // exchangeNews updates one host from another until it lacks nothing.
 func exchangeNews(from, to *testHost) {
-	from.TakeNews("to", to.NewsFor("from"), -1)
-	to.TakeNews("from", from.NewsFor("to"), -1)
+	from.ApplyNews("to", to.NewsFor("from"), -1)
+	to.ApplyNews("from", from.NewsFor("to"), -1)
 	fetchFrom(from, to)
 }
 
@@ -158,7 +158,7 @@
 		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 884)
 		reader.readStore()
 		total := 0
@@ -174,13 +174,13 @@
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 5)
 		reader.readStore()
 		news := reader.NewsFor("other")
 		Expect(newsBytes(news)).To(BeNumerically(">", 0))
 		Expect(newsBytes(reader.NewsFor("other"))).To(BeZero())
-		other.TakeNews("reader", news, -1)
+		other.ApplyNews("reader", news, -1)
 		Expect(other.routeCount()).To(Equal(5))
 	})
 
@@ -195,11 +195,11 @@
 			reader.source.put(directory.Record{Key: directory.TargetKey(id), Revision: uint64(i + 1), Target: &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", Slots: 4}})
 		}
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		news := reader.NewsFor("other")
-		Expect(news.Withheld).To(BeTrue())
+		Expect(news.RecordsWithheld).To(BeTrue())
 		Expect(newsBytes(news)).To(BeZero())
-		other.TakeNews("reader", news, 0)
+		other.ApplyNews("reader", news, 0)
 		Expect(other.Revision()).To(BeZero())
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
@@ -215,12 +215,12 @@
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 5)
 		reader.readStore()
 		reader.NewsFor("other")
 		reader.now += sentTTL
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routeCount()).To(Equal(5))
 	})
 
@@ -231,12 +231,12 @@
 		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		reader.source.putConfig(3, 1, 880)
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known = other.Age()
 		Expect(known).To(BeTrue())
 	})
@@ -254,7 +254,7 @@
 		store.putConfig(5, 2, 900)
 		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Gone: true})
 		reader.readStore()
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routeCount()).To(Equal(4))
 		other.readStore()
 		Expect(other.routeCount()).To(Equal(900))
@@ -263,10 +263,10 @@
 
 // fetchFrom makes one host fetch what it lacks from another.
 func fetchFrom(from, to *testHost) {
-	config, records, _ := to.Holds()
-	bulk, err := from.Pack(config, records)
+	config, records, _ := to.HeldRevisions()
+	bulk, err := from.BuildBundle(config, records)
 	Expect(err).NotTo(HaveOccurred())
-	gap, err := to.TakeBulk("peer", bulk)
+	gap, err := to.ApplyBundle("peer", bulk)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(gap).To(BeFalse())
 }
@@ -394,12 +394,12 @@
 		reader.readStore()
 		reader.source.putConfig(4, 2, 881)
 		reader.readStore()
-		fullBulk, err := reader.Pack(0, reader.Revision())
+		fullBulk, err := reader.BuildBundle(0, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		deltaBulk, err := reader.Pack(3, reader.Revision())
+		deltaBulk, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(deltaBulk.Size()).To(BeNumerically("<", fullBulk.Size()/10))
-		cachedBulk, err := reader.Pack(3, reader.Revision())
+		cachedBulk, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(&cachedBulk.Config[0]).To(BeIdenticalTo(&deltaBulk.Config[0]))
 	})
@@ -408,9 +408,9 @@
 		h := newTestHost(&fakeStore{})
 		h.source.putConfig(3, 1, 4)
 		h.readStore()
-		_, err := h.TakeBulk("peer", Bulk{Config: compressed})
+		_, err := h.ApplyBundle("peer", DeltaBundle{Config: compressed})
 		Expect(err).To(HaveOccurred())
-		_, err = h.TakeBulk("peer", Bulk{Records: compressed})
+		_, err = h.ApplyBundle("peer", DeltaBundle{Records: compressed})
 		Expect(err).To(HaveOccurred())
 		Expect(h.routeCount()).To(Equal(4))
 	},
@@ -463,7 +463,7 @@
 		for range 100 {
 			h.now, other.now = h.now+100*time.Millisecond, other.now+100*time.Millisecond
 			other.readStore()
-			h.TakeNews("other", other.NewsFor("h"), h.now)
+			h.ApplyNews("other", other.NewsFor("h"), h.now)
 		}
 		h.readStore()
 		h.source.remove(directory.TargetKey("i-0"))
@@ -495,26 +495,26 @@
 		reader, other := newTestHost(store), newTestHost(store)
 		reader.readStore()
 		fetchFrom(reader, other)
-		Expect(reader.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
 
 		reader.cfg.Source = &silentStore{store}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- reader.readOnce(ctx, false) }()
-		Eventually(reader.Suspects, "5s").Should(BeTrue())
-		Eventually(reader.News()).Should(Receive())
+		Eventually(reader.SuspectsStoreOutage, "5s").Should(BeTrue())
+		Eventually(reader.NewsReady()).Should(Receive())
 		reader.now, other.now = time.Second, time.Second
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
-		Expect(other.Suspects()).To(BeTrue())
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
+		Expect(other.SuspectsStoreOutage()).To(BeTrue())
 		cancel()
 		Expect(<-done).To(HaveOccurred())
 
 		reader.cfg.Source = store
 		reader.now, other.now = 2*time.Second, 2*time.Second
 		reader.readStore()
-		Expect(reader.Suspects()).To(BeFalse())
-		Expect(reader.NewsFor("other").Overdue).To(BeZero())
-		other.TakeNews("reader", reader.NewsFor("other"), other.now)
-		Expect(other.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
+		Expect(reader.NewsFor("other").AnswerOverdue).To(BeZero())
+		other.ApplyNews("reader", reader.NewsFor("other"), other.now)
+		Expect(other.SuspectsStoreOutage()).To(BeFalse())
 	})
 })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,7 +20,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -66,7 +66,7 @@
 type Config struct {
 	Dialect     call.Dialect
 	Engines     call.Engines
-	Board       *published.Board
+	Board       *recordsync.Board
 	Loads       *TargetLoads
 	RetryBudget *retrybudget.Budget
 	// CrashEvidence records the requests that crash targets.
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -21,7 +21,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -142,7 +142,7 @@
 
 // startGatewayWithDialect is startGatewayWithLogs with a given dialect.
 func startGatewayWithDialect(dialect call.Dialect, logs slog.Handler, targets ...*directory.Seen) *fixture {
-	board := &published.Board{}
+	board := &recordsync.Board{}
 	views, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/directory"
 )
 
@@ -19,7 +19,7 @@
 	It("is cancelled and releases its reservation", func() {
 		loads := NewTargetLoads("host-1", "dc-1", func() time.Duration { return 0 })
 		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
-		board := &published.Board{}
+		board := &recordsync.Board{}
 		var views *blackboard.Writer[directory.View]
 		views, err := board.View.Claim()
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/gatewayhost/settings.go
+++ b/internal/gatewayhost/settings.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/settings"
 )
 
@@ -53,7 +53,7 @@
 	// targets, for the model engines and for the store.
 	Dialect call.Dialect
 	Engines call.Engines
-	Source  published.Source
+	Source  recordsync.Source
 }
 
 // RetryLimit limits retries in any window of a few seconds to Share of a
