--- a/internal/control/poolgossip/poolgossip.go
+++ b/internal/control/poolgossip/poolgossip.go
@@ -46,7 +46,7 @@
 	start time.Time
 
 	mu        sync.Mutex
-	backlogs  *decide.News
+	backlogs  *decide.BacklogTable
 	announced map[string]announcement
 	version   uint64
 	crashes   map[uint64]crash
@@ -70,7 +70,7 @@
 // New returns an empty store.
 func New(self string, m *poolmanager.Manager) *Store {
 	return &Store{
-		self: self, pools: m, start: time.Now(), backlogs: decide.NewNews(),
+		self: self, pools: m, start: time.Now(), backlogs: decide.NewBacklogTable(),
 		announced: map[string]announcement{}, crashes: map[uint64]crash{},
 		version: uint64(time.Now().UnixMilli()), urgent: make(chan struct{}, 1),
 	}
@@ -97,9 +97,9 @@
 		s.announceBacklog(name, backlog)
 	}
 	var out []*filbertv1.PoolNews
-	for _, item := range s.backlogs.Spread(s.now(), maxMessageItems, backlogRetransmits) {
+	for _, item := range s.backlogs.NextBroadcast(s.now(), maxMessageItems, backlogRetransmits) {
 		out = append(out, &filbertv1.PoolNews{
-			Pool: item.Pool, Control: item.Control, BacklogMs: uint32(item.Backlog.Milliseconds()), Version: item.Version,
+			Pool: item.Pool, Control: item.ControlAddress, BacklogMs: uint32(item.Backlog.Milliseconds()), Version: item.Version,
 		})
 	}
 	return out
@@ -125,7 +125,7 @@
 	}
 	s.announced[name] = announcement{backlog: backlog, at: now}
 	s.version++
-	s.backlogs.Hear(now, decide.Item{Pool: name, Control: s.self, Backlog: backlog, Version: s.version})
+	s.backlogs.Update(now, decide.BacklogReport{Pool: name, ControlAddress: s.self, Backlog: backlog, Version: s.version})
 }
 
 // ReceivePools stores the backlogs that a peer sent.
@@ -133,8 +133,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range list {
-		s.backlogs.Hear(s.now(), decide.Item{
-			Pool: n.Pool, Control: n.Control, Backlog: time.Duration(n.BacklogMs) * time.Millisecond, Version: n.Version,
+		s.backlogs.Update(s.now(), decide.BacklogReport{
+			Pool: n.Pool, ControlAddress: n.Control, Backlog: time.Duration(n.BacklogMs) * time.Millisecond, Version: n.Version,
 		})
 	}
 }
--- a/internal/control/poolmanager/plan.go
+++ b/internal/control/poolmanager/plan.go
@@ -43,7 +43,7 @@
 // allocator for each service, each of them would give a cold target the one
 // request that it can take.
 func ComputePlans(t *table.Table, hosts []configservice.Host) []Plan {
-	ranking := decide.NewRanking(rankingHosts(hosts))
+	ranking := decide.NewHostRanking(rankingHosts(hosts))
 	var plans []Plan
 	for _, g := range groupServices(t) {
 		for _, pool := range decide.Partition(g.name(), g.targets) {
@@ -59,15 +59,15 @@
 func rankingHosts(hosts []configservice.Host) []decide.Host {
 	out := make([]decide.Host, len(hosts))
 	for i, h := range hosts {
-		out[i] = decide.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
+		out[i] = decide.Host{ControlAddress: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
 	}
 	return out
 }
 
-func rankedOwners(pool decide.Pool, ranking *decide.Ranking) []string {
+func rankedOwners(pool decide.Pool, ranking *decide.HostRanking) []string {
 	out := make([]string, 0, maxOwners)
-	for _, h := range ranking.First(pool, maxOwners) {
-		out = append(out, h.Control)
+	for _, h := range ranking.TopHosts(pool, maxOwners) {
+		out = append(out, h.ControlAddress)
 	}
 	return out
 }
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -84,7 +84,7 @@
 	table           *table.Table
 	hosts           *configwatch.Hosts
 	limits          map[string]quota.Limits
-	accounts        *pools.Accounts
+	accounts        *pools.AccountIndex
 	owner           *quota.Owner
 	requestFilter   requestFilter
 	holders         map[string]*holder
@@ -111,7 +111,7 @@
 	}
 	return &Controller{
 		cfg: cfg, start: cfg.Now(), metrics: newCounters(cfg.Metrics), limits: map[string]quota.Limits{},
-		accounts: pools.NewAccounts(), owner: quota.NewOwner(quota.Config{}), requestFilter: newRequestFilter(),
+		accounts: pools.NewAccountIndex(), owner: quota.NewOwner(quota.Config{}), requestFilter: newRequestFilter(),
 		holders: map[string]*holder{}, callsInProgress: map[string]bool{}, lastRound: -renewInterval,
 	}
 }
@@ -169,7 +169,7 @@
 		c.setLimits(t)
 	}
 	if newHosts || newTable {
-		c.owner.SetOwned(c.now(), hosts.Version.Revision, c.accounts.Owned(c.cfg.Self))
+		c.owner.SetOwned(c.now(), hosts.Version.Revision, c.accounts.OwnedBy(c.cfg.Self))
 	}
 	// The list is set before its confirmation: in the other order a list that was
 	// never confirmed would be trusted on the confirmation of the previous one.
@@ -194,7 +194,7 @@
 func ownerHosts(list []configservice.Host) []pools.Host {
 	out := make([]pools.Host, len(list))
 	for i, h := range list {
-		out[i] = pools.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
+		out[i] = pools.Host{ControlAddress: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
 	}
 	return out
 }
--- a/internal/control/quota/simulation_test.go
+++ b/internal/control/quota/simulation_test.go
@@ -61,12 +61,12 @@
 	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 9)), accountRow: row, now: time.Hour}
 	var hosts []pools.Host
 	for i := range nodes {
-		hosts = append(hosts, pools.Host{Control: fmt.Sprint("127.0.0.1:", i+1)})
+		hosts = append(hosts, pools.Host{ControlAddress: fmt.Sprint("127.0.0.1:", i+1)})
 	}
 	for i := range nodes {
 		key := s.accountRow.Name
 		first := slices.IndexFunc(hosts, func(h pools.Host) bool { o, _ := pools.AccountOwner(key, hosts); return o == h })
-		s.addNode(hosts[first].Control, i > 0)
+		s.addNode(hosts[first].ControlAddress, i > 0)
 		hosts = slices.Delete(hosts, first, first+1)
 	}
 	s.publishRow(row)
