--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -169,12 +169,12 @@
 		c.setLimits(t)
 	}
 	if newHosts || newTable {
-		c.owner.SetOwned(c.now(), hosts.Version.Revision, c.accounts.OwnedBy(c.cfg.Self))
+		c.owner.SetOwnedAccounts(c.now(), hosts.Version.Revision, c.accounts.OwnedBy(c.cfg.Self))
 	}
 	// The list is set before its confirmation: in the other order a list that was
 	// never confirmed would be trusted on the confirmation of the previous one.
 	if !hosts.ConfirmedAt.IsZero() {
-		c.owner.Confirm(hosts.ConfirmedAt.Sub(c.start))
+		c.owner.ConfirmHostList(hosts.ConfirmedAt.Sub(c.start))
 	}
 }
 
--- a/internal/control/quota/demands.go
+++ b/internal/control/quota/demands.go
@@ -41,10 +41,10 @@
 		if now-h.startedAt < settlePeriod || !isRound && !h.hasUrgentDemand(now, c.limits) {
 			continue
 		}
-		for _, r := range h.leases.Drop(now, name, h.uses) {
+		for _, r := range h.leases.DropIdle(now, name, h.uses) {
 			c.addRelease(calls, r)
 		}
-		for _, d := range h.leases.Due(now, name, h.uses, maxDemandsPerPool) {
+		for _, d := range h.leases.DueDemands(now, name, h.uses, maxDemandsPerPool) {
 			c.addDemand(calls, h, d)
 		}
 	}
@@ -72,13 +72,13 @@
 	call.holders = append(call.holders, h)
 	call.req.Demands = append(call.req.Demands, &filbertv1.QuotaDemand{
 		Account: d.Account, Pool: d.Holder, Running: uint32(d.Running), Waiting: uint32(d.Waiting),
-		TokensPerSecond: uint32(math.Ceil(d.TokensPerSecond)), Known: d.Known,
+		TokensPerSecond: uint32(math.Ceil(d.TokensPerSecond)), Known: d.KnownSerial,
 	})
 }
 
 func (c *Controller) addRelease(calls map[string]*ownerCall, r quota.Release) {
 	if call := c.callFor(calls, r.Account); call != nil {
-		call.req.Releases = append(call.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.Known})
+		call.req.Releases = append(call.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.KnownSerial})
 	}
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	for i, g := range reply.Grants {
-		call.holders[i].leases.Granted(call.sentAt, grantOf(call.req.Demands[i].Account, g))
+		call.holders[i].leases.ApplyGrant(call.sentAt, grantOf(call.req.Demands[i].Account, g))
 	}
 	c.applyParts(c.now())
 }
@@ -134,7 +134,7 @@
 func grantOf(account string, g *filbertv1.QuotaGrant) quota.Grant {
 	return quota.Grant{
 		Account: account, Running: int(g.Running), TokensPerSecond: g.TokensPerSecond, NotOwner: g.NotOwner, Serial: g.Serial,
-		LeaseFor:   time.Duration(g.LeaseMs) * time.Millisecond,
-		RetryAfter: time.Duration(g.RetryMs) * time.Millisecond,
+		LeaseDuration: time.Duration(g.LeaseMs) * time.Millisecond,
+		RetryAfter:    time.Duration(g.RetryMs) * time.Millisecond,
 	}
 }
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -21,7 +21,7 @@
 	leases     *quota.Holder
 	startedAt  time.Duration
 	measuredAt time.Duration
-	uses       []quota.Use
+	uses       []quota.Usage
 	rates      map[string]float64
 	// applied holds the parts that the allocator was told last.
 	applied map[string]admission.QuotaGrant
@@ -60,7 +60,7 @@
 // miss the parts for a minute each time that a new host list moves a pool.
 func (c *Controller) removeHolder(now time.Duration, name string, h *holder) {
 	delete(c.holders, name)
-	for _, r := range h.leases.Drop(math.MaxInt64, name, nil) {
+	for _, r := range h.leases.DropIdle(math.MaxInt64, name, nil) {
 		c.pendingReleases = append(c.pendingReleases, pendingRelease{r, now + releaseDelay})
 	}
 }
@@ -87,9 +87,9 @@
 		if !limited {
 			continue
 		}
-		h.leases.Charge(now, u.Account, u.ProducedTokens)
+		h.leases.ChargeTokens(now, u.Account, u.ProducedTokens)
 		rates[u.Account] = smoothRate(h.rates[u.Account], u.ProducedTokens, elapsed)
-		use := quota.Use{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
+		use := quota.Usage{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
 		if use.Waiting > 0 {
 			// The output of waiting requests is unknown. They ask for the whole
 			// rate, which the owner shares evenly among the pools that do so.
@@ -110,12 +110,12 @@
 
 // hasUrgentDemand reports whether requests wait that a new lease could start.
 func (h *holder) hasUrgentDemand(now time.Duration, limits map[string]quota.Limits) bool {
-	return slices.ContainsFunc(h.uses, func(u quota.Use) bool {
+	return slices.ContainsFunc(h.uses, func(u quota.Usage) bool {
 		if u.Waiting == 0 {
 			return false
 		}
-		atLimit := limits[u.Account].Running > 0 && u.Running >= h.leases.Running(now, u.Account)
-		return atLimit || h.leases.RenewAt(u.Account) <= now
+		atLimit := limits[u.Account].Running > 0 && u.Running >= h.leases.RunningLimit(now, u.Account)
+		return atLimit || h.leases.NextRenewal(u.Account) <= now
 	})
 }
 
@@ -142,10 +142,10 @@
 
 func (h *holder) currentPart(now time.Duration, account string, limits quota.Limits) admission.QuotaGrant {
 	rate := quota.Limits{TokensPerSecond: limits.TokensPerSecond}
-	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.Expires(account)}
+	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.ExpiresAt(account)}
 	p.MayStart = now < p.ExpiresAt && h.leases.MayStart(now, account, rate, 0)
 	if limits.Running > 0 {
-		p.MaxRunning = h.leases.Running(now, account)
+		p.MaxRunning = h.leases.RunningLimit(now, account)
 		p.MayStart = p.MayStart && p.MaxRunning > 0
 	}
 	return p
