--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -23,14 +23,14 @@
 		return a.resumeGeneration(ctx)
 	}
 	key := retrybudget.Key{Account: a.Account.Name, Service: a.Service.Name}
-	a.retryBudget.First(time.Since(a.startTime), key)
+	a.retryBudget.RecordFirstAttempt(time.Since(a.startTime), key)
 	for attempt := 1; ; attempt++ {
 		err := a.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		retry := attempt < maxAttempts && a.retryable(ctx, err) && a.order.MayRestart()
-		if !retry || !a.retryBudget.Retry(time.Since(a.startTime), key) {
+		if !retry || !a.retryBudget.AllowRetry(time.Since(a.startTime), key) {
 			return a.finalError(ctx, err)
 		}
 		a.order.Restart(uuid.NewString())
--- a/internal/entry/plain/idempotent.go
+++ b/internal/entry/plain/idempotent.go
@@ -64,7 +64,7 @@
 // safe.
 func (r *IdempotentRelay) sendWithRetries(ctx context.Context, call Call) (*idempotency.Answer, error) {
 	key := retrybudget.Key{Account: call.Account.Name, Service: call.Service.Name}
-	r.RetryBudget.First(r.now(), key)
+	r.RetryBudget.RecordFirstAttempt(r.now(), key)
 	var failedTargets []string
 	var mayHaveRun bool
 	for attempt := 1; ; attempt++ {
@@ -75,7 +75,7 @@
 		f := failure.From(result.err)
 		mayHaveRun = mayHaveRun || f.Executed != failure.ExecutedNo
 		final := result.target == "" || attempt == maxIdempotentAttempts || ctx.Err() != nil
-		if final || !r.RetryBudget.Retry(r.now(), key) {
+		if final || !r.RetryBudget.AllowRetry(r.now(), key) {
 			if mayHaveRun && f.Executed == failure.ExecutedNo {
 				_ = f.Unknown()
 			}
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -100,7 +100,7 @@
 func (g *Gateway) relayGeneration(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	g.generations.add(gen)
 	defer g.generations.remove(gen)
 	stream, err := gen.start()
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -29,7 +29,7 @@
 // it is complete: a truncated answer must not look complete, and a repeatable
 // request can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
-	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var exclude []string
 	var lastErr error
 	var answer *completeAnswer
@@ -135,7 +135,7 @@
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.RetryBudget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.AllowRetry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.metrics.retries.Inc(1)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -193,7 +193,7 @@
 	if gen.attempts >= gen.route.Attempts || gen.g.cfg.CrashEvidence.isPoison(gen.fingerprint) {
 		return nil, cause
 	}
-	if !gen.g.cfg.RetryBudget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.AllowRetry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, cause
 	}
 	selection := gen.g.selectionState()
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -122,10 +122,10 @@
 func newBudget(lc fx.Lifecycle, s *Settings, fleet *fleetView) *retrybudget.Budget {
 	bound := s.Deployment.Retry
 	budget := retrybudget.New(retrybudget.Config{
-		Share: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, Trickle: retrybudget.NoTrickle,
+		RetryRatio: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, RefillPerSecond: retrybudget.NoRefill,
 	})
-	budget.ShareAmong(fleet.assumedHostCount())
-	process.Every(lc, fleetSizeInterval, func() { budget.ShareAmong(fleet.assumedHostCount()) })
+	budget.SetHostCount(fleet.assumedHostCount())
+	process.Every(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
 	return budget
 }
 
