--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -217,9 +217,9 @@
 		other, err := configwatch.NewStore(otherBoard, configwatch.StoreConfig{})
 		Expect(err).NotTo(HaveOccurred())
 		for _, s := range configwatch.Sections {
-			expected := rollout.VerdictTake
+			expected := rollout.VerdictApply
 			if s == configwatch.SectionDrain || s == configwatch.SectionKept {
-				expected = rollout.VerdictKnown
+				expected = rollout.VerdictCurrent
 			}
 			Expect(other.Apply(s, store.DeltaSince(s, rollout.Version{}))).To(Equal(expected), string(s))
 		}
@@ -228,7 +228,7 @@
 		Eventually(weightInForce, "5s", "5ms").Should(Equal(4.0))
 		delta := store.DeltaSince(configwatch.SectionTable, other.Head(configwatch.SectionTable).Version)
 		Expect(delta.Rows).To(HaveLen(1))
-		Expect(other.Apply(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictTake))
+		Expect(other.Apply(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictApply))
 		Expect(otherBoard.Table.Get().Accounts["clinic"].Weight).To(Equal(4.0))
 	})
 })
@@ -264,7 +264,7 @@
 		for i := range all {
 			all[i] = rows[name](i)
 		}
-		store.Apply(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.DigestOf(all)}})
+		store.Apply(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.ComputeDigest(all)}})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -283,9 +283,9 @@
 				}
 				delta := rollout.Delta{From: head.Version, Rows: []rollout.Row{newRow}, Head: rollout.Head{
 					Version: rollout.Version{Revision: head.Version.Revision + 1},
-					Digest:  head.Digest - rollout.DigestOf([]rollout.Row{oldRow}) + rollout.DigestOf([]rollout.Row{newRow}),
+					Digest:  head.Digest - rollout.ComputeDigest([]rollout.Row{oldRow}) + rollout.ComputeDigest([]rollout.Row{newRow}),
 				}}
-				if v := store.Apply(name, delta); v != rollout.VerdictTake {
+				if v := store.Apply(name, delta); v != rollout.VerdictApply {
 					b.Fatal(v)
 				}
 			}
--- a/internal/controller/configwatch/observed.go
+++ b/internal/controller/configwatch/observed.go
@@ -189,7 +189,7 @@
 
 func fullDelta(version rollout.Version, rows []rollout.Row) rollout.Delta {
 	return rollout.Delta{
-		Head: rollout.Head{Version: version, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows,
+		Head: rollout.Head{Version: version, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows,
 	}
 }
 
--- a/internal/controller/configwatch/readiness.go
+++ b/internal/controller/configwatch/readiness.go
@@ -51,7 +51,7 @@
 func (s *Store) RecordSyncedPeer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.join.Peer(address); s.join.Confirmed() && !s.peersConfirmed {
+	if s.join.RecordPeer(address); s.join.Confirmed() && !s.peersConfirmed {
 		s.peersConfirmed = true
 		s.publishState()
 	}
@@ -62,7 +62,7 @@
 func (s *Store) UnsyncedPeers(peers []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join.Unasked(peers)
+	return s.join.RemainingPeers(peers)
 }
 
 // IsReady reports whether this process may serve with the table in force. Once
@@ -85,7 +85,7 @@
 	behind := s.isServiceBehind(observed)
 	s.mu.Lock()
 	if !behind {
-		s.join.Service()
+		s.join.RecordService()
 	}
 	s.mu.Unlock()
 	s.updateServiceState(func(state *ServiceState) {
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -151,7 +151,7 @@
 		rows = append(rows, rollout.Row{Key: "account/" + name, Text: fmt.Sprintf("account,%s,%d,20,500,0,%064x,,,,,,", name, w, i+1)})
 	}
 	n.store.Apply(configwatch.SectionTable, rollout.Delta{Full: true, Rows: rows,
-		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}})
+		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.ComputeDigest(rows)}})
 }
 
 func (n *node) revision() uint64 { return n.store.Head(configwatch.SectionTable).Version.Revision }
