--- a/internal/controller/recordsync/recordsync_test.go
+++ b/internal/controller/recordsync/recordsync_test.go
@@ -35,7 +35,7 @@
 }
 
 func (s *fakeStore) ReadAll(context.Context) ([]directory.Record, uint64, error) {
-	present := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Gone })
+	present := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Deleted })
 	return present, s.revision, nil
 }
 
@@ -101,8 +101,8 @@
 	}
 	for i := range routes {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.Once,
-			Timeout: time.Second, Attempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
+			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.AtMostOnce,
+			Timeout: time.Second, MaxAttempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 	}
 	return c
@@ -126,7 +126,7 @@
 // remove deletes a record as the store does: a watch from an earlier revision
 // returns the removal, and a full read omits the record.
 func (s *fakeStore) remove(key string) {
-	s.put(directory.Record{Key: key, Revision: s.revision + 1, Gone: true})
+	s.put(directory.Record{Key: key, Revision: s.revision + 1, Deleted: true})
 }
 
 // exchangeNews updates one host from another until it lacks nothing.
@@ -205,7 +205,7 @@
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
 		Expect(other.Revision()).To(Equal(reader.Revision()))
-		Expect(other.board.View.Get().Pool("llm")).To(HaveLen(3000))
+		Expect(other.board.View.Get().ServiceTargets("llm")).To(HaveLen(3000))
 	})
 
 	// Guards against a lost message: a neighbour that counted as updated
@@ -252,7 +252,7 @@
 		reader.readStore()
 		other.readStore()
 		store.putConfig(5, 2, 900)
-		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Gone: true})
+		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Deleted: true})
 		reader.readStore()
 		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routeCount()).To(Equal(4))
@@ -273,14 +273,14 @@
 
 var _ = Describe("news of a process that has just started", func() {
 	targetRecord := func(id string, revision uint64) directory.Record {
-		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
+		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, StartedUnixMilli: 1}
 		return directory.Record{Key: directory.TargetKey(id), Revision: revision, Target: t}
 	}
 	// readyTargets returns the targets that a host considers ready.
 	readyTargets := func(h *testHost) []string {
 		var ids []string
-		for _, t := range h.board.View.Get().Pool("app") {
-			if h.board.View.Get().TakesNew(t) {
+		for _, t := range h.board.View.Get().ServiceTargets("app") {
+			if h.board.View.Get().AcceptsNewRequests(t) {
 				ids = append(ids, t.ID)
 			}
 		}
@@ -345,8 +345,8 @@
 						continue
 					}
 					for _, r := range store.records {
-						if r.Gone {
-							Expect(readyTargets(h)).NotTo(ContainElement(directory.TargetOf(r.Key)), "seed %d", seed)
+						if r.Deleted {
+							Expect(readyTargets(h)).NotTo(ContainElement(directory.TargetID(r.Key)), "seed %d", seed)
 						}
 					}
 				}
@@ -429,7 +429,7 @@
 	isReady := func(h *testHost) bool {
 		view := h.board.View.Get()
 		t, known := view.Target("i-0")
-		return known && view.TakesNew(t)
+		return known && view.AcceptsNewRequests(t)
 	}
 	failStore := func(h *testHost) {
 		h.recordCallResult(failure.New(failure.KindConfigUnreadable, "the store answered 503"))
--- a/internal/directory/types.go
+++ b/internal/directory/types.go
@@ -16,9 +16,9 @@
 
 // Request kinds.
 const (
-	// Once is for requests that are executed at most once for each attempt of a
+	// AtMostOnce is for requests that are executed at most once for each attempt of a
 	// client.
-	Once RequestKind = iota + 1
+	AtMostOnce RequestKind = iota + 1
 	// Repeatable is for requests that may be executed more than once.
 	Repeatable
 	// Generation is for requests that are answered by a stream of events from
@@ -26,7 +26,7 @@
 	Generation
 )
 
-var kindNames = map[RequestKind]string{Once: "once", Repeatable: "repeatable", Generation: "generation"}
+var kindNames = map[RequestKind]string{AtMostOnce: "once", Repeatable: "repeatable", Generation: "generation"}
 
 // String returns the name of the kind for logs.
 func (k RequestKind) String() string { return kindNames[k] }
@@ -46,13 +46,13 @@
 	Kind   RequestKind `json:"kind"`
 	// Timeout is the maximum time until the answer is complete.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the latency objective: the time to the answer, or for a
+	// LatencyObjective is the latency objective: the time to the answer, or for a
 	// generation to its first event.
-	Objective time.Duration `json:"objective"`
+	LatencyObjective time.Duration `json:"objective"`
 	// PauseObjective is the objective for the longest pause between two events.
 	PauseObjective time.Duration `json:"pause_objective"`
-	// Attempts is the maximum number of targets that one request is sent to.
-	Attempts int `json:"attempts"`
+	// MaxAttempts is the maximum number of targets that one request is sent to.
+	MaxAttempts int `json:"attempts"`
 	// Priority orders requests; 0 is the most urgent.
 	Priority int       `json:"priority"`
 	Backends []Backend `json:"backends"`
@@ -66,23 +66,23 @@
 type Engine struct {
 	Slots        int `json:"slots"`
 	MemoryTokens int `json:"memory_tokens"`
-	// Moves is set if engines can copy running generations to each other,
+	// CanMigrate is set if engines can copy running generations to each other,
 	// Backups if each keeps copies of the others' generations and updates them
 	// as they grow.
-	Moves   bool `json:"moves"`
-	Backups bool `json:"backups"`
+	CanMigrate   bool `json:"moves"`
+	KeepsBackups bool `json:"backups"`
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int `json:"tokens_per_event"`
 	// BytesPerToken and LinkMbps determine how long a copy takes.
 	BytesPerToken float64 `json:"bytes_per_token"`
 	LinkMbps      float64 `json:"link_mbps"`
-	// CopyKept is how long an engine keeps a copy that no longer grows; 0 if
+	// CopyTTL is how long an engine keeps a copy that no longer grows; 0 if
 	// unknown.
-	CopyKept time.Duration `json:"copy_kept"`
-	// HoldLimit is the longest time for which an engine reserves memory and a
+	CopyTTL time.Duration `json:"copy_kept"`
+	// MaxReservationTime is the longest time for which an engine reserves memory and a
 	// slot for a request that is still to come; 0 if engines make no
 	// reservations.
-	HoldLimit time.Duration `json:"hold_limit"`
+	MaxReservationTime time.Duration `json:"hold_limit"`
 }
 
 // Service describes a service and what each of its targets can take.
@@ -92,9 +92,9 @@
 	// MaxConnections is the number of connections that a target accepts from all
 	// hosts together.
 	MaxConnections int `json:"max_connections"`
-	// ColdRate is the number of requests per second that a cold target can take;
+	// ColdRequestsPerSecond is the number of requests per second that a cold target can take;
 	// 0 if targets of the service do not start cold.
-	ColdRate float64 `json:"cold_rate"`
+	ColdRequestsPerSecond float64 `json:"cold_rate"`
 	// Engine is nil for services that are not model engines.
 	Engine *Engine `json:"engine,omitempty"`
 }
@@ -136,11 +136,11 @@
 	Slots      int    `json:"slots"`
 	// Leaving targets get no new requests.
 	Leaving bool `json:"leaving"`
-	// ColdFor is the remaining warm-up time at the time of the target's report.
-	ColdFor time.Duration `json:"cold_for"`
-	// Started is the start time of the target in Unix milliseconds. A target may
+	// WarmUpRemaining is the remaining warm-up time at the time of the target's report.
+	WarmUpRemaining time.Duration `json:"cold_for"`
+	// StartedUnixMilli is the start time of the target in Unix milliseconds. A target may
 	// restart under the same ID.
-	Started int64 `json:"started"`
+	StartedUnixMilli int64 `json:"started"`
 }
 
 // Record is one published item. Exactly one of the typed fields is set, or
@@ -149,13 +149,13 @@
 	Key string `json:"key"`
 	// Revision is the store's revision at the record's last change; it only rises.
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
-	// Fault says why the item cannot be read. An unreadable configuration leaves
+	Deleted  bool   `json:"gone,omitempty"`
+	// ReadError says why the item cannot be read. An unreadable configuration leaves
 	// the previous one in force; a target without a readable item is not used.
-	Fault      string  `json:"fault,omitempty"`
-	Config     *Config `json:"config,omitempty"`
-	Target     *Target `json:"target,omitempty"`
-	DrainedOut string  `json:"drained,omitempty"`
+	ReadError         string  `json:"fault,omitempty"`
+	Config            *Config `json:"config,omitempty"`
+	Target            *Target `json:"target,omitempty"`
+	DrainedDataCentre string  `json:"drained,omitempty"`
 }
 
 // ConfigKey is the key of the configuration's record.
@@ -166,6 +166,6 @@
 // TargetKey returns the key of a target's record.
 func TargetKey(id string) string { return targetPrefix + id }
 
-// TargetOf returns the ID of the target that a record's key belongs to, and
+// TargetID returns the ID of the target that a record's key belongs to, and
 // the key itself for any other record.
-func TargetOf(key string) string { return strings.TrimPrefix(key, targetPrefix) }
+func TargetID(key string) string { return strings.TrimPrefix(key, targetPrefix) }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -13,22 +13,22 @@
 	// Config is nil until a configuration is known.
 	Config             *Config
 	index              *Index
-	targetsByID        map[string]*Seen
-	targetsByService   map[string][]*Seen
+	targetsByID        map[string]*ObservedTarget
+	targetsByService   map[string][]*ObservedTarget
 	drainedDataCentres map[string]bool
 }
 
-// Seen is a target with the time at which this process first saw it in its
+// ObservedTarget is a target with the time at which this process first saw it in its
 // current lifetime, on the process's monotonic clock.
-type Seen struct {
+type ObservedTarget struct {
 	Target
-	Since time.Duration
-	// ColdUntil is the end of the target's warm-up as the target reported it, on
+	FirstSeen time.Duration
+	// WarmAt is the end of the target's warm-up as the target reported it, on
 	// the monotonic clock.
-	ColdUntil time.Duration
-	// Listed is false once the target's record is deleted. Such a target is kept
+	WarmAt time.Duration
+	// Published is false once the target's record is deleted. Such a target is kept
 	// for the requests that still run on it.
-	Listed bool
+	Published bool
 }
 
 // Index holds the lookup tables of one configuration. It is built once for each
@@ -68,15 +68,15 @@
 
 // NewView builds a view of a configuration, which may be nil. Targets are
 // keyed by ID.
-func NewView(revision uint64, cfg *Config, targets map[string]*Seen, drained []string) *View {
-	return NewIndexedView(revision, NewIndex(cfg), targets, drained)
+func NewView(revision uint64, cfg *Config, targets map[string]*ObservedTarget, drained []string) *View {
+	return NewViewFromIndex(revision, NewIndex(cfg), targets, drained)
 }
 
-// NewIndexedView builds a view from the existing index of a configuration.
-func NewIndexedView(revision uint64, index *Index, targets map[string]*Seen, drained []string) *View {
+// NewViewFromIndex builds a view from the existing index of a configuration.
+func NewViewFromIndex(revision uint64, index *Index, targets map[string]*ObservedTarget, drained []string) *View {
 	v := &View{
 		Revision: revision, Config: index.config, index: index, targetsByID: targets,
-		targetsByService: map[string][]*Seen{}, drainedDataCentres: map[string]bool{},
+		targetsByService: map[string][]*ObservedTarget{}, drainedDataCentres: map[string]bool{},
 	}
 	for _, dc := range drained {
 		v.drainedDataCentres[dc] = true
@@ -85,7 +85,7 @@
 		v.targetsByService[t.Service] = append(v.targetsByService[t.Service], t)
 	}
 	for _, pool := range v.targetsByService {
-		slices.SortFunc(pool, func(a, b *Seen) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(pool, func(a, b *ObservedTarget) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return v
 }
@@ -117,25 +117,25 @@
 }
 
 // Target returns a target by ID.
-func (v *View) Target(id string) (*Seen, bool) {
+func (v *View) Target(id string) (*ObservedTarget, bool) {
 	t, ok := v.targetsByID[id]
 	return t, ok
 }
 
-// Pool returns a service's targets, including leaving and drained ones, sorted
+// ServiceTargets returns a service's targets, including leaving and drained ones, sorted
 // by ID. The caller must not modify the slice.
-func (v *View) Pool(service string) []*Seen { return v.targetsByService[service] }
+func (v *View) ServiceTargets(service string) []*ObservedTarget { return v.targetsByService[service] }
 
-// Drained reports whether operators have drained a data centre.
-func (v *View) Drained(dataCentre string) bool { return v.drainedDataCentres[dataCentre] }
+// IsDrained reports whether operators have drained a data centre.
+func (v *View) IsDrained(dataCentre string) bool { return v.drainedDataCentres[dataCentre] }
 
-// TakesNew reports whether the published state allows new requests on a target.
-func (v *View) TakesNew(t *Seen) bool {
-	return t.Listed && !t.Leaving && !v.drainedDataCentres[t.DataCentre]
+// AcceptsNewRequests reports whether the published state allows new requests on a target.
+func (v *View) AcceptsNewRequests(t *ObservedTarget) bool {
+	return t.Published && !t.Leaving && !v.drainedDataCentres[t.DataCentre]
 }
 
-// Pick selects a backend by weight and returns its service; random is in [0, 1).
-func (r *Route) Pick(random float64) string {
+// PickService selects a backend by weight and returns its service; random is in [0, 1).
+func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -140,7 +140,7 @@
 				return
 			}
 			leavingID = chosen.ID
-			entries := []*directory.Seen{first.directoryEntry("app", "dc-1"), second.directoryEntry("app", "dc-1")}
+			entries := []*directory.ObservedTarget{first.directoryEntry("app", "dc-1"), second.directoryEntry("app", "dc-1")}
 			for i, e := range entries {
 				if e.ID == leavingID {
 					entries[i] = asLeaving(e)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -55,7 +55,7 @@
 }
 
 // newSend returns a send of the request to a target.
-func (x *exchange) newSend(target *directory.Seen) *call.Send {
+func (x *exchange) newSend(target *directory.ObservedTarget) *call.Send {
 	s := &call.Send{Request: x.Request, Target: target.Target, Left: time.Until(x.deadline), Priority: -1}
 	if x.account != nil {
 		s.Account = x.account.Name
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -200,7 +200,7 @@
 		}
 	}
 	g.metrics.countReceived(x.route.Kind)
-	name := x.route.Pick(rand.Float64())
+	name := x.route.PickService(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
 		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
 	}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -206,7 +206,7 @@
 	load     targetload.Load
 	// entry is the target's directory entry and candidate its load, both as of
 	// the selection.
-	entry     *directory.Seen
+	entry     *directory.ObservedTarget
 	candidate placement.Candidate
 }
 
--- a/internal/gateway/memory_copy_test.go
+++ b/internal/gateway/memory_copy_test.go
@@ -73,7 +73,7 @@
 		first := startBreakingEngine("i-1")
 		backupEngine := startEngine("i-2", 3, time.Millisecond)
 		gw := startGateway(first.directoryEntry("llm", "dc-1"))
-		gw.cfg.Services[1].Engine.CopyKept = 100 * time.Millisecond
+		gw.cfg.Services[1].Engine.CopyTTL = 100 * time.Millisecond
 		gw.publish(first.directoryEntry("llm", "dc-1"), backupEngine.directoryEntry("llm", "dc-2"))
 		gw.loads.RecordFailure("i-2")
 		done := make(chan result, 1)
--- a/internal/gateway/move_test.go
+++ b/internal/gateway/move_test.go
@@ -126,7 +126,7 @@
 	_, _ = io.WriteString(conn, "0\r\n\r\n")
 }
 
-func asLeaving(t *directory.Seen) *directory.Seen {
+func asLeaving(t *directory.ObservedTarget) *directory.ObservedTarget {
 	out := *t
 	out.Leaving = true
 	return &out
@@ -256,7 +256,7 @@
 	It("go to another data centre when the engines of theirs have no room", func() {
 		first := startEngine("i-0", 400, 5*time.Millisecond)
 		gw := startGateway(first.directoryEntry("llm", "dc-1"))
-		entries := []*directory.Seen{asLeaving(first.directoryEntry("llm", "dc-1"))}
+		entries := []*directory.ObservedTarget{asLeaving(first.directoryEntry("llm", "dc-1"))}
 		for i := range 8 {
 			full := startEngine(fmt.Sprint("i-", i+1), 400, time.Millisecond)
 			first.refusedAddresses = append(first.refusedAddresses, full.address)
@@ -324,7 +324,7 @@
 		first := startEngine("i-1", 10, 5*time.Millisecond)
 		gw := startGateway(first.directoryEntry("app", "dc-1"))
 		gw.cfg.Routes = append(gw.cfg.Routes, directory.Route{
-			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, Attempts: 1,
+			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, MaxAttempts: 1,
 			Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 		gw.publish(first.directoryEntry("app", "dc-1"))
@@ -436,7 +436,7 @@
 			respond("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s1\nTransfer-Encoding: chunked\n\n")(conn, r)
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event(from+1)), event(from+1))
 		}
-		var targets []*directory.Seen
+		var targets []*directory.ObservedTarget
 		for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
 			targets = append(targets, startTarget(id, breaking).directoryEntry("llm", "dc-1"))
 		}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -98,8 +98,8 @@
 })
 
 var _ = Describe("a drained data centre", func() {
-	publishDrained := func(gw *fixture, dataCentre string, targets ...*directory.Seen) {
-		seen := map[string]*directory.Seen{}
+	publishDrained := func(gw *fixture, dataCentre string, targets ...*directory.ObservedTarget) {
+		seen := map[string]*directory.ObservedTarget{}
 		for _, t := range targets {
 			seen[t.ID] = t
 		}
