--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -147,7 +147,7 @@
 		if a.timeToFirstToken == 0 {
 			a.timeToFirstToken = time.Since(startedAt)
 		}
-		lease.Produced(int(a.order.NextOffset()))
+		lease.SetProduced(int(a.order.NextOffset()))
 	}
 	err = a.relayWithReconnects(ctx, events, err, lease.Target, progress)
 	a.cancelAbandoned(ctx, lease.Target, generation, err)
@@ -172,7 +172,7 @@
 	events, err := a.engine.resume(ctx, h.Target, h.Generation, h.Offset)
 	progress := func() {
 		if lease != nil {
-			lease.Produced(int(a.order.NextOffset()))
+			lease.SetProduced(int(a.order.NextOffset()))
 		}
 	}
 	err = a.relayWithReconnects(ctx, events, err, h.Target, progress)
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	time.Sleep(run)
-	lease.Produced(230)
+	lease.SetProduced(230)
 	lease.Settle(filbertv1.Outcome_OUTCOME_DONE, 300*time.Millisecond, run)
 	return nil
 }
