--- a/internal/entry/callers/api.go
+++ b/internal/entry/callerapi/api.go
@@ -1,6 +1,6 @@
-// Package callers implements the HTTP API for callers: completions, chat
+// Package callerapi implements the HTTP API for callers: completions, chat
 // completions, calls to plain services, and idempotency keys.
-package callers
+package callerapi
 
 import (
 	"encoding/json"
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -19,7 +19,7 @@
 	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
-	"filbertdeck/internal/entry/callers"
+	"filbertdeck/internal/entry/callerapi"
 	"filbertdeck/internal/entry/generation"
 	"filbertdeck/internal/entry/plain"
 	"filbertdeck/internal/entry/state"
@@ -135,8 +135,8 @@
 func newAPI(
 	b *state.Board, usage *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
 	generations *generation.Relay, idempotent *plain.IdempotentRelay, atMostOnce *plain.AtMostOnceRelay, s *Settings,
-) *callers.API {
-	return &callers.API{
+) *callerapi.API {
+	return &callerapi.API{
 		Board: b, Accounting: usage, Lifecycle: life, KeyRing: ring, Generations: generations, Idempotent: idempotent, AtMostOnce: atMostOnce, BodyLimit: s.BodyLimit,
 	}
 }
@@ -205,8 +205,8 @@
 
 // serveCallers starts last and stops first. On stop it reports "not ready",
 // waits for the requests in progress, and then shuts the HTTP server down.
-func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callers.API, life *lifecycle.Lifecycle, s *Settings) {
-	server := callers.NewServer(api.Handler())
+func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callerapi.API, life *lifecycle.Lifecycle, s *Settings) {
+	server := callerapi.NewServer(api.Handler())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return process.StartHTTP(server, id.ListenHTTP, s.Listen) },
 		OnStop: func(ctx context.Context) error {
