--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -11,7 +11,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -43,8 +43,8 @@
 	Lifecycle   *lifecycle.Lifecycle
 	KeyRing     *handle.Ring
 	Generations *generation.Relay
-	Idempotent  *plain.IdempotentRelay
-	AtMostOnce  *plain.AtMostOnceRelay
+	Idempotent  *servicecall.IdempotentRelay
+	AtMostOnce  *servicecall.AtMostOnceRelay
 	BodyLimit   int64
 }
 
@@ -230,7 +230,7 @@
 		failure.Write(w, err)
 		return err
 	}
-	call := plain.Call{
+	call := servicecall.Call{
 		Account: r.account, Service: s, Method: r.Method, Path: targetPath(r),
 		Header: r.Header, Body: body, Accounting: usage, ArrivedAt: r.arrivedAt,
 	}
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -21,7 +21,7 @@
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/callerapi"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -110,21 +110,21 @@
 	return generation.NewRelay(admission, client, ring, picker, b.PoolOf, budget)
 }
 
-func newIdempotentRelay(admission *admit.Client, client *targetclient.Client, b *state.Board, picker *state.Picker, budget *retrybudget.Budget) *plain.IdempotentRelay {
-	return &plain.IdempotentRelay{
+func newIdempotentRelay(admission *admit.Client, client *targetclient.Client, b *state.Board, picker *state.Picker, budget *retrybudget.Budget) *servicecall.IdempotentRelay {
+	return &servicecall.IdempotentRelay{
 		Admission: admission, Client: client, Picker: picker, RetryBudget: budget, Hedges: hedge.NewSet(hedge.Config{}),
 		Board: b, StartTime: time.Now(),
 	}
 }
 
-func newPeerForwarder(lc fx.Lifecycle, creds rpc.Credentials) *plain.PeerForwarder {
-	p := plain.NewPeerForwarder(creds)
+func newPeerForwarder(lc fx.Lifecycle, creds rpc.Credentials) *servicecall.PeerForwarder {
+	p := servicecall.NewPeerForwarder(creds)
 	lc.Append(fx.StopHook(p.Close))
 	return p
 }
 
-func newAtMostOnceRelay(admission *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, picker *state.Picker, p *plain.PeerForwarder) *plain.AtMostOnceRelay {
-	o := &plain.AtMostOnceRelay{
+func newAtMostOnceRelay(admission *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, picker *state.Picker, p *servicecall.PeerForwarder) *servicecall.AtMostOnceRelay {
+	o := &servicecall.AtMostOnceRelay{
 		Admission: admission, Client: targetclient.NewOnce(targetclient.Settings{}), Picker: picker,
 		KeyRing: ring, Self: self, Board: b, Forwarder: p,
 	}
@@ -134,7 +134,7 @@
 
 func newAPI(
 	b *state.Board, usage *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
-	generations *generation.Relay, idempotent *plain.IdempotentRelay, atMostOnce *plain.AtMostOnceRelay, s *Settings,
+	generations *generation.Relay, idempotent *servicecall.IdempotentRelay, atMostOnce *servicecall.AtMostOnceRelay, s *Settings,
 ) *callerapi.API {
 	return &callerapi.API{
 		Board: b, Accounting: usage, Lifecycle: life, KeyRing: ring, Generations: generations, Idempotent: idempotent, AtMostOnce: atMostOnce, BodyLimit: s.BodyLimit,
@@ -172,21 +172,21 @@
 // fresh.
 const hostListRefreshInterval = 500 * time.Millisecond
 
-func runHostListRefresh(lc fx.Lifecycle, o *plain.AtMostOnceRelay) {
+func runHostListRefresh(lc fx.Lifecycle, o *servicecall.AtMostOnceRelay) {
 	process.Every(lc, hostListRefreshInterval, o.RefreshHosts)
 }
 
 // registerGauges registers gauges for the requests in progress and for the
 // number and size of recorded idempotency keys.
-func registerGauges(reg gometrics.Registry, o *plain.AtMostOnceRelay, life *lifecycle.Lifecycle) {
+func registerGauges(reg gometrics.Registry, o *servicecall.AtMostOnceRelay, life *lifecycle.Lifecycle) {
 	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.Running()) })
 	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.RecordSize(); return int64(keys) })
 	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.RecordSize(); return int64(bytes) })
 }
 
-func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *plain.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
+func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *servicecall.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
-	filbertv1.RegisterForwardServer(server, &plain.ForwardServer{Relay: o, Board: b, Begin: life.Begin})
+	filbertv1.RegisterForwardServer(server, &servicecall.ForwardServer{Relay: o, Board: b, Begin: life.Begin})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
--- a/internal/entry/plain/at_most_once.go
+++ b/internal/entry/servicecall/at_most_once.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
--- a/internal/entry/plain/call.go
+++ b/internal/entry/servicecall/call.go
@@ -1,6 +1,6 @@
-// Package plain relays calls to plain services. Idempotent calls may be sent to
+// Package servicecall relays calls to plain services. Idempotent calls may be sent to
 // another target when one fails; at-most-once calls are never sent twice.
-package plain
+package servicecall
 
 import (
 	"bytes"
