--- a/internal/standin/command/run.go
+++ b/internal/standin/command/run.go
@@ -148,8 +148,8 @@
 func (s *EngineSettings) modelConfig() model.Config {
 	m := model.DefaultConfig()
 	m.MemoryTokens, m.MaxBatch = s.MemoryTokens, s.MaxBatch
-	m.BaseStep, m.PerSequence, m.PerPrompt = s.BaseStep, s.PerSequence, s.PerPromptToken
-	m.RampTime, m.FullBears, m.OverloadStallTime = s.WarmUpTime, s.WarmCapacity, s.StallTime
+	m.BaseStep, m.PerSequence, m.PerPromptToken = s.BaseStep, s.PerSequence, s.PerPromptToken
+	m.WarmUpTime, m.WarmCapacity, m.OverloadStallTime = s.WarmUpTime, s.WarmCapacity, s.StallTime
 	if s.OverloadEffect == "crash" {
 		m.OverloadEffect = model.OverloadCrash
 	}
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -62,7 +62,7 @@
 		}
 		switch event.Kind {
 		case model.EventToken:
-			g.producedTokens = event.Produced
+			g.producedTokens = event.ProducedTokens
 		case model.EventPreempted:
 			g.preemptions++
 		case model.EventFinished:
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -95,13 +95,13 @@
 		s.model.Crash(now)
 		s.applyEvents(s.model.Advance(now))
 	case FaultLoseWarmUp:
-		s.model.Cold(now)
+		s.model.ResetWarmUp(now)
 	case FaultCloseStreams:
 		s.forEachStream(fault.Count, (*stream).abort)
 	case FaultSilenceStreams:
 		s.forEachStream(fault.Count, func(st *stream) { st.silent = true; st.signal() })
 	case FaultSlow:
-		s.model.Slow(now, factorOrDefault(fault.Factor))
+		s.model.SetSlowFactor(now, factorOrDefault(fault.Factor))
 	case FaultCorruptFrame:
 		return s.setFrameCorruption(fault.Field)
 	case FaultReclaim:
@@ -109,7 +109,7 @@
 	case FaultNone:
 		s.frozenUntil, s.nextCorruption = time.Time{}, corruptNone
 		s.model.Unfreeze(now)
-		s.model.Slow(now, 1)
+		s.model.SetSlowFactor(now, 1)
 	default:
 		return failure.New(failure.KindBadRequest, "kind: %q is not an engine fault", fault.Kind)
 	}
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -96,7 +96,7 @@
 	g.promptTokens = (len(body.Prompt) + charsPerToken - 1) / charsPerToken
 	g.outputTokens, g.finishReason = s.outputLength(id, body)
 	return g, model.Job{
-		Priority: priority, PromptTokens: g.promptTokens, Length: g.outputTokens,
+		Priority: priority, PromptTokens: g.promptTokens, OutputTokens: g.outputTokens,
 		Prefix: model.PrefixChain(body.Prompt), Crash: strings.Contains(body.Prompt, crashMarker),
 	}, nil
 }
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -45,7 +45,7 @@
 
 	startServer := func(configure func(*engine.Config)) {
 		cfg := engine.Config{Model: model.Config{
-			BaseStep: 100 * time.Microsecond, PerSequence: time.Microsecond, PerPrompt: time.Nanosecond,
+			BaseStep: 100 * time.Microsecond, PerSequence: time.Microsecond, PerPromptToken: time.Nanosecond,
 			ReportLag: time.Millisecond,
 		}}
 		configure(&cfg)
@@ -227,8 +227,8 @@
 	// engine are cut off and can't be resumed.
 	It("crashes at a poison request and restarts cold, with a new incarnation", func() {
 		startServer(func(c *engine.Config) {
-			c.RestartAfter, c.Model.RampTime = time.Millisecond, time.Hour
-			c.Model.FullBears = 1
+			c.RestartAfter, c.Model.WarmUpTime = time.Millisecond, time.Hour
+			c.Model.WarmCapacity = 1
 		})
 		reader := startStream("g1", "[tokens=5000] [crash]")
 		_, finishReason := readRemaining(reader, 0)
@@ -271,7 +271,7 @@
 	})
 
 	It("reports load and cache events in the format of the protocol", func() {
-		startServer(func(c *engine.Config) { c.Model.FullBears = 3 })
+		startServer(func(c *engine.Config) { c.Model.WarmCapacity = 3 })
 		readRemaining(startStream("g1", strings.Repeat("p", 64)+"[tokens=1]"), 0)
 		body, _ := io.ReadAll(sendRequest("GET", "/v1/load", "").Body)
 		Expect(string(body)).To(MatchRegexp(
--- a/internal/standin/model/capacity.go
+++ b/internal/standin/model/capacity.go
@@ -5,11 +5,11 @@
 // serving, up to the configured capacity of a warm engine at the end of the
 // configured warm-up time.
 func (e *Engine) Capacity() int {
-	if e.servedTime >= e.cfg.RampTime {
-		return e.cfg.FullBears
+	if e.servedTime >= e.cfg.WarmUpTime {
+		return e.cfg.WarmCapacity
 	}
-	fraction := float64(e.servedTime) / float64(e.cfg.RampTime)
-	return 1 + int(fraction*float64(e.cfg.FullBears-1))
+	fraction := float64(e.servedTime) / float64(e.cfg.WarmUpTime)
+	return 1 + int(fraction*float64(e.cfg.WarmCapacity-1))
 }
 
 // checkCapacity stalls or crashes a cold engine that has more jobs than its
@@ -17,7 +17,7 @@
 // while running has a grace period, because no report could show the loss yet.
 func (e *Engine) checkCapacity() {
 	excess := len(e.jobs) - e.Capacity()
-	if excess <= 0 || e.servedTime >= e.cfg.RampTime {
+	if excess <= 0 || e.servedTime >= e.cfg.WarmUpTime {
 		return
 	}
 	e.stats.OverBears++
--- a/internal/standin/model/config.go
+++ b/internal/standin/model/config.go
@@ -23,14 +23,14 @@
 	MaxBatch, MaxWaiting int
 	// BaseStep is the duration of an empty batch step. The other two are added
 	// for each decoding sequence and for each prompt token computed in the step.
-	BaseStep, PerSequence, PerPrompt time.Duration
+	BaseStep, PerSequence, PerPromptToken time.Duration
 	// PrefillChunk limits the prompt tokens computed in one step.
 	PrefillChunk int
-	// RampTime is the serving time in which the capacity of a cold engine grows
+	// WarmUpTime is the serving time in which the capacity of a cold engine grows
 	// from one job to that of a warm engine, which the second field holds. 0 means
 	// that the engine starts warm.
-	RampTime  time.Duration
-	FullBears int
+	WarmUpTime   time.Duration
+	WarmCapacity int
 	// OverloadEffect is the effect of overload on a cold engine;
 	// OverloadStallTime is the duration of a stall.
 	OverloadEffect    OverloadEffect
@@ -77,8 +77,8 @@
 	return Config{
 		MemoryTokens: 100_000, MaxBatch: 256, MaxWaiting: 1024,
 		BaseStep: 10 * time.Millisecond, PerSequence: 250 * time.Microsecond,
-		PerPrompt: 20 * time.Microsecond, PrefillChunk: 512,
-		RampTime: 20 * time.Second, FullBears: 64,
+		PerPromptToken: 20 * time.Microsecond, PrefillChunk: 512,
+		WarmUpTime: 20 * time.Second, WarmCapacity: 64,
 		OverloadEffect: OverloadStall, OverloadStallTime: 15 * time.Second, ColdGracePeriod: time.Second,
 		ReportLag: 500 * time.Millisecond, CacheBlocks: 4096,
 		CacheLag: 300 * time.Millisecond, CacheLossRate: 0.02, Incarnation: 1,
@@ -102,11 +102,11 @@
 	setInt(&c.MaxBatch, d.MaxBatch)
 	setInt(&c.MaxWaiting, d.MaxWaiting)
 	setInt(&c.PrefillChunk, d.PrefillChunk)
-	setInt(&c.FullBears, d.FullBears)
+	setInt(&c.WarmCapacity, d.WarmCapacity)
 	setInt(&c.CacheBlocks, d.CacheBlocks)
 	setTime(&c.BaseStep, d.BaseStep)
 	setTime(&c.PerSequence, d.PerSequence)
-	setTime(&c.PerPrompt, d.PerPrompt)
+	setTime(&c.PerPromptToken, d.PerPromptToken)
 	setTime(&c.OverloadStallTime, d.OverloadStallTime)
 	setTime(&c.ReportLag, d.ReportLag)
 	if c.Incarnation == 0 {
--- a/internal/standin/model/engine.go
+++ b/internal/standin/model/engine.go
@@ -138,9 +138,9 @@
 		return failure.New(failure.KindNotReady, "engine is not running")
 	case e.jobs[job.ID] != nil:
 		return failure.New(failure.KindInProgress, "job %d was already submitted", job.ID)
-	case job.Length < 1 || job.PromptTokens < 0:
+	case job.OutputTokens < 1 || job.PromptTokens < 0:
 		return failure.New(failure.KindBadRequest, "job needs an output length of at least 1 and a prompt length of at least 0")
-	case job.PromptTokens+job.Length > e.cfg.MemoryTokens:
+	case job.PromptTokens+job.OutputTokens > e.cfg.MemoryTokens:
 		return failure.New(failure.KindTooLarge, "job needs more than %d tokens of memory", e.cfg.MemoryTokens)
 	case len(e.waiting) >= e.cfg.MaxWaiting:
 		return failure.New(failure.KindOverloaded, "queue is full").After(time.Second)
@@ -232,5 +232,5 @@
 }
 
 func (e *Engine) emitJobEvent(kind EventKind, s *sequence) {
-	e.events = append(e.events, Event{At: e.now, Kind: kind, ID: s.job.ID, Produced: s.produced})
+	e.events = append(e.events, Event{At: e.now, Kind: kind, ID: s.job.ID, ProducedTokens: s.produced})
 }
--- a/internal/standin/model/faults.go
+++ b/internal/standin/model/faults.go
@@ -35,15 +35,15 @@
 	}
 }
 
-// Cold resets the warm-up of the engine. Only the load reports show it.
-func (e *Engine) Cold(now time.Duration) {
+// ResetWarmUp resets the warm-up of the engine. Only the load reports show it.
+func (e *Engine) ResetWarmUp(now time.Duration) {
 	e.advanceTo(now)
 	e.servedTime, e.lostWarmUp, e.coldSince = 0, true, e.now
 	e.recordReport()
 }
 
-// Slow multiplies the duration of each later step; 1 is the normal speed.
-func (e *Engine) Slow(now time.Duration, factor float64) {
+// SetSlowFactor multiplies the duration of each later step; 1 is the normal speed.
+func (e *Engine) SetSlowFactor(now time.Duration, factor float64) {
 	e.advanceTo(now)
 	e.slowFactor = factor
 }
--- a/internal/standin/model/fuzz_test.go
+++ b/internal/standin/model/fuzz_test.go
@@ -11,7 +11,7 @@
 // replayScript interprets each pair of bytes as a call and returns a log of the
 // events.
 func replayScript(script []byte) (string, error) {
-	e := newTestEngine(func(c *model.Config) { c.RampTime, c.OverloadStallTime, c.CacheLossRate = 300*ms, 200*ms, 0.3 })
+	e := newTestEngine(func(c *model.Config) { c.WarmUpTime, c.OverloadStallTime, c.CacheLossRate = 300*ms, 200*ms, 0.3 })
 	now, log, nextID := time.Duration(0), "", model.JobID(1)
 	produced := map[model.JobID]int{}
 	for i := 0; i+1 < len(script); i += 2 {
@@ -21,7 +21,7 @@
 		case 7:
 			e.Cancel(now, model.JobID(arg)%nextID)
 		case 8:
-			e.Cold(now)
+			e.ResetWarmUp(now)
 		case 9:
 			e.Freeze(now, time.Duration(arg)*ms)
 			if arg%4 == 0 {
@@ -29,7 +29,7 @@
 				now = e.Now()
 			}
 		case 10:
-			e.Slow(now, float64(1+arg%4))
+			e.SetSlowFactor(now, float64(1+arg%4))
 		case 11:
 			e.Crash(now)
 			e.Restart(now)
@@ -45,10 +45,10 @@
 			if event.Kind != model.EventToken {
 				continue
 			}
-			if last, seen := produced[event.ID]; seen && event.Produced != last+1 {
-				return log, fmt.Errorf("job %d: token %d was produced after token %d", event.ID, event.Produced, last)
+			if last, seen := produced[event.ID]; seen && event.ProducedTokens != last+1 {
+				return log, fmt.Errorf("job %d: token %d was produced after token %d", event.ID, event.ProducedTokens, last)
 			}
-			produced[event.ID] = event.Produced
+			produced[event.ID] = event.ProducedTokens
 		}
 		if err := e.CheckInvariants(); err != nil {
 			return log, err
--- a/internal/standin/model/job.go
+++ b/internal/standin/model/job.go
@@ -14,7 +14,7 @@
 	// PromptTokens is the number of tokens to compute first (at least one is
 	// computed). The other field is the number of tokens to produce then, which
 	// nothing outside the engine knows in advance.
-	PromptTokens, Length int
+	PromptTokens, OutputTokens int
 	// Prefix holds the hashes of the prompt's leading blocks (PrefixChain).
 	Prefix []uint64
 	// Crash makes the engine crash when the prefill of the job ends.
@@ -42,8 +42,8 @@
 	At   time.Duration
 	Kind EventKind
 	ID   JobID
-	// Produced is the number of tokens that the job has produced.
-	Produced int
+	// ProducedTokens is the number of tokens that the job has produced.
+	ProducedTokens int
 }
 
 // sequence is the state of a waiting or running job.
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -26,8 +26,8 @@
 // token. The overrides change its configuration.
 func newTestEngine(overrides ...func(*model.Config)) *model.Engine {
 	cfg := model.Config{
-		MemoryTokens: 100, MaxBatch: 8, MaxWaiting: 8, BaseStep: 10 * ms, PerSequence: ms, PerPrompt: ms,
-		PrefillChunk: 20, FullBears: 8, ReportLag: 100 * ms, CacheBlocks: 4,
+		MemoryTokens: 100, MaxBatch: 8, MaxWaiting: 8, BaseStep: 10 * ms, PerSequence: ms, PerPromptToken: ms,
+		PrefillChunk: 20, WarmCapacity: 8, ReportLag: 100 * ms, CacheBlocks: 4,
 	}
 	for _, override := range overrides {
 		override(&cfg)
@@ -36,7 +36,7 @@
 }
 
 func newJob(id model.JobID, priority, prompt, length int) model.Job {
-	return model.Job{ID: id, Priority: priority, PromptTokens: prompt, Length: length}
+	return model.Job{ID: id, Priority: priority, PromptTokens: prompt, OutputTokens: length}
 }
 
 func submitAll(e *model.Engine, now time.Duration, jobs ...model.Job) {
@@ -157,16 +157,16 @@
 		chain := model.PrefixChain(strings.Repeat("a", 3*64+5))
 		other := model.PrefixChain(strings.Repeat("b", 2*64))
 		Expect(chain).To(HaveLen(3))
-		submitAll(e, 0, model.Job{ID: 1, PromptTokens: 50, Length: 1, Prefix: chain})
+		submitAll(e, 0, model.Job{ID: 1, PromptTokens: 50, OutputTokens: 1, Prefix: chain})
 		traceEvents(e)
-		submitAll(e, e.Now(), model.Job{ID: 2, PromptTokens: 50, Length: 1, Prefix: chain})
+		submitAll(e, e.Now(), model.Job{ID: 2, PromptTokens: 50, OutputTokens: 1, Prefix: chain})
 		started := e.Now()
 		traceEvents(e)
 		Expect(e.Now() - started).To(Equal(12 * ms))
 		Expect(e.CacheEvents(e.Now(), 0).Sequence).To(BeZero(), "the event is not visible yet")
 		changes := e.CacheEvents(e.Now()+50*ms, 0)
 		Expect(changes).To(Equal(model.CacheChanges{Sequence: 1, Cached: chain}))
-		submitAll(e, e.Now(), model.Job{ID: 3, PromptTokens: 32, Length: 1, Prefix: other})
+		submitAll(e, e.Now(), model.Job{ID: 3, PromptTokens: 32, OutputTokens: 1, Prefix: other})
 		traceEvents(e)
 		Expect(e.CacheEvents(e.Now()+time.Second, 1).Evicted).To(HaveLen(1))
 		Expect(e.CacheEvents(e.Now(), 99).Gap).To(BeTrue(), "a sequence number of another incarnation")
@@ -174,7 +174,7 @@
 
 	It("shows lost events as a gap", func() {
 		e := newTestEngine(func(c *model.Config) { c.CacheLossRate = 1 })
-		submitAll(e, 0, model.Job{ID: 1, PromptTokens: 20, Length: 1, Prefix: []uint64{7}})
+		submitAll(e, 0, model.Job{ID: 1, PromptTokens: 20, OutputTokens: 1, Prefix: []uint64{7}})
 		traceEvents(e)
 		Expect(e.CacheEvents(time.Second, 0)).To(Equal(model.CacheChanges{Sequence: 1, Gap: true}))
 	})
@@ -182,7 +182,7 @@
 
 // coldConfig makes an engine start cold, with a warm-up of one second of serving.
 func coldConfig(c *model.Config) {
-	c.RampTime, c.OverloadStallTime, c.ColdGracePeriod = time.Second, 500*ms, 200*ms
+	c.WarmUpTime, c.OverloadStallTime, c.ColdGracePeriod = time.Second, 500*ms, 200*ms
 }
 
 var _ = Describe("a cold engine", func() {
@@ -223,7 +223,7 @@
 		e.Advance(2 * time.Second)
 		submitAll(e, e.Now(), newJob(2, 0, 0, 200))
 		Expect(e.Report(e.Now() + ms).Bears).To(Equal(8))
-		e.Cold(e.Now())
+		e.ResetWarmUp(e.Now())
 		Expect(e.Report(e.Now() + ms).Bears).To(Equal(1))
 		submitAll(e, e.Now()+100*ms, newJob(3, 0, 0, 200))
 		Expect(e.Stats().FellOver).To(BeZero())
@@ -258,10 +258,10 @@
 		Entry("freeze", func(e *model.Engine) { e.Freeze(5*ms, 100*ms) }, "111:1 122:1"),
 		Entry("freeze twice", func(e *model.Engine) { e.Freeze(5*ms, 100*ms); e.Freeze(6*ms, 20*ms) }, "111:1 122:1"),
 		Entry("freeze, ended early", func(e *model.Engine) { e.Freeze(5*ms, 100*ms); e.Unfreeze(55 * ms); e.Unfreeze(56 * ms) }, "61:1 72:1"),
-		Entry("slow", func(e *model.Engine) { e.Slow(5*ms, 3) }, "11:1 44:1"),
+		Entry("slow", func(e *model.Engine) { e.SetSlowFactor(5*ms, 3) }, "11:1 44:1"),
 		Entry("crash", func(e *model.Engine) { e.Crash(15 * ms) }, ""),
 		Entry("reclaim", func(e *model.Engine) { e.Reclaim(5*ms, 10*ms) }, "11:1 15:0"),
-		Entry("poison", func(e *model.Engine) { _ = e.Submit(0, model.Job{ID: 6, Length: 1, Crash: true}) }, "11:1 23:1 23:6"),
+		Entry("poison", func(e *model.Engine) { _ = e.Submit(0, model.Job{ID: 6, OutputTokens: 1, Crash: true}) }, "11:1 23:1 23:6"),
 	)
 
 	It("leaves a crashed engine stopped until a restart, which is cold and has a new incarnation", func() {
--- a/internal/standin/model/step.go
+++ b/internal/standin/model/step.go
@@ -129,8 +129,8 @@
 		budget -= s.chunkTokens
 	}
 	promptTokens := e.cfg.PrefillChunk - budget
-	duration := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(promptTokens)*e.cfg.PerPrompt
-	if e.servedTime < e.cfg.RampTime && len(e.jobs) > e.Capacity() {
+	duration := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(promptTokens)*e.cfg.PerPromptToken
+	if e.servedTime < e.cfg.WarmUpTime && len(e.jobs) > e.Capacity() {
 		duration *= coldSlowdownFactor
 	}
 	return time.Duration(float64(duration) * e.slowFactor)
@@ -172,7 +172,7 @@
 	e.usedTokens++
 	e.stats.Tokens++
 	e.emitJobEvent(EventToken, s)
-	if s.produced == s.job.Length {
+	if s.produced == s.job.OutputTokens {
 		e.release(s)
 		delete(e.jobs, s.job.ID)
 		e.stats.Finished++
