--- a/internal/controller/gossip/cluster_test.go
+++ b/internal/controller/gossip/cluster_test.go
@@ -30,7 +30,7 @@
 // startCluster starts n nodes in two data centres. Their readers watch the
 // service; the other nodes get the documents by gossip.
 func startCluster(n int, probeInterval time.Duration) *cluster {
-	cl := &cluster{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultRate})}
+	cl := &cluster{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultCallsPerSecond})}
 	cl.server = httptest.NewServer(cl.service.Handler())
 	listeners, addresses := make([]net.Listener, n), make([]string, n)
 	var hosts []string
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -34,9 +34,9 @@
 // MaxValueBytes is the maximum size of a value, as in the platform's service.
 const MaxValueBytes = 1 << 20
 
-// DefaultRate is the number of calls per second that the platform's service
+// DefaultCallsPerSecond is the number of calls per second that the platform's service
 // supports for all readers together ("about two thousand").
-const DefaultRate = 2000
+const DefaultCallsPerSecond = 2000
 
 // Config holds the settings of the simulated service.
 type Config struct {
