--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -99,7 +99,7 @@
 	log, err := os.Create(h.out)
 	Expect(err).NotTo(HaveOccurred())
 	h.cmd = exec.Command(filepath.Join(bin, "filbert-gateway"), "--metrics-listen", h.metrics, "--log-format", "json")
-	h.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+settings)
+	h.cmd.Env = append(os.Environ(), platform.SettingsPathVariable+"="+settings)
 	h.cmd.Stdout, h.cmd.Stderr = log, log
 	Expect(h.cmd.Start()).To(Succeed())
 	go func() { h.exited <- h.cmd.Wait(); close(h.exited) }()
