--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -37,8 +37,8 @@
 }
 
 const (
-	requestID = standin.RequestID
-	seal      = standin.Seal
+	requestID = standin.HeaderRequestID
+	seal      = standin.HeaderSeal
 	// healthPath is the health check path of the service "llm".
 	healthPath = "/health"
 )
--- a/internal/gateway/move_test.go
+++ b/internal/gateway/move_test.go
@@ -72,7 +72,7 @@
 			return
 		}
 		time.Sleep(e.copyDelay)
-		answer := standin.MoveAnswer("h-"+e.id, e.eventsSent.Load())
+		answer := standin.MoveResponse("h-"+e.id, e.eventsSent.Load())
 		respond(fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n", len(answer)))(conn, r)
 		_, _ = conn.Write(answer)
 	case healthPath:
@@ -87,7 +87,7 @@
 func (e *fakeEngine) health(conn net.Conn, r *http.Request) {
 	switch {
 	case e.busy.Load():
-		respond("HTTP/1.1 503 Service Unavailable\n"+standin.NotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
+		respond("HTTP/1.1 503 Service Unavailable\n"+standin.HeaderNotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
 	case e.unhealthy.Load():
 		respond("HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n")(conn, r)
 	default:
@@ -104,7 +104,7 @@
 		closing = "Connection: close\n"
 	}
 	respond("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s-"+e.id+"\n"+closing+"Transfer-Encoding: chunked\n\n")(conn, r)
-	from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+	from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 	gone := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, conn)
@@ -153,7 +153,7 @@
 		Expect(got.header.Get(seal)).To(Equal("s-i-1"))
 		Expect(first.connClosed.Load()).To(BeTrue())
 		resumed := second.requests()[0]
-		Expect(resumed.Header.Get(standin.CopyFrom)).To(Equal(first.address + "/h-i-1"))
+		Expect(resumed.Header.Get(standin.HeaderKVFrom)).To(Equal(first.address + "/h-i-1"))
 		Expect(resumed.Header.Get(requestID)).To(Equal("r-1"))
 	})
 
@@ -369,13 +369,13 @@
 		if second.eventsSent.Load() > 0 {
 			from, to = second, first
 		}
-		Expect(from.requests()[0].Header.Get(standin.Backup)).To(Equal(to.address))
+		Expect(from.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(to.address))
 		gw.publish(asLeaving(from.directoryEntry("llm", "dc-1")), to.directoryEntry("llm", "dc-1"))
 		var got result
 		Eventually(done, "5s").Should(Receive(&got))
 		Expect(got.body).To(Equal(eventStream(events)))
 		Expect(from.moveRequests.Load()).To(BeZero())
-		Expect(to.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(to.address + "/r-1"))
+		Expect(to.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(to.address + "/r-1"))
 	})
 })
 
@@ -395,7 +395,7 @@
 		got := gw.do(gw.request("POST", "/report/"))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.body).To(Equal(eventStream(events)))
-		Expect(second.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(second.address + "/r-1"))
+		Expect(second.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(second.address + "/r-1"))
 	})
 })
 
@@ -432,7 +432,7 @@
 		var requestCount atomic.Int64
 		breaking := func(conn net.Conn, r *http.Request) {
 			requestCount.Add(1)
-			from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+			from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 			respond("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s1\nTransfer-Encoding: chunked\n\n")(conn, r)
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event(from+1)), event(from+1))
 		}
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -20,14 +20,14 @@
 
 // withTimeout sets the caller's timeout in milliseconds.
 func withTimeout(req *http.Request, ms int) *http.Request {
-	req.Header.Set(standin.Deadline, strconv.Itoa(ms))
+	req.Header.Set(standin.HeaderDeadline, strconv.Itoa(ms))
 	return req
 }
 
 // deadlineMillis returns the time that a target was given for a request, in
 // milliseconds.
 func deadlineMillis(r *http.Request) int {
-	ms, err := strconv.Atoi(r.Header.Get(standin.Deadline))
+	ms, err := strconv.Atoi(r.Header.Get(standin.HeaderDeadline))
 	Expect(err).NotTo(HaveOccurred())
 	return ms
 }
