--- a/internal/table/apply.go
+++ b/internal/table/apply.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Change is one row that differs between two revisions. Text is empty when
-// the row is gone.
+// Change is one row that differs between two revisions. Text is empty if the
+// row is removed.
 type Change struct {
 	Key  string
 	Text string
 }
 
-// Apply gives the table that results from changing rows of t, which stays as
-// it was. Only the changed rows are parsed; the others are shared. The rules
-// that span rows (a key of one account only, services that exist) hold for
-// the result, or nothing changes.
+// Apply returns the table that results from changing rows of t; t itself is not
+// modified. Only the changed rows are parsed; the others are shared with t. The
+// rules that span rows (a key belongs to one account only, referenced services
+// exist) are checked on the result; if one is violated, Apply returns no table.
 func (t *Table) Apply(epoch, revision uint64, changes []Change) (*Table, Faults) {
 	b := &builder{
 		table: &Table{
@@ -25,22 +25,22 @@
 			Accounts: maps.Clone(t.Accounts), Services: maps.Clone(t.Services),
 			Drained: t.Drained, ByKey: maps.Clone(t.ByKey),
 		},
-		seen: map[string]place{}, places: map[*Account]place{},
+		positionByKey: map[string]position{}, accountPositions: map[*Account]position{},
 	}
 	var faults Faults
-	// First every old row goes, then the new ones come: a key may move from
-	// one account to another within one edit.
-	lostService := false
+	// All old rows are removed before the new ones are added, because a key may
+	// move from one account to another within one edit.
+	serviceRemoved := false
 	for _, c := range changes {
-		lostService = b.remove(c) || lostService
+		serviceRemoved = b.remove(c) || serviceRemoved
 	}
 	for i, c := range changes {
-		b.replace(i+1, c, &faults)
+		b.addChanged(i+1, c, &faults)
 	}
-	if lostService {
-		b.recheckAll()
+	if serviceRemoved {
+		b.queueAllAccountChecks()
 	}
-	b.finish(&faults)
+	b.checkServiceReferences(&faults)
 	b.table.Epoch = epoch
 	if len(faults) > 0 {
 		return nil, faults
@@ -48,7 +48,7 @@
 	return b.table, nil
 }
 
-// remove takes a row out; it tells whether a service is lost by it.
+// remove deletes a row. It reports whether a service ceases to exist.
 func (b *builder) remove(c Change) bool {
 	if name, ok := strings.CutPrefix(c.Key, accountPrefix); ok {
 		if old := b.table.Accounts[name]; old != nil {
@@ -65,50 +65,51 @@
 	return false
 }
 
-func (b *builder) replace(line int, c Change, faults *Faults) {
+func (b *builder) addChanged(line int, c Change, faults *Faults) {
 	if c.Text == "" {
 		return
 	}
-	r := csv.NewReader(strings.NewReader(c.Text))
-	r.FieldsPerRecord = -1
-	cells, err := r.Read()
+	reader := csv.NewReader(strings.NewReader(c.Text))
+	reader.FieldsPerRecord = -1
+	cells, err := reader.Read()
 	if err != nil || len(cells) != len(columns) {
 		faults.add(Fault{Row: line, Column: "(row)", Value: c.Key, Allowed: "one row in canonical form"})
 		return
 	}
-	row := &rowReader{at: place{0, line}, header: columns, index: canonicalIndex, cells: cells, faults: faults}
-	before := len(b.seen)
+	row := &rowReader{pos: position{0, line}, header: columns, index: canonicalIndexes, cells: cells, faults: faults}
+	rowsBefore := len(b.positionByKey)
 	b.add(row)
-	if _, ok := b.seen[c.Key]; (!ok || len(b.seen) != before+1) && !row.failed {
+	if _, ok := b.positionByKey[c.Key]; (!ok || len(b.positionByKey) != rowsBefore+1) && !row.failed {
 		row.fault(colName, row.cell(colName), "the row that its key "+c.Key+" names")
 	}
 }
 
-// recheckAll puts every account up for the check against the services.
-func (b *builder) recheckAll() {
+// queueAllAccountChecks marks every account for the check of its service
+// references.
+func (b *builder) queueAllAccountChecks() {
 	for _, a := range b.table.Accounts {
-		if _, ok := b.places[a]; !ok {
-			b.places[a] = place{}
+		if _, ok := b.accountPositions[a]; !ok {
+			b.accountPositions[a] = position{}
 		}
 	}
 }
 
-// With gives the table with the drain list and the services' targets filled
-// in; rows are shared with t.
+// With returns the table with the drain list and the targets of the services
+// filled in. Rows are shared with t.
 func (t *Table) With(drained []string, targets map[string][]Target) *Table {
-	out := *t
-	out.Drained = set(drained...)
-	out.Services = make(map[string]*Service, len(t.Services))
+	result := *t
+	result.Drained = newSet(drained...)
+	result.Services = make(map[string]*Service, len(t.Services))
 	for name, s := range t.Services {
 		copied := *s
 		copied.Targets = targets[name]
-		out.Services[name] = &copied
+		result.Services[name] = &copied
 	}
-	return &out
+	return &result
 }
 
-// Newer tells whether t comes after other in the order of edits: by epoch,
-// recognised restores, then the configuration service's revision.
+// Newer reports whether t comes after other in the order of edits: by epoch,
+// then by recognised restores, then by revision of the configuration service.
 func (t *Table) Newer(other *Table) bool {
 	if other == nil {
 		return true
--- a/internal/table/build.go
+++ b/internal/table/build.go
@@ -4,13 +4,14 @@
 	"strconv"
 )
 
-// builder puts rows together into a table and checks what one row alone can't
-// show: names and keys that stand twice, services that don't exist.
+// builder assembles rows into a table and checks the rules that span rows:
+// names and keys are unique, referenced services exist.
 type builder struct {
-	table *Table
-	seen  map[string]place
-	// places remembers where an account stands, for faults found at the end.
-	places map[*Account]place
+	table         *Table
+	positionByKey map[string]position
+	// accountPositions holds the position of each account whose service
+	// references are still to be checked, for reporting faults.
+	accountPositions map[*Account]position
 }
 
 func newBuilder(revision uint64) *builder {
@@ -19,19 +20,19 @@
 			Revision: revision, Accounts: map[string]*Account{}, Services: map[string]*Service{},
 			Drained: map[string]bool{}, ByKey: map[[32]byte]*Account{},
 		},
-		seen: map[string]place{}, places: map[*Account]place{},
+		positionByKey: map[string]position{}, accountPositions: map[*Account]position{},
 	}
 }
 
 func (b *builder) add(r *rowReader) {
-	kind := choice(r, colKind, RowKind(""), RowAccount, RowService, RowEpoch)
+	kind := enumValue(r, colKind, RowKind(""), RowAccount, RowService, RowEpoch)
 	if kind == "" {
 		if r.cell(colKind) == "" {
 			r.fault(colKind, "", "one of account, service, epoch")
 		}
 		return
 	}
-	r.onlyUsed(kind)
+	r.rejectUnusedColumns(kind)
 	switch kind {
 	case RowAccount:
 		b.addAccount(r, readAccount(r))
@@ -42,25 +43,26 @@
 	}
 }
 
-// once notes a second row of one kind and name.
-func (b *builder) once(r *rowReader, key string) bool {
-	if at, twice := b.seen[key]; twice {
-		r.fault(colName, r.cell(colName), "one row a name; the first is page "+strconv.Itoa(at.page)+" row "+strconv.Itoa(at.row))
+// claimKey registers the row's key. It records a fault and returns false if an
+// earlier row has the same kind and name.
+func (b *builder) claimKey(r *rowReader, key string) bool {
+	if first, duplicate := b.positionByKey[key]; duplicate {
+		r.fault(colName, r.cell(colName), "one row a name; the first is page "+strconv.Itoa(first.page)+" row "+strconv.Itoa(first.row))
 		return false
 	}
-	b.seen[key] = r.at
+	b.positionByKey[key] = r.pos
 	return true
 }
 
 func (b *builder) addAccount(r *rowReader, a *Account) {
-	if !b.once(r, AccountKey(a.Name)) {
+	if !b.claimKey(r, AccountKey(a.Name)) {
 		return
 	}
 	b.table.Accounts[a.Name] = a
-	b.places[a] = r.at
+	b.accountPositions[a] = r.pos
 	for _, k := range a.KeyHashes {
-		if other, taken := b.table.ByKey[k]; taken {
-			r.fault(colKeys, "", "a key of one account only; account "+other.Name+" has it too")
+		if other, exists := b.table.ByKey[k]; exists {
+			r.fault(colKeyHashes, "", "a key of one account only; account "+other.Name+" has it too")
 			continue
 		}
 		b.table.ByKey[k] = a
@@ -68,29 +70,30 @@
 }
 
 func (b *builder) addService(r *rowReader, s *Service) {
-	if b.once(r, ServiceKey(s.Name)) {
+	if b.claimKey(r, ServiceKey(s.Name)) {
 		b.table.Services[s.Name] = s
 	}
 }
 
 func (b *builder) addEpoch(r *rowReader) {
-	v := r.cell(colName)
-	n, err := strconv.ParseUint(v, 10, 64)
-	if err != nil || n > maxEpoch {
-		r.fault(colName, v, "a whole number from 0 to "+strconv.Itoa(maxEpoch))
+	text := r.cell(colName)
+	epoch, err := strconv.ParseUint(text, 10, 64)
+	if err != nil || epoch > maxEpoch {
+		r.fault(colName, text, "a whole number from 0 to "+strconv.Itoa(maxEpoch))
 		return
 	}
-	if b.once(r, EpochKey) {
-		b.table.Epoch = n
+	if b.claimKey(r, EpochKey) {
+		b.table.Epoch = epoch
 	}
 }
 
-// finish checks what needs the whole table.
-func (b *builder) finish(faults *Faults) {
-	for a, at := range b.places {
+// checkServiceReferences checks that the services named by accounts exist. It
+// also sorts the faults.
+func (b *builder) checkServiceReferences(faults *Faults) {
+	for a, pos := range b.accountPositions {
 		for _, s := range a.Services {
 			if _, ok := b.table.Services[s]; !ok {
-				faults.add(Fault{Page: at.page, Row: at.row, Column: colServices, Value: s, Allowed: "the name of a service row"})
+				faults.add(Fault{Page: pos.page, Row: pos.row, Column: colServices, Value: s, Allowed: "the name of a service row"})
 			}
 		}
 	}
@@ -101,24 +104,24 @@
 	return &Account{
 		Name:            r.name(),
 		Weight:          r.float(colWeight, 1, maxWeight, false),
-		MaxRunning:      r.integer(colMaxRunning, 0, 0, maxRunningBound),
-		TokensPerSecond: r.float(colTokens, 0, maxTokenRate, true),
+		MaxRunning:      r.integer(colMaxRunning, 0, 0, maxRunningLimit),
+		TokensPerSecond: r.float(colTokensPerSecond, 0, maxTokensPerSecond, true),
 		Priority:        r.integer(colPriority, 0, -maxPriority, maxPriority),
-		KeyHashes:       r.keys(),
-		Services:        r.list(colServices, maxServices),
+		KeyHashes:       r.keyHashes(),
+		Services:        r.stringList(colServices, maxServicesPerAccount),
 	}
 }
 
 func readService(r *rowReader) *Service {
 	s := &Service{
 		Name:       r.name(),
-		Type:       choice(r, colType, ServiceGeneration, ServiceGeneration, ServiceLookup, ServiceOnce),
-		MaxWait:    r.milliseconds(colMaxWait, defaultMaxWait, maxWaitBound),
-		QueueLimit: r.integer(colQueueLimit, defaultQueue, 0, queueLimitBound),
+		Type:       enumValue(r, colType, ServiceGeneration, ServiceGeneration, ServiceLookup, ServiceOnce),
+		MaxWait:    r.milliseconds(colMaxWaitMS, defaultMaxWait, maxWaitLimit),
+		QueueLimit: r.integer(colQueueLimit, defaultQueueLimit, 0, maxQueueLimit),
 	}
 	if s.Type == ServiceGeneration {
-		s.Delivery = choice(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryWhole)
-		s.MaxTokens = r.integer(colMaxTokens, defaultMaxTokens, 1, maxTokensBound)
+		s.Delivery = enumValue(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryWhole)
+		s.MaxTokens = r.integer(colMaxTokens, defaultMaxTokens, 1, maxTokensLimit)
 		return s
 	}
 	for _, c := range []string{colDelivery, colMaxTokens} {
--- a/internal/table/cells.go
+++ b/internal/table/cells.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// place is where a row stands.
-type place struct{ page, row int }
+// position is the location of a row.
+type position struct{ page, row int }
 
-// rowReader reads typed values from one row's cells and notes each fault.
+// rowReader reads typed values from the cells of one row and records each
+// fault.
 type rowReader struct {
-	at     place
+	pos    position
 	header []string
-	// index gives each column's place in the header.
+	// index maps each column to its position in the header.
 	index  map[string]int
 	cells  []string
 	faults *Faults
@@ -32,13 +33,14 @@
 
 func (r *rowReader) fault(column, value, allowed string) {
 	r.failed = true
-	r.faults.add(Fault{Page: r.at.page, Row: r.at.row, Column: column, Value: value, Allowed: allowed})
+	r.faults.add(Fault{Page: r.pos.page, Row: r.pos.row, Column: column, Value: value, Allowed: allowed})
 }
 
-// onlyUsed notes cells that this kind of row does not read.
-func (r *rowReader) onlyUsed(kind RowKind) {
+// rejectUnusedColumns records a fault for each cell that this kind of row does
+// not use.
+func (r *rowReader) rejectUnusedColumns(kind RowKind) {
 	for i, h := range r.header {
-		if i >= len(r.cells) || used[kind][h] {
+		if i >= len(r.cells) || columnsByKind[kind][h] {
 			continue
 		}
 		if v := strings.TrimSpace(r.cells[i]); v != "" {
@@ -47,9 +49,9 @@
 	}
 }
 
-// validName tells whether a name may stand in a URL, a metric and a log.
+// validName reports whether a name may appear in a URL, a metric and a log.
 func validName(name string) bool {
-	if name == "" || len(name) > maxName || !letterOrDigit(name[0]) {
+	if name == "" || len(name) > maxNameBytes || !letterOrDigit(name[0]) {
 		return false
 	}
 	for i := range len(name) {
@@ -72,22 +74,22 @@
 	return strings.Clone(v)
 }
 
-// float reads a number in (or, with zero allowed, from) 0 up to limit.
-func (r *rowReader) float(column string, fallback, limit float64, zero bool) float64 {
+// float reads a number above 0, or from 0 if allowZero is set, up to limit.
+func (r *rowReader) float(column string, fallback, limit float64, allowZero bool) float64 {
 	v := r.cell(column)
 	if v == "" {
 		return fallback
 	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || f < 0 || f > limit || (f == 0 && !zero) {
-		low := "above 0"
-		if zero {
-			low = "from 0"
+	number, err := strconv.ParseFloat(v, 64)
+	if err != nil || math.IsNaN(number) || number < 0 || number > limit || (number == 0 && !allowZero) {
+		lowerBound := "above 0"
+		if allowZero {
+			lowerBound = "from 0"
 		}
-		r.fault(column, v, "a number "+low+" to "+strconv.FormatFloat(limit, 'f', -1, 64)+" with a decimal point")
+		r.fault(column, v, "a number "+lowerBound+" to "+strconv.FormatFloat(limit, 'f', -1, 64)+" with a decimal point")
 		return fallback
 	}
-	return f
+	return number
 }
 
 func (r *rowReader) integer(column string, fallback, low, high int) int {
@@ -108,15 +110,16 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// list splits a cell; repeated and empty members are faults.
-func (r *rowReader) list(column string, most int) []string {
+// stringList splits a cell at the separator. A duplicate or empty item is a
+// fault.
+func (r *rowReader) stringList(column string, maxItems int) []string {
 	v := r.cell(column)
 	if v == "" {
 		return nil
 	}
 	parts := strings.Split(v, listSeparator)
-	if len(parts) > most {
-		r.fault(column, v, "at most "+strconv.Itoa(most)+" members separated by "+listSeparator)
+	if len(parts) > maxItems {
+		r.fault(column, v, "at most "+strconv.Itoa(maxItems)+" members separated by "+listSeparator)
 		return nil
 	}
 	for i := range parts {
@@ -130,34 +133,34 @@
 	return parts
 }
 
-func (r *rowReader) keys() [][32]byte {
-	parts := r.list(colKeys, maxKeys)
-	keys := make([][32]byte, 0, len(parts))
+func (r *rowReader) keyHashes() [][32]byte {
+	parts := r.stringList(colKeyHashes, maxKeysPerAccount)
+	hashes := make([][32]byte, 0, len(parts))
 	for _, p := range parts {
-		var k [32]byte
-		n, err := hex.Decode(k[:], []byte(p[:min(len(p), hex.EncodedLen(len(k)))]))
-		if err != nil || n != len(k) || len(p) != hex.EncodedLen(len(k)) {
-			r.fault(colKeys, "", "SHA-256 digests, 64 hexadecimal digits each, separated by "+listSeparator)
+		var hash [32]byte
+		n, err := hex.Decode(hash[:], []byte(p[:min(len(p), hex.EncodedLen(len(hash)))]))
+		if err != nil || n != len(hash) || len(p) != hex.EncodedLen(len(hash)) {
+			r.fault(colKeyHashes, "", "SHA-256 digests, 64 hexadecimal digits each, separated by "+listSeparator)
 			continue
 		}
-		keys = append(keys, k)
+		hashes = append(hashes, hash)
 	}
-	return keys
+	return hashes
 }
 
-// choice reads one of a few words.
-func choice[T ~string](r *rowReader, column string, fallback T, allowed ...T) T {
+// enumValue reads one of a fixed set of values.
+func enumValue[T ~string](r *rowReader, column string, fallback T, allowed ...T) T {
 	v := T(strings.ToLower(r.cell(column)))
 	if v == "" {
 		return fallback
 	}
-	words := make([]string, len(allowed))
+	names := make([]string, len(allowed))
 	for i, a := range allowed {
 		if v == a {
 			return a
 		}
-		words[i] = string(a)
+		names[i] = string(a)
 	}
-	r.fault(column, string(v), "one of "+strings.Join(words, ", "))
+	r.fault(column, string(v), "one of "+strings.Join(names, ", "))
 	return fallback
 }
--- a/internal/table/changes.go
+++ b/internal/table/changes.go
@@ -6,49 +6,49 @@
 	"strconv"
 )
 
-// Changes gives the rows by which next differs from old, for Apply on a copy
-// of old elsewhere. Accounts that Apply shared between the two are recognised
-// without being encoded, so that an edit of one row among 11,000 costs a walk
-// over the map and one encoded row.
+// Changes returns the rows in which next differs from old, to be passed to
+// Apply on a copy of old in another process. Accounts that Apply shared between
+// the two are recognised without being encoded, so that an edit of one row
+// among 11,000 costs one iteration over the map and the encoding of one row.
 func Changes(old, next *Table) []Change {
 	enc := newLineEncoder()
-	out := epochChange(enc, old, next)
+	changes := epochChange(enc, old, next)
 	for name, a := range next.Accounts {
-		was, known := old.Accounts[name]
-		if was == a {
+		previous, existed := old.Accounts[name]
+		if previous == a {
 			continue
 		}
 		text := enc.account(a)
-		if !known || enc.account(was) != text {
-			out = append(out, Change{AccountKey(name), text})
+		if !existed || enc.account(previous) != text {
+			changes = append(changes, Change{AccountKey(name), text})
 		}
 	}
 	for name := range old.Accounts {
-		if _, kept := next.Accounts[name]; !kept {
-			out = append(out, Change{Key: AccountKey(name)})
+		if _, exists := next.Accounts[name]; !exists {
+			changes = append(changes, Change{Key: AccountKey(name)})
 		}
 	}
-	out = append(out, serviceChanges(enc, old, next)...)
-	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
-	return out
+	changes = append(changes, serviceChanges(enc, old, next)...)
+	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
+	return changes
 }
 
-// serviceChanges compares the rows themselves: With copies services to fill in
-// their targets, which are no part of the row.
+// serviceChanges compares the encoded rows, not pointers: With copies services
+// to fill in their targets, which are not part of the row.
 func serviceChanges(enc *lineEncoder, old, next *Table) []Change {
-	var out []Change
+	var changes []Change
 	for name, s := range next.Services {
 		text := enc.service(s)
-		if was, known := old.Services[name]; !known || enc.service(was) != text {
-			out = append(out, Change{ServiceKey(name), text})
+		if previous, existed := old.Services[name]; !existed || enc.service(previous) != text {
+			changes = append(changes, Change{ServiceKey(name), text})
 		}
 	}
 	for name := range old.Services {
-		if _, kept := next.Services[name]; !kept {
-			out = append(out, Change{Key: ServiceKey(name)})
+		if _, exists := next.Services[name]; !exists {
+			changes = append(changes, Change{Key: ServiceKey(name)})
 		}
 	}
-	return out
+	return changes
 }
 
 func epochChange(enc *lineEncoder, old, next *Table) []Change {
--- a/internal/table/diff.go
+++ b/internal/table/diff.go
@@ -6,72 +6,75 @@
 	"strings"
 )
 
-// DiffKind says what an edit does to a row.
+// DiffKind is the kind of change that an edit makes to a row.
 type DiffKind string
 
-// What an edit does to a row.
+// The kinds of changes.
 const (
 	DiffAdded   DiffKind = "added"
 	DiffRemoved DiffKind = "removed"
 	DiffChanged DiffKind = "changed"
 )
 
-// RowDiff is what an edit changes for one account or service.
+// RowDiff is the change that an edit makes to the row of one account or
+// service.
 type RowDiff struct {
 	Kind DiffKind `json:"change"`
 	Key  string   `json:"row"`
-	// Text is the row's new canonical form, empty when it is removed.
+	// Text is the new canonical form of the row; it is empty if the row is
+	// removed.
 	Text  string     `json:"-"`
 	Cells []CellDiff `json:"cells"`
 }
 
-// CellDiff is one column's change, defaults written out.
+// CellDiff is the change of one column. Old and New contain defaults
+// explicitly.
 type CellDiff struct {
 	Column string `json:"column"`
 	Old    string `json:"old"`
 	New    string `json:"new"`
 }
 
-// Diff gives what an edit from old to next changes, in the order of keys.
+// Diff returns the changes from old to next, sorted by row key.
 func Diff(old, next *Table) []RowDiff {
-	before, after := byKey(old), byKey(next)
-	var out []RowDiff
+	before, after := textByKey(old), textByKey(next)
+	var diffs []RowDiff
 	for k, line := range after {
-		was, known := before[k]
+		previous, existed := before[k]
 		switch {
-		case !known:
-			out = append(out, RowDiff{DiffAdded, k, line, cellDiffs("", line)})
-		case was != line:
-			out = append(out, RowDiff{DiffChanged, k, line, cellDiffs(was, line)})
+		case !existed:
+			diffs = append(diffs, RowDiff{DiffAdded, k, line, cellDiffs("", line)})
+		case previous != line:
+			diffs = append(diffs, RowDiff{DiffChanged, k, line, cellDiffs(previous, line)})
 		}
 	}
 	for k, line := range before {
-		if _, kept := after[k]; !kept {
-			out = append(out, RowDiff{DiffRemoved, k, "", cellDiffs(line, "")})
+		if _, exists := after[k]; !exists {
+			diffs = append(diffs, RowDiff{DiffRemoved, k, "", cellDiffs(line, "")})
 		}
 	}
-	slices.SortFunc(out, func(a, b RowDiff) int { return strings.Compare(a.Key, b.Key) })
-	return out
+	slices.SortFunc(diffs, func(a, b RowDiff) int { return strings.Compare(a.Key, b.Key) })
+	return diffs
 }
 
-// String gives the difference as one line.
+// String formats the difference as one line.
 func (d RowDiff) String() string {
 	parts := make([]string, len(d.Cells))
 	for i, c := range d.Cells {
-		parts[i] = c.Column + " " + shown(c.Old) + " -> " + shown(c.New)
+		parts[i] = c.Column + " " + displayValue(c.Old) + " -> " + displayValue(c.New)
 	}
 	kind, name, _ := strings.Cut(d.Key, "/")
 	return string(d.Kind) + " " + kind + " " + name + ": " + strings.Join(parts, ", ")
 }
 
-func shown(v string) string {
+func displayValue(v string) string {
 	if v == "" {
 		return "(empty)"
 	}
 	return v
 }
 
-func byKey(t *Table) map[string]string {
+func textByKey(t *Table) map[string]string {
 	lines := t.Lines()
 	m := make(map[string]string, len(lines))
 	for _, l := range lines {
@@ -80,24 +83,24 @@
 	return m
 }
 
-// identity is the number of leading columns that name a row.
-const identity = 2
+// keyColumnCount is the number of leading columns that identify a row.
+const keyColumnCount = 2
 
 func cellDiffs(old, next string) []CellDiff {
-	before, after := cellsOf(old), cellsOf(next)
-	var out []CellDiff
-	for i := identity; i < len(columns); i++ {
+	before, after := parseCells(old), parseCells(next)
+	var diffs []CellDiff
+	for i := keyColumnCount; i < len(columns); i++ {
 		if before[i] != after[i] {
-			out = append(out, CellDiff{columns[i], before[i], after[i]})
+			diffs = append(diffs, CellDiff{columns[i], before[i], after[i]})
 		}
 	}
-	return out
+	return diffs
 }
 
-func cellsOf(line string) []string {
+func parseCells(line string) []string {
 	cells, err := csv.NewReader(strings.NewReader(line)).Read()
 	if err != nil {
-		// An empty line stands for a row that is not there.
+		// An empty line represents a row that does not exist.
 		return make([]string, len(columns))
 	}
 	return cells
--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -10,30 +10,30 @@
 	"strings"
 )
 
-// The keys of rows: what names one row across revisions.
+// The prefixes of row keys. A row key identifies a row across revisions.
 const (
 	accountPrefix = "account/"
 	servicePrefix = "service/"
-	// EpochKey is the key of the table's own row.
+	// EpochKey is the key of the epoch row.
 	EpochKey = "epoch/"
 )
 
-// AccountKey gives the key of an account's row.
+// AccountKey returns the key of an account's row.
 func AccountKey(name string) string { return accountPrefix + name }
 
-// ServiceKey gives the key of a service's row.
+// ServiceKey returns the key of a service's row.
 func ServiceKey(name string) string { return servicePrefix + name }
 
-// Line is one row in its canonical form: every default written out, so that
-// two rows that mean the same are the same.
+// Line is one row in canonical form: all defaults are written out, so that rows
+// with the same meaning have the same text.
 type Line struct {
 	Key string
-	// Text is the row's CSV without the end of line.
+	// Text is the row as CSV without the line terminator.
 	Text string
 }
 
-// Lines gives the table's rows in canonical form and order. Drain list and
-// targets are no part of them.
+// Lines returns the rows of the table in canonical form and order. The drain
+// list and the targets are not part of them.
 func (t *Table) Lines() []Line {
 	lines := make([]Line, 0, len(t.Accounts)+len(t.Services)+1)
 	enc := newLineEncoder()
@@ -49,8 +49,8 @@
 	return lines
 }
 
-// Encode gives the table as canonical pages, each at most MaxPage bytes; the
-// first has the header. Parse reads them back to an equal table.
+// Encode returns the table as canonical pages of at most MaxPage bytes each;
+// the first contains the header. Parse reads them back to an equal table.
 func Encode(t *Table) [][]byte {
 	page := bytes.NewBuffer(nil)
 	page.WriteString(strings.Join(columns, ",") + "\n")
@@ -66,8 +66,8 @@
 	return append(pages, page.Bytes())
 }
 
-// lineEncoder writes rows; it is reused, so that 11,000 rows don't make
-// 11,000 writers.
+// lineEncoder encodes rows. It is reused, so that encoding 11,000 rows does not
+// allocate 11,000 writers.
 type lineEncoder struct {
 	buf bytes.Buffer
 	csv *csv.Writer
@@ -79,13 +79,13 @@
 	return e
 }
 
-// line writes the cells and fills the columns that are left with nothing.
+// line encodes the cells and leaves the remaining columns empty.
 func (e *lineEncoder) line(cells ...string) string {
 	for len(cells) < len(columns) {
 		cells = append(cells, "")
 	}
 	e.buf.Reset()
-	// Writing to a buffer does not fail.
+	// Writing to a buffer cannot fail.
 	_ = e.csv.Write(cells)
 	e.csv.Flush()
 	return strings.TrimSuffix(e.buf.String(), "\n")
@@ -96,18 +96,18 @@
 	for i, k := range a.KeyHashes {
 		keys[i] = hex.EncodeToString(k[:])
 	}
-	return e.line(string(RowAccount), a.Name, number(a.Weight), strconv.Itoa(a.MaxRunning),
-		number(a.TokensPerSecond), strconv.Itoa(a.Priority), strings.Join(keys, listSeparator),
+	return e.line(string(RowAccount), a.Name, formatFloat(a.Weight), strconv.Itoa(a.MaxRunning),
+		formatFloat(a.TokensPerSecond), strconv.Itoa(a.Priority), strings.Join(keys, listSeparator),
 		strings.Join(a.Services, listSeparator))
 }
 
 func (e *lineEncoder) service(s *Service) string {
-	tokens := ""
+	maxTokens := ""
 	if s.Type == ServiceGeneration {
-		tokens = strconv.Itoa(s.MaxTokens)
+		maxTokens = strconv.Itoa(s.MaxTokens)
 	}
 	return e.line(string(RowService), s.Name, "", "", "", "", "", "", string(s.Type), string(s.Delivery),
-		tokens, strconv.FormatInt(s.MaxWait.Milliseconds(), 10), strconv.Itoa(s.QueueLimit))
+		maxTokens, strconv.FormatInt(s.MaxWait.Milliseconds(), 10), strconv.Itoa(s.QueueLimit))
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
--- a/internal/table/fault.go
+++ b/internal/table/fault.go
@@ -9,61 +9,64 @@
 	"filbertdeck/internal/failure"
 )
 
-// Fault is one thing that is wrong with a table, placed so that an operator
-// finds the cell in the spreadsheet.
+// Fault is one validation error of a table, with its position so that an
+// operator finds the cell in the spreadsheet.
 type Fault struct {
-	// Page counts from 0 in the order of the keys under table/; a file has
-	// page 0 only.
+	// Page is the index of the page, from 0, in the order of the keys under
+	// table/; a single file has page 0 only.
 	Page int `json:"page"`
-	// Row is the line in the page, from 1; 0 when the whole page is meant.
+	// Row is the line in the page, from 1; 0 if the fault concerns the whole
+	// page.
 	Row    int    `json:"row"`
 	Column string `json:"column"`
-	// Value is what stands there. A key's column is never shown: someone may
-	// have pasted the key itself in place of its digest.
+	// Value is the content of the cell. The key column's content is never
+	// reported, because an operator may have pasted the key itself in place of
+	// its digest.
 	Value string `json:"value"`
-	// Allowed says what may stand there.
+	// Allowed describes the permitted values.
 	Allowed string `json:"allowed"`
 }
 
-// maxShown bounds how much of a faulty value a report repeats, in bytes.
-const maxShown = 80
+// maxShownValueBytes limits how much of a faulty value a report contains.
+const maxShownValueBytes = 80
 
-// String gives the fault as one line.
+// String formats the fault as one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("page %d row %d column %s: %q; allowed: %s", f.Page, f.Row, f.Column, f.Value, f.Allowed)
 }
 
-// Faults are all the faults of one table; empty means that it is valid.
+// Faults are all the faults of one table; it is empty if the table is valid.
 type Faults []Fault
 
-// maxFaults bounds a report. A file that is no table at all would otherwise
-// give one fault for each of its cells.
+// maxFaults limits the length of a report. A file that is not a table at all
+// would otherwise yield one fault for each of its cells.
 const maxFaults = 1000
 
-// shownFaults bounds how many faults an error's text names.
-const shownFaults = 3
+// maxFaultsInError limits how many faults the text of an error lists.
+const maxFaultsInError = 3
 
-// Err gives the faults as one failure, nil when there are none.
+// Err combines the faults into one error of kind KindTableInvalid. It returns
+// nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
 	}
-	shown := make([]string, 0, shownFaults)
-	for _, f := range fs[:min(len(fs), shownFaults)] {
-		shown = append(shown, f.String())
+	texts := make([]string, 0, maxFaultsInError)
+	for _, f := range fs[:min(len(fs), maxFaultsInError)] {
+		texts = append(texts, f.String())
 	}
-	return failure.New(failure.KindTableInvalid, "%d faults: %s", len(fs), strings.Join(shown, "; "))
+	return failure.New(failure.KindTableInvalid, "%d faults: %s", len(fs), strings.Join(texts, "; "))
 }
 
 func (fs *Faults) add(f Fault) {
 	if len(*fs) >= maxFaults {
 		return
 	}
-	if f.Column == colKeys {
+	if f.Column == colKeyHashes {
 		f.Value = "(not shown)"
 	}
-	if len(f.Value) > maxShown {
-		f.Value = strings.ToValidUTF8(f.Value[:maxShown], "") + "..."
+	if len(f.Value) > maxShownValueBytes {
+		f.Value = strings.ToValidUTF8(f.Value[:maxShownValueBytes], "") + "..."
 	}
 	*fs = append(*fs, f)
 }
--- a/internal/table/parse.go
+++ b/internal/table/parse.go
@@ -10,29 +10,32 @@
 	"strings"
 )
 
-// byteOrderMark is what spreadsheets put in front of UTF-8.
+// byteOrderMark is the mark that spreadsheets write at the start of UTF-8
+// files.
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// Parse reads a table from its pages as a spreadsheet saves them: comma,
-// semicolon or tab between the cells, with or without a byte order mark,
-// quotes and CRLF. The first page has the header; later ones may repeat it.
+// Parse reads a table from its pages as a spreadsheet saves them: cells
+// separated by commas, semicolons or tabs, with or without a byte order mark,
+// quotes and CRLF. The first page contains the header; later pages may repeat
+// it.
 //
-// It finds every fault at once. With any fault the table is nil: a table is
-// taken whole or not at all, so that no half of an edit is ever in force.
+// It reports all faults at once. If there is any fault the table is nil: a
+// table is accepted as a whole or not at all, so that a partly valid edit never
+// takes effect.
 func Parse(revision uint64, pages [][]byte) (*Table, Faults) {
 	p := parse(revision, pages)
 	if len(p.faults) > 0 {
 		return nil, p.faults
 	}
-	return p.build.table, nil
+	return p.builder.table, nil
 }
 
-// EpochOf gives the epoch that pages carry, also when they have faults
-// elsewhere; 0 when they name none.
-func EpochOf(pages [][]byte) uint64 { return parse(0, pages).build.table.Epoch }
+// EpochOf returns the epoch in the pages, even if they have faults elsewhere.
+// It returns 0 if they contain no epoch.
+func EpochOf(pages [][]byte) uint64 { return parse(0, pages).builder.table.Epoch }
 
 func parse(revision uint64, pages [][]byte) *parser {
-	p := &parser{build: newBuilder(revision)}
+	p := &parser{builder: newBuilder(revision)}
 	if len(pages) == 0 || len(pages) > maxPages {
 		p.faults.add(Fault{Column: colKind, Value: strconv.Itoa(len(pages)) + " pages", Allowed: "1 to 64 pages"})
 		return p
@@ -44,20 +47,21 @@
 			return p
 		}
 	}
-	p.build.finish(&p.faults)
+	p.builder.checkServiceReferences(&p.faults)
 	return p
 }
 
-// parser walks the pages and hands each row to the builder.
+// parser reads the pages and passes each row to the builder.
 type parser struct {
-	build  *builder
-	faults Faults
-	page   int
-	comma  rune
-	// header gives the canonical column of each cell; nil until it was read.
-	header []string
-	index  map[string]int
-	rows   int
+	builder   *builder
+	faults    Faults
+	page      int
+	delimiter rune
+	// header holds the column name of each cell; it is nil until the header row
+	// has been read.
+	header   []string
+	index    map[string]int
+	rowCount int
 }
 
 func (p *parser) readPage(page []byte) {
@@ -66,65 +70,67 @@
 	}
 	page = bytes.TrimPrefix(page, byteOrderMark)
 	if p.header == nil {
-		p.comma = delimiter(page)
+		p.delimiter = detectDelimiter(page)
 	}
-	r := csv.NewReader(bytes.NewReader(page))
-	r.Comma = p.comma
-	r.FieldsPerRecord = -1
-	r.ReuseRecord = true
-	first := true
+	reader := csv.NewReader(bytes.NewReader(page))
+	reader.Comma = p.delimiter
+	reader.FieldsPerRecord = -1
+	reader.ReuseRecord = true
+	isFirst := true
 	for {
-		cells, err := r.Read()
+		cells, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			p.syntax(err)
+			p.addSyntaxFault(err)
 			continue
 		}
-		line, _ := r.FieldPos(0)
-		if !p.record(line, cells, first) {
+		line, _ := reader.FieldPos(0)
+		if !p.readRecord(line, cells, isFirst) {
 			return
 		}
-		first = false
+		isFirst = false
 	}
 	if p.header == nil {
 		p.faults.add(Fault{Page: p.page, Column: colKind, Allowed: "a header row"})
 	}
 }
 
-// syntax notes a row that is no CSV. The reader goes on with the next line.
-func (p *parser) syntax(err error) {
+// addSyntaxFault records a row that is not valid CSV. The reader continues with
+// the next line.
+func (p *parser) addSyntaxFault(err error) {
 	line := 0
-	var pe *csv.ParseError
-	if errors.As(err, &pe) {
-		line = pe.StartLine
+	var parseErr *csv.ParseError
+	if errors.As(err, &parseErr) {
+		line = parseErr.StartLine
 	}
 	p.faults.add(Fault{Page: p.page, Row: line, Column: "(row)", Value: "not CSV", Allowed: "cells in quotes, a quote within one doubled"})
 }
 
-// record takes one line; false stops the page.
-func (p *parser) record(line int, cells []string, first bool) bool {
-	if first && isHeader(cells) {
+// readRecord processes one line. It returns false if the rest of the page is to
+// be skipped.
+func (p *parser) readRecord(line int, cells []string, isFirst bool) bool {
+	if isFirst && isHeader(cells) {
 		return p.readHeader(line, cells)
 	}
 	if p.header == nil {
 		p.faults.add(Fault{Page: p.page, Row: line, Column: colKind, Value: cells[0], Allowed: "a header row with " + colKind + ", " + colName})
 		return false
 	}
-	if blank(cells) {
+	if allBlank(cells) {
 		return true
 	}
-	p.rows++
-	if p.rows > maxRows {
-		p.faults.add(Fault{Page: p.page, Row: line, Column: colKind, Value: strconv.Itoa(p.rows), Allowed: "at most 50000 rows"})
+	p.rowCount++
+	if p.rowCount > maxRows {
+		p.faults.add(Fault{Page: p.page, Row: line, Column: colKind, Value: strconv.Itoa(p.rowCount), Allowed: "at most 50000 rows"})
 		return false
 	}
-	if len(cells) > len(p.header) && !blank(cells[len(p.header):]) {
+	if len(cells) > len(p.header) && !allBlank(cells[len(p.header):]) {
 		p.faults.add(Fault{Page: p.page, Row: line, Column: "(row)", Value: strconv.Itoa(len(cells)) + " cells", Allowed: "as many cells as the header has"})
 	}
-	row := rowReader{at: place{p.page, line}, header: p.header, index: p.index, cells: cells, faults: &p.faults}
-	p.build.add(&row)
+	row := rowReader{pos: position{p.page, line}, header: p.header, index: p.index, cells: cells, faults: &p.faults}
+	p.builder.add(&row)
 	return true
 }
 
@@ -139,23 +145,23 @@
 		}
 		return true
 	}
-	seen := map[string]bool{}
+	seenNames := map[string]bool{}
 	for _, n := range names {
-		if n != "" && (seen[n] || !slices.Contains(columns, n)) {
+		if n != "" && (seenNames[n] || !slices.Contains(columns, n)) {
 			p.faults.add(Fault{Page: p.page, Row: line, Column: "(header)", Value: n, Allowed: "each once: " + strings.Join(columns, ", ")})
 		}
-		seen[n] = true
+		seenNames[n] = true
 	}
-	if !seen[colName] {
+	if !seenNames[colName] {
 		p.faults.add(Fault{Page: p.page, Row: line, Column: "(header)", Value: "", Allowed: "a column " + colName})
 	}
-	p.header, p.index = names, indexOf(names)
+	p.header, p.index = names, columnIndexes(names)
 	return true
 }
 
-// delimiter guesses what stands between the cells from the header's line;
-// spreadsheets of many countries save a semicolon.
-func delimiter(page []byte) rune {
+// detectDelimiter derives the delimiter from the header line. Spreadsheets of
+// many locales write semicolons.
+func detectDelimiter(page []byte) rune {
 	header, _, _ := bytes.Cut(page, []byte("\n"))
 	for _, c := range []rune{',', ';', '\t'} {
 		if bytes.ContainsRune(header, c) {
@@ -174,7 +180,7 @@
 	return false
 }
 
-func blank(cells []string) bool {
+func allBlank(cells []string) bool {
 	for _, c := range cells {
 		if strings.TrimSpace(c) != "" {
 			return false
@@ -183,7 +189,7 @@
 	return true
 }
 
-func indexOf(header []string) map[string]int {
+func columnIndexes(header []string) map[string]int {
 	m := make(map[string]int, len(header))
 	for i, h := range header {
 		m[h] = i
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -1,105 +1,110 @@
-// Package table holds the operators' table: one row per client account or
+// Package table implements the operators' table: one row per client account or
 // service, saved as CSV by a spreadsheet and read from the platform's
-// configuration. The system never writes it.
+// configuration service. The system never writes it.
 package table
 
 import "time"
 
-// RowKind tells an account's row from a service's.
+// RowKind distinguishes the rows of accounts, of services and of the epoch.
 type RowKind string
 
 // The kinds of rows.
 const (
 	RowAccount RowKind = "account"
 	RowService RowKind = "service"
-	// RowEpoch is the table's own row: its name is the operators' epoch.
+	// RowEpoch is the row of the table itself; its name is the epoch set by the
+	// operators.
 	RowEpoch RowKind = "epoch"
 )
 
-// ServiceType says how a service's requests are served.
+// ServiceType determines how the requests of a service are handled.
 type ServiceType string
 
 // The types of services.
 const (
-	// ServiceGeneration is a model engine's: answers of unknown length.
+	// ServiceGeneration is a service of model engines, with responses of
+	// unknown length.
 	ServiceGeneration ServiceType = "generation"
-	// ServiceLookup is a plain service whose calls may be repeated.
+	// ServiceLookup is a plain service whose calls are idempotent and may be
+	// repeated.
 	ServiceLookup ServiceType = "lookup"
-	// ServiceOnce is a plain service whose calls run at most once.
+	// ServiceOnce is a plain service whose calls are executed at most once.
 	ServiceOnce ServiceType = "once"
 )
 
-// Delivery says when a generation's tokens reach the caller.
+// Delivery determines when the tokens of a generation are sent to the caller.
 type Delivery string
 
-// The ways of delivery.
+// The delivery modes.
 const (
-	// DeliveryStream passes tokens on at once.
+	// DeliveryStream sends each token immediately.
 	DeliveryStream Delivery = "stream"
-	// DeliveryWhole holds them until the generation is complete.
+	// DeliveryWhole buffers the tokens until the generation is complete.
 	DeliveryWhole Delivery = "whole"
 )
 
-// Account is a client account's row.
+// Account is the row of a client account.
 type Account struct {
 	Name string
-	// Weight is the account's share relative to the other accounts'.
+	// Weight is the account's scheduling weight relative to the other accounts.
 	Weight float64
-	// MaxRunning bounds the account's requests in progress over the fleet; 0
-	// means no bound.
+	// MaxRunning limits the account's requests in progress across the fleet; 0
+	// means unlimited.
 	MaxRunning int
-	// TokensPerSecond bounds generated tokens over the fleet; 0 means none.
+	// TokensPerSecond limits the rate of generated tokens across the fleet; 0
+	// means unlimited.
 	TokensPerSecond float64
-	// Priority is passed to engines; higher is served first.
+	// Priority is passed to the engines; higher values are served first.
 	Priority int
-	// KeyHashes are SHA-256 digests of the account's bearer keys.
+	// KeyHashes are the SHA-256 digests of the account's bearer keys.
 	KeyHashes [][32]byte
-	// Services that the account may use; empty means all.
+	// Services lists the services that the account may use; empty means all.
 	Services []string
 }
 
-// Limited tells whether the row bounds what the account may use over the fleet.
+// Limited reports whether the row sets a fleet-wide limit.
 func (a *Account) Limited() bool { return a.MaxRunning > 0 || a.TokensPerSecond > 0 }
 
-// Service is a service's row.
+// Service is the row of a service.
 type Service struct {
 	Name     string
 	Type     ServiceType
 	Delivery Delivery
-	// MaxTokens bounds a generation's output.
+	// MaxTokens limits the output of a generation, in tokens.
 	MaxTokens int
-	// MaxWait bounds the time in the queue.
+	// MaxWait limits the time in the queue.
 	MaxWait time.Duration
-	// QueueLimit bounds the requests that wait in one pool.
+	// QueueLimit limits the number of requests queued in one pool.
 	QueueLimit int
-	// Targets are the service's back ends.
+	// Targets are the targets that serve the requests of the service.
 	Targets []Target
 }
 
-// Target is one back end of a service.
+// Target is one target of a service.
 type Target struct {
 	Address    string
 	DataCentre string
-	// Leaving is set while the platform takes the target away.
+	// Leaving is set while the platform is removing the target.
 	Leaving bool
 }
 
 // Table is one revision of the operators' table. It is immutable.
 type Table struct {
-	// Epoch is the number in the table's own row of kind epoch, 0 without one.
+	// Epoch is the number in the row of kind epoch, 0 if there is none.
 	// Operators raise it after the configuration service was restored from a
-	// backup; it leads the order of revisions.
+	// backup; it is compared first when revisions are ordered.
 	Epoch uint64
 	// Restores counts the restores of the configuration service that were
-	// recognised within the epoch; it comes second in the order. It is not part
-	// of the table's text.
+	// recognised within the epoch; it is compared second. It is not part of the
+	// table's text.
 	Restores uint64
-	// Revision is the configuration service's: the newest of the pages'.
+	// Revision is the revision of the configuration service: the newest among
+	// the pages.
 	Revision uint64
 	Accounts map[string]*Account
 	Services map[string]*Service
-	// Drained lists the data centres that operators have taken out.
+	// Drained is the set of data centres that operators have drained.
 	Drained map[string]bool
-	// ByKey finds the account of a bearer key's digest.
+	// ByKey maps the digest of a bearer key to its account.
 	ByKey map[[32]byte]*Account
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -27,7 +27,7 @@
 	keyB = strings.Repeat("b2", 32)
 )
 
-func sample() string {
+func sampleCSV() string {
 	return header +
 		"service,reports,,,,,,,generation,whole,8000,60000,500\n" +
 		"service,bookings,,,,,,,once,,,,\n" +
@@ -35,16 +35,16 @@
 		"account,radio,,,,,,,,,,,\n"
 }
 
-func parse(pages ...string) (*table.Table, table.Faults) {
-	raw := make([][]byte, len(pages))
+func parseTable(pages ...string) (*table.Table, table.Faults) {
+	rawPages := make([][]byte, len(pages))
 	for i, p := range pages {
-		raw[i] = []byte(p)
+		rawPages[i] = []byte(p)
 	}
-	return table.Parse(7, raw)
+	return table.Parse(7, rawPages)
 }
 
-// accounts gives a table of n accounts, each with one key.
-func accounts(n int) string {
+// accountsCSV returns a table with n accounts, each with one key.
+func accountsCSV(n int) string {
 	var b strings.Builder
 	b.WriteString(header + "service,reports,,,,,,,generation,,,,\n")
 	for i := range n {
@@ -54,8 +54,8 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads every column with its default", func() {
-		t, faults := parse(sample())
+	It("reads every column and applies defaults", func() {
+		t, faults := parseTable(sampleCSV())
 		Expect(faults).To(BeEmpty())
 		Expect(t.Revision).To(Equal(uint64(7)))
 		a := t.Accounts["clinic-north"]
@@ -68,24 +68,24 @@
 		Expect(t.Services["bookings"].Type).To(Equal(table.ServiceOnce))
 	})
 
-	DescribeTable("reads what spreadsheets save as the same table",
+	DescribeTable("reads the formats of common spreadsheets as the same table",
 		func(text string) {
-			want, _ := parse(sample())
-			got, faults := parse(text)
+			want, _ := parseTable(sampleCSV())
+			got, faults := parseTable(text)
 			Expect(faults).To(BeEmpty())
 			Expect(table.Encode(got)).To(Equal(table.Encode(want)))
 		},
-		Entry("byte order mark and CRLF", "\ufeff"+strings.ReplaceAll(sample(), "\n", "\r\n")),
-		Entry("quoted cells", strings.ReplaceAll(sample(), "clinic-north", `"clinic-north"`)),
-		Entry("tabs", strings.ReplaceAll(sample(), ",", "\t")),
-		Entry("semicolons", semicolons()),
-		Entry("empty rows, spaces and capitals", strings.ReplaceAll(strings.ToUpper(header)+strings.TrimPrefix(sample(), header), "radio,", " radio ,")+",,,,,,,,,,,,\n\n"),
-		Entry("columns in another order", reordered()),
+		Entry("byte order mark and CRLF", "\ufeff"+strings.ReplaceAll(sampleCSV(), "\n", "\r\n")),
+		Entry("quoted cells", strings.ReplaceAll(sampleCSV(), "clinic-north", `"clinic-north"`)),
+		Entry("tabs", strings.ReplaceAll(sampleCSV(), ",", "\t")),
+		Entry("semicolons", semicolonSampleCSV()),
+		Entry("empty rows, spaces and capitals", strings.ReplaceAll(strings.ToUpper(header)+strings.TrimPrefix(sampleCSV(), header), "radio,", " radio ,")+",,,,,,,,,,,,\n\n"),
+		Entry("columns in another order", reorderedSampleCSV()),
 	)
 
-	DescribeTable("places each fault",
+	DescribeTable("reports the position of each fault",
 		func(rows string, row int, column, allowed string) {
-			_, faults := parse(header + rows)
+			_, faults := parseTable(header + rows)
 			Expect(faults).To(HaveLen(1), "%v", faults)
 			Expect(faults[0].Row).To(Equal(row))
 			Expect(faults[0].Column).To(Equal(column))
@@ -99,64 +99,65 @@
 		Entry("decimal comma", "account,a,\"1,5\",,,,,,,,,,\n", 2, "weight", "decimal point"),
 		Entry("negative limit", "account,a,,-1,,,,,,,,,\n", 2, "max_running", "from 0"),
 		Entry("rate too high", "account,a,,,1e12,,,,,,,,\n", 2, "tokens_per_second", "1000000000"),
-		Entry("priority", "account,a,,,,101,,,,,,,\n", 2, "priority", "-100 to 100"),
+		Entry("priority out of range", "account,a,,,,101,,,,,,,\n", 2, "priority", "-100 to 100"),
 		Entry("unknown service", "account,a,,,,,,maps,,,,,\n", 2, "services", "service row"),
-		Entry("cell of another kind", "account,a,,,,,,,,,,,5\n", 2, "queue_limit", "empty in a row of kind account"),
-		Entry("type", "service,s,,,,,,,batch,,,,\n", 2, "type", "lookup"),
+		Entry("cell in a column of another row kind", "account,a,,,,,,,,,,,5\n", 2, "queue_limit", "empty in a row of kind account"),
+		Entry("unknown service type", "service,s,,,,,,,batch,,,,\n", 2, "type", "lookup"),
 		Entry("delivery of a lookup", "service,s,,,,,,,lookup,whole,,,\n", 2, "delivery", "empty"),
-		Entry("wait", "service,s,,,,,,,,,,0,\n", 2, "max_wait_ms", "from 1"),
-		Entry("same name twice", "account,a,,,,,,,,,,,\naccount,a,,,,,,,,,,,\n", 3, "name", "row 2"),
-		Entry("key of two accounts", "account,a,,,,,"+keyA+",,,,,,\naccount,b,,,,,"+keyA+",,,,,,\n", 3, "key_sha256", "account a"),
-		Entry("epoch", "epoch,next,,,,,,,,,,,\n", 2, "name", "whole number"),
+		Entry("wait of zero", "service,s,,,,,,,,,,0,\n", 2, "max_wait_ms", "from 1"),
+		Entry("duplicate name", "account,a,,,,,,,,,,,\naccount,a,,,,,,,,,,,\n", 3, "name", "row 2"),
+		Entry("key used by two accounts", "account,a,,,,,"+keyA+",,,,,,\naccount,b,,,,,"+keyA+",,,,,,\n", 3, "key_sha256", "account a"),
+		Entry("epoch that is no number", "epoch,next,,,,,,,,,,,\n", 2, "name", "whole number"),
 		Entry("stray quote", "account,a\"b,,,,,,,,,,,\n", 2, "(row)", "quotes"),
 		Entry("too many cells", "account,a,,,,,,,,,,,,x\n", 2, "(row)", "header"),
 	)
 
-	It("finds all faults at once and gives one typed failure", func() {
-		_, faults := parse(header + "account,,0,,,,,,,,,,\nservice,s,,,,,,,x,,0,,\n")
+	It("reports all faults at once and returns one typed error", func() {
+		_, faults := parseTable(header + "account,,0,,,,,,,,,,\nservice,s,,,,,,,x,,0,,\n")
 		Expect(faults).To(HaveLen(4))
 		Expect(failure.KindOf(faults.Err())).To(Equal(failure.KindTableInvalid))
 	})
 
-	// An operator pastes the key itself where its digest belongs. The report of
-	// the fault goes to logs, to the monitor and to every node.
-	It("never repeats what stands in the keys' column", func() {
-		_, faults := parse(header + "account,a,,,,,my-secret-key,,,,,,\n")
+	// Guards against leaking a secret: an operator may paste the key itself
+	// where its digest belongs, and the fault report is sent to logs, to the
+	// monitor and to every node.
+	It("never reports the content of the key column", func() {
+		_, faults := parseTable(header + "account,a,,,,,my-secret-key,,,,,,\n")
 		Expect(faults).To(HaveLen(1))
 		Expect(faults.Err().Error()).NotTo(ContainSubstring("my-secret-key"))
 	})
 
-	DescribeTable("refuses what is no table", func(pages ...string) {
-		t, faults := parse(pages...)
+	DescribeTable("rejects input that is not a table", func(pages ...string) {
+		t, faults := parseTable(pages...)
 		Expect(t).To(BeNil())
 		Expect(faults).NotTo(BeEmpty())
 	},
 		Entry("no page"), Entry("an empty page", ""), Entry("no header", "account,a\n"),
 		Entry("unknown column", "kind,name,colour\naccount,a,red\n"),
-		Entry("column twice", "kind,name,name\naccount,a,b\n"),
-		Entry("other header on page two", header+"account,a,,,,,,,,,,,\n", "kind,name\naccount,b\n"),
-		Entry("a page above a value's bound", header+strings.Repeat("\n", table.MaxPage)))
+		Entry("duplicate column", "kind,name,name\naccount,a,b\n"),
+		Entry("different header on the second page", header+"account,a,,,,,,,,,,,\n", "kind,name\naccount,b\n"),
+		Entry("a page above the size limit", header+strings.Repeat("\n", table.MaxPage)))
 
-	It("pages 11,000 accounts into values below 1 MiB and reads them back", func() {
-		_, faults := parse(accounts(11_000))
+	It("splits 11,000 accounts into pages below 1 MiB and reads them back", func() {
+		_, faults := parseTable(accountsCSV(11_000))
 		Expect(faults).To(HaveLen(1), "one page would be too large")
-		pages := table.Encode(mustTable(11_000))
+		pages := table.Encode(newTable(11_000))
 		Expect(len(pages)).To(BeNumerically(">", 1))
 		for _, p := range pages {
 			Expect(len(p)).To(BeNumerically("<=", table.MaxPage))
 		}
-		again, faults := table.Parse(8, pages)
+		reparsed, faults := table.Parse(8, pages)
 		Expect(faults).To(BeEmpty())
-		Expect(table.Encode(again)).To(Equal(pages))
+		Expect(table.Encode(reparsed)).To(Equal(pages))
 	})
 })
 
 var _ = Describe("Apply", func() {
-	change := func(key, text string) table.Change { return table.Change{Key: key, Text: text} }
+	newChange := func(key, text string) table.Change { return table.Change{Key: key, Text: text} }
 
-	It("gives what parsing the whole edited table gives", func() {
-		base, _ := parse(sample())
-		edited, faults := parse(strings.Replace(sample(), "radio,,", "radio,9,", 1) + "account,new,,,,,,,,,,,\n")
+	It("returns the same table as parsing the edited table", func() {
+		base, _ := parseTable(sampleCSV())
+		edited, faults := parseTable(strings.Replace(sampleCSV(), "radio,,", "radio,9,", 1) + "account,new,,,,,,,,,,,\n")
 		Expect(faults).To(BeEmpty())
 		var changes []table.Change
 		for _, d := range table.Diff(base, edited) {
@@ -169,54 +170,54 @@
 		Expect(base.Accounts).NotTo(HaveKey("new"))
 	})
 
-	It("carries any edit to a copy elsewhere as the rows that changed", func() {
-		base, _ := parse(sample())
+	It("reproduces any edit on a copy from the changed rows", func() {
+		base, _ := parseTable(sampleCSV())
 		for _, edited := range []string{
-			sample(), sample() + "epoch,4,,,,,,,,,,,\n", sample() + "account,new,,,,,,,,,,,\n",
-			strings.Replace(sample(), "account,radio,,,,,,,,,,,\n", "", 1),
-			strings.Replace(sample(), "8000,60000", "9000,60000", 1) + "service,maps,,,,,,,lookup,,,,\n",
+			sampleCSV(), sampleCSV() + "epoch,4,,,,,,,,,,,\n", sampleCSV() + "account,new,,,,,,,,,,,\n",
+			strings.Replace(sampleCSV(), "account,radio,,,,,,,,,,,\n", "", 1),
+			strings.Replace(sampleCSV(), "8000,60000", "9000,60000", 1) + "service,maps,,,,,,,lookup,,,,\n",
 		} {
-			next, faults := parse(edited)
+			next, faults := parseTable(edited)
 			Expect(faults).To(BeEmpty())
-			for _, step := range [][2]*table.Table{{base, next}, {next, base}} {
-				got, faults := step[0].Apply(step[1].Epoch, 7, table.Changes(step[0], step[1]))
+			for _, pair := range [][2]*table.Table{{base, next}, {next, base}} {
+				got, faults := pair[0].Apply(pair[1].Epoch, 7, table.Changes(pair[0], pair[1]))
 				Expect(faults).To(BeEmpty())
-				Expect(got).To(Equal(step[1]))
+				Expect(got).To(Equal(pair[1]))
 			}
 		}
-		shared, _ := base.Apply(0, 8, []table.Change{change("account/radio", "account,radio,3,0,0,0,,,,,,,")})
-		Expect(table.Changes(base, shared.With(nil, nil))).To(HaveLen(1))
+		edited, _ := base.Apply(0, 8, []table.Change{newChange("account/radio", "account,radio,3,0,0,0,,,,,,,")})
+		Expect(table.Changes(base, edited.With(nil, nil))).To(HaveLen(1))
 	})
 
-	It("lets a key move between accounts within one edit", func() {
-		base, _ := parse(sample())
+	It("allows a key to move between accounts within one edit", func() {
+		base, _ := parseTable(sampleCSV())
 		got, faults := base.Apply(0, 8, []table.Change{
-			change("account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
-			change("account/clinic-north", "account,clinic-north,1,0,0,0,"+keyB+",,,,,,"),
+			newChange("account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
+			newChange("account/clinic-north", "account,clinic-north,1,0,0,0,"+keyB+",,,,,,"),
 		})
 		Expect(faults).To(BeEmpty())
 		Expect(got.ByKey[got.Accounts["radio"].KeyHashes[0]].Name).To(Equal("radio"))
 	})
 
-	DescribeTable("refuses what breaks the table as a whole and leaves it alone",
+	DescribeTable("rejects changes that violate table-wide rules and leaves the table unmodified",
 		func(key, text string) {
-			base, _ := parse(sample())
+			base, _ := parseTable(sampleCSV())
 			before := table.Encode(base)
-			_, faults := base.Apply(0, 8, []table.Change{change(key, text)})
+			_, faults := base.Apply(0, 8, []table.Change{newChange(key, text)})
 			Expect(faults).NotTo(BeEmpty())
 			Expect(table.Encode(base)).To(Equal(before))
 		},
-		Entry("a service in use goes", "service/reports", ""),
-		Entry("a key stands twice", "account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
-		Entry("the row is another's", "account/radio", "account,clinic-south,1,0,0,0,,,,,,,"),
-		Entry("no row at all", "account/radio", "nonsense"),
+		Entry("removal of a service in use", "service/reports", ""),
+		Entry("duplicate key", "account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
+		Entry("row of another account", "account/radio", "account,clinic-south,1,0,0,0,,,,,,,"),
+		Entry("text that is not a row", "account/radio", "nonsense"),
 	)
 })
 
 var _ = Describe("Diff", func() {
-	It("names who is touched and what changes, in columns", func() {
-		old, _ := parse(sample())
-		next, _ := parse(strings.Replace(strings.Replace(sample(), "2.5,40", "4,40", 1), "account,radio,,,,,,,,,,,\n", "", 1))
+	It("lists the affected rows and the changed columns", func() {
+		old, _ := parseTable(sampleCSV())
+		next, _ := parseTable(strings.Replace(strings.Replace(sampleCSV(), "2.5,40", "4,40", 1), "account,radio,,,,,,,,,,,\n", "", 1))
 		diffs := table.Diff(old, next)
 		Expect(diffs).To(HaveLen(2))
 		Expect(diffs[0].String()).To(Equal("changed account clinic-north: weight 2.5 -> 4"))
@@ -225,12 +226,12 @@
 	})
 })
 
-func semicolons() string {
+func semicolonSampleCSV() string {
 	r := strings.NewReplacer(keyA+";"+keyB, `"`+keyA+";"+keyB+`"`, "reports;bookings", `"reports;bookings"`, ",", ";")
-	return r.Replace(sample())
+	return r.Replace(sampleCSV())
 }
 
-func reordered() string {
+func reorderedSampleCSV() string {
 	return "name,kind,services,key_sha256,priority,tokens_per_second,max_running,weight,queue_limit,max_wait_ms,max_tokens,delivery,type\n" +
 		"reports,service,,,,,,,500,60000,8000,whole,generation\n" +
 		"bookings,service,,,,,,,,,,,once\n" +
@@ -238,14 +239,14 @@
 		"radio,account,,,,,,,,,,,\n"
 }
 
-// mustTable gives a table of n accounts by way of pages of 5,000 rows.
-func mustTable(n int) *table.Table {
-	lines := strings.SplitAfter(accounts(n), "\n")
+// newTable parses a table of n accounts from pages of 5,000 rows.
+func newTable(n int) *table.Table {
+	lines := strings.SplitAfter(accountsCSV(n), "\n")
 	var pages [][]byte
 	for len(lines) > 0 {
-		k := min(5000, len(lines))
-		pages = append(pages, []byte(strings.Join(lines[:k], "")))
-		lines = lines[k:]
+		count := min(5000, len(lines))
+		pages = append(pages, []byte(strings.Join(lines[:count], "")))
+		lines = lines[count:]
 	}
 	t, faults := table.Parse(7, pages)
 	if len(faults) > 0 {
@@ -263,8 +264,8 @@
 		}
 		f.Add(b)
 	}
-	f.Add([]byte(sample()))
-	f.Add([]byte(semicolons()))
+	f.Add([]byte(sampleCSV()))
+	f.Add([]byte(semicolonSampleCSV()))
 	f.Add([]byte(header + "account,a\"b\n\"x"))
 	f.Fuzz(func(t *testing.T, page []byte) {
 		parsed, faults := table.Parse(1, [][]byte{page})
@@ -275,11 +276,11 @@
 			return
 		}
 		pages := table.Encode(parsed)
-		again, faults := table.Parse(1, pages)
+		reparsed, faults := table.Parse(1, pages)
 		if len(faults) > 0 {
-			t.Fatalf("canonical form refused: %v", faults)
+			t.Fatalf("canonical form rejected: %v", faults)
 		}
-		if fmt.Sprint(table.Encode(again)) != fmt.Sprint(pages) {
+		if fmt.Sprint(table.Encode(reparsed)) != fmt.Sprint(pages) {
 			t.Fatal("canonical form is not stable")
 		}
 	})
@@ -287,7 +288,7 @@
 
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
-		pages := table.Encode(mustTable(n))
+		pages := table.Encode(newTable(n))
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -298,7 +299,7 @@
 }
 
 func BenchmarkChangesOfOneRow(b *testing.B) {
-	t := mustTable(11_000)
+	t := newTable(11_000)
 	next, _ := t.Apply(0, 2, []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -310,7 +311,7 @@
 
 func BenchmarkApplyOneRow(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
-		t := mustTable(n)
+		t := newTable(n)
 		change := []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}}
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
