--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -24,9 +24,9 @@
 // ServiceKey returns the key of a service's row.
 func ServiceKey(name string) string { return servicePrefix + name }
 
-// Line is one row in canonical form: all defaults are written out, so that rows
-// with the same meaning have the same text.
-type Line struct {
+// EncodedRow is one row in canonical form: all defaults are written out, so
+// that rows with the same meaning have the same text.
+type EncodedRow struct {
 	Key string
 	// Text is the row as CSV without the line terminator.
 	Text string
@@ -34,17 +34,17 @@
 
 // Lines returns the rows of the table in canonical form and order. The drain
 // list and the targets are not part of them.
-func (t *Table) Lines() []Line {
-	lines := make([]Line, 0, len(t.Accounts)+len(t.Services)+1)
+func (t *Table) Lines() []EncodedRow {
+	lines := make([]EncodedRow, 0, len(t.Accounts)+len(t.Services)+1)
 	enc := newLineEncoder()
 	if t.Epoch > 0 {
-		lines = append(lines, Line{EpochKey, enc.line(string(RowEpoch), strconv.FormatUint(t.Epoch, 10))})
+		lines = append(lines, EncodedRow{EpochKey, enc.line(string(RowEpoch), strconv.FormatUint(t.Epoch, 10))})
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Services)) {
-		lines = append(lines, Line{ServiceKey(name), enc.service(t.Services[name])})
+		lines = append(lines, EncodedRow{ServiceKey(name), enc.service(t.Services[name])})
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Accounts)) {
-		lines = append(lines, Line{AccountKey(name), enc.account(t.Accounts[name])})
+		lines = append(lines, EncodedRow{AccountKey(name), enc.account(t.Accounts[name])})
 	}
 	return lines
 }
