--- a/internal/configservice/client.go
+++ b/internal/configservice/client.go
@@ -1,6 +1,6 @@
-// Package configservice is the client of the platform's configuration service,
-// which can only be read and watched, and the reader of the documents kept
-// there. The protocol is in docs/protocols.md.
+// Package configservice implements the client of the platform's configuration
+// service, which can only be read and watched, and the parsers of the documents
+// stored there. docs/protocols.md describes the protocol.
 package configservice
 
 import (
@@ -18,50 +18,52 @@
 	"filbertdeck/internal/failure"
 )
 
-// Figures of the client.
+// Timeouts and limits of the client.
 const (
-	// dialTimeout bounds a new connection; the service answers in milliseconds.
+	// dialTimeout limits the time for a new connection; the service normally
+	// responds within milliseconds.
 	dialTimeout = 2 * time.Second
-	// answerTimeout is what a call may take beyond the wait it asked for. A
-	// connection that has gone silent is noticed after it, closed, and the
-	// next call dials anew.
-	answerTimeout = 3 * time.Second
-	// maxAnswer bounds an answer's body. At the target size all documents
-	// together are below 6 MB.
-	maxAnswer = 32 << 20
-	// maxRetryAfter bounds how long the service may keep us away.
+	// responseTimeout is the time that a call may take beyond the wait it
+	// requested. After it, a connection that no longer responds is closed, and
+	// the next call opens a new one.
+	responseTimeout = 3 * time.Second
+	// maxResponseBytes limits the response body. At the target size all
+	// documents together are below 6 MB.
+	maxResponseBytes = 32 << 20
+	// maxRetryAfter limits the Retry-After delay accepted from the service.
 	maxRetryAfter = time.Minute
-	// defaultRetryAfter stands in for a 429 that names no time.
+	// defaultRetryAfter is used for a 429 response without a valid Retry-After
+	// header.
 	defaultRetryAfter = time.Second
 )
 
-// Value is one value of the configuration service.
+// Value is one key-value pair of the configuration service.
 type Value struct {
 	Key string `json:"key"`
-	// Revision is the store's at the value's last write.
+	// Revision is the revision of the store at the last write of the value.
 	Revision uint64 `json:"revision"`
 	Text     string `json:"value"`
 }
 
-// Answer is what a read or watch returns.
+// Answer is the result of a read or watch.
 type Answer struct {
-	// Revision is the store's; it is lower than before when the service was
-	// restored, or when a stale replica answers.
+	// Revision is the revision of the store. It is lower than before if the
+	// service was restored from a backup or a stale replica responds.
 	Revision uint64 `json:"revision"`
-	// Keys lists every key under the prefix.
+	// Keys lists all keys under the prefix.
 	Keys []string `json:"keys"`
-	// Values holds those that changed after the revision asked for.
+	// Values holds the values that changed after the requested revision.
 	Values []Value `json:"values"`
 }
 
-// Client reads one configuration service. It is safe for concurrent use.
+// Client reads from one configuration service. It is safe for concurrent use.
 type Client struct {
 	base url.URL
 	http *http.Client
 }
 
-// New returns a client of the service at address (ip:port). A nil tlsConfig
-// means plain text.
+// New returns a client of the service at address (ip:port). If tlsConfig is
+// nil, the client uses plain HTTP.
 func New(address string, tlsConfig *tls.Config) (*Client, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "address of the configuration service: %q, allowed: ip:port", address)
@@ -79,70 +81,70 @@
 	}
 	return &Client{
 		base: url.URL{Scheme: scheme, Host: address, Path: "/v1/values"},
-		http: &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		http: &http.Client{Transport: transport, CheckRedirect: rejectRedirect},
 	}, nil
 }
 
-func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Read returns the values under prefix that changed after a revision, all of
-// them after 0.
+// Read returns the values under prefix that changed after the given revision;
+// revision 0 returns all values.
 func (c *Client) Read(ctx context.Context, prefix string, after uint64) (Answer, error) {
 	return c.Watch(ctx, prefix, after, 0)
 }
 
-// Watch is Read that waits up to wait until something changes. The failure is
-// KindOverloaded with the time to come back when the service's rate is used
-// up, KindConfigUnreadable otherwise.
+// Watch is like Read but waits up to wait for a change. It fails with
+// KindOverloaded and a retry delay if the service's rate limit is exceeded, and
+// with KindConfigUnreadable otherwise.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
-	target := c.base
-	q := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(after, 10)}}
+	requestURL := c.base
+	query := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(after, 10)}}
 	if wait > 0 {
-		q.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
+		query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	}
-	target.RawQuery = q.Encode()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
+	requestURL.RawQuery = query.Encode()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, requestURL.String(), nil)
 	if err != nil {
 		return Answer{}, failure.Wrap(err, failure.KindInternal, "request to the configuration service")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// A silent connection would otherwise go back into the pool of HTTP/1
-		// connections only when it is closed; drop whatever is idle.
+		// An HTTP/1 connection that no longer responds does not return to the
+		// pool until it is closed; close all idle connections as well.
 		c.http.CloseIdleConnections()
 		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "configuration service unreachable")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return decode(resp)
+	return decodeResponse(resp)
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func decode(resp *http.Response) (Answer, error) {
+func decodeResponse(resp *http.Response) (Answer, error) {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Answer{}, failure.New(failure.KindOverloaded, "rate of the configuration service used up").After(retryAfter(resp.Header))
+		return Answer{}, failure.New(failure.KindOverloaded, "rate limit of the configuration service exceeded").After(parseRetryAfter(resp.Header))
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "configuration service answered %d", resp.StatusCode)
+		return Answer{}, failure.New(failure.KindConfigUnreadable, "configuration service responded with status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service cut")
+		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "reading the response of the configuration service failed")
 	}
-	if len(body) > maxAnswer {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "answer of the configuration service above %d bytes", maxAnswer)
+	if len(body) > maxResponseBytes {
+		return Answer{}, failure.New(failure.KindConfigUnreadable, "response of the configuration service exceeds %d bytes", maxResponseBytes)
 	}
-	var a Answer
-	if err := json.Unmarshal(body, &a); err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service is no JSON")
+	var answer Answer
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "response of the configuration service is not valid JSON")
 	}
-	return a, nil
+	return answer, nil
 }
 
-func retryAfter(h http.Header) time.Duration {
+func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds <= 0 {
 		return defaultRetryAfter
--- a/internal/configservice/configservice_test.go
+++ b/internal/configservice/configservice_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "configservice")
 }
 
-func client(handler http.HandlerFunc) *configservice.Client {
+func newClient(handler http.HandlerFunc) *configservice.Client {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	c, err := configservice.New(server.Listener.Addr().String(), nil)
@@ -32,8 +32,8 @@
 }
 
 var _ = Describe("the client", func() {
-	It("asks as the protocol says and reads the answer", func() {
-		c := client(func(w http.ResponseWriter, r *http.Request) {
+	It("sends the request that the protocol specifies and decodes the response", func() {
+		c := newClient(func(w http.ResponseWriter, r *http.Request) {
 			Expect(r.URL.String()).To(Equal("/v1/values?after=4&prefix=table%2F&wait_ms=250"))
 			fmt.Fprint(w, `{"revision":5,"keys":["table/0001"],"values":[{"key":"table/0001","revision":5,"value":"x"}]}`)
 		})
@@ -43,20 +43,20 @@
 			Values: []configservice.Value{{Key: "table/0001", Revision: 5, Text: "x"}}}))
 	})
 
-	DescribeTable("gives each failure a type", func(handler http.HandlerFunc, kind failure.Kind, after time.Duration) {
-		_, err := client(handler).Read(context.Background(), "", 0)
+	DescribeTable("returns the error kind and retry delay of each failure", func(handler http.HandlerFunc, kind failure.Kind, after time.Duration) {
+		_, err := newClient(handler).Read(context.Background(), "", 0)
 		Expect(failure.KindOf(err)).To(Equal(kind))
 		Expect(failure.From(err).RetryAfter).To(Equal(after))
 	},
-		// Readers that ask again at once keep the service over its rate, and no
-		// reader hears of an edit any more.
-		Entry("rate used up", status(429, "Retry-After", "7"), failure.KindOverloaded, 7*time.Second),
-		Entry("rate used up, no time given", status(429, "", ""), failure.KindOverloaded, time.Second),
-		Entry("rate used up, absurd time", status(429, "Retry-After", "99999999"), failure.KindOverloaded, time.Minute),
-		Entry("down", status(503, "", ""), failure.KindConfigUnreadable, time.Duration(0)),
-		Entry("redirect", status(302, "Location", "http://127.0.0.1:1/"), failure.KindConfigUnreadable, time.Duration(0)),
-		Entry("no JSON", body("<html>"), failure.KindConfigUnreadable, time.Duration(0)),
-		Entry("endless", func(w http.ResponseWriter, _ *http.Request) {
+		// Guards against retries without a delay: they keep the service above
+		// its rate limit, so that no reader learns of an edit any more.
+		Entry("rate limit exceeded", respondWithStatus(429, "Retry-After", "7"), failure.KindOverloaded, 7*time.Second),
+		Entry("rate limit exceeded, no Retry-After", respondWithStatus(429, "", ""), failure.KindOverloaded, time.Second),
+		Entry("rate limit exceeded, excessive Retry-After", respondWithStatus(429, "Retry-After", "99999999"), failure.KindOverloaded, time.Minute),
+		Entry("service unavailable", respondWithStatus(503, "", ""), failure.KindConfigUnreadable, time.Duration(0)),
+		Entry("redirect", respondWithStatus(302, "Location", "http://127.0.0.1:1/"), failure.KindConfigUnreadable, time.Duration(0)),
+		Entry("not JSON", respondWithBody("<html>"), failure.KindConfigUnreadable, time.Duration(0)),
+		Entry("oversized response", func(w http.ResponseWriter, _ *http.Request) {
 			for range 33 {
 				if _, err := w.Write(make([]byte, 1<<20)); err != nil {
 					return
@@ -65,26 +65,26 @@
 		}, failure.KindConfigUnreadable, time.Duration(0)),
 	)
 
-	// Something between us and the service has lost track of the connection:
-	// nothing comes back and nothing is refused. Without a bound the reader
-	// would wait for ever and edits would stop.
-	It("gives up on a connection that has gone silent", func() {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	// Guards against waiting forever on a connection whose state a middlebox
+	// has lost: the peer neither responds nor resets it. Without a timeout
+	// edits would no longer arrive.
+	It("times out on an unresponsive connection", func() {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(l.Close)
-		c, err := configservice.New(l.Addr().String(), nil)
+		DeferCleanup(listener.Close)
+		c, err := configservice.New(listener.Addr().String(), nil)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Read(context.Background(), "", 0)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindConfigUnreadable))
 	})
 
-	It("takes only an address by number", func() {
+	It("accepts only a numeric address", func() {
 		_, err := configservice.New("config.example:80", nil)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 	})
 })
 
-func status(code int, header, value string) http.HandlerFunc {
+func respondWithStatus(code int, header, value string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if header != "" {
 			w.Header().Set(header, value)
@@ -93,38 +93,38 @@
 	}
 }
 
-func body(text string) http.HandlerFunc {
+func respondWithBody(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, text) }
 }
 
 var _ = Describe("documents", func() {
 	const host = `{"name":"h1","data_centre":"north","entry":"10.0.0.1:80","control":"10.0.0.1:81","state":"live"}`
 
-	It("keeps usable entries and counts the others", func() {
+	It("returns valid entries and counts the others", func() {
 		hosts, dropped, err := configservice.ParseHosts(`{"hosts":[` + strings.Join([]string{host, host,
 			strings.Replace(host, "10.0.0.1:80", "h1:80", 1), strings.Replace(host, "live", "gone", 1),
 			strings.Replace(host, "north", "a\\tb", 1)}, ",") + `]}`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(dropped).To(Equal(configservice.Dropped(4)))
-		back, ok := configservice.HostFromRow(hosts[0].Row())
+		parsedHost, ok := configservice.HostFromRow(hosts[0].Row())
 		Expect(ok).To(BeTrue())
-		Expect(back).To(Equal(hosts[0]))
+		Expect(parsedHost).To(Equal(hosts[0]))
 	})
 
-	It("refuses a host list that would take every host away", func() {
+	It("rejects a host list that would remove every host", func() {
 		for _, text := range []string{`{"hosts":[]}`, `{}`, `x`} {
 			_, _, err := configservice.ParseHosts(text)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindConfigUnreadable))
 		}
 	})
 
-	It("reads targets and the drain list", func() {
+	It("parses targets and the drain list", func() {
 		targets, dropped, err := configservice.ParseTargets(`{"targets":[{"service":"s","address":"10.0.0.2:1","data_centre":"north","state":"leaving"},{"service":"s","address":"x"}]}`)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(dropped).To(Equal(configservice.Dropped(1)))
-		back, ok := configservice.TargetFromRow(targets[0].Row())
+		parsedTarget, ok := configservice.TargetFromRow(targets[0].Row())
 		Expect(ok).To(BeTrue())
-		Expect(back).To(Equal(targets[0]))
+		Expect(parsedTarget).To(Equal(targets[0]))
 		Expect(configservice.ParseDrain("\ufeffnorth\r\n\r\n south \n")).To(Equal([]string{"north", "south"}))
 	})
 })
@@ -133,15 +133,15 @@
 	f.Add(`{"hosts":[{"name":"h","data_centre":"d","entry":"1.1.1.1:1","control":"1.1.1.1:2","state":"live"}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		hosts, _, _ := configservice.ParseHosts(text)
-		for _, h := range hosts {
-			if back, ok := configservice.HostFromRow(h.Row()); !ok || back != h {
-				t.Fatalf("%+v came back as %+v", h, back)
+		for _, host := range hosts {
+			if parsed, ok := configservice.HostFromRow(host.Row()); !ok || parsed != host {
+				t.Fatalf("%+v was parsed back as %+v", host, parsed)
 			}
 		}
 		targets, _, _ := configservice.ParseTargets(text)
-		for _, x := range targets {
-			if back, ok := configservice.TargetFromRow(x.Row()); !ok || back != x {
-				t.Fatalf("%+v came back as %+v", x, back)
+		for _, target := range targets {
+			if parsed, ok := configservice.TargetFromRow(target.Row()); !ok || parsed != target {
+				t.Fatalf("%+v was parsed back as %+v", target, parsed)
 			}
 		}
 	})
--- a/internal/configservice/documents.go
+++ b/internal/configservice/documents.go
@@ -10,7 +10,7 @@
 	"filbertdeck/internal/failure"
 )
 
-// The keys of the documents.
+// The keys of the documents in the configuration service.
 const (
 	KeyTablePrefix = "table/"
 	KeyDrain       = "drain"
@@ -18,26 +18,29 @@
 	KeyTargets     = "targets"
 )
 
-// State says whether the platform keeps a host or target or takes it away.
+// State is the lifecycle state that the platform publishes for a host or
+// target.
 type State string
 
-// The states of hosts and targets.
+// The states of hosts and targets. A leaving one is being removed by the
+// platform.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// Host is one entry host of the published list.
+// Host is one entry host in the published list.
 type Host struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
-	// Entry and Control are the addresses (ip:port) of its two processes.
+	// Entry and Control are the addresses (ip:port) of the host's entry process
+	// and control process.
 	Entry   string `json:"entry"`
 	Control string `json:"control"`
 	State   State  `json:"state"`
 }
 
-// Target is one back end of the published list.
+// Target is one target in the published list.
 type Target struct {
 	Service    string `json:"service"`
 	Address    string `json:"address"`
@@ -45,51 +48,51 @@
 	State      State  `json:"state"`
 }
 
-// Dropped counts the entries of a document that can't be used, such as an
-// address that is none.
+// Dropped is the number of entries of a document that were skipped because they
+// are invalid (for example a malformed address), duplicates or above the limit.
 type Dropped int
 
-// Bounds of a list and of a name in it.
+// Limits on the entries of a list and on the bytes of a name.
 const (
-	maxEntries = 50_000
-	maxName    = 128
+	maxEntries   = 50_000
+	maxNameBytes = 128
 )
 
-// ParseHosts reads the list of hosts. Entries that can't be used are left out
-// and counted: refusing the list for one of them would keep leaving hosts in
-// use. A list without any host is refused: it would take every owner away.
+// ParseHosts parses the list of hosts. Invalid entries are skipped and counted:
+// rejecting the whole list because of one would keep leaving hosts in use. A
+// list without any valid host is rejected, because it would remove every owner.
 func ParseHosts(text string) ([]Host, Dropped, error) {
 	var doc struct {
 		Hosts []Host `json:"hosts"`
 	}
-	if err := parse(text, "host list", &doc); err != nil {
+	if err := unmarshal(text, "host list", &doc); err != nil {
 		return nil, 0, err
 	}
-	hosts, dropped := keep(doc.Hosts, func(h Host) (string, bool) {
-		return h.Key(), plain(h.Name) && plain(h.DataCentre) && valid(h.Entry) && valid(h.Control) && known(h.State)
+	hosts, dropped := filterEntries(doc.Hosts, func(h Host) (string, bool) {
+		return h.Key(), validName(h.Name) && validName(h.DataCentre) && validAddress(h.Entry) && validAddress(h.Control) && validState(h.State)
 	})
 	if len(hosts) == 0 {
-		return nil, dropped, failure.New(failure.KindConfigUnreadable, "host list without a usable host")
+		return nil, dropped, failure.New(failure.KindConfigUnreadable, "host list contains no valid host")
 	}
 	return hosts, dropped, nil
 }
 
-// ParseTargets reads the list of targets; like ParseHosts, but an empty list
-// is one.
+// ParseTargets parses the list of targets in the same way as ParseHosts, except
+// that an empty list is valid.
 func ParseTargets(text string) ([]Target, Dropped, error) {
 	var doc struct {
 		Targets []Target `json:"targets"`
 	}
-	if err := parse(text, "target list", &doc); err != nil {
+	if err := unmarshal(text, "target list", &doc); err != nil {
 		return nil, 0, err
 	}
-	targets, dropped := keep(doc.Targets, func(t Target) (string, bool) {
-		return t.Key(), plain(t.Service) && plain(t.DataCentre) && valid(t.Address) && known(t.State)
+	targets, dropped := filterEntries(doc.Targets, func(t Target) (string, bool) {
+		return t.Key(), validName(t.Service) && validName(t.DataCentre) && validAddress(t.Address) && validState(t.State)
 	})
 	return targets, dropped, nil
 }
 
-// ParseDrain reads the data centres taken out, one a line.
+// ParseDrain parses the list of drained data centres, one per line.
 func ParseDrain(text string) []string {
 	var names []string
 	for line := range strings.Lines(strings.TrimPrefix(text, "\ufeff")) {
@@ -100,18 +103,19 @@
 	return names
 }
 
-func parse(text, what string, into any) error {
-	if err := json.Unmarshal([]byte(text), into); err != nil {
-		return failure.Wrap(err, failure.KindConfigUnreadable, "%s is no JSON", what)
+func unmarshal(text, document string, dest any) error {
+	if err := json.Unmarshal([]byte(text), dest); err != nil {
+		return failure.Wrap(err, failure.KindConfigUnreadable, "%s is not valid JSON", document)
 	}
 	return nil
 }
 
-// keep returns the usable entries, each key once; the first stands.
-func keep[T any](all []T, key func(T) (string, bool)) ([]T, Dropped) {
-	kept := make([]T, 0, min(len(all), maxEntries))
-	seen := make(map[string]bool, len(all))
-	for _, e := range all {
+// filterEntries returns the valid entries without duplicate keys; the first
+// entry of a key is retained.
+func filterEntries[T any](entries []T, key func(T) (string, bool)) ([]T, Dropped) {
+	kept := make([]T, 0, min(len(entries), maxEntries))
+	seen := make(map[string]bool, len(entries))
+	for _, e := range entries {
 		k, ok := key(e)
 		if !ok || seen[k] || len(kept) == maxEntries {
 			continue
@@ -119,54 +123,56 @@
 		seen[k] = true
 		kept = append(kept, e)
 	}
-	return kept, Dropped(len(all) - len(kept))
+	return kept, Dropped(len(entries) - len(kept))
 }
 
-func valid(address string) bool {
+func validAddress(address string) bool {
 	_, err := netip.ParseAddrPort(address)
 	return err == nil
 }
 
-// plain tells whether a name can stand in a row: printable and not empty.
-func plain(name string) bool {
-	return name != "" && len(name) <= maxName && !strings.ContainsFunc(name, unprintable)
+// validName reports whether a name can be a field of a row: not empty,
+// printable and at most maxNameBytes long.
+func validName(name string) bool {
+	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, unprintable)
 }
 
 func unprintable(r rune) bool { return r == utf8.RuneError || !unicode.IsPrint(r) }
 
-func known(s State) bool { return s == StateLive || s == StateLeaving }
+func validState(s State) bool { return s == StateLive || s == StateLeaving }
 
-// rowSeparator stands between the fields of a row; names hold no tab.
-const rowSeparator = "\t"
+// rowFieldSeparator separates the fields of a row; names do not contain tabs.
+const rowFieldSeparator = "\t"
 
-// Key gives what names the host across revisions.
+// Key returns the identifier of the host across revisions.
 func (h Host) Key() string { return h.Control }
 
-// Row gives the host as one line, which HostFromRow reads back.
+// Row encodes the host as one line, which HostFromRow parses.
 func (h Host) Row() string {
-	return strings.Join([]string{h.Name, h.DataCentre, h.Entry, h.Control, string(h.State)}, rowSeparator)
+	return strings.Join([]string{h.Name, h.DataCentre, h.Entry, h.Control, string(h.State)}, rowFieldSeparator)
 }
 
-// HostFromRow reads a host's row; false when it is none.
+// HostFromRow parses a host's row. It returns false if the row is malformed.
 func HostFromRow(row string) (Host, bool) {
-	f := strings.Split(row, rowSeparator)
+	f := strings.Split(row, rowFieldSeparator)
 	if len(f) != 5 {
 		return Host{}, false
 	}
 	return Host{Name: f[0], DataCentre: f[1], Entry: f[2], Control: f[3], State: State(f[4])}, true
 }
 
-// Key gives what names the target across revisions.
-func (t Target) Key() string { return t.Service + rowSeparator + t.Address }
+// Key returns the identifier of the target across revisions.
+func (t Target) Key() string { return t.Service + rowFieldSeparator + t.Address }
 
-// Row gives the target as one line, which TargetFromRow reads back.
+// Row encodes the target as one line, which TargetFromRow parses.
 func (t Target) Row() string {
-	return strings.Join([]string{t.Service, t.Address, t.DataCentre, string(t.State)}, rowSeparator)
+	return strings.Join([]string{t.Service, t.Address, t.DataCentre, string(t.State)}, rowFieldSeparator)
 }
 
-// TargetFromRow reads a target's row; false when it is none.
+// TargetFromRow parses a target's row. It returns false if the row is
+// malformed.
 func TargetFromRow(row string) (Target, bool) {
-	f := strings.Split(row, rowSeparator)
+	f := strings.Split(row, rowFieldSeparator)
 	if len(f) != 4 {
 		return Target{}, false
 	}
