--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -1,13 +1,13 @@
-// Package accounting counts, for each client account and service, what became
-// of every request on this host.
+// Package accounting counts the outcomes of all requests on this host, for each
+// client account and service.
 //
-// One identity holds at every moment and is checked, not assumed:
+// The following invariant holds at any time and is checked at run time:
 //
 //	received = refused + ran + unknown + in progress
 //
-// A request that is in none of these would be one that was lost without
-// anyone noticing. Each row has a lock of its own, held for a few additions,
-// so that a snapshot never shows half of a change.
+// A request that is counted in none of these would have been lost unnoticed.
+// Each row has its own lock, which is held for a few additions only, so that a
+// snapshot never shows a partial update.
 package accounting
 
 import (
@@ -19,20 +19,23 @@
 	"filbertdeck/internal/failure"
 )
 
-// Objectives that are counted as good or bad where they are observed. The
-// first two are the users' figures; the others are this project's.
+// Service level objectives that are counted as good or bad where they are
+// measured. The users specified the first two; this project chose the others.
 const (
-	// FirstTokenObjective bounds the time from a request to its first token.
+	// FirstTokenObjective is the limit on the time from a request to its first
+	// token.
 	FirstTokenObjective = 550 * time.Millisecond
-	// TokenGapObjective bounds the time between two tokens.
+	// TokenGapObjective is the limit on the time between two tokens.
 	TokenGapObjective = 61 * time.Millisecond
-	// StallBound is the gap from which on the caller sees a stall.
-	StallBound = time.Second
-	// LookupObjective bounds an idempotent call to a plain service.
+	// StallThreshold is the gap between two tokens above which the caller
+	// experiences a stall.
+	StallThreshold = time.Second
+	// LookupObjective is the limit on the duration of an idempotent call to a
+	// plain service.
 	LookupObjective = 250 * time.Millisecond
 )
 
-// Ratio counts good events among all.
+// Ratio counts the good events and all events.
 type Ratio struct {
 	Good  uint64 `json:"good"`
 	Total uint64 `json:"total"`
@@ -45,8 +48,8 @@
 	}
 }
 
-// Counts is one row: an account's requests to one service since the start of
-// this process. Durations are sums in microseconds.
+// Counts is one row: the requests of one account to one service since the start
+// of this process. Durations are sums in microseconds.
 type Counts struct {
 	Received   uint64 `json:"received"`
 	Refused    uint64 `json:"refused"`
@@ -60,8 +63,8 @@
 	Retries uint64 `json:"retries"`
 	Hedges  uint64 `json:"hedges"`
 	Replays uint64 `json:"replays"`
-	// OutOfPlace counts frames of targets that were not passed on, because
-	// they belong to another generation or another place.
+	// OutOfPlace counts frames from targets that were not forwarded because
+	// they belong to another generation or another position in it.
 	OutOfPlace uint64 `json:"out_of_place"`
 
 	PromptTokens uint64 `json:"prompt_tokens"`
@@ -71,7 +74,7 @@
 
 	FirstToken Ratio `json:"first_token"`
 	TokenGap   Ratio `json:"token_gap"`
-	// NoStall counts the gaps that were no stall.
+	// NoStall counts the token gaps that were not a stall.
 	NoStall Ratio `json:"no_stall"`
 	Whole   Ratio `json:"whole"`
 	Lookup  Ratio `json:"lookup"`
@@ -79,7 +82,7 @@
 	RefusedBy map[failure.Kind]uint64 `json:"refused_by,omitempty"`
 }
 
-// Balanced tells whether the identity holds.
+// Balanced reports whether the invariant holds.
 func (c Counts) Balanced() bool {
 	return c.Received == c.Refused+c.Ran+c.Unknown+c.InProgress
 }
@@ -89,15 +92,15 @@
 type row struct {
 	mu     sync.Mutex
 	counts Counts
-	// changed is set by each change and taken back when the row is handed on.
+	// changed is set by each update and cleared when the row is exported.
 	changed bool
 }
 
-// change alters the counters under the row's lock.
-func (r *row) change(f func(*Counts)) {
+// update modifies the counters under the row's lock.
+func (r *row) update(apply func(*Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.counts)
+	apply(&r.counts)
 	r.changed = true
 }
 
@@ -106,7 +109,7 @@
 	rows sync.Map // rowKey → *row
 }
 
-// New returns an empty book.
+// New returns a Book without rows.
 func New() *Book { return &Book{} }
 
 func (b *Book) row(account, service string) *row {
@@ -121,37 +124,37 @@
 // Begin counts a request as received and in progress.
 func (b *Book) Begin(account, service string) *Entry {
 	r := b.row(account, service)
-	r.change(func(c *Counts) {
+	r.update(func(c *Counts) {
 		c.Received++
 		c.InProgress++
 	})
 	return &Entry{row: r}
 }
 
-// Entry follows one request. Its End may be called by any path, and only the
-// first call counts.
+// Entry records one request. End may be called on several paths; only the first
+// call counts.
 type Entry struct {
 	row   *row
 	ended atomic.Bool
 }
 
-// End books the request's outcome from the failure it ended with, nil for
+// End records the outcome of the request from the error it ended with, nil for
 // success.
 func (e *Entry) End(err error) {
 	if !e.ended.CompareAndSwap(false, true) {
 		return
 	}
-	e.row.change(func(c *Counts) {
+	e.row.update(func(c *Counts) {
 		c.InProgress--
 		if err == nil {
 			c.Ran++
 			return
 		}
-		c.endFailed(failure.From(err))
+		c.addFailure(failure.From(err))
 	})
 }
 
-func (c *Counts) endFailed(f *failure.Error) {
+func (c *Counts) addFailure(f *failure.Error) {
 	switch f.Executed {
 	case failure.ExecutedNo:
 		c.Refused++
@@ -167,32 +170,32 @@
 	}
 }
 
-// Update changes the row's other counters under its lock.
-func (e *Entry) Update(change func(*Counts)) { e.row.change(change) }
+// Update modifies the other counters of the row under its lock.
+func (e *Entry) Update(change func(*Counts)) { e.row.update(change) }
 
-// FirstToken counts the time to the first token.
+// FirstToken records the time to the first token.
 func (e *Entry) FirstToken(d time.Duration) {
 	e.Update(func(c *Counts) { c.FirstToken.add(d <= FirstTokenObjective) })
 }
 
-// Tokens counts n tokens that came gap after the ones before.
+// Tokens records n tokens that arrived after a gap since the previous ones.
 func (e *Entry) Tokens(n int, gap time.Duration) {
-	e.row.change(func(c *Counts) {
+	e.row.update(func(c *Counts) {
 		c.OutputTokens += uint64(n)
 		c.TokenGap.add(gap <= TokenGapObjective)
-		c.NoStall.add(gap <= StallBound)
-		if gap > StallBound {
+		c.NoStall.add(gap <= StallThreshold)
+		if gap > StallThreshold {
 			c.StallUS += uint64(gap.Microseconds())
 		}
 	})
 }
 
-// Whole counts whether a generation's answer arrived whole.
+// Whole records whether the response of a generation arrived completely.
 func (e *Entry) Whole(good bool) {
 	e.Update(func(c *Counts) { c.Whole.add(good) })
 }
 
-// Lookup counts the time of an idempotent call.
+// Lookup records the duration of an idempotent call.
 func (e *Entry) Lookup(d time.Duration) {
 	e.Update(func(c *Counts) { c.Lookup.add(d <= LookupObjective) })
 }
@@ -204,32 +207,34 @@
 	Counts
 }
 
-// Snapshot is what one process counted.
+// Snapshot holds the counters of one process.
 type Snapshot struct {
 	Host       string `json:"host"`
 	DataCentre string `json:"data_centre"`
-	// Incarnation tells two lives of one host apart: counters start anew.
+	// Incarnation distinguishes restarts of the process on one host: the
+	// counters restart from 0.
 	Incarnation uint64 `json:"incarnation"`
 	Lines       []Line `json:"lines"`
-	// Unbalanced counts the rows whose identity does not hold; anything but 0
-	// is a fault of this program.
+	// Unbalanced counts the rows that violate the invariant; any value but 0
+	// indicates a bug in this program.
 	Unbalanced int `json:"unbalanced"`
 }
 
-// Lines copies all rows, sorted by account and service.
-func (b *Book) Lines() []Line {
-	return b.lines(func(r *row) (Counts, bool) { return r.copy(), true })
+// Rows copies all rows, sorted by account and service.
+func (b *Book) Rows() []Line {
+	return b.copyRows(func(r *row) (Counts, bool) { return r.copyCounts(), true })
 }
 
-// Changed copies the rows that changed since the last call of Changed, sorted
-// likewise. It has one caller: the one that hands them on.
-func (b *Book) Changed() []Line { return b.lines((*row).take) }
+// ChangedRows copies the rows that changed since its last call, sorted by
+// account and service. It must have a single caller, the one that exports the
+// rows.
+func (b *Book) ChangedRows() []Line { return b.copyRows((*row).copyIfChanged) }
 
-func (b *Book) lines(copyOf func(*row) (Counts, bool)) []Line {
+func (b *Book) copyRows(copyRow func(*row) (Counts, bool)) []Line {
 	var lines []Line
 	b.rows.Range(func(k, v any) bool {
 		key := k.(rowKey)
-		if counts, ok := copyOf(v.(*row)); ok {
+		if counts, ok := copyRow(v.(*row)); ok {
 			lines = append(lines, Line{Account: key.account, Service: key.service, Counts: counts})
 		}
 		return true
@@ -247,14 +252,15 @@
 	})
 }
 
-// Snapshot copies all rows with the name of the process.
+// Snapshot copies all rows together with the identity of the process.
 func (b *Book) Snapshot(host, dataCentre string, incarnation uint64) Snapshot {
-	return snapshotOf(host, dataCentre, incarnation, b.Lines())
+	return snapshotOf(host, dataCentre, incarnation, b.Rows())
 }
 
-// ChangedSnapshot is Snapshot of the rows that changed since the last one.
+// ChangedSnapshot is like Snapshot but contains only the rows that changed
+// since its last call.
 func (b *Book) ChangedSnapshot(host, dataCentre string, incarnation uint64) Snapshot {
-	return snapshotOf(host, dataCentre, incarnation, b.Changed())
+	return snapshotOf(host, dataCentre, incarnation, b.ChangedRows())
 }
 
 func snapshotOf(host, dataCentre string, incarnation uint64, lines []Line) Snapshot {
@@ -267,16 +273,16 @@
 	return s
 }
 
-// InProgress counts the requests of all rows that have not ended.
-func (b *Book) InProgress() (n uint64) {
-	for _, l := range b.Lines() {
-		n += l.InProgress
+// InProgress returns the number of requests in progress over all rows.
+func (b *Book) InProgress() (total uint64) {
+	for _, l := range b.Rows() {
+		total += l.InProgress
 	}
-	return n
+	return total
 }
 
-// take copies the row if it changed since it was taken last.
-func (r *row) take() (Counts, bool) {
+// copyIfChanged copies the row if it changed since the last call.
+func (r *row) copyIfChanged() (Counts, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.changed {
@@ -286,21 +292,21 @@
 	return r.counts.clone(), true
 }
 
-func (r *row) copy() Counts {
+func (r *row) copyCounts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts.clone()
 }
 
-// clone copies the counters with their map.
+// clone copies the counters including the map.
 func (c Counts) clone() Counts {
 	if c.RefusedBy == nil {
 		return c
 	}
-	refused := make(map[failure.Kind]uint64, len(c.RefusedBy))
+	refusedBy := make(map[failure.Kind]uint64, len(c.RefusedBy))
 	for k, n := range c.RefusedBy {
-		refused[k] = n
+		refusedBy[k] = n
 	}
-	c.RefusedBy = refused
+	c.RefusedBy = refusedBy
 	return c
 }
--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "accounting")
 }
 
-var ends = []error{
+var outcomes = []error{
 	nil,
 	failure.New(failure.KindOverloaded, "full"),
 	failure.New(failure.KindTargetLost, "lost").Unknown(),
@@ -28,9 +28,10 @@
 }
 
 var _ = Describe("the accounting", func() {
-	// A request ends on two paths at once, or on none. It would be counted
-	// twice, or be in no column, and the monitor's sum would not come out.
-	It("balances at every moment, whatever paths a request ends by", func() {
+	// Guards against requests that end on two paths at once or on none: they
+	// would be counted twice or in no column, and the sum checked by the
+	// monitor would be wrong.
+	It("is balanced at any time, whichever paths a request ends on", func() {
 		book := accounting.New()
 		var wg sync.WaitGroup
 		for worker := range 8 {
@@ -40,7 +41,7 @@
 					e := book.Begin("school", "reports")
 					e.Tokens(1, time.Duration(r.IntN(100))*time.Millisecond)
 					for range 1 + r.IntN(2) {
-						e.End(ends[r.IntN(len(ends))])
+						e.End(outcomes[r.IntN(len(outcomes))])
 					}
 				}
 			})
@@ -49,14 +50,15 @@
 			Expect(book.Snapshot("h", "d", 1).Unbalanced).To(BeZero())
 		}
 		wg.Wait()
-		line := book.Lines()[0]
+		line := book.Rows()[0]
 		Expect(line.Received).To(BeEquivalentTo(4000))
 		Expect(line.InProgress).To(BeZero())
 	})
 
-	// The control process of a host is told changed rows only. One that was
-	// lost on the way would stay wrong for as long as nobody asks for more.
-	It("comes together from changed rows as it is", func() {
+	// Guards against losing an update: the control process of a host receives
+	// changed rows only, so a row lost in transit would stay wrong until its
+	// next change.
+	It("is reassembled exactly from changed rows", func() {
 		book, merged := accounting.New(), accounting.NewMerged()
 		r := rand.New(rand.NewPCG(5, 0))
 		for range 200 {
@@ -64,28 +66,28 @@
 				e := book.Begin(string(rune('a'+r.IntN(5))), "sites")
 				e.Lookup(time.Duration(r.IntN(500)) * time.Millisecond)
 				if r.IntN(3) > 0 {
-					e.End(ends[r.IntN(len(ends))])
+					e.End(outcomes[r.IntN(len(outcomes))])
 				}
 			}
-			var handed accounting.Snapshot
+			var received accounting.Snapshot
 			text, err := json.Marshal(book.ChangedSnapshot("h", "d", 1))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(json.Unmarshal(text, &handed)).To(Succeed())
-			merged.Take(handed)
-			Expect(merged.Snapshot().Lines).To(ConsistOf(book.Lines()))
+			Expect(json.Unmarshal(text, &received)).To(Succeed())
+			merged.Take(received)
+			Expect(merged.Snapshot().Lines).To(ConsistOf(book.Rows()))
 		}
-		Expect(book.Changed()).To(BeEmpty())
+		Expect(book.ChangedRows()).To(BeEmpty())
 	})
 })
 
-// BenchmarkChanged measures the handing over of a few changed rows among many.
+// BenchmarkChanged measures the export of a few changed rows out of many.
 func BenchmarkChanged(b *testing.B) {
 	book := accounting.New()
 	entries := make([]*accounting.Entry, 11_000)
 	for i := range entries {
 		entries[i] = book.Begin("account-"+strconv.Itoa(i), "reports")
 	}
-	_ = book.Changed()
+	_ = book.ChangedRows()
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 8 {
