--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -31,89 +31,89 @@
 	RunSpecs(t, "adminapi")
 }
 
-// fixed is a snapshot that a test sets.
-type fixed[T any] struct{ value *T }
+// fixedSnapshot is a SnapshotSource with a constant value.
+type fixedSnapshot[T any] struct{ value *T }
 
-func (f fixed[T]) Get() *T { return f.value }
+func (f fixedSnapshot[T]) Get() *T { return f.value }
 
-type figures struct{}
+type fakeSource struct{}
 
-func (figures) TargetStatus(_, address string) (adminapi.TargetStatus, bool) {
+func (fakeSource) TargetStatus(_, address string) (adminapi.TargetStatus, bool) {
 	return adminapi.TargetStatus{Running: 3}, address == "10.1.0.1:1"
 }
 
-func (figures) AccountStatus(string) (int, int, uint64) { return 2, 1, 900 }
+func (fakeSource) AccountStatus(string) (int, int, uint64) { return 2, 1, 900 }
 
-func (figures) Accounting() adminapi.AccountingDocument {
+func (fakeSource) Accounting() adminapi.AccountingDocument {
 	return adminapi.AccountingDocument{Rows: []adminapi.AccountingRow{
 		{Account: "clinic", Service: "reports", Received: 5, Ran: 3, Refused: 1, InProgress: 1},
 		{Account: "radio", Service: "reports", Received: 5, Ran: 3},
 	}}
 }
 
-const digest = "ab"
+const digestByte = "ab"
 
-func config() adminapi.Config {
-	key := strings.Repeat(digest, 32)
-	t, faults := table.Parse(7, [][]byte{[]byte("kind,name,weight,key_sha256\nservice,reports,,\naccount,clinic,2," + key + "\n")})
+func newConfig() adminapi.Config {
+	keyHash := strings.Repeat(digestByte, 32)
+	t, faults := table.Parse(7, [][]byte{[]byte("kind,name,weight,key_sha256\nservice,reports,,\naccount,clinic,2," + keyHash + "\n")})
 	Expect(faults).To(BeEmpty())
 	t = t.With([]string{"south"}, nil)
 	return adminapi.Config{
 		Self:   "10.0.0.1:81",
-		Tokens: []adminapi.Token{token("operator:", "op"), token("monitor:", "mon")},
-		Table:  fixed[table.Table]{t},
-		Hosts: fixed[configwatch.Hosts]{&configwatch.Hosts{ConfirmedAt: time.Now(), List: []configservice.Host{
+		Tokens: []adminapi.Token{newToken("operator:", "op"), newToken("monitor:", "mon")},
+		Table:  fixedSnapshot[table.Table]{t},
+		Hosts: fixedSnapshot[configwatch.Hosts]{&configwatch.Hosts{ConfirmedAt: time.Now(), List: []configservice.Host{
 			{Name: "h1", DataCentre: "north", Entry: "10.0.0.1:80", Control: "10.0.0.1:81", State: configservice.StateLive},
 			{Name: "h2", DataCentre: "north", Entry: "10.0.0.2:80", Control: "10.0.0.2:81", State: configservice.StateLeaving}}}},
-		Targets: fixed[configwatch.Targets]{&configwatch.Targets{ByService: map[string][]configservice.Target{"reports": {
+		Targets: fixedSnapshot[configwatch.Targets]{&configwatch.Targets{ByService: map[string][]configservice.Target{"reports": {
 			{Service: "reports", Address: "10.1.0.1:1", DataCentre: "south", State: configservice.StateLive},
 			{Service: "reports", Address: "10.1.0.2:1", DataCentre: "north", State: configservice.StateLeaving}}}}},
-		Members: fixed[membership.View]{&membership.View{Members: []membership.Member{
+		Members: fixedSnapshot[membership.View]{&membership.View{Members: []membership.Member{
 			{Address: "10.0.0.1:81", Incarnation: 4}, {Address: "10.0.0.3:81", Incarnation: 9, State: membership.Dead}}}},
-		Rollout: fixed[configwatch.State]{&configwatch.State{Ready: true, Documents: []configwatch.DocumentState{{
+		Rollout: fixedSnapshot[configwatch.State]{&configwatch.State{Ready: true, Documents: []configwatch.DocumentState{{
 			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, Since: time.Now(),
 			Refused: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
-		TargetFigures: figures{}, AccountFigures: figures{}, Accounting: figures{},
+		TargetFigures: fakeSource{}, AccountFigures: fakeSource{}, Accounting: fakeSource{},
 	}
 }
 
-func token(role, secret string) adminapi.Token {
+func newToken(role, secret string) adminapi.Token {
 	sum := sha256.Sum256([]byte(secret))
 	t, err := adminapi.ParseToken(role + hex.EncodeToString(sum[:]))
 	Expect(err).NotTo(HaveOccurred())
 	return t
 }
 
-func get(cfg adminapi.Config, method, path, secret string) *httptest.ResponseRecorder {
+func serveRequest(cfg adminapi.Config, method, path, secret string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, nil)
 	if secret != "" {
 		req.Header.Set("Authorization", "Bearer "+secret)
 	}
-	rec := httptest.NewRecorder()
-	adminapi.New(cfg).ServeHTTP(rec, req)
-	return rec
+	recorder := httptest.NewRecorder()
+	adminapi.New(cfg).ServeHTTP(recorder, req)
+	return recorder
 }
 
 var _ = Describe("the administration API", func() {
-	DescribeTable("answers to a token", func(path string, contains ...string) {
-		rec := get(config(), http.MethodGet, "/admin/v1/"+path, "mon")
-		Expect(rec.Code).To(Equal(http.StatusOK), rec.Body.String())
+	DescribeTable("serves requests with a valid token", func(path string, contains ...string) {
+		recorder := serveRequest(newConfig(), http.MethodGet, "/admin/v1/"+path, "mon")
+		Expect(recorder.Code).To(Equal(http.StatusOK), recorder.Body.String())
 		for _, c := range contains {
-			Expect(rec.Body.String()).To(ContainSubstring(c))
+			Expect(recorder.Body.String()).To(ContainSubstring(c))
 		}
 	},
-		Entry("hosts: list and members side by side", "hosts", `"published":"leaving","member":"unknown"`, `"published":"absent","member":"dead","incarnation":9`, `"confirmed_age_ms":`),
+		Entry("hosts: published list combined with members", "hosts", `"published":"leaving","member":"unknown"`, `"published":"absent","member":"dead","incarnation":9`, `"confirmed_age_ms":`),
 		Entry("targets", "targets", `"drained":true,"known":true,"running":3`, `"published":"leaving","drained":false,"known":false`),
 		Entry("accounts", "accounts", `"name":"clinic","weight":2`, `"keys":1`, `"running":2,"waiting":1,"tokens":900`),
 		Entry("rollout", "rollout", `"version":"0.7"`, `"refused":"0.8","refused_reason":"row 3 column weight"`),
 		Entry("table", "table", "account,clinic,2"),
-		Entry("accounting names rows that don't add up", "accounting", `"unbalanced":[{"account":"radio"`),
+		Entry("accounting lists unbalanced rows", "accounting", `"unbalanced":[{"account":"radio"`),
 	)
 
-	DescribeTable("refuses", func(method, path, secret string, kind failure.Kind) {
-		rec := get(config(), method, path, secret)
-		Expect(rec.Header().Get("Content-Type")).To(Equal(failure.ProblemType))
-		Expect(rec.Body.String()).To(ContainSubstring(string(kind)))
+	DescribeTable("rejects", func(method, path, secret string, kind failure.Kind) {
+		recorder := serveRequest(newConfig(), method, path, secret)
+		Expect(recorder.Header().Get("Content-Type")).To(Equal(failure.ProblemType))
+		Expect(recorder.Body.String()).To(ContainSubstring(string(kind)))
 	},
 		Entry("no token", "GET", "/admin/v1/hosts", "", failure.KindUnauthorized),
 		Entry("unknown token", "GET", "/admin/v1/hosts", "guess", failure.KindUnauthorized),
@@ -121,25 +121,25 @@
 		Entry("unknown path", "GET", "/admin/v1/keys", "op", failure.KindNotFound),
 	)
 
-	It("shows digests of keys to operators only", func() {
-		Expect(get(config(), "GET", "/admin/v1/table", "op").Body.String()).To(ContainSubstring(digest + digest))
-		Expect(get(config(), "GET", "/admin/v1/table", "mon").Body.String()).NotTo(ContainSubstring(digest + digest))
+	It("returns key digests to operators only", func() {
+		Expect(serveRequest(newConfig(), "GET", "/admin/v1/table", "op").Body.String()).To(ContainSubstring(digestByte + digestByte))
+		Expect(serveRequest(newConfig(), "GET", "/admin/v1/table", "mon").Body.String()).NotTo(ContainSubstring(digestByte + digestByte))
 	})
 
-	// A host has just started and knows nothing yet. An empty list would tell
-	// the monitor that there are no accounts and nothing to complain about.
-	It("says that it does not know yet rather than nothing", func() {
-		cfg := config()
-		cfg.Table, cfg.Hosts, cfg.Targets = fixed[table.Table]{}, fixed[configwatch.Hosts]{}, fixed[configwatch.Targets]{}
-		cfg.Rollout, cfg.Accounting = fixed[configwatch.State]{}, nil
+	// Guards against empty lists from a host that has just started: they would
+	// tell the monitor that there are no accounts and no problems.
+	It("responds with not ready rather than an empty document", func() {
+		cfg := newConfig()
+		cfg.Table, cfg.Hosts, cfg.Targets = fixedSnapshot[table.Table]{}, fixedSnapshot[configwatch.Hosts]{}, fixedSnapshot[configwatch.Targets]{}
+		cfg.Rollout, cfg.Accounting = fixedSnapshot[configwatch.State]{}, nil
 		for _, p := range []string{"hosts", "targets", "accounts", "rollout", "table", "accounting"} {
-			rec := get(cfg, "GET", "/admin/v1/"+p, "op")
-			Expect(rec.Code).To(Equal(http.StatusServiceUnavailable), p)
-			Expect(rec.Header().Get("Retry-After")).To(Equal("1"))
+			recorder := serveRequest(cfg, "GET", "/admin/v1/"+p, "op")
+			Expect(recorder.Code).To(Equal(http.StatusServiceUnavailable), p)
+			Expect(recorder.Header().Get("Retry-After")).To(Equal("1"))
 		}
 	})
 
-	It("refuses settings that are no tokens, without repeating them", func() {
+	It("rejects malformed token settings without repeating them", func() {
 		for _, s := range []string{"", "operator:secret", "admin:" + strings.Repeat("00", 32), "monitor:00"} {
 			_, err := adminapi.ParseToken(s)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
@@ -164,9 +164,9 @@
 		Expect(json.Unmarshal(raw, &spec)).To(Succeed())
 	})
 
-	It("names the routes that there are", func() {
+	It("lists exactly the existing routes", func() {
 		var routes, described []string
-		Expect(adminapi.New(config()).Walk(func(r *mux.Route, _ *mux.Router, _ []*mux.Route) error {
+		Expect(adminapi.New(newConfig()).Walk(func(r *mux.Route, _ *mux.Router, _ []*mux.Route) error {
 			path, err := r.GetPathTemplate()
 			routes = append(routes, path)
 			return err
@@ -179,18 +179,18 @@
 		Expect(described).To(ConsistOf(routes))
 	})
 
-	It("names the fields that there are", func() {
+	It("lists exactly the existing fields", func() {
 		for _, doc := range []any{adminapi.HostsDocument{}, adminapi.HostStatus{}, adminapi.TargetsDocument{}, adminapi.TargetStatus{},
 			adminapi.AccountsDocument{}, adminapi.AccountStatus{}, adminapi.RolloutDocument{}, adminapi.DocumentStatus{},
 			adminapi.ServiceStatus{}, adminapi.AccountingDocument{}, adminapi.AccountingHost{}, adminapi.AccountingRow{}, failure.Problem{}} {
-			typ := reflect.TypeOf(doc)
-			schema, ok := spec.Components.Schemas[typ.Name()]
-			Expect(ok).To(BeTrue(), typ.Name())
-			Expect(schema.Properties).To(HaveLen(typ.NumField()), typ.Name())
-			for i := range typ.NumField() {
-				name, options, _ := strings.Cut(typ.Field(i).Tag.Get("json"), ",")
-				Expect(schema.Properties).To(HaveKey(name), typ.Name())
-				Expect(slices.Contains(schema.Required, name)).To(Equal(options != "omitempty"), typ.Name()+"."+name)
+			docType := reflect.TypeOf(doc)
+			schema, ok := spec.Components.Schemas[docType.Name()]
+			Expect(ok).To(BeTrue(), docType.Name())
+			Expect(schema.Properties).To(HaveLen(docType.NumField()), docType.Name())
+			for i := range docType.NumField() {
+				name, options, _ := strings.Cut(docType.Field(i).Tag.Get("json"), ",")
+				Expect(schema.Properties).To(HaveKey(name), docType.Name())
+				Expect(slices.Contains(schema.Required, name)).To(Equal(options != "omitempty"), docType.Name()+"."+name)
 			}
 		}
 	})
--- a/internal/adminapi/auth.go
+++ b/internal/adminapi/auth.go
@@ -10,23 +10,24 @@
 	"filbertdeck/internal/failure"
 )
 
-// Role says who asks.
+// Role is the role that a bearer token grants.
 type Role string
 
-// The roles. Both only read; the monitor does not see the digests of keys.
+// The roles. Both are read-only; the monitor does not see key digests.
 const (
 	RoleOperator Role = "operator"
 	RoleMonitor  Role = "monitor"
 )
 
-// Token is one bearer token's digest and role. Tokens of the administration
-// API are apart from accounts' keys: neither opens the other's door.
+// Token is the digest and role of one bearer token. Tokens of the
+// administration API and keys of client accounts are separate: neither is
+// accepted in place of the other.
 type Token struct {
 	SHA256 [sha256.Size]byte
 	Role   Role
 }
 
-// ParseToken reads role:digest, the digest as 64 hexadecimal digits.
+// ParseToken parses role:digest, with the digest as 64 hexadecimal digits.
 func ParseToken(text string) (Token, error) {
 	role, digest, _ := strings.Cut(text, ":")
 	t := Token{Role: Role(role)}
@@ -38,15 +39,16 @@
 	return t, nil
 }
 
-// bearer is the only scheme.
-const bearer = "Bearer "
+// bearerPrefix precedes the token in the Authorization header; Bearer is the
+// only supported scheme.
+const bearerPrefix = "Bearer "
 
-// roleOf gives the role of a request. It compares against every token, so
-// that the time it takes says nothing about them.
-func roleOf(r *http.Request, tokens []Token) (Role, error) {
-	presented, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
+// authenticate returns the role of a request. It compares the presented token
+// with all tokens, so that the response time reveals nothing about them.
+func authenticate(r *http.Request, tokens []Token) (Role, error) {
+	presented, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok || presented == "" {
-		return "", failure.New(failure.KindUnauthorized, "a bearer token of the administration API is needed")
+		return "", failure.New(failure.KindUnauthorized, "a bearer token of the administration API is required")
 	}
 	digest := sha256.Sum256([]byte(presented))
 	var role Role
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,5 +1,5 @@
-// Package adminapi is the administration API over HTTP, for operators and for
-// the outside monitor. It only reads: what operators change, they change in
-// the table under the platform's configuration. docs/openapi/admin.json
-// describes it, and a test holds the two together.
+// Package adminapi implements the administration API over HTTP, for operators
+// and for the external monitor. It is read-only: operators make changes in the
+// table in the platform's configuration service. docs/openapi/admin.json
+// describes the API; a test checks that the two agree.
 package adminapi
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -13,38 +13,41 @@
 	"filbertdeck/internal/table"
 )
 
-// Snapshot gives the snapshot in force; a *blackboard.Section is one.
-type Snapshot[T any] interface{ Get() *T }
+// SnapshotSource returns the snapshot in force; a *blackboard.Section
+// implements it.
+type SnapshotSource[T any] interface{ Get() *T }
 
-// TargetSource tells what the allocators of this process see of their targets.
+// TargetSource provides the state of the targets from the allocators of this
+// process.
 type TargetSource interface {
-	// TargetStatus fills the allocator's figures in; false when this process
-	// does not admit to the target.
+	// TargetStatus returns a status with the allocator's fields set. It returns
+	// false if this process does not admit requests to the target.
 	TargetStatus(service, address string) (TargetStatus, bool)
 }
 
-// AccountSource tells what this process admits for an account.
+// AccountSource provides the load that this process admits for an account.
 type AccountSource interface {
 	AccountStatus(name string) (running, waiting int, tokens uint64)
 }
 
-// AccountingSource gives the accounting of this process's host.
+// AccountingSource provides the accounting of this process's host.
 type AccountingSource interface {
 	Accounting() AccountingDocument
 }
 
-// Config says where the handler's data come from. TargetFigures,
-// AccountFigures and Accounting may be nil; their fields are then empty.
+// Config holds the data sources of the handler. TargetFigures, AccountFigures
+// and Accounting may be nil: without the first two the fields that they provide
+// are zero, without the third the accounting is answered as not ready.
 type Config struct {
-	// Self names this control process (ip:port).
+	// Self is the address of this control process (ip:port).
 	Self   string
 	Tokens []Token
 
-	Table   Snapshot[table.Table]
-	Hosts   Snapshot[configwatch.Hosts]
-	Targets Snapshot[configwatch.Targets]
-	Rollout Snapshot[configwatch.State]
-	Members Snapshot[membership.View]
+	Table   SnapshotSource[table.Table]
+	Hosts   SnapshotSource[configwatch.Hosts]
+	Targets SnapshotSource[configwatch.Targets]
+	Rollout SnapshotSource[configwatch.State]
+	Members SnapshotSource[membership.View]
 
 	TargetFigures  TargetSource
 	AccountFigures AccountSource
@@ -52,13 +55,13 @@
 	Metrics        metrics.Registry
 }
 
-// handler answers the routes.
+// handler serves the routes.
 type handler struct {
 	Config
-	refused metrics.Counter
+	unauthorized metrics.Counter
 }
 
-// The routes, as docs/openapi/admin.json names them.
+// The routes, as listed in docs/openapi/admin.json.
 const (
 	routeHosts      = "/admin/v1/hosts"
 	routeTargets    = "/admin/v1/targets"
@@ -68,14 +71,14 @@
 	routeAccounting = "/admin/v1/accounting"
 )
 
-// New returns the API's handler.
+// New returns the handler of the API.
 func New(cfg Config) *mux.Router {
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
 	}
-	h := &handler{Config: cfg, refused: metrics.GetOrRegisterCounter("admin.unauthorized", cfg.Metrics)}
+	h := &handler{Config: cfg, unauthorized: metrics.GetOrRegisterCounter("admin.unauthorized", cfg.Metrics)}
 	r := mux.NewRouter()
-	for path, answer := range map[string]func(Role) (any, error){
+	for path, buildDocument := range map[string]func(Role) (any, error){
 		routeHosts:      h.hosts,
 		routeTargets:    h.targets,
 		routeAccounts:   h.accounts,
@@ -83,52 +86,53 @@
 		routeTable:      h.table,
 		routeAccounting: h.accounting,
 	} {
-		r.Handle(path, h.authorized(answer)).Methods(http.MethodGet)
+		r.Handle(path, h.authorize(buildDocument)).Methods(http.MethodGet)
 	}
-	r.NotFoundHandler = problem(failure.New(failure.KindNotFound, "no such resource"))
-	r.MethodNotAllowedHandler = problem(failure.New(failure.KindMethod, "the administration API only reads: use GET"))
+	r.NotFoundHandler = problemHandler(failure.New(failure.KindNotFound, "resource not found"))
+	r.MethodNotAllowedHandler = problemHandler(failure.New(failure.KindMethod, "the administration API is read-only: use GET"))
 	return r
 }
 
-func problem(err *failure.Error) http.Handler {
+func problemHandler(err *failure.Error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { failure.Write(w, err) })
 }
 
-// csvText is an answer that goes out as CSV.
-type csvText []byte
+// csvDocument is a response that is sent as CSV.
+type csvDocument []byte
 
-func (h *handler) authorized(answer func(Role) (any, error)) http.Handler {
+func (h *handler) authorize(buildDocument func(Role) (any, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		role, err := roleOf(r, h.Tokens)
+		role, err := authenticate(r, h.Tokens)
 		if err != nil {
-			h.refused.Inc(1)
+			h.unauthorized.Inc(1)
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			failure.Write(w, err)
 			return
 		}
-		doc, err := answer(role)
+		doc, err := buildDocument(role)
 		if err != nil {
 			failure.Write(w, err)
 			return
 		}
-		write(w, doc)
+		writeDocument(w, doc)
 	})
 }
 
-func write(w http.ResponseWriter, doc any) {
+func writeDocument(w http.ResponseWriter, doc any) {
 	w.Header().Set("Cache-Control", "no-store")
-	if text, ok := doc.(csvText); ok {
+	if text, ok := doc.(csvDocument); ok {
 		w.Header().Set("Content-Type", "text/csv; charset=utf-8")
 		_, _ = w.Write(text)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The caller may have gone; there is nobody to tell.
+	// A write error means that the caller has disconnected; nobody can be
+	// informed.
 	_ = json.NewEncoder(w).Encode(doc)
 }
 
-// notReady answers while something is not known yet; an empty list would read
-// as if there were nothing.
-func notReady(what string) error {
-	return failure.New(failure.KindNotReady, "%s not known yet", what).After(retryNotReady)
+// notReady returns the error for data that is not available yet. An empty list
+// would wrongly state that there are no entries.
+func notReady(resource string) error {
+	return failure.New(failure.KindNotReady, "%s is not available yet", resource).After(notReadyRetryAfter)
 }
--- a/internal/adminapi/answers.go
+++ b/internal/adminapi/resources.go
@@ -13,18 +13,20 @@
 	"filbertdeck/internal/table"
 )
 
-// retryNotReady is when asking again makes sense after a start.
-const retryNotReady = time.Second
+// notReadyRetryAfter is the retry delay sent to callers while data is not
+// available after a start.
+const notReadyRetryAfter = time.Second
 
-// Words for hosts that only one side knows.
+// Values for hosts that are known either only to the published list or only to
+// gossip.
 const (
-	absent  = "absent"
-	unknown = "unknown"
+	publishedAbsent = "absent"
+	memberUnknown   = "unknown"
 )
 
 func (h *handler) hosts(Role) (any, error) {
-	list := h.Hosts.Get()
-	if list == nil {
+	published := h.Hosts.Get()
+	if published == nil {
 		return nil, notReady("the list of hosts")
 	}
 	members := map[string]membership.Member{}
@@ -33,20 +35,21 @@
 			members[m.Address] = m
 		}
 	}
-	doc := HostsDocument{Self: h.Self, Version: list.Version.String(), Hosts: []HostStatus{}}
-	if !list.ConfirmedAt.IsZero() {
-		age := time.Since(list.ConfirmedAt).Milliseconds()
+	doc := HostsDocument{Self: h.Self, Version: published.Version.String(), Hosts: []HostStatus{}}
+	if !published.ConfirmedAt.IsZero() {
+		age := time.Since(published.ConfirmedAt).Milliseconds()
 		doc.ConfirmedAgeMS = &age
 	}
-	for _, host := range list.List {
+	for _, host := range published.List {
 		doc.Hosts = append(doc.Hosts, hostStatus(host, members))
 		delete(members, host.Control)
 	}
-	// Processes that gossip knows and the published list does not (any more).
+	// Members known to gossip that are not, or no longer, in the published
+	// list.
 	for _, address := range slices.Sorted(maps.Keys(members)) {
 		m := members[address]
 		doc.Hosts = append(doc.Hosts, HostStatus{
-			DataCentre: m.DataCentre, Control: address, Published: absent, Member: m.State.String(), Incarnation: m.Incarnation,
+			DataCentre: m.DataCentre, Control: address, PublishedState: publishedAbsent, MemberState: m.State.String(), Incarnation: m.Incarnation,
 		})
 	}
 	return doc, nil
@@ -55,17 +58,17 @@
 func hostStatus(host configservice.Host, members map[string]membership.Member) HostStatus {
 	s := HostStatus{
 		Name: host.Name, DataCentre: host.DataCentre, Entry: host.Entry, Control: host.Control,
-		Published: string(host.State), Member: unknown,
+		PublishedState: string(host.State), MemberState: memberUnknown,
 	}
 	if m, ok := members[host.Control]; ok {
-		s.Member, s.Incarnation = m.State.String(), m.Incarnation
+		s.MemberState, s.Incarnation = m.State.String(), m.Incarnation
 	}
 	return s
 }
 
 func (h *handler) targets(Role) (any, error) {
-	list := h.Targets.Get()
-	if list == nil {
+	published := h.Targets.Get()
+	if published == nil {
 		return nil, notReady("the list of targets")
 	}
 	drained := map[string]bool{}
@@ -73,8 +76,8 @@
 		drained = t.Drained
 	}
 	doc := TargetsDocument{Self: h.Self, Targets: []TargetStatus{}}
-	for _, service := range slices.Sorted(maps.Keys(list.ByService)) {
-		for _, t := range list.ByService[service] {
+	for _, service := range slices.Sorted(maps.Keys(published.ByService)) {
+		for _, t := range published.ByService[service] {
 			doc.Targets = append(doc.Targets, h.targetStatus(t, drained[t.DataCentre]))
 		}
 	}
@@ -96,12 +99,12 @@
 	if t == nil {
 		return nil, notReady("the table")
 	}
-	doc := AccountsDocument{Self: h.Self, Revision: version(t), Accounts: []AccountStatus{}}
+	doc := AccountsDocument{Self: h.Self, Revision: formatVersion(t), Accounts: []AccountStatus{}}
 	for _, name := range slices.Sorted(maps.Keys(t.Accounts)) {
 		a := t.Accounts[name]
 		s := AccountStatus{
 			Name: name, Weight: a.Weight, MaxRunning: a.MaxRunning, TokensPerSecond: a.TokensPerSecond,
-			Priority: a.Priority, Keys: len(a.KeyHashes), Services: append([]string{}, a.Services...),
+			Priority: a.Priority, KeyCount: len(a.KeyHashes), Services: append([]string{}, a.Services...),
 		}
 		if h.AccountFigures != nil {
 			s.Running, s.Waiting, s.Tokens = h.AccountFigures.AccountStatus(name)
@@ -111,7 +114,7 @@
 	return doc, nil
 }
 
-func version(t *table.Table) string {
+func formatVersion(t *table.Table) string {
 	return strconv.FormatUint(t.Epoch, 10) + "." + strconv.FormatUint(t.Revision, 10)
 }
 
@@ -124,7 +127,7 @@
 		Self: h.Self, Ready: state.Ready, PeersAsked: state.PeersAsked, Documents: []DocumentStatus{},
 		Service: ServiceStatus{
 			Reader: state.Service.Reader, Revision: state.Service.Revision, Behind: state.Service.Behind,
-			LastFailure: state.Service.Failure, AnsweredAt: moment(state.Service.AnsweredAt),
+			LastFailure: state.Service.Failure, AnsweredAt: timeOrNil(state.Service.AnsweredAt),
 		},
 	}
 	for _, d := range state.Documents {
@@ -136,7 +139,7 @@
 func documentStatus(d configwatch.DocumentState) DocumentStatus {
 	s := DocumentStatus{
 		Document: string(d.Section), Version: d.Head.Version.String(),
-		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: moment(d.Since),
+		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: timeOrNil(d.Since),
 	}
 	if d.Refused.Reason != "" {
 		s.Refused, s.RefusedReason = d.Refused.Version.String(), d.Refused.Reason
@@ -144,7 +147,7 @@
 	return s
 }
 
-func moment(t time.Time) *time.Time {
+func timeOrNil(t time.Time) *time.Time {
 	if t.IsZero() {
 		return nil
 	}
@@ -152,28 +155,28 @@
 	return &t
 }
 
-// table gives the table in force in its canonical form; the monitor's copy
-// has no digests of keys.
+// table returns the table in force in canonical form; for the monitor the key
+// digests are removed.
 func (h *handler) table(role Role) (any, error) {
 	t := h.Table.Get()
 	if t == nil {
 		return nil, notReady("the table")
 	}
 	if role != RoleOperator {
-		t = withoutKeys(t)
+		t = withoutKeyHashes(t)
 	}
-	return csvText(bytes.Join(table.Encode(t), nil)), nil
+	return csvDocument(bytes.Join(table.Encode(t), nil)), nil
 }
 
-func withoutKeys(t *table.Table) *table.Table {
-	out := *t
-	out.Accounts = make(map[string]*table.Account, len(t.Accounts))
+func withoutKeyHashes(t *table.Table) *table.Table {
+	redactedTable := *t
+	redactedTable.Accounts = make(map[string]*table.Account, len(t.Accounts))
 	for name, a := range t.Accounts {
-		bare := *a
-		bare.KeyHashes = nil
-		out.Accounts[name] = &bare
+		redacted := *a
+		redacted.KeyHashes = nil
+		redactedTable.Accounts[name] = &redacted
 	}
-	return &out
+	return &redactedTable
 }
 
 func (h *handler) accounting(Role) (any, error) {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command line: it checks and compares table
-// files, asks control processes for what they see, and reads logs. It changes
-// nothing.
+// Package ctl implements the operators' command line: it checks and compares
+// table files, queries control processes for their state, and analyses logs. It
+// is read-only.
 package ctl
 
 import (
@@ -16,16 +16,17 @@
 	"filbertdeck/internal/version"
 )
 
-// Exit codes, for scripts.
+// Exit codes, for use in scripts.
 const (
-	// ExitOK: asked and found in order.
+	// ExitOK means that the query succeeded and found no problem.
 	ExitOK = 0
-	// ExitFault: the table has faults, a revision was refused, or hosts differ.
+	// ExitFault means that the table has faults, a revision was refused, hosts
+	// differ, or a request was not served.
 	ExitFault = 1
-	// ExitUsage: the command line, a setting or a file can't be used.
+	// ExitUsage means that the command line, a setting or a file is invalid.
 	ExitUsage = 2
-	// ExitUnreachable: at least one control process gave no answer, so that
-	// what is printed is not the whole picture.
+	// ExitUnreachable means that at least one control process did not respond,
+	// so that the output is incomplete.
 	ExitUnreachable = 3
 )
 
@@ -59,80 +60,80 @@
 	New string `arg:"positional,required" help:"table file after the edit"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements arg.Versioned.
 func (settings) Version() string { return "filbertctl " + version.String() }
 
-// Description implements go-arg's described interface.
+// Description implements arg.Described.
 func (settings) Description() string {
 	return "Checks the operators' table, shows what the control processes see and explains requests from logs. It only reads."
 }
 
-// Epilogue implements go-arg's interface for the end of the help.
+// Epilogue implements arg.Epilogued.
 func (settings) Epilogue() string {
 	return "Exit codes: 0 in order, 1 fault found, 2 usage, 3 a control process could not be reached."
 }
 
-// Run runs the command line (without the program's name) and gives the exit
-// code. Results go to out, everything else to errs.
-func Run(ctx context.Context, args []string, out, errs io.Writer) int {
+// Run executes the command line (without the program name) and returns the exit
+// code. Results are written to stdout, all other messages to stderr.
+func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var s settings
-	p, err := arg.NewParser(arg.Config{Program: "filbertctl", Out: errs}, &s)
+	p, err := arg.NewParser(arg.Config{Program: "filbertctl", Out: stderr}, &s)
 	if err != nil {
-		return fail(errs, failure.Wrap(err, failure.KindInternal, "settings"))
+		return fail(stderr, failure.Wrap(err, failure.KindInternal, "settings"))
 	}
 	switch err := p.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
-		p.WriteHelp(out)
+		p.WriteHelp(stdout)
 		return ExitOK
 	case errors.Is(err, arg.ErrVersion):
-		say(out, "%s\n", s.Version())
+		writef(stdout, "%s\n", s.Version())
 		return ExitOK
 	case err != nil:
-		p.WriteUsage(errs)
-		return fail(errs, failure.Wrap(err, failure.KindSettingInvalid, "command line"))
+		p.WriteUsage(stderr)
+		return fail(stderr, failure.Wrap(err, failure.KindSettingInvalid, "command line"))
 	}
-	return invoke(ctx, p, command{settings: s, out: out, errs: errs})
+	return invoke(ctx, p, command{settings: s, stdout: stdout, stderr: stderr})
 }
 
-// invoke builds the command with fx, as the serving programs are built, and
-// runs it; there is nothing to start or stop.
+// invoke builds the command with fx, like the server programs, and executes it;
+// there are no lifecycle hooks to start or stop.
 func invoke(ctx context.Context, p *arg.Parser, c command) int {
 	code := ExitOK
 	app := fx.New(fx.NopLogger, fx.Supply(&c, p), fx.Invoke(func(c *command, p *arg.Parser) { code = c.run(ctx, p) }))
 	if err := app.Err(); err != nil {
-		return fail(c.errs, failure.Wrap(err, failure.KindInternal, "the command cannot be built"))
+		return fail(c.stderr, failure.Wrap(err, failure.KindInternal, "the command cannot be built"))
 	}
 	return code
 }
 
 type command struct {
 	settings
-	out, errs io.Writer
+	stdout, stderr io.Writer
 }
 
 func (c *command) run(ctx context.Context, p *arg.Parser) int {
 	switch {
 	case c.Table != nil && c.Table.Check != nil:
-		return c.check(c.Table.Check.Files)
+		return c.checkTable(c.Table.Check.Files)
 	case c.Table != nil && c.Table.Diff != nil:
-		return c.diff(c.Table.Diff.Old, c.Table.Diff.New)
+		return c.diffTables(c.Table.Diff.Old, c.Table.Diff.New)
 	case c.Table != nil && c.Table.Rollout != nil:
-		return c.rollout(ctx)
+		return c.printRollout(ctx)
 	case c.Hosts != nil:
-		return c.hosts(ctx)
+		return c.printHosts(ctx)
 	case c.Targets != nil:
-		return c.targets(ctx)
+		return c.printTargets(ctx)
 	case c.Accounts != nil:
-		return c.accounts(ctx)
+		return c.printAccounts(ctx)
 	case c.Explain != nil:
 		return c.explain(c.Explain)
 	}
-	p.WriteHelp(c.errs)
+	p.WriteHelp(c.stderr)
 	return ExitUsage
 }
 
-// fail reports a failure that ends the command.
-func fail(errs io.Writer, err error) int {
-	say(errs, "filbertctl: %v\n", err)
+// fail prints an error that ends the command and returns ExitUsage.
+func fail(stderr io.Writer, err error) int {
+	writef(stderr, "filbertctl: %v\n", err)
 	return ExitUsage
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -14,26 +14,26 @@
 	Requests []string `arg:"positional" placeholder:"ID" help:"ids of requests"`
 }
 
-// explain says how requests ended and which line decided it. A request that
-// was not served is a fault found.
+// explain prints how requests ended and which line decided it. It returns
+// ExitFault if a request was not served.
 func (c *command) explain(args *explainCommand) int {
 	if args.Tally == (len(args.Requests) > 0) {
-		return fail(c.errs, failure.New(failure.KindSettingInvalid, "explain needs either --tally or the ids of requests"))
+		return fail(c.stderr, failure.New(failure.KindSettingInvalid, "explain needs either --tally or the ids of requests"))
 	}
 	var logs explain.Log
 	for _, path := range args.Log {
 		if err := readLog(&logs, path); err != nil {
-			return fail(c.errs, err)
+			return fail(c.stderr, err)
 		}
 	}
-	if logs.Unread > 0 {
-		say(c.errs, "filbertctl: %d lines of the logs are not the gateway's\n", logs.Unread)
+	if logs.SkippedLines > 0 {
+		writef(c.stderr, "filbertctl: %d lines of the logs are not the gateway's\n", logs.SkippedLines)
 	}
 	if args.Tally {
-		c.tally(logs.Tally())
+		c.printCounts(logs.CountByCause())
 		return ExitOK
 	}
-	return c.stories(&logs, args.Requests)
+	return c.explainRequests(&logs, args.Requests)
 }
 
 func readLog(logs *explain.Log, path string) error {
@@ -48,48 +48,48 @@
 	return logs.Read(io.Reader(f))
 }
 
-func (c *command) tally(counts []explain.Count) {
+func (c *command) printCounts(counts []explain.CauseCount) {
 	if c.JSON {
-		printJSON(c.out, counts)
+		printJSON(c.stdout, counts)
 		return
 	}
 	rows := make([][]any, len(counts))
 	for i, n := range counts {
-		rows[i] = []any{n.N, n.Cause, n.Detail}
+		rows[i] = []any{n.Requests, n.Cause, n.Detail}
 	}
-	grid(c.out, "REQUESTS\tCAUSE\tDETAIL", rows)
+	printTable(c.stdout, "REQUESTS\tCAUSE\tDETAIL", rows)
 }
 
-func (c *command) stories(logs *explain.Log, requests []string) int {
+func (c *command) explainRequests(logs *explain.Log, requests []string) int {
 	code := ExitOK
-	stories := make([]explain.Story, len(requests))
+	explanations := make([]explain.Explanation, len(requests))
 	for i, id := range requests {
-		stories[i] = logs.Explain(id)
-		if stories[i].Cause != explain.CauseServed {
+		explanations[i] = logs.Explain(id)
+		if explanations[i].Cause != explain.CauseServed {
 			code = ExitFault
 		}
 	}
 	if c.JSON {
-		printJSON(c.out, stories)
+		printJSON(c.stdout, explanations)
 		return code
 	}
-	for _, s := range stories {
-		c.story(s)
+	for _, s := range explanations {
+		c.printExplanation(s)
 	}
 	return code
 }
 
-// story prints a request's lines, the deciding one last.
-func (c *command) story(s explain.Story) {
-	say(c.out, "%s: %s", s.Request, s.Cause)
-	if s.Detail != "" {
-		say(c.out, " (%s)", s.Detail)
+// printExplanation prints the lines of a request, the decisive one last.
+func (c *command) printExplanation(explanation explain.Explanation) {
+	writef(c.stdout, "%s: %s", explanation.Request, explanation.Cause)
+	if explanation.Detail != "" {
+		writef(c.stdout, " (%s)", explanation.Detail)
 	}
-	say(c.out, "\n")
-	for _, line := range s.Lines {
-		say(c.out, "  %s\n", line.Text)
+	writef(c.stdout, "\n")
+	for _, line := range explanation.Lines {
+		writef(c.stdout, "  %s\n", line.Text)
 	}
-	if s.Deciding != nil {
-		say(c.out, "  decided by: %s\n", s.Deciding.Text)
+	if explanation.DecidingLine != nil {
+		writef(c.stdout, "  decided by: %s\n", explanation.DecidingLine.Text)
 	}
 }
--- a/internal/ctl/ask.go
+++ b/internal/ctl/query.go
@@ -14,20 +14,22 @@
 	"filbertdeck/internal/failure"
 )
 
-// maxAnswer bounds what is read from a control process; 11,000 accounts take
-// some 3 MB.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the response of a control process; 11,000 accounts
+// take some 3 MB.
+const maxResponseBytes = 64 << 20
 
-// answer is what one control process said, or why it said nothing.
-type answer[T any] struct {
+// response is the response of one control process, or the problem that
+// prevented it.
+type response[T any] struct {
 	Control string `json:"control"`
 	Problem string `json:"problem,omitempty"`
 	Value   *T     `json:"answer,omitempty"`
 }
 
-// ask asks every control process at once; the answers are in the order of the
-// command line. The second result tells whether all answered.
-func ask[T any](ctx context.Context, c *command, path string) ([]answer[T], bool, error) {
+// queryAll queries all control processes concurrently; the responses are in the
+// order of the command line. The second result reports whether all of them
+// responded.
+func queryAll[T any](ctx context.Context, c *command, path string) ([]response[T], bool, error) {
 	if len(c.Control) == 0 {
 		return nil, false, failure.New(failure.KindSettingInvalid, "--control or FILBERT_CONTROL: at least one ip:port is needed")
 	}
@@ -40,31 +42,31 @@
 	if err != nil {
 		return nil, false, err
 	}
-	out := make([]answer[T], len(c.Control))
+	responses := make([]response[T], len(c.Control))
 	var wg sync.WaitGroup
 	for i, control := range c.Control {
-		out[i].Control = control
+		responses[i].Control = control
 		wg.Go(func() {
-			v, err := fetch[T](ctx, client, scheme+"://"+control+path, c.Token)
+			document, err := fetch[T](ctx, client, scheme+"://"+control+path, c.Token)
 			if err != nil {
-				out[i].Problem = err.Error()
+				responses[i].Problem = err.Error()
 				return
 			}
-			out[i].Value = v
+			responses[i].Value = document
 		})
 	}
 	wg.Wait()
-	reached := true
-	for _, a := range out {
+	allReached := true
+	for _, a := range responses {
 		if a.Value == nil {
-			reached = false
-			say(c.errs, "filbertctl: %s could not be asked: %s\n", a.Control, a.Problem)
+			allReached = false
+			writef(c.stderr, "filbertctl: %s could not be asked: %s\n", a.Control, a.Problem)
 		}
 	}
-	return out, reached, nil
+	return responses, allReached, nil
 }
 
-// client gives an HTTP client and its scheme.
+// client returns an HTTP client and the URL scheme to use.
 func (c *command) client() (*http.Client, string, error) {
 	client := &http.Client{Timeout: c.Timeout}
 	if c.CA == "" {
@@ -93,24 +95,25 @@
 		return nil, failure.Wrap(err, failure.KindControlLost, "no answer")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	dec := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer))
+	dec := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes))
 	if resp.StatusCode != http.StatusOK {
-		var p failure.Problem
-		if err := dec.Decode(&p); err != nil {
+		var problem failure.Problem
+		if err := dec.Decode(&problem); err != nil {
 			return nil, failure.New(failure.KindControlLost, "answer %d", resp.StatusCode)
 		}
-		return nil, failure.FromProblem(p)
+		return nil, failure.FromProblem(problem)
 	}
-	v := new(T)
-	if err := dec.Decode(v); err != nil {
+	document := new(T)
+	if err := dec.Decode(document); err != nil {
 		return nil, failure.Wrap(err, failure.KindControlLost, "answer is no JSON")
 	}
-	return v, nil
+	return document, nil
 }
 
-// first gives the first answer there is.
-func first[T any](answers []answer[T]) *T {
-	for _, a := range answers {
+// firstResponse returns the value of the first successful response, nil if
+// there is none.
+func firstResponse[T any](responses []response[T]) *T {
+	for _, a := range responses {
 		if a.Value != nil {
 			return a.Value
 		}
--- a/internal/ctl/files.go
+++ b/internal/ctl/tables.go
@@ -7,7 +7,7 @@
 	"filbertdeck/internal/table"
 )
 
-// checkResult is what `table check --json` prints.
+// checkResult is the output of `table check --json`.
 type checkResult struct {
 	Valid    bool         `json:"valid"`
 	Accounts int          `json:"accounts"`
@@ -15,10 +15,10 @@
 	Faults   table.Faults `json:"faults"`
 }
 
-func (c *command) check(files []string) int {
+func (c *command) checkTable(files []string) int {
 	t, faults, err := readTable(files...)
 	if err != nil {
-		return fail(c.errs, err)
+		return fail(c.stderr, err)
 	}
 	result := checkResult{Valid: len(faults) == 0, Faults: faults}
 	if t != nil {
@@ -26,14 +26,14 @@
 	}
 	switch {
 	case c.JSON:
-		printJSON(c.out, result)
+		printJSON(c.stdout, result)
 	case result.Valid:
-		say(c.out, "valid: %d accounts, %d services\n", result.Accounts, result.Services)
+		writef(c.stdout, "valid: %d accounts, %d services\n", result.Accounts, result.Services)
 	default:
 		for _, f := range faults {
-			say(c.out, "%s: row %d, column %s: %q; allowed: %s\n", files[f.Page], f.Row, f.Column, f.Value, f.Allowed)
+			writef(c.stdout, "%s: row %d, column %s: %q; allowed: %s\n", files[f.Page], f.Row, f.Column, f.Value, f.Allowed)
 		}
-		say(c.out, "%d faults\n", len(faults))
+		writef(c.stdout, "%d faults\n", len(faults))
 	}
 	if !result.Valid {
 		return ExitFault
@@ -41,28 +41,28 @@
 	return ExitOK
 }
 
-func (c *command) diff(old, next string) int {
+func (c *command) diffTables(old, next string) int {
 	var tables [2]*table.Table
 	for i, file := range []string{old, next} {
 		t, faults, err := readTable(file)
 		if err != nil {
-			return fail(c.errs, err)
+			return fail(c.stderr, err)
 		}
 		if err := faults.Err(); err != nil {
-			say(c.errs, "filbertctl: %s: %v\n", file, err)
+			writef(c.stderr, "filbertctl: %s: %v\n", file, err)
 			return ExitFault
 		}
 		tables[i] = t
 	}
 	diffs := table.Diff(tables[0], tables[1])
 	if c.JSON {
-		printJSON(c.out, append([]table.RowDiff{}, diffs...))
+		printJSON(c.stdout, append([]table.RowDiff{}, diffs...))
 		return ExitOK
 	}
 	for _, d := range diffs {
-		say(c.out, "%s\n", d)
+		writef(c.stdout, "%s\n", d)
 	}
-	say(c.out, "%d rows differ\n", len(diffs))
+	writef(c.stdout, "%d rows differ\n", len(diffs))
 	return ExitOK
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// The messages of the lines that decide.
+// The messages of the log lines that are relevant to the end of a request.
 const (
-	lineRefused   = "request refused"
-	lineAnswered  = "request answered"
-	linePlaced    = "generation placed"
-	lineServed    = "generation served"
-	lineBroke     = "generation broke"
-	lineCopied    = "generation copied"
-	lineStays     = "generation stays"
-	lineBackup    = "generation goes on at its backup"
-	lineLeaves    = "target says that it leaves"
-	lineStarted   = "started"
-	lineStopping  = "stopping"
-	lineStoreLost = "store lost"
+	msgRequestRefused   = "request refused"
+	msgRequestAnswered  = "request answered"
+	msgGenerationPlaced = "generation placed"
+	msgGenerationServed = "generation served"
+	msgGenerationBroke  = "generation broke"
+	msgGenerationCopied = "generation copied"
+	msgGenerationStays  = "generation stays"
+	msgBackupResumed    = "generation goes on at its backup"
+	msgTargetLeaves     = "target says that it leaves"
+	msgProcessStarted   = "started"
+	msgProcessStopping  = "stopping"
+	msgStoreLost        = "store lost"
 )
 
-// Cause says why a request ended as it did.
+// Cause is the reason why a request ended as it did.
 type Cause string
 
-// The causes.
+// The causes of a request's end.
 const (
 	CauseServed         Cause = "served"
 	CauseTargetFailure  Cause = "the target's own failure"
@@ -35,70 +35,72 @@
 	CauseHostStopped    Cause = "its host stopped by plan before the generation had ended"
 	CauseCallerLeft     Cause = "the caller left"
 	CauseCopyTooLate    Cause = "its engine stopped before a copy was whole"
-	CauseNoRoom         Cause = "its engine stopped while no other had room for a copy"
+	CauseNoCapacity     Cause = "its engine stopped while no other had room for a copy"
 	CauseBackupRefused  Cause = "its engine stopped and its backup was refused"
-	CauseStayed         Cause = "it was to end before its engine stopped, and did not"
+	CauseOutlivedEngine Cause = "it was to end before its engine stopped, and did not"
 	CauseEngineLost     Cause = "its engine was lost without notice, and no copy of it was kept"
 	CauseHostLost       Cause = "its host was lost while it ran"
-	CauseStillInProcess Cause = "no end was logged; it may still run"
+	CauseNoEndLogged    Cause = "no end was logged; it may still run"
 	CauseUnknown        Cause = "no host logged it: it never reached one, or that host was lost first"
 )
 
-// Story is what the logs say of one request.
-type Story struct {
+// Explanation is what the logs contain about one request.
+type Explanation struct {
 	Request string `json:"request"`
 	Cause   Cause  `json:"cause"`
-	// Detail says more where the deciding line does.
+	// Detail contains additional information from the decisive line, if it has
+	// any.
 	Detail string `json:"detail,omitempty"`
-	// Deciding is the line that decided the end, nil when it is the lack of one.
-	Deciding *Line `json:"deciding,omitempty"`
-	// Lines are those of the request, Around those of its hosts and targets
-	// that bear on its end, both in the order of time.
-	Lines  []Line `json:"lines"`
-	Around []Line `json:"around,omitempty"`
+	// DecidingLine is the line that decided the outcome. It is nil if the cause
+	// follows from the lack of any line.
+	DecidingLine *Line `json:"deciding,omitempty"`
+	// Lines are the lines of the request, RelatedLines those of its hosts and
+	// targets that may have affected its end, both in chronological order.
+	Lines        []Line `json:"lines"`
+	RelatedLines []Line `json:"around,omitempty"`
 }
 
 const (
-	// aroundBefore is how long before a request's last line a change of what a
-	// host believes may bear on its end: the grace of a stop, or the store's
-	// absence from the start of a notice on.
-	aroundBefore = 10 * time.Second
-	// aroundAfter covers a process's restart after it was lost: generations run
-	// for up to half a minute without a line.
-	aroundAfter = time.Minute
+	// relatedBefore is how long before a request's last line an event on its
+	// host may have affected its end: the grace period of a stop, or the
+	// store's absence since the start of a stop notice.
+	relatedBefore = 10 * time.Second
+	// relatedAfter covers the restart of a process after its loss: generations
+	// run for up to half a minute without a line.
+	relatedAfter = time.Minute
 )
 
-// Explain tells what the logs say of one request.
-func (l *Log) Explain(request string) Story {
-	s := Story{Request: request, Lines: slices.Clone(l.requests[request])}
-	sortLines(s.Lines)
-	if len(s.Lines) == 0 {
-		s.Cause = CauseUnknown
-		return s
+// Explain returns what the logs contain about one request.
+func (l *Log) Explain(request string) Explanation {
+	explanation := Explanation{Request: request, Lines: slices.Clone(l.requestLines[request])}
+	sortLines(explanation.Lines)
+	if len(explanation.Lines) == 0 {
+		explanation.Cause = CauseUnknown
+		return explanation
 	}
-	s.Around = l.around(s.Lines)
-	s.decide()
-	return s
+	explanation.RelatedLines = l.relatedLines(explanation.Lines)
+	explanation.findCause()
+	return explanation
 }
 
 func sortLines(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// around gives the lines about the processes and targets of a request.
-func (l *Log) around(lines []Line) []Line {
+// relatedLines returns the lines about the processes and targets of a request.
+func (l *Log) relatedLines(lines []Line) []Line {
 	last := lines[len(lines)-1]
 	targets := map[string]bool{}
 	for _, line := range lines {
 		targets[line.Target] = true
 	}
 	var out []Line
-	for _, line := range l.process {
-		if line.Time.Before(last.Time.Add(-aroundBefore)) || line.Time.After(last.Time.Add(aroundAfter)) {
+	for _, line := range l.processLines {
+		if line.Time.Before(last.Time.Add(-relatedBefore)) || line.Time.After(last.Time.Add(relatedAfter)) {
 			continue
 		}
-		ofHost := line.Host == last.Host && slices.Contains([]string{lineStarted, lineStopping, lineStoreLost}, line.Message)
-		if ofHost || line.Message == lineLeaves && targets[line.Target] {
+		isHostEvent := line.Host == last.Host && slices.Contains([]string{msgProcessStarted, msgProcessStopping, msgStoreLost}, line.Message)
+		if isHostEvent || line.Message == msgTargetLeaves && targets[line.Target] {
 			out = append(out, line)
 		}
 	}
@@ -106,107 +108,109 @@
 	return out
 }
 
-// decide finds the deciding line.
-func (s *Story) decide() {
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		line := &s.Lines[i]
+// findCause sets the cause and the decisive line.
+func (e *Explanation) findCause() {
+	for i := len(e.Lines) - 1; i >= 0; i-- {
+		line := &e.Lines[i]
 		switch line.Message {
-		case lineServed:
-			s.end(CauseServed, line, "")
-		case lineAnswered:
-			s.answered(line)
-		case lineRefused:
-			s.end(CauseRefused, line, line.Kind)
-		case lineBroke:
-			s.broke(line)
+		case msgGenerationServed:
+			e.setCause(CauseServed, line, "")
+		case msgRequestAnswered:
+			e.findAnsweredCause(line)
+		case msgRequestRefused:
+			e.setCause(CauseRefused, line, line.Kind)
+		case msgGenerationBroke:
+			e.findBrokenCause(line)
 		default:
 			continue
 		}
 		return
 	}
-	s.unended()
+	e.findUnendedCause()
 }
 
-func (s *Story) end(c Cause, line *Line, detail string) {
-	s.Cause, s.Deciding, s.Detail = c, line, detail
+func (e *Explanation) setCause(cause Cause, line *Line, detail string) {
+	e.Cause, e.DecidingLine, e.Detail = cause, line, detail
 }
 
-func (s *Story) answered(line *Line) {
+func (e *Explanation) findAnsweredCause(line *Line) {
 	if line.Status >= http.StatusInternalServerError {
-		s.end(CauseTargetFailure, line, fmt.Sprintf("status %d of %s", line.Status, line.Target))
+		e.setCause(CauseTargetFailure, line, fmt.Sprintf("status %d of %s", line.Status, line.Target))
 		return
 	}
-	s.end(CauseServed, line, "")
+	e.setCause(CauseServed, line, "")
 }
 
-// broke tells why a generation broke off.
-func (s *Story) broke(line *Line) {
+// findBrokenCause determines why a generation was interrupted.
+func (e *Explanation) findBrokenCause(line *Line) {
 	if line.CallerLeft {
-		if stop := s.before(line.Time, lineStopping); stop != nil {
-			s.end(CauseHostStopped, stop, "")
+		if stopping := e.lastRelatedBefore(line.Time, msgProcessStopping); stopping != nil {
+			e.setCause(CauseHostStopped, stopping, "")
 			return
 		}
-		s.end(CauseCallerLeft, line, "")
+		e.setCause(CauseCallerLeft, line, "")
 		return
 	}
-	tried := s.lastFrom(line.Target)
+	attempt := e.lastMoveAttempt(line.Target)
 	switch {
-	case tried == nil:
-		s.end(CauseEngineLost, line, line.Cause)
-	case tried.Message == lineStays:
-		s.end(CauseStayed, tried, "")
-	case tried.Message == lineBackup:
-		s.end(CauseBackupRefused, tried, tried.Error)
-	case strings.HasPrefix(tried.Error, "overloaded"):
-		s.end(CauseNoRoom, tried, tried.Error)
+	case attempt == nil:
+		e.setCause(CauseEngineLost, line, line.Cause)
+	case attempt.Message == msgGenerationStays:
+		e.setCause(CauseOutlivedEngine, attempt, "")
+	case attempt.Message == msgBackupResumed:
+		e.setCause(CauseBackupRefused, attempt, attempt.Error)
+	case strings.HasPrefix(attempt.Error, "overloaded"):
+		e.setCause(CauseNoCapacity, attempt, attempt.Error)
 	default:
-		s.end(CauseCopyTooLate, tried, distance(tried.Remote))
+		e.setCause(CauseCopyTooLate, attempt, copyDistance(attempt.Remote))
 	}
 }
 
-func distance(remote bool) string {
+func copyDistance(remote bool) string {
 	if remote {
 		return "to another data centre"
 	}
 	return "within its data centre"
 }
 
-// before gives the last line about the host with a message before a time.
-func (s *Story) before(t time.Time, message string) *Line {
-	for i := len(s.Around) - 1; i >= 0; i-- {
-		if s.Around[i].Message == message && s.Around[i].Time.Before(t) {
-			return &s.Around[i]
+// lastRelatedBefore returns the last related line with the given message before
+// a time.
+func (e *Explanation) lastRelatedBefore(t time.Time, message string) *Line {
+	for i := len(e.RelatedLines) - 1; i >= 0; i-- {
+		if e.RelatedLines[i].Message == message && e.RelatedLines[i].Time.Before(t) {
+			return &e.RelatedLines[i]
 		}
 	}
 	return nil
 }
 
-// lastFrom gives the last try to take the generation off a target.
-func (s *Story) lastFrom(target string) *Line {
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		line := &s.Lines[i]
+// lastMoveAttempt returns the last attempt to move the generation away from a
+// target.
+func (e *Explanation) lastMoveAttempt(target string) *Line {
+	for i := len(e.Lines) - 1; i >= 0; i-- {
+		line := &e.Lines[i]
 		switch {
-		case line.Message == lineCopied && line.From == target,
-			line.Message == lineStays && line.Target == target,
-			line.Message == lineBackup && line.Error != "":
+		case line.Message == msgGenerationCopied && line.From == target,
+			line.Message == msgGenerationStays && line.Target == target,
+			line.Message == msgBackupResumed && line.Error != "":
 			return line
-		case line.Message == linePlaced, line.Message == lineCopied:
-			// It came to the target by this one.
+		case line.Message == msgGenerationPlaced, line.Message == msgGenerationCopied:
+			// This line moved the generation to the target.
 			return nil
 		}
 	}
 	return nil
 }
 
-// unended tells why a request has lines and no end: its process was lost, which
-// the next start on the same host shows.
-func (s *Story) unended() {
-	last := s.Lines[len(s.Lines)-1]
-	for i := range s.Around {
-		if line := &s.Around[i]; line.Message == lineStarted && line.Time.After(last.Time) {
-			s.end(CauseHostLost, line, "")
+// findUnendedCause handles a request whose lines contain no end: its process
+// was lost if a later start on the same host is logged.
+func (e *Explanation) findUnendedCause() {
+	last := e.Lines[len(e.Lines)-1]
+	for i := range e.RelatedLines {
+		if line := &e.RelatedLines[i]; line.Message == msgProcessStarted && line.Time.After(last.Time) {
+			e.setCause(CauseHostLost, line, "")
 			return
 		}
 	}
-	s.end(CauseStillInProcess, &s.Lines[len(s.Lines)-1], "")
+	e.setCause(CauseNoEndLogged, &e.Lines[len(e.Lines)-1], "")
 }
