--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -45,7 +45,7 @@
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", p.Name, firstParagraph(p.About))
 		b.WriteString("| flag | variable | default | allowed | meaning |\n|---|---|---|---|---|\n")
 		for _, f := range settings.Fields(p.Settings) {
-			fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", f.Flag, f.Variable, code(f.Default), f.Allowed, f.Help)
+			fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", f.Flag, f.EnvVar, code(f.Default), f.Allowed, f.Help)
 		}
 	}
 	return b.String()
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,90 +11,91 @@
 
 var durationType = reflect.TypeOf(time.Duration(0))
 
-// Check tests every value of a settings struct against its check tag.
-func Check(dest any) []Fault {
-	var faults []Fault
-	for _, b := range bindings(dest) {
-		if b.value.Kind() == reflect.Slice {
-			for i := range b.value.Len() {
-				faults = append(faults, b.test(b.value.Index(i))...)
+// Check validates every value of a settings struct against its check tag and
+// returns the values that violate it.
+func Check(dest any) []InvalidValue {
+	var invalid []InvalidValue
+	for _, bound := range bindings(dest) {
+		if bound.value.Kind() == reflect.Slice {
+			for i := range bound.value.Len() {
+				invalid = append(invalid, bound.validate(bound.value.Index(i))...)
 			}
 			continue
 		}
-		faults = append(faults, b.test(b.value)...)
+		invalid = append(invalid, bound.validate(bound.value)...)
 	}
-	return faults
+	return invalid
 }
 
-func (b binding) test(v reflect.Value) []Fault {
+func (b binding) validate(v reflect.Value) []InvalidValue {
 	if reason := violation(b.check, v); reason != "" {
-		return []Fault{{Field: b.Field, Value: text(v), Reason: reason}}
+		return []InvalidValue{{Field: b.Field, Value: formatValue(v), Reason: reason}}
 	}
 	return nil
 }
 
 func violation(check string, v reflect.Value) string {
-	low, high, ranged := strings.Cut(check, "..")
+	low, high, isRange := strings.Cut(check, "..")
 	switch {
 	case check == "":
 		return ""
-	case ranged:
-		return outside(low, high, v)
-	case strings.HasSuffix(check, "?") && text(v) == "":
+	case isRange:
+		return rangeViolation(low, high, v)
+	case strings.HasSuffix(check, "?") && formatValue(v) == "":
 		return ""
 	case strings.HasPrefix(check, "hostport"):
-		return notAddress(text(v))
+		return addressViolation(formatValue(v))
 	case strings.HasPrefix(check, "file"):
-		return notReadable(text(v))
+		return fileViolation(formatValue(v))
 	case check == "text":
-		return emptyText(text(v))
+		return textViolation(formatValue(v))
 	case strings.Contains(check, "|"):
-		return notAmong(strings.Split(check, "|"), text(v))
+		return choiceViolation(strings.Split(check, "|"), formatValue(v))
 	}
 	return ""
 }
 
-func outside(low, high string, v reflect.Value) string {
-	n, lo, hi, ok := number(v, low, high)
+func rangeViolation(low, high string, v reflect.Value) string {
+	n, minimum, maximum, ok := parseRange(v, low, high)
 	if !ok {
-		return "the declared range " + low + ".." + high + " cannot be read"
+		return "the declared range " + low + ".." + high + " cannot be parsed"
 	}
-	if n < lo || n > hi {
+	if n < minimum || n > maximum {
 		return "out of range"
 	}
 	return ""
 }
 
-func number(v reflect.Value, low, high string) (n, lo, hi float64, ok bool) {
+func parseRange(v reflect.Value, low, high string) (n, minimum, maximum float64, ok bool) {
 	if v.Type() == durationType {
-		l, errLow := time.ParseDuration(low)
-		h, errHigh := time.ParseDuration(high)
-		return float64(v.Int()), float64(l), float64(h), errLow == nil && errHigh == nil
+		minDuration, errLow := time.ParseDuration(low)
+		maxDuration, errHigh := time.ParseDuration(high)
+		return float64(v.Int()), float64(minDuration), float64(maxDuration), errLow == nil && errHigh == nil
 	}
-	lo, errLow := strconv.ParseFloat(low, 64)
-	hi, errHigh := strconv.ParseFloat(high, 64)
+	minimum, errLow := strconv.ParseFloat(low, 64)
+	maximum, errHigh := strconv.ParseFloat(high, 64)
 	if errLow != nil || errHigh != nil {
 		return 0, 0, 0, false
 	}
 	switch {
 	case v.CanInt():
-		return float64(v.Int()), lo, hi, true
+		return float64(v.Int()), minimum, maximum, true
 	case v.CanUint():
-		return float64(v.Uint()), lo, hi, true
+		return float64(v.Uint()), minimum, maximum, true
 	case v.CanFloat():
-		return v.Float(), lo, hi, true
+		return v.Float(), minimum, maximum, true
 	}
 	return 0, 0, 0, false
 }
 
-func notAddress(s string) string {
+func addressViolation(s string) string {
 	if _, err := netip.ParseAddrPort(s); err != nil {
-		return "not an IP number with a port"
+		return "not an IP address with a port"
 	}
 	return ""
 }
 
-func notReadable(path string) string {
+func fileViolation(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
 		return "cannot be read"
@@ -103,23 +104,23 @@
 	return ""
 }
 
-func emptyText(s string) string {
+func textViolation(s string) string {
 	if strings.TrimSpace(s) == "" {
 		return "is empty"
 	}
 	return ""
 }
 
-func notAmong(allowed []string, s string) string {
+func choiceViolation(allowed []string, s string) string {
 	for _, a := range allowed {
 		if a == s {
 			return ""
 		}
 	}
-	return "not one of the choices"
+	return "not one of the allowed values"
 }
 
-func text(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	switch {
 	case v.Type() == durationType:
 		return time.Duration(v.Int()).String()
@@ -135,7 +136,7 @@
 	return v.String()
 }
 
-func describe(check string, kind reflect.Kind) string {
+func describeAllowed(check string, kind reflect.Kind) string {
 	optional := ""
 	if strings.HasSuffix(check, "?") {
 		optional = " or empty"
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -6,7 +6,7 @@
 	"filbertdeck/internal/version"
 )
 
-// Common are the settings that every one of our serving processes has.
+// Common holds the settings that all server processes share.
 type Common struct {
 	Host       string        `arg:"--host,env:FILBERT_HOST" check:"text" default:"host-1" help:"name of this host, as the platform publishes it"`
 	DataCentre string        `arg:"--data-centre,env:FILBERT_DATA_CENTRE" check:"text" default:"dc-1" help:"data centre of this host"`
@@ -21,5 +21,5 @@
 	PlainText bool   `arg:"--plain-text,env:FILBERT_PLAIN_TEXT" help:"speak without TLS; allowed on loopback addresses only"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements go-arg's Versioned interface.
 func (Common) Version() string { return version.String() }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
-// Package settings reads a process's settings from flags and environment
-// variables, checks every value at the start, and describes them for the
+// Package settings parses a process's settings from flags and environment
+// variables, validates every value at startup, and lists the settings for the
 // configuration reference.
 //
-// A settings type is a struct whose fields carry go-arg's tags and, besides,
-// a check tag: "hostport", "hostport?" (may be empty), "text", "file?",
-// "file", "min..max" for numbers and durations, or "a|b|c" for a choice.
+// A settings type is a struct whose fields have go-arg tags and a check tag:
+// "hostport" (an IP address with a port), "text" (not empty), "file" (a
+// readable file), "min..max" for numbers and durations, or "a|b|c" for one of
+// several values. "hostport?" and "file?" also accept an empty value.
 package settings
 
 import (
@@ -21,44 +22,44 @@
 	"filbertdeck/internal/version"
 )
 
-// ExitUsage is the exit code of a process whose settings are wrong.
+// ExitUsage is the exit code of a process whose settings are invalid.
 const ExitUsage = 2
 
-// Field is one setting as its declaration tells it.
+// Field describes one setting, as its struct tags declare it.
 type Field struct {
-	Flag, Variable, Default, Allowed, Help string
-	Secret                                 bool
+	Flag, EnvVar, Default, Allowed, Help string
+	Secret                               bool
 }
 
-// Fault is one setting that cannot be used.
-type Fault struct {
+// InvalidValue is one setting whose value was rejected, with the reason.
+type InvalidValue struct {
 	Field
 	Value  string
 	Reason string
 }
 
-// String names flag, variable, value and what is allowed. The value of a
-// secret is left out.
-func (f Fault) String() string {
+// String gives the flag, the environment variable, the value and the allowed
+// values. It omits the value of a secret.
+func (f InvalidValue) String() string {
 	value := f.Value
 	if f.Secret {
 		value = "(secret)"
 	}
-	return fmt.Sprintf("%s (%s) is %q: %s; allowed: %s", f.Flag, f.Variable, value, f.Reason, f.Allowed)
+	return fmt.Sprintf("%s (%s) is %q: %s; allowed: %s", f.Flag, f.EnvVar, value, f.Reason, f.Allowed)
 }
 
 var errHelp = failure.New(failure.KindSettingInvalid, "help or version was printed")
 
-// IsHelp tells whether Parse printed the help or the version that was asked
-// for, which is no failure.
+// IsHelp reports whether Parse only printed the requested help or version,
+// which is not a failure.
 func IsHelp(err error) bool { return err == error(errHelp) }
 
 // Parse fills dest, a pointer to a settings struct, from args and the
-// environment, and checks every value.
+// environment, and validates every value.
 func Parse(program, about string, dest any, args []string, out io.Writer) error {
 	parser, err := arg.NewParser(arg.Config{Program: program, Out: out}, dest)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "settings of %s are declared wrongly", program)
+		return failure.Wrap(err, failure.KindInternal, "invalid settings declaration of %s", program)
 	}
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
@@ -70,37 +71,39 @@
 		fmt.Fprintln(out, program, version.String())
 		return errHelp
 	case err != nil:
-		return failure.New(failure.KindSettingInvalid, "%s", parseFault(dest, args, err))
+		return failure.New(failure.KindSettingInvalid, "%s", describeParseError(dest, args, err))
 	}
-	return report(Check(dest))
+	return invalidSettingsError(Check(dest))
 }
 
-func report(faults []Fault) error {
-	if len(faults) == 0 {
+func invalidSettingsError(invalid []InvalidValue) error {
+	if len(invalid) == 0 {
 		return nil
 	}
-	lines := make([]string, len(faults))
-	for i, f := range faults {
+	lines := make([]string, len(invalid))
+	for i, f := range invalid {
 		lines[i] = f.String()
 	}
 	return failure.New(failure.KindSettingInvalid, "%s", strings.Join(lines, "; "))
 }
 
-// parseFault names the setting that go-arg could not read.
-func parseFault(dest any, args []string, err error) string {
+// describeParseError describes the setting that go-arg could not parse. go-arg
+// names it in the error's text only.
+func describeParseError(dest any, args []string, err error) string {
 	text := err.Error()
 	for _, b := range bindings(dest) {
-		named := strings.Contains(text, b.Flag+":") || strings.Contains(text, b.Flag+" ") ||
-			strings.HasSuffix(text, b.Flag) || (b.Variable != "" && strings.Contains(text, b.Variable))
-		if named {
-			return Fault{Field: b.Field, Value: given(b.Field, args), Reason: text}.String()
+		mentioned := strings.Contains(text, b.Flag+":") || strings.Contains(text, b.Flag+" ") ||
+			strings.HasSuffix(text, b.Flag) || (b.EnvVar != "" && strings.Contains(text, b.EnvVar))
+		if mentioned {
+			return InvalidValue{Field: b.Field, Value: rawValue(b.Field, args), Reason: text}.String()
 		}
 	}
 	return text
 }
 
-// given finds the text that was set for a field, on the command line first.
-func given(f Field, args []string) string {
+// rawValue returns the unparsed value of a field. The command line takes
+// precedence over the environment.
+func rawValue(f Field, args []string) string {
 	for i, a := range args {
 		if a == f.Flag && i+1 < len(args) {
 			return args[i+1]
@@ -109,7 +112,7 @@
 			return value
 		}
 	}
-	return os.Getenv(f.Variable)
+	return os.Getenv(f.EnvVar)
 }
 
 type binding struct {
@@ -118,11 +121,11 @@
 	value reflect.Value
 }
 
-// Fields lists the declarations of a settings struct.
+// Fields lists the settings that a struct declares.
 func Fields(dest any) []Field {
-	bound := bindings(dest)
-	fields := make([]Field, len(bound))
-	for i, b := range bound {
+	fieldBindings := bindings(dest)
+	fields := make([]Field, len(fieldBindings))
+	for i, b := range fieldBindings {
 		fields[i] = b.Field
 	}
 	return fields
@@ -141,12 +144,12 @@
 		if !tagged {
 			continue
 		}
-		out = append(out, bind(f, tag, v.Field(i)))
+		out = append(out, newBinding(f, tag, v.Field(i)))
 	}
 	return out
 }
 
-func bind(f reflect.StructField, tag string, v reflect.Value) binding {
+func newBinding(f reflect.StructField, tag string, v reflect.Value) binding {
 	b := binding{check: f.Tag.Get("check"), value: v}
 	b.Default, b.Help = f.Tag.Get("default"), f.Tag.Get("help")
 	b.Secret = f.Tag.Get("secret") == "true"
@@ -155,9 +158,9 @@
 			b.Flag = part
 		}
 		if name, found := strings.CutPrefix(part, "env:"); found {
-			b.Variable = name
+			b.EnvVar = name
 		}
 	}
-	b.Allowed = describe(b.check, v.Kind())
+	b.Allowed = describeAllowed(b.check, v.Kind())
 	return b
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,9 +32,9 @@
 var _ = Describe("a process's settings", func() {
 	parse := func(args ...string) error { return settings.Parse("sample", "about", &sample{}, args, io.Discard) }
 
-	// An operator mistypes a value. A process that starts all the same listens
-	// somewhere else or waits for ever, and nobody knows why.
-	DescribeTable("are refused with flag, variable, value and what is allowed",
+	// A process that starts with a mistyped value would listen on the wrong
+	// address or wait forever without a visible cause.
+	DescribeTable("are rejected with flag, variable, value and allowed values",
 		func(args []string, parts ...string) {
 			err := parse(args...)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
@@ -42,30 +42,30 @@
 				Expect(err.Error()).To(ContainSubstring(part))
 			}
 		},
-		Entry("a name in place of an IP number", []string{"--listen", "localhost:80"}, "--listen", "SAMPLE_LISTEN", "localhost:80", "ip:port"),
+		Entry("a name instead of an IP address", []string{"--listen", "localhost:80"}, "--listen", "SAMPLE_LISTEN", "localhost:80", "ip:port"),
 		Entry("a duration out of range", []string{"--wait", "2m"}, "--wait", "SAMPLE_WAIT", "2m0s", "1s to 1m"),
-		Entry("a number that is none", []string{"--count", "many"}, "--count", "SAMPLE_COUNT", "many", "1 to 10"),
+		Entry("a number that cannot be parsed", []string{"--count", "many"}, "--count", "SAMPLE_COUNT", "many", "1 to 10"),
 		Entry("a number out of range", []string{"--count=11"}, "--count", "11", "1 to 10"),
-		Entry("a choice that is none", []string{"--form", "xml"}, "--form", "xml", "text, json"),
-		Entry("a file that is not there", []string{"--file", "no-such-file"}, "--file", "no-such-file", "cannot be read"),
-		Entry("one bad item of a list", []string{"--peers", "127.0.0.1:1", "127.0.0.1"}, "--peers", "127.0.0.1"),
+		Entry("a value that is not among the choices", []string{"--form", "xml"}, "--form", "xml", "text, json"),
+		Entry("a missing file", []string{"--file", "no-such-file"}, "--file", "no-such-file", "cannot be read"),
+		Entry("one invalid item of a list", []string{"--peers", "127.0.0.1:1", "127.0.0.1"}, "--peers", "127.0.0.1"),
 		Entry("a flag that does not exist", []string{"--lisen", "127.0.0.1:1"}, "--lisen"),
-		Entry("two faults at once", []string{"--count", "0", "--form", "xml"}, "--count", "--form"),
+		Entry("two invalid values at once", []string{"--count", "0", "--form", "xml"}, "--count", "--form"),
 	)
 
-	It("keeps a secret out of the failure", func() {
+	It("omits a secret from the error", func() {
 		err := parse("--secret", "hunter2")
 		Expect(err).To(HaveOccurred())
 		Expect(err.Error()).NotTo(ContainSubstring("hunter2"))
 	})
 
-	It("names the variable when the environment holds the bad value", func() {
+	It("names the environment variable that has the invalid value", func() {
 		GinkgoT().Setenv("SAMPLE_COUNT", "none")
 		err := parse()
 		Expect(err.Error()).To(And(ContainSubstring("SAMPLE_COUNT"), ContainSubstring("none")))
 	})
 
-	It("prints help and version without a failure", func() {
+	It("prints help and version without an error", func() {
 		for _, flag := range []string{"--help", "--version"} {
 			Expect(settings.IsHelp(parse(flag))).To(BeTrue(), flag)
 		}
