--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,8 +1,8 @@
-// Package failure gives every failure of the system a type.
+// Package failure defines the typed errors of the system.
 //
-// A failure says three things that a caller can act on: what kind it is,
-// whether the request ran at a target, and when asking again makes sense.
-// Callers receive it as an RFC 9457 problem document.
+// An error carries what a caller needs to react to it: its kind, whether the
+// request was executed at a target, and when a retry makes sense. Callers
+// receive it as an RFC 9457 problem document.
 package failure
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind names a failure. Its text is the last part of the problem document's
-// type and never changes once published.
+// Kind classifies an error. Its value is the last part of the problem
+// document's type URI and never changes once published.
 type Kind string
 
-// The failures that callers and operators can meet.
+// The error kinds that callers and operators can receive.
 const (
 	KindBadRequest       Kind = "bad-request"
 	KindUnauthorized     Kind = "unauthorized"
@@ -58,54 +58,57 @@
 	KindTableInvalid     Kind = "table-invalid"
 	KindSettingInvalid   Kind = "setting-invalid"
 	KindConfigUnreadable Kind = "configuration-unreadable"
-	// KindHistoryGone: the configuration service no longer knows the changes
-	// that were asked for; read it whole.
+	// KindHistoryGone means that the configuration service no longer has the
+	// requested changes; the reader must fetch the full configuration.
 	KindHistoryGone Kind = "history-gone"
 	KindInternal    Kind = "internal"
 )
 
-// Executed says whether the request ran at a target.
+// Executed says whether a request was executed at a target.
 type Executed string
 
-// What is known of a request's execution. No is said only where it is certain.
+// The possible states of execution. ExecutedNo is used only where it is
+// certain that the request was not executed.
 const (
 	ExecutedNo      Executed = "no"
 	ExecutedYes     Executed = "yes"
 	ExecutedUnknown Executed = "unknown"
 )
 
-// Error is a failure with its type.
+// Error is an error with a kind.
 type Error struct {
 	Kind     Kind
 	Executed Executed
-	// RetryAfter is zero when asking again does not make sense.
+	// RetryAfter is zero when a retry makes no sense.
 	RetryAfter time.Duration
-	// Detail is for people; it never holds secrets or bodies.
+	// Detail is for human readers; it never contains secrets or bodies.
 	Detail string
-	// Delivered counts the tokens that the caller received before the failure.
+	// Delivered is the number of tokens that the caller received before the
+	// error.
 	Delivered int
 	cause     error
 }
 
-// New returns a failure of a request that did not run.
+// New returns an error for a request that was not executed.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Executed: ExecutedNo, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns a failure that was caused by err, with err's stack kept.
+// Wrap returns an error that was caused by err and keeps err's stack trace. It
+// is for a request that was not executed.
 func Wrap(err error, kind Kind, format string, args ...any) *Error {
 	e := New(kind, format, args...)
 	e.cause = eris.Wrap(err, e.Detail)
 	return e
 }
 
-// Unknown marks the failure as one of a request that may have run.
+// Unknown marks the request as possibly executed.
 func (e *Error) Unknown() *Error { e.Executed = ExecutedUnknown; return e }
 
-// Ran marks the failure as one of a request that did run.
+// Ran marks the request as executed.
 func (e *Error) Ran() *Error { e.Executed = ExecutedYes; return e }
 
-// After says when asking again makes sense.
+// After sets the delay after which a retry makes sense.
 func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
@@ -114,8 +117,8 @@
 	if e.cause == nil {
 		return text
 	}
-	// A failure within this one has its own details, such as the line of a file
-	// that is at fault; an error without a type has only its last word.
+	// A wrapped *Error has its own details, such as the number of an invalid
+	// line; of any other error only the root cause is shown.
 	var inner *Error
 	if errors.As(e.cause, &inner) {
 		return text + ": " + inner.Error()
@@ -123,16 +126,17 @@
 	return text + ": " + eris.Cause(e.cause).Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Is matches failures of one kind, so that errors.Is works with a bare kind.
+// Is matches errors of the same kind, so that errors.Is works with an Error
+// that only has a kind.
 func (e *Error) Is(target error) bool {
 	var other *Error
 	return errors.As(target, &other) && other.Kind == e.Kind
 }
 
-// KindOf gives the kind of err, KindInternal when it has none.
+// KindOf returns the kind of err, or KindInternal when it has none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -141,8 +145,8 @@
 	return KindInternal
 }
 
-// From gives err as a failure; an error without a type is internal, and its
-// outcome unknown.
+// From converts err to an Error. An error without a kind becomes
+// KindInternal, and whether its request was executed is unknown.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -151,7 +155,7 @@
 	return Wrap(err, KindInternal, "unexpected error").Unknown()
 }
 
-var statuses = map[Kind]int{
+var statusByKind = map[Kind]int{
 	KindBadRequest:       http.StatusBadRequest,
 	KindUnauthorized:     http.StatusUnauthorized,
 	KindForbidden:        http.StatusForbidden,
@@ -193,9 +197,9 @@
 	KindInternal:         http.StatusInternalServerError,
 }
 
-// Status gives the HTTP status of the failure's kind.
+// Status returns the HTTP status code of the error's kind.
 func (e *Error) Status() int {
-	if status, ok := statuses[e.Kind]; ok {
+	if status, ok := statusByKind[e.Kind]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("a problem document", func() {
-	It("carries type, outcome and the time to come back", func() {
+	It("has the kind, the execution state and the retry delay", func() {
 		rec := httptest.NewRecorder()
 		failure.Write(rec, failure.New(failure.KindOverloaded, "queue is full").After(1500*time.Millisecond))
 		Expect(rec.Code).To(Equal(503))
@@ -26,16 +26,16 @@
 		Expect(rec.Body.String()).To(ContainSubstring(`"executed":"no"`))
 	})
 
-	It("keeps the details of each failure on the way", func() {
+	It("keeps the details of every wrapped error", func() {
 		inner := failure.Wrap(errors.New("no number"), failure.KindTableInvalid, "row 7")
 		outer := failure.Wrap(failure.Wrap(inner, failure.KindConfigUnreadable, "page 2"), failure.KindNotReady, "no table")
 		Expect(outer.Error()).To(Equal("not-ready: no table: configuration-unreadable: page 2: table-invalid: row 7: no number"))
 	})
 
-	// An error that nobody gave a type could stem from any step, also from one
-	// after the call went out. Calling it "not run" would make the caller book
-	// a second time.
-	It("never says that an untyped error did not run", func() {
+	// An error without a kind can come from any step, including one after the
+	// call was sent. Reporting it as not executed would make the caller repeat
+	// the call, which would then run twice.
+	It("never reports an error without a kind as not executed", func() {
 		Expect(failure.From(errors.New("surprise")).Executed).To(Equal(failure.ExecutedUnknown))
 	})
 })
--- a/internal/failure/problem.go
+++ b/internal/failure/problem.go
@@ -11,23 +11,24 @@
 // ProblemType is the media type of a problem document (RFC 9457).
 const ProblemType = "application/problem+json"
 
-// typePrefix makes a kind a URI, as RFC 9457 asks for.
+// typePrefix turns a kind into a URI, as RFC 9457 requires.
 const typePrefix = "urn:filbertdeck:problem:"
 
-// Problem is the document that a caller receives for a failure.
+// Problem is the problem document that a caller receives for an error.
 type Problem struct {
 	Type     string   `json:"type"`
 	Title    string   `json:"title"`
 	Status   int      `json:"status"`
 	Detail   string   `json:"detail,omitempty"`
 	Executed Executed `json:"executed"`
-	// RetryAfterMS is in milliseconds; the header rounds up to whole seconds.
+	// RetryAfterMS is in milliseconds; the Retry-After header rounds it up to
+	// whole seconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	Delivered    int   `json:"delivered_tokens,omitempty"`
 }
 
-// Problem gives the failure as a document. The cause stays out of it: it may
-// name hosts and paths that are no caller's business.
+// Problem returns the error as a problem document. It omits the cause, which
+// may name internal hosts and paths.
 func (e *Error) Problem() Problem {
 	return Problem{
 		Type:         typePrefix + string(e.Kind),
@@ -40,7 +41,7 @@
 	}
 }
 
-// Write answers a request with the failure's problem document.
+// Write responds to a request with err's problem document.
 func Write(w http.ResponseWriter, err error) {
 	e := From(err)
 	if e.RetryAfter > 0 {
@@ -62,10 +63,11 @@
 	_, _ = w.Write(append(body, '\n'))
 }
 
-// FromProblem turns a problem document of another process back into a failure.
+// FromProblem converts a problem document from another process back to an
+// Error. An unknown kind becomes KindInternal.
 func FromProblem(p Problem) *Error {
 	kind := Kind(p.Title)
-	if _, known := statuses[kind]; !known {
+	if _, known := statusByKind[kind]; !known {
 		kind = KindInternal
 	}
 	return &Error{
