--- a/internal/handle/file.go
+++ b/internal/handle/file.go
@@ -8,23 +8,23 @@
 	"filbertdeck/internal/failure"
 )
 
-// File is a ring whose keys come from a file that operators change to rotate
-// them, while processes run.
+// File is a ring whose keys are read from a file. Operators edit the file to
+// rotate the keys while processes run.
 type File struct {
 	*Ring
 	path string
 
-	mu   sync.Mutex
-	seen [sha256.Size]byte
+	mu     sync.Mutex
+	digest [sha256.Size]byte
 }
 
-// OpenFile reads a ring's file; it fails with KindSettingInvalid.
+// OpenFile reads a key ring file. Its errors are of KindSettingInvalid.
 func OpenFile(path string) (*File, error) {
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "key ring %s", path)
 	}
-	secrets, err := ParseSecrets(text)
+	secrets, err := ParseSecrets(content)
 	if err != nil {
 		return nil, err
 	}
@@ -32,31 +32,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return &File{Ring: ring, path: path, seen: sha256.Sum256(text)}, nil
+	return &File{Ring: ring, path: path, digest: sha256.Sum256(content)}, nil
 }
 
-// Refresh takes a changed file over and tells whether there was a change. A
-// file that can't be used changes nothing: a rotation that is caught half-way
-// would otherwise make every handle and minted key invalid. Call it every few
-// seconds.
+// Refresh reloads the file if its content changed and reports whether it did.
+// An invalid file leaves the keys unchanged: otherwise a file that is read
+// while it is being written would invalidate every handle and minted key. Call
+// it every few seconds.
 func (f *File) Refresh() (changed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	text, err := os.ReadFile(f.path)
+	content, err := os.ReadFile(f.path)
 	if err != nil {
 		return false, failure.Wrap(err, failure.KindSettingInvalid, "key ring %s", f.path)
 	}
-	sum := sha256.Sum256(text)
-	if sum == f.seen {
+	sum := sha256.Sum256(content)
+	if sum == f.digest {
 		return false, nil
 	}
-	secrets, err := ParseSecrets(text)
+	secrets, err := ParseSecrets(content)
 	if err != nil {
 		return false, err
 	}
 	if err := f.Replace(secrets); err != nil {
 		return false, err
 	}
-	f.seen = sum
+	f.digest = sum
 	return true, nil
 }
--- a/internal/handle/handle.go
+++ b/internal/handle/handle.go
@@ -7,31 +7,32 @@
 	"filbertdeck/internal/failure"
 )
 
-// Handle says where a stream goes on. Its text is the `id:` of each SSE event;
-// a caller that lost its connection sends the last one back as Last-Event-ID,
-// to any entry.
+// Handle is a position in a stream from which it can be resumed. Its sealed
+// text is the `id:` of each SSE event. A caller that lost its connection sends
+// the last id to any entry in the Last-Event-ID header.
 type Handle struct {
 	Account string
 	Service string
 	// Target is the address of the engine that runs the generation.
 	Target     string
 	Generation string
-	// Offset is the index of the next token that the caller has not received.
+	// Offset is the index of the first token that the caller has not received.
 	Offset uint64
-	// Finished is set on the event that finished the generation: a caller that
-	// comes back with it lacks only the closing event, and the target need not
-	// know the generation any more.
+	// Finished is set on the last token event of a generation: a caller that
+	// resumes from it needs only the closing event, and the target may have
+	// discarded the generation.
 	Finished bool
-	// Issued and Expires are kept in whole seconds.
+	// Issued and Expires have a resolution of one second.
 	Issued, Expires time.Time
 }
 
-// SealTo appends the handle's text to dst and returns the longer slice. It
-// does not allocate while dst has room (some 700 bytes for usual names).
+// SealTo appends the handle's sealed text to dst and returns the extended
+// slice. It does not allocate if dst has enough capacity (about 700 bytes for
+// names of usual length).
 func (r *Ring) SealTo(dst []byte, h Handle) []byte {
 	keys := r.keys.Load()
-	bound := 1 + 3*binary.MaxVarintLen64 + 3*binary.MaxVarintLen32 + len(h.Service) + len(h.Target) + len(h.Generation)
-	return r.seal(dst, keys, keys.sealHandle, h.Account, bound, h.appendTo)
+	maxSize := 1 + 3*binary.MaxVarintLen64 + 3*binary.MaxVarintLen32 + len(h.Service) + len(h.Target) + len(h.Generation)
+	return r.seal(dst, keys, keys.handleAEAD, h.Account, maxSize, h.appendTo)
 }
 
 func (h Handle) appendTo(dst []byte) []byte {
@@ -42,28 +43,28 @@
 	}
 	dst = binary.AppendVarint(dst, h.Issued.Unix())
 	dst = binary.AppendVarint(dst, h.Expires.Unix())
-	dst = appendText(dst, h.Service)
-	dst = appendText(dst, h.Target)
-	return appendText(dst, h.Generation)
+	dst = appendString(dst, h.Service)
+	dst = appendString(dst, h.Target)
+	return appendString(dst, h.Generation)
 }
 
-// Open gives back a handle that was sealed for account. A text that is
-// garbage, altered or another account's fails with KindHandleInvalid, one that
-// is past its expiry with KindHandleExpired.
+// Open decrypts a handle that was sealed for account. A text that is malformed,
+// was altered or belongs to another account fails with KindHandleInvalid, an
+// expired one with KindHandleExpired.
 func (r *Ring) Open(text, account string, now time.Time) (Handle, error) {
-	plain, ok := r.open(text, account, purposeHandle)
+	plaintext, ok := r.open(text, account, purposeHandle)
 	if !ok {
 		return Handle{}, invalidHandle()
 	}
-	d := decoder{rest: plain}
+	d := decoder{rest: plaintext}
 	h := Handle{Account: account, Offset: d.uvarint()}
 	h.Finished = d.uvarint() == 1
 	h.Issued = time.Unix(d.varint(), 0)
 	h.Expires = time.Unix(d.varint(), 0)
-	h.Service = d.text()
-	h.Target = d.text()
-	h.Generation = d.text()
-	if d.bad || len(d.rest) != 0 {
+	h.Service = d.string()
+	h.Target = d.string()
+	h.Generation = d.string()
+	if d.malformed || len(d.rest) != 0 {
 		return Handle{}, invalidHandle()
 	}
 	if now.After(h.Expires) {
@@ -72,22 +73,22 @@
 	return h, nil
 }
 
-// invalidHandle claims nothing about the generation: whoever sends a wrong
-// handle may well have a request that ran.
+// invalidHandle returns an error that leaves the execution unknown: the caller
+// of an invalid handle may have a request that was executed.
 func invalidHandle() error {
-	return failure.New(failure.KindHandleInvalid, "resume handle is not valid here").Unknown()
+	return failure.New(failure.KindHandleInvalid, "resume handle is not valid").Unknown()
 }
 
-func appendText(dst []byte, s string) []byte {
+func appendString(dst []byte, s string) []byte {
 	dst = binary.AppendUvarint(dst, uint64(len(s)))
 	return append(dst, s...)
 }
 
-// decoder reads authenticated plain bytes; bad tells that they ended early,
-// which only a fault of ours can cause.
+// decoder decodes authenticated plaintext. malformed is set when the input
+// ended early, which only a bug in this package can cause.
 type decoder struct {
-	rest []byte
-	bad  bool
+	rest      []byte
+	malformed bool
 }
 
 func (d *decoder) uvarint() uint64 {
@@ -110,7 +111,7 @@
 	return v
 }
 
-func (d *decoder) text() string {
+func (d *decoder) string() string {
 	n := d.uvarint()
 	if n > uint64(len(d.rest)) {
 		d.fail()
@@ -122,6 +123,6 @@
 }
 
 func (d *decoder) fail() {
-	d.bad = true
+	d.malformed = true
 	d.rest = nil
 }
--- a/internal/handle/handle_test.go
+++ b/internal/handle/handle_test.go
@@ -22,23 +22,23 @@
 	RunSpecs(t, "handle")
 }
 
-var start = time.Unix(1_800_000_000, 0)
+var issuedAt = time.Unix(1_800_000_000, 0)
 
-func sample() handle.Handle {
+func sampleHandle() handle.Handle {
 	return handle.Handle{
 		Account: "foundation", Service: "reports", Target: "10.0.0.7:9000", Generation: "g-0190a1b2",
-		Offset: 1234, Finished: true, Issued: start, Expires: start.Add(10 * time.Minute),
+		Offset: 1234, Finished: true, Issued: issuedAt, Expires: issuedAt.Add(10 * time.Minute),
 	}
 }
 
-func secret(id uint32) handle.Secret {
+func testSecret(id uint32) handle.Secret {
 	return handle.Secret{ID: id, Bytes: bytes.Repeat([]byte{byte(id)}, 32)}
 }
 
-func ring(ids ...uint32) *handle.Ring {
+func newRing(ids ...uint32) *handle.Ring {
 	var secrets []handle.Secret
 	for _, id := range ids {
-		secrets = append(secrets, secret(id))
+		secrets = append(secrets, testSecret(id))
 	}
 	r, err := handle.NewRing(secrets)
 	Expect(err).NotTo(HaveOccurred())
@@ -46,68 +46,68 @@
 }
 
 var _ = Describe("a resume handle", func() {
-	It("opens at any entry that has the key, for its account only", func() {
-		text := string(ring(1).SealTo([]byte("id: "), sample()))[len("id: "):]
-		Expect(ring(2, 1).Open(text, "foundation", start)).To(Equal(sample()))
+	It("opens on any entry that has the key, for its own account only", func() {
+		text := string(newRing(1).SealTo([]byte("id: "), sampleHandle()))[len("id: "):]
+		Expect(newRing(2, 1).Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
 		Expect(text).NotTo(ContainSubstring("10.0.0.7"))
 	})
 
-	// Someone edits a handle, tries another account's, or makes one up. Every
-	// try must look the same, or the answers would tell which handles exist.
-	It("fails in one way for whatever is wrong", func() {
-		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
+	// Different errors for altered, foreign and made-up handles would reveal
+	// which handles exist.
+	It("fails with the same error whatever is wrong", func() {
+		r := newRing(1)
+		text := string(r.SealTo(nil, sampleHandle()))
 		raw, _ := base64.RawURLEncoding.DecodeString(text)
 		var messages = map[string]bool{}
-		try := func(text, account string) {
-			_, err := r.Open(text, account, start)
+		expectInvalid := func(text, account string) {
+			_, err := r.Open(text, account, issuedAt)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
 			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
 			messages[err.Error()] = true
 		}
 		for i := range raw {
-			changed := bytes.Clone(raw)
-			changed[i] ^= 1
-			try(base64.RawURLEncoding.EncodeToString(changed), "foundation")
+			altered := bytes.Clone(raw)
+			altered[i] ^= 1
+			expectInvalid(base64.RawURLEncoding.EncodeToString(altered), "foundation")
 		}
-		try(text, "cooperative")
-		try(text+"A", "foundation")
-		try("", "foundation")
-		try(strings.Repeat("A", 1<<20), "foundation")
-		try(string(ring(9).SealTo(nil, sample())), "foundation")
+		expectInvalid(text, "cooperative")
+		expectInvalid(text+"A", "foundation")
+		expectInvalid("", "foundation")
+		expectInvalid(strings.Repeat("A", 1<<20), "foundation")
+		expectInvalid(string(newRing(9).SealTo(nil, sampleHandle())), "foundation")
 		minted := r.Mint(handle.Minted{Account: "foundation", Owner: "10.0.0.1:1"})
-		try(strings.TrimPrefix(minted, "fdk1."), "foundation")
+		expectInvalid(strings.TrimPrefix(minted, "fdk1."), "foundation")
 		Expect(messages).To(HaveLen(1))
 	})
 
-	It("ends at its expiry", func() {
-		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
-		_, err := r.Open(text, "foundation", start.Add(10*time.Minute+time.Second))
+	It("expires", func() {
+		r := newRing(1)
+		text := string(r.SealTo(nil, sampleHandle()))
+		_, err := r.Open(text, "foundation", issuedAt.Add(10*time.Minute+time.Second))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleExpired))
 	})
 
-	// Operators rotate the key while streams run. A caller's handle from before
-	// must open until it expires, and no longer than the old key stays.
-	It("survives a rotation while the old key stays", func() {
-		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
-		Expect(r.Replace([]handle.Secret{secret(2), secret(1)})).To(Succeed())
-		Expect(r.Open(text, "foundation", start)).To(Equal(sample()))
-		Expect(ring(2).Open(string(r.SealTo(nil, sample())), "foundation", start)).To(Equal(sample()))
-		Expect(r.Replace([]handle.Secret{secret(2)})).To(Succeed())
-		_, err := r.Open(text, "foundation", start)
+	// When operators rotate the key while streams run, handles that were sealed
+	// with the old key must open for as long as that key is in the ring.
+	It("opens after a rotation while the old key is in the ring", func() {
+		r := newRing(1)
+		text := string(r.SealTo(nil, sampleHandle()))
+		Expect(r.Replace([]handle.Secret{testSecret(2), testSecret(1)})).To(Succeed())
+		Expect(r.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
+		Expect(newRing(2).Open(string(r.SealTo(nil, sampleHandle())), "foundation", issuedAt)).To(Equal(sampleHandle()))
+		Expect(r.Replace([]handle.Secret{testSecret(2)})).To(Succeed())
+		_, err := r.Open(text, "foundation", issuedAt)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
 	})
 
-	// Two texts under one nonce give an attacker the key stream. Processes that
-	// share the ring's key must still never meet.
-	It("never seals twice alike, within a process or across two", func() {
+	// Two texts under the same key and nonce reveal the key stream to an
+	// attacker. Processes that share a ring key must never reuse a nonce.
+	It("never reuses a nonce, within a process or across processes", func() {
 		seen := map[string]bool{}
 		for range 3 {
-			r := ring(1)
+			r := newRing(1)
 			for range 100 {
-				raw, _ := base64.RawURLEncoding.DecodeString(string(r.SealTo(nil, sample())))
+				raw, _ := base64.RawURLEncoding.DecodeString(string(r.SealTo(nil, sampleHandle())))
 				nonce := string(raw[:28])
 				Expect(seen[nonce]).To(BeFalse())
 				seen[nonce] = true
@@ -119,22 +119,22 @@
 var _ = Describe("a minted key", func() {
 	minted := handle.Minted{Account: "park", Owner: "10.0.0.1:7001", Incarnation: 77, Age0: 90 * time.Second, Sequence: 5}
 
-	It("names its owner to every entry and opens for its account only", func() {
-		text := ring(1).Mint(minted)
+	It("identifies its owner on every entry and opens for its own account only", func() {
+		text := newRing(1).Mint(minted)
 		Expect(handle.IsMinted(text)).To(BeTrue())
-		Expect(ring(2, 1).OpenMinted(text, "park")).To(Equal(minted))
-		for _, wrong := range []string{text + "A", text[:len(text)-1], "fdk1.", "own key", strings.ToUpper(text)} {
-			_, err := ring(1).OpenMinted(wrong, "park")
-			Expect(failure.KindOf(err)).To(Equal(failure.KindKeyInvalid), wrong)
+		Expect(newRing(2, 1).OpenMinted(text, "park")).To(Equal(minted))
+		for _, invalid := range []string{text + "A", text[:len(text)-1], "fdk1.", "own key", strings.ToUpper(text)} {
+			_, err := newRing(1).OpenMinted(invalid, "park")
+			Expect(failure.KindOf(err)).To(Equal(failure.KindKeyInvalid), invalid)
 		}
-		_, err := ring(1).OpenMinted(text, "other park")
+		_, err := newRing(1).OpenMinted(text, "other park")
 		Expect(failure.KindOf(err)).To(Equal(failure.KindKeyInvalid))
 	})
 
-	// A caller rewrites the last character of its key into one that decodes to
-	// the same bytes. If both spellings opened, one booking could run as two.
-	It("has one spelling", func() {
-		r := ring(1)
+	// Lenient base64 decodes several last characters to the same bytes. If more
+	// than one encoding of a key opened, one call could run twice.
+	It("has exactly one valid encoding", func() {
+		r := newRing(1)
 		for n := range 3 {
 			m := minted
 			m.Owner += strings.Repeat("x", n)
@@ -149,14 +149,14 @@
 	})
 })
 
-var _ = Describe("a ring's file", func() {
-	good := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{7}, 32))
-	It("gives the keys in order", func() {
-		secrets, err := handle.ParseSecrets([]byte("# ring\n\n12:" + good + "\n3: " + good + "\r\n"))
+var _ = Describe("a key ring file", func() {
+	validKey := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{7}, 32))
+	It("is parsed into keys in the order of its lines", func() {
+		secrets, err := handle.ParseSecrets([]byte("# ring\n\n12:" + validKey + "\n3: " + validKey + "\r\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect([]uint32{secrets[0].ID, secrets[1].ID}).To(Equal([]uint32{12, 3}))
 	})
-	DescribeTable("is refused with the line's number and without its text",
+	DescribeTable("is rejected with the line number and without the line's text",
 		func(text, line string) {
 			_, err := handle.ParseSecrets([]byte(text))
 			Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
@@ -164,47 +164,46 @@
 			Expect(err.Error()).NotTo(ContainSubstring("SECRET"))
 		},
 		Entry(nil, "", "no key"), Entry(nil, "\nSECRET", "line 2"), Entry(nil, "x:SECRET", "line 1"),
-		Entry(nil, "1:SECRET", "line 1"), Entry(nil, "1:"+good+"\n1:"+good, "twice"), Entry(nil, "5000000000:"+good, "line 1"),
+		Entry(nil, "1:SECRET", "line 1"), Entry(nil, "1:"+validKey+"\n1:"+validKey, "twice"), Entry(nil, "5000000000:"+validKey, "line 1"),
 	)
-	// Operators rotate the keys while reports run. The file is caught while it
-	// is half written; taking it over would cut every caller off from its
-	// report.
-	It("is followed while processes run, and only whole", func() {
+	// If the file is read while an operator is still writing it, loading the
+	// partial keys would make every caller's handle invalid.
+	It("is reloaded after a change, but not while it is invalid", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "ring")
 		write := func(text string) { Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed()) }
-		write("1:" + good)
+		write("1:" + validKey)
 		file, err := handle.OpenFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		text := string(file.SealTo(nil, sample()))
+		text := string(file.SealTo(nil, sampleHandle()))
 		Expect(file.Refresh()).To(BeFalse())
-		write("2:" + good[:10])
+		write("2:" + validKey[:10])
 		_, err = file.Refresh()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
-		Expect(file.Open(text, "foundation", start)).To(Equal(sample()))
-		write("2:" + good + "\n1:" + good)
+		Expect(file.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
+		write("2:" + validKey + "\n1:" + validKey)
 		Expect(file.Refresh()).To(BeTrue())
-		Expect(file.Open(text, "foundation", start)).To(Equal(sample()))
+		Expect(file.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
 		Expect(os.Remove(path)).To(Succeed())
 		_, err = file.Refresh()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		_, err = handle.OpenFile(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 	})
-	It("is not empty and has whole keys", func() {
+	It("must have at least one key, and keys of full length", func() {
 		_, err := handle.NewRing([]handle.Secret{{ID: 1, Bytes: []byte("short")}})
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
-		Expect(ring(1).Replace(nil)).NotTo(Succeed())
+		Expect(newRing(1).Replace(nil)).NotTo(Succeed())
 		_, err = handle.NewRing(handle.RandomSecrets())
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
 
 func FuzzOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
-	f.Add(string(r.SealTo(nil, sample())), "foundation")
+	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
+	f.Add(string(r.SealTo(nil, sampleHandle())), "foundation")
 	f.Add(r.Mint(handle.Minted{Account: "a", Owner: "o"}), "a")
 	f.Fuzz(func(t *testing.T, text, account string) {
-		if h, err := r.Open(text, account, start); err == nil && (account != "foundation" || h != sample()) {
+		if h, err := r.Open(text, account, issuedAt); err == nil && (account != "foundation" || h != sampleHandle()) {
 			t.Fatalf("opened %q for %q as %+v", text, account, h)
 		}
 		if m, err := r.OpenMinted(text, account); err == nil && (account != "a" || m.Owner != "o") {
@@ -214,7 +213,7 @@
 }
 
 func FuzzSealOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
+	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
 	f.Add("a", "s", "t", "g", uint64(0), int64(0))
 	f.Fuzz(func(t *testing.T, account, service, target, generation string, offset uint64, issued int64) {
 		if len(service)+len(target)+len(generation) > 1000 {
@@ -222,7 +221,7 @@
 		}
 		want := handle.Handle{Account: account, Service: service, Target: target, Generation: generation,
 			Offset: offset, Issued: time.Unix(issued%(1<<40), 0), Expires: time.Unix(1<<41, 0)}
-		got, err := r.Open(string(r.SealTo(nil, want)), account, start)
+		got, err := r.Open(string(r.SealTo(nil, want)), account, issuedAt)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("want %+v got %+v %v", want, got, err)
 		}
@@ -230,8 +229,8 @@
 }
 
 func BenchmarkSealTo(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
-	h := sample()
+	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
+	h := sampleHandle()
 	buf := make([]byte, 0, 1024)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -242,11 +241,11 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
-	text := string(r.SealTo(nil, sample()))
+	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
+	text := string(r.SealTo(nil, sampleHandle()))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := r.Open(text, "foundation", start); err != nil {
+		if _, err := r.Open(text, "foundation", issuedAt); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/handle/minted.go
+++ b/internal/handle/minted.go
@@ -8,66 +8,69 @@
 	"filbertdeck/internal/failure"
 )
 
-// mintedPrefix tells a minted key from a key that a caller made up.
-const mintedPrefix = "fdk1."
+// mintedKeyPrefix distinguishes a minted key from one that a caller chose.
+const mintedKeyPrefix = "fdk1."
 
-// Minted is an idempotency key that the system made. It names the one entry
-// process that may ever run the call.
+// Minted is an idempotency key that the system issued. It names the only entry
+// process that may run the call.
 type Minted struct {
 	Account string
-	// Owner is the forward address of the entry, Incarnation the number that
-	// its process drew at its start.
+	// Owner is the entry's address for forwarded calls. Incarnation is the
+	// random number that its process drew at startup.
 	Owner       string
 	Incarnation uint64
-	// Age0 is the owner's monotonic time at minting, from its process start.
-	// Only the owner reads it, so no other clock takes part in the expiry.
+	// Age0 is the owner's monotonic time since its process start when the key
+	// was issued. Only the owner reads it, so the expiry depends on no other
+	// clock.
 	Age0 time.Duration
 	// Sequence is unique within the owner's incarnation.
 	Sequence uint64
 }
 
-// IsMinted tells whether a key claims to be minted. One that claims so and
-// does not open is invalid; it is never treated as a caller's own key.
-func IsMinted(key string) bool { return strings.HasPrefix(key, mintedPrefix) }
+// IsMinted reports whether a key has the prefix of minted keys. A key with the
+// prefix that can't be opened is invalid; it is never treated as a key that a
+// caller chose.
+func IsMinted(key string) bool { return strings.HasPrefix(key, mintedKeyPrefix) }
 
-// Mint gives the text of a minted key.
+// Mint returns the sealed text of a minted key.
 func (r *Ring) Mint(m Minted) string {
 	keys := r.keys.Load()
-	bound := 2*binary.MaxVarintLen64 + 8 + binary.MaxVarintLen32 + len(m.Owner)
-	return string(r.seal([]byte(mintedPrefix), keys, keys.sealMinted, m.Account, bound, m.appendTo))
+	maxSize := 2*binary.MaxVarintLen64 + 8 + binary.MaxVarintLen32 + len(m.Owner)
+	return string(r.seal([]byte(mintedKeyPrefix), keys, keys.mintedAEAD, m.Account, maxSize, m.appendTo))
 }
 
 func (m Minted) appendTo(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint64(dst, m.Incarnation)
 	dst = binary.AppendUvarint(dst, m.Sequence)
 	dst = binary.AppendVarint(dst, m.Age0.Milliseconds())
-	return appendText(dst, m.Owner)
+	return appendString(dst, m.Owner)
 }
 
-// OpenMinted gives back a key that was minted for account, or a failure of
+// OpenMinted decrypts a key that was minted for account. Its errors are of
 // KindKeyInvalid.
 func (r *Ring) OpenMinted(text, account string) (Minted, error) {
-	sealed, found := strings.CutPrefix(text, mintedPrefix)
+	sealed, found := strings.CutPrefix(text, mintedKeyPrefix)
 	if !found {
 		return Minted{}, invalidKey()
 	}
-	plain, ok := r.open(sealed, account, purposeMinted)
-	if !ok || len(plain) < 8 {
+	plaintext, ok := r.open(sealed, account, purposeMinted)
+	if !ok || len(plaintext) < 8 {
 		return Minted{}, invalidKey()
 	}
-	m := Minted{Account: account, Incarnation: binary.BigEndian.Uint64(plain)}
-	d := decoder{rest: plain[8:]}
+	m := Minted{Account: account, Incarnation: binary.BigEndian.Uint64(plaintext)}
+	d := decoder{rest: plaintext[8:]}
 	m.Sequence = d.uvarint()
 	m.Age0 = time.Duration(d.varint()) * time.Millisecond
-	m.Owner = d.text()
-	if d.bad || len(d.rest) != 0 {
+	m.Owner = d.string()
+	if d.malformed || len(d.rest) != 0 {
 		return Minted{}, invalidKey()
 	}
 	return m, nil
 }
 
-// invalidKey leaves the outcome open: after a rotation that dropped a key too
-// early, a call that ran long ago would look just the same.
+// invalidKey returns an error that leaves the execution unknown: after a
+// rotation that dropped a ring key too early, the key of a call that was
+// executed can't be opened either.
 func invalidKey() error {
-	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid here").Unknown()
+	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid").Unknown()
 }
--- a/internal/handle/ring.go
+++ b/internal/handle/ring.go
@@ -1,15 +1,16 @@
-// Package handle seals the opaque texts that callers carry for the system:
+// Package handle encrypts the opaque tokens that callers keep for the system:
 // resume handles (the `id:` of each SSE event) and minted idempotency keys.
 //
-// Nothing of the system keeps state that outlives a process, so the caller
-// carries it. A text is authenticated and encrypted (AES-256-GCM); it is bound
-// to the account that received it and tells its holder nothing. A text that
-// was changed, that was made for another account or that is plain garbage
-// fails in one and the same way, so that trying texts teaches nothing.
+// No process persists state, so the caller keeps it. A token is authenticated
+// and encrypted (AES-256-GCM), bound to the account that it was issued to, and
+// reveals nothing to its holder. Altered tokens, tokens of other accounts and
+// malformed ones all fail with the same error, so that guessing reveals
+// nothing about which tokens exist.
 //
-// All entries share a ring of secret keys. The first key seals, every key
-// opens. To rotate: append the new key everywhere, then move it to the front
-// everywhere, then drop the old one when the longest expiry has passed.
+// All entries share a ring of secret keys. The first key seals; every key
+// opens. To rotate the keys, append the new key on every entry, then move it
+// to the front on every entry, then remove the old key once the longest expiry
+// has passed.
 package handle
 
 import (
@@ -31,40 +32,43 @@
 const (
 	// secretSize is the size of a ring key, in bytes (AES-256).
 	secretSize = 32
-	// saltSize makes two processes that draw the same salt unlikely: with 2^32
-	// process starts under one ring key the chance is below 2^-64.
+	// saltSize is the size of a process's random salt, in bytes. With 2^32
+	// process starts under one ring key, the probability that two processes
+	// draw the same salt is below 2^-64.
 	saltSize    = 16
 	keyIDSize   = 4
 	counterSize = 8
 	tagSize     = 16
 	headerSize  = keyIDSize + saltSize + counterSize
-	// maxText bounds a text that is opened, in bytes, before any work is done
-	// on it. A sealed text with names of the longest allowed kind is shorter.
-	maxText = 2048
+	// maxSealedSize is the maximum size of a sealed text, in bytes. It is
+	// checked before decoding. A sealed text with names of the maximum length
+	// is shorter.
+	maxSealedSize = 2048
 )
 
-// Purposes keep the two kinds of texts apart: a resume handle never opens as
-// an idempotency key. The purpose also seals the layout's version.
+// The key derivation contexts of the two kinds of sealed texts. They prevent a
+// resume handle from being opened as an idempotency key, and they include the
+// version of the plaintext layout.
 const (
 	purposeHandle = "filbertdeck resume handle v1"
 	purposeMinted = "filbertdeck idempotency key v1"
 )
 
-// encoding is strict: exactly one text decodes to given bytes. Otherwise two
-// spellings of one key could pass for two keys.
+// encoding is strict, so that exactly one text decodes to the given bytes.
+// Otherwise two encodings of one idempotency key would count as two keys.
 var encoding = base64.RawURLEncoding.Strict()
 
 // Secret is one key of the ring.
 type Secret struct {
-	// ID names the key in sealed texts; it is not secret.
+	// ID identifies the key in sealed texts; it is not secret.
 	ID uint32
-	// Bytes has 32 bytes. It is never logged.
+	// Bytes is the key material, 32 bytes. It is never logged.
 	Bytes []byte
 }
 
-// ParseSecrets reads a ring: one `id:base64` a line, the sealing key first;
-// empty lines and lines that begin with # are left out. Errors name the line
-// only, since its text is secret.
+// ParseSecrets parses a key ring: one `id:base64` per line, the sealing key
+// first. Empty lines and lines that begin with # are ignored. Errors contain
+// only the line number, since the line's text is secret.
 func ParseSecrets(text []byte) ([]Secret, error) {
 	var secrets []Secret
 	seen := map[uint32]bool{}
@@ -78,13 +82,13 @@
 			return nil, failure.Wrap(err, failure.KindSettingInvalid, "key ring, line %d", i+1)
 		}
 		if seen[secret.ID] {
-			return nil, failure.New(failure.KindSettingInvalid, "key ring, line %d: id %d stands twice", i+1, secret.ID)
+			return nil, failure.New(failure.KindSettingInvalid, "key ring, line %d: id %d occurs twice", i+1, secret.ID)
 		}
 		seen[secret.ID] = true
 		secrets = append(secrets, secret)
 	}
 	if len(secrets) == 0 {
-		return nil, failure.New(failure.KindSettingInvalid, "key ring holds no key")
+		return nil, failure.New(failure.KindSettingInvalid, "key ring contains no key")
 	}
 	return secrets, nil
 }
@@ -92,7 +96,7 @@
 func parseSecret(line string) (Secret, error) {
 	idText, keyText, found := strings.Cut(line, ":")
 	if !found {
-		return Secret{}, failure.New(failure.KindSettingInvalid, "want id:base64")
+		return Secret{}, failure.New(failure.KindSettingInvalid, "line must have the form id:base64")
 	}
 	id, err := strconv.ParseUint(idText, 10, 32)
 	if err != nil {
@@ -105,35 +109,35 @@
 	return Secret{ID: uint32(id), Bytes: key}, nil
 }
 
-// RandomSecrets returns a ring of one fresh key. Texts that it seals open in
-// this process only, which suits tests and a single host.
+// RandomSecrets returns a single random key. Texts that are sealed with it can
+// be opened in this process only, which is enough for tests and for a single
+// host.
 func RandomSecrets() []Secret {
 	key := make([]byte, secretSize)
 	_, _ = rand.Read(key) // never fails, see crypto/rand
 	return []Secret{{ID: 1, Bytes: key}}
 }
 
-// Ring seals and opens texts. It is safe for concurrent use; Replace swaps
-// the keys under running requests (read-copy-update).
+// Ring seals and opens texts. It is safe for concurrent use, and Replace may
+// be called while requests are in progress (read-copy-update).
 type Ring struct {
 	salt    [saltSize]byte
 	counter atomic.Uint64
 	keys    atomic.Pointer[ringKeys]
 }
 
-// ringKeys is one immutable state of the ring. Sealing uses keys derived for
-// this process: GCM must never see a nonce twice under one key, and at
-// millions of texts a second over the fleet random nonces under a shared key
-// would meet within the hour. A derived key is this process's alone, so a
-// counter is enough.
+// ringKeys is one immutable state of the ring. GCM must never use a nonce twice
+// with one key. At millions of sealed texts per second across all hosts, random
+// nonces under a shared key would collide within an hour. Sealing therefore
+// uses keys that are derived for this process, with a counter as the nonce.
 type ringKeys struct {
 	secrets    map[uint32][]byte
-	sealing    uint32
-	sealHandle cipher.AEAD
-	sealMinted cipher.AEAD
+	sealingID  uint32
+	handleAEAD cipher.AEAD
+	mintedAEAD cipher.AEAD
 }
 
-// NewRing returns a ring with the given keys, the sealing key first.
+// NewRing returns a ring with the given keys, of which the first one seals.
 func NewRing(secrets []Secret) (*Ring, error) {
 	r := &Ring{}
 	_, _ = rand.Read(r.salt[:]) // never fails, see crypto/rand
@@ -143,12 +147,12 @@
 	return r, nil
 }
 
-// Replace swaps the ring's keys.
+// Replace replaces the ring's keys. On error the keys stay unchanged.
 func (r *Ring) Replace(secrets []Secret) error {
 	if len(secrets) == 0 {
-		return failure.New(failure.KindSettingInvalid, "key ring holds no key")
+		return failure.New(failure.KindSettingInvalid, "key ring contains no key")
 	}
-	next := &ringKeys{secrets: make(map[uint32][]byte, len(secrets)), sealing: secrets[0].ID}
+	next := &ringKeys{secrets: make(map[uint32][]byte, len(secrets)), sealingID: secrets[0].ID}
 	for _, s := range secrets {
 		if len(s.Bytes) != secretSize {
 			return failure.New(failure.KindSettingInvalid, "key %d must have %d bytes", s.ID, secretSize)
@@ -156,89 +160,90 @@
 		next.secrets[s.ID] = bytes.Clone(s.Bytes)
 	}
 	var err error
-	if next.sealHandle, err = derive(secrets[0].Bytes, r.salt[:], purposeHandle); err != nil {
+	if next.handleAEAD, err = deriveAEAD(secrets[0].Bytes, r.salt[:], purposeHandle); err != nil {
 		return err
 	}
-	if next.sealMinted, err = derive(secrets[0].Bytes, r.salt[:], purposeMinted); err != nil {
+	if next.mintedAEAD, err = deriveAEAD(secrets[0].Bytes, r.salt[:], purposeMinted); err != nil {
 		return err
 	}
 	r.keys.Store(next)
 	return nil
 }
 
-func derive(secret, salt []byte, purpose string) (cipher.AEAD, error) {
+func deriveAEAD(secret, salt []byte, purpose string) (cipher.AEAD, error) {
 	key, err := hkdf.Key(sha256.New, secret, salt, purpose, secretSize)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "derive sealing key")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot derive the sealing key")
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "sealing cipher")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create the AES cipher")
 	}
 	aead, err := cipher.NewGCM(block)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "sealing mode")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create the GCM mode")
 	}
 	return aead, nil
 }
 
-// seal appends the sealed text of what fill appends. All working space is the
-// room behind dst, so that a caller that reuses dst allocates nothing.
-func (r *Ring) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, bound int, fill func([]byte) []byte) []byte {
-	rawBound := headerSize + bound + tagSize
-	textBound := encoding.EncodedLen(rawBound)
+// seal appends to dst the sealed text of the plaintext that appendPlaintext
+// appends. It uses the spare capacity of dst as scratch space, so that a caller
+// that reuses dst does not allocate.
+func (r *Ring) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, maxPlaintextSize int, appendPlaintext func([]byte) []byte) []byte {
+	maxRawSize := headerSize + maxPlaintextSize + tagSize
+	maxTextSize := encoding.EncodedLen(maxRawSize)
 	start := len(dst)
-	dst = grow(dst, textBound+rawBound+aead.NonceSize()+len(account))
+	dst = extend(dst, maxTextSize+maxRawSize+aead.NonceSize()+len(account))
 
-	// Behind the text's room: nonce, account, then the raw bytes.
-	scratch := dst[start+textBound : start+textBound]
+	// The scratch space follows the text: nonce, account, then the raw bytes.
+	scratch := dst[start+maxTextSize : start+maxTextSize]
 	counter := r.counter.Add(1)
 	scratch = append(scratch, 0, 0, 0, 0)
 	scratch = binary.BigEndian.AppendUint64(scratch, counter)
 	nonce := scratch
 	scratch = append(scratch, account...)
-	bind := scratch[len(nonce):]
+	additionalData := scratch[len(nonce):]
 
 	raw := scratch[len(scratch):]
-	raw = binary.BigEndian.AppendUint32(raw, keys.sealing)
+	raw = binary.BigEndian.AppendUint32(raw, keys.sealingID)
 	raw = append(raw, r.salt[:]...)
 	raw = binary.BigEndian.AppendUint64(raw, counter)
-	raw = fill(raw)
-	raw = aead.Seal(raw[:headerSize], nonce, raw[headerSize:], bind)
+	raw = appendPlaintext(raw)
+	raw = aead.Seal(raw[:headerSize], nonce, raw[headerSize:], additionalData)
 
 	end := start + encoding.EncodedLen(len(raw))
 	encoding.Encode(dst[start:end], raw)
 	return dst[:end]
 }
 
-// open gives back the plain bytes of a text that seal made for this account.
+// open decrypts a text that seal made for this account.
 func (r *Ring) open(text, account, purpose string) ([]byte, bool) {
-	if len(text) > maxText {
+	if len(text) > maxSealedSize {
 		return nil, false
 	}
 	raw, err := encoding.DecodeString(text)
 	if err != nil || len(raw) < headerSize+tagSize {
 		return nil, false
 	}
-	secret, known := r.keys.Load().secrets[binary.BigEndian.Uint32(raw)]
-	if !known {
+	secret, found := r.keys.Load().secrets[binary.BigEndian.Uint32(raw)]
+	if !found {
 		return nil, false
 	}
-	aead, err := derive(secret, raw[keyIDSize:keyIDSize+saltSize], purpose)
+	aead, err := deriveAEAD(secret, raw[keyIDSize:keyIDSize+saltSize], purpose)
 	if err != nil {
 		return nil, false
 	}
 	var nonce [12]byte
 	copy(nonce[4:], raw[keyIDSize+saltSize:headerSize])
-	plain, err := aead.Open(nil, nonce[:], raw[headerSize:], []byte(account))
-	return plain, err == nil
+	plaintext, err := aead.Open(nil, nonce[:], raw[headerSize:], []byte(account))
+	return plaintext, err == nil
 }
 
-func grow(dst []byte, room int) []byte {
-	if cap(dst)-len(dst) < room {
-		bigger := make([]byte, len(dst), len(dst)+room)
-		copy(bigger, dst)
-		dst = bigger
+func extend(dst []byte, extra int) []byte {
+	if cap(dst)-len(dst) < extra {
+		enlarged := make([]byte, len(dst), len(dst)+extra)
+		copy(enlarged, dst)
+		dst = enlarged
 	}
-	return dst[:len(dst)+room]
+	return dst[:len(dst)+extra]
 }
