--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -1,8 +1,8 @@
-// Package sse reads and writes server-sent events in bounded memory.
+// Package sse reads and writes server-sent events with bounded memory.
 //
-// The reader serves the streams of targets. A target that is at fault may send
-// a line without end or stop in the middle of an event; both end in a typed
-// failure instead of filling the memory or passing half an event on.
+// Reader and Splitter read the streams of targets. A faulty target may send an
+// endless line or stop in the middle of an event. Both cases return a typed
+// error; memory stays bounded, and no partial event is returned.
 package sse
 
 import (
@@ -14,58 +14,60 @@
 	"filbertdeck/internal/failure"
 )
 
-// DefaultLimit bounds one event, in bytes. A token's event has some hundred
-// bytes; 64 KiB leaves room for targets that send many tokens at once.
-const DefaultLimit = 64 << 10
+// DefaultMaxEventSize is the default limit of one event, in bytes. The event of
+// one token has a few hundred bytes; 64 KiB leaves room for targets that send
+// many tokens per event.
+const DefaultMaxEventSize = 64 << 10
 
-// Event is one event or one comment. Its slices belong to the reader and are
-// valid until the next call.
+// Event is one event or one comment. Its slices point into the reader's buffer
+// and are valid until the next call of Next.
 type Event struct {
 	ID   []byte
 	Name []byte
 	Data []byte
-	// Comment is set when this is a comment line (a keep-alive); the other
-	// fields are then empty.
+	// Comment is set for a comment line, such as a keep-alive; the other fields
+	// are then empty.
 	Comment bool
 }
 
 // Reader splits a stream into events.
 type Reader struct {
-	in    *bufio.Reader
-	limit int
-	buf   []byte // the event's bytes; the spans below point into it
-	id    span
-	name  span
-	data  span
-	any   bool
+	in        *bufio.Reader
+	limit     int
+	buf       []byte // bytes of the current event; the spans below index it
+	id        span
+	name      span
+	data      span
+	hasFields bool
 }
 
-type span struct{ from, to int }
+type span struct{ start, end int }
 
-func (s span) of(b []byte) []byte { return b[s.from:s.to:s.to] }
+func (s span) slice(b []byte) []byte { return b[s.start:s.end:s.end] }
 
-// readBuffer holds a few token events; a longer line is collected piecewise.
-const readBuffer = 2 << 10
+// readBufferSize is in bytes and holds a few token events. Longer lines are read
+// in several chunks.
+const readBufferSize = 2 << 10
 
 // NewReader returns a reader of events of at most limit bytes; 0 means
 // DefaultLimit.
 func NewReader(r io.Reader, limit int) *Reader {
 	if limit <= 0 {
-		limit = DefaultLimit
+		limit = DefaultMaxEventSize
 	}
-	return &Reader{in: bufio.NewReaderSize(r, readBuffer), limit: limit}
+	return &Reader{in: bufio.NewReaderSize(r, readBufferSize), limit: limit}
 }
 
-// Reset makes the reader read another stream, with its buffers kept.
+// Reset makes the reader read another stream and keeps its buffers.
 func (r *Reader) Reset(in io.Reader) {
 	r.in.Reset(in)
 	r.clear()
 }
 
 // Next reads the next event or comment into ev. It returns io.EOF when the
-// stream ended between two events, a failure of KindTargetLost when it ended
-// within one or the connection broke, and KindTargetFailed when an event is
-// longer than the limit.
+// stream ended between two events, an error of KindTargetLost when it ended
+// within an event or the connection broke, and one of KindTargetFailed when an
+// event exceeds the limit.
 func (r *Reader) Next(ev *Event) error {
 	*ev = Event{}
 	r.clear()
@@ -74,20 +76,20 @@
 		if err := r.readLine(); err != nil {
 			return err
 		}
-		line := trimLineEnd(r.buf[start:])
+		line := trimLineEnding(r.buf[start:])
 		switch {
-		case len(line) == 0 && r.any:
-			ev.ID, ev.Name, ev.Data = r.id.of(r.buf), r.name.of(r.buf), r.data.of(r.buf)
+		case len(line) == 0 && r.hasFields:
+			ev.ID, ev.Name, ev.Data = r.id.slice(r.buf), r.name.slice(r.buf), r.data.slice(r.buf)
 			return nil
 		case len(line) == 0:
 			r.buf = r.buf[:start]
-		case line[0] == ':' && !r.any:
+		case line[0] == ':' && !r.hasFields:
 			ev.Comment = true
 			return nil
 		case line[0] == ':':
 			r.buf = r.buf[:start] // a comment within an event
 		default:
-			r.field(start, start+len(line))
+			r.parseField(start, start+len(line))
 		}
 	}
 }
@@ -95,17 +97,17 @@
 func (r *Reader) clear() {
 	r.buf = r.buf[:0]
 	r.id, r.name, r.data = span{}, span{}, span{}
-	r.any = false
+	r.hasFields = false
 }
 
-// readLine appends one line with its end to buf.
+// readLine appends one line, including its line ending, to buf.
 func (r *Reader) readLine() error {
 	for {
-		piece, err := r.in.ReadSlice('\n')
-		if len(r.buf)+len(piece) > r.limit {
+		chunk, err := r.in.ReadSlice('\n')
+		if len(r.buf)+len(chunk) > r.limit {
 			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", r.limit).Unknown()
 		}
-		r.buf = append(r.buf, piece...)
+		r.buf = append(r.buf, chunk...)
 		switch {
 		case err == nil:
 			return nil
@@ -121,22 +123,22 @@
 	}
 }
 
-// field notes what the line buf[from:to] says. Unknown fields are left out, as
-// the standard asks.
-func (r *Reader) field(from, to int) {
+// parseField parses the field in the line buf[start:end]. Unknown fields are
+// ignored, as the HTML standard requires.
+func (r *Reader) parseField(from, to int) {
 	line := r.buf[from:to]
 	colon := bytes.IndexByte(line, ':')
 	name, value := line, span{to, to}
 	if colon >= 0 {
 		name, value = line[:colon], span{from + colon + 1, to}
 	}
-	if value.from < value.to && r.buf[value.from] == ' ' {
-		value.from++
+	if value.start < value.end && r.buf[value.start] == ' ' {
+		value.start++
 	}
-	r.any = true
+	r.hasFields = true
 	switch string(name) {
 	case "data":
-		r.addData(value)
+		r.appendData(value)
 	case "id":
 		r.id = value
 	case "event":
@@ -144,31 +146,31 @@
 	}
 }
 
-// addData joins the data lines of one event with a line feed, in place: the
-// earlier data always ends before the new value begins, with at least the line
-// end and the field's name between them.
-func (r *Reader) addData(value span) {
+// appendData joins the data lines of one event with a line feed, in place: the
+// earlier data always ends before the new value starts, with at least the line
+// ending and the field name between them.
+func (r *Reader) appendData(value span) {
 	if r.data == (span{}) {
 		r.data = value
 		return
 	}
-	if r.id.from >= r.data.to || r.name.from >= r.data.to {
-		// Another field lies between the two; moving would overwrite it, so
-		// the data goes to the end instead.
-		joined := append([]byte(nil), r.data.of(r.buf)...)
+	if r.id.start >= r.data.end || r.name.start >= r.data.end {
+		// Another field is stored between the two. Joining in place would
+		// overwrite it, so the joined data is appended to the buffer instead.
+		joined := append([]byte(nil), r.data.slice(r.buf)...)
 		joined = append(joined, '\n')
-		joined = append(joined, value.of(r.buf)...)
+		joined = append(joined, value.slice(r.buf)...)
 		from := len(r.buf)
 		r.buf = append(r.buf, joined...)
 		r.data = span{from, len(r.buf)}
 		return
 	}
-	r.buf[r.data.to] = '\n'
-	n := copy(r.buf[r.data.to+1:], value.of(r.buf))
-	r.data.to += 1 + n
+	r.buf[r.data.end] = '\n'
+	n := copy(r.buf[r.data.end+1:], value.slice(r.buf))
+	r.data.end += 1 + n
 }
 
-func trimLineEnd(line []byte) []byte {
+func trimLineEnding(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte("\n"))
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -9,35 +9,36 @@
 	"filbertdeck/internal/failure"
 )
 
-// Block is one event of a stream as its bytes, with the blank line that ends
-// it. Its slices are valid until the next call.
+// Block is the raw bytes of one event. Its slices point into the splitter's
+// buffer and are valid until the next call of Next.
 type Block struct {
+	// Raw includes the blank line that ends the event.
 	Raw []byte
 	// ID is the event's id, nil when it has none.
 	ID []byte
 }
 
-// Splitter cuts a stream into whole events without changing a byte, for
-// streams that are passed on as they are.
+// Splitter splits a stream into complete events without changing their bytes,
+// for streams that are forwarded as they are.
 type Splitter struct {
 	in    *bufio.Reader
 	limit int
 	buf   []byte
 }
 
-// NewSplitter returns a splitter of events of at most limit bytes; 0 means
+// NewSplitter returns a splitter for events of at most limit bytes; 0 means
 // DefaultLimit.
 func NewSplitter(r io.Reader, limit int) *Splitter {
 	if limit <= 0 {
-		limit = DefaultLimit
+		limit = DefaultMaxEventSize
 	}
-	return &Splitter{in: bufio.NewReaderSize(r, readBuffer), limit: limit}
+	return &Splitter{in: bufio.NewReaderSize(r, readBufferSize), limit: limit}
 }
 
-// Next reads the next whole event. It returns io.EOF when the stream ended
-// between two events, a failure of KindTargetLost when it ended within one or
-// the connection broke, and KindTargetFailed when an event is longer than the
-// limit.
+// Next reads the next complete event. It returns io.EOF when the stream ended
+// between two events, an error of KindTargetLost when it ended within an event
+// or the connection broke, and one of KindTargetFailed when an event exceeds
+// the limit.
 func (s *Splitter) Next(b *Block) error {
 	*b = Block{}
 	s.buf = s.buf[:0]
@@ -47,15 +48,15 @@
 		if err := s.readLine(); err != nil {
 			return err
 		}
-		line := trimLineEnd(s.buf[start:])
+		line := trimLineEnding(s.buf[start:])
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
 			value = bytes.TrimPrefix(value, []byte(" "))
 			id = span{start + len(line) - len(value), start + len(line)}
 		}
 		if len(line) == 0 && start > 0 {
 			b.Raw = s.buf
-			if id.to > 0 {
-				b.ID = id.of(s.buf)
+			if id.end > 0 {
+				b.ID = id.slice(s.buf)
 			}
 			return nil
 		}
@@ -64,11 +65,11 @@
 
 func (s *Splitter) readLine() error {
 	for {
-		piece, err := s.in.ReadSlice('\n')
-		if len(s.buf)+len(piece) > s.limit {
+		chunk, err := s.in.ReadSlice('\n')
+		if len(s.buf)+len(chunk) > s.limit {
 			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", s.limit).Unknown()
 		}
-		s.buf = append(s.buf, piece...)
+		s.buf = append(s.buf, chunk...)
 		switch {
 		case err == nil:
 			return nil
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -21,8 +21,8 @@
 	RunSpecs(t, "sse")
 }
 
-// readAll gives the events as texts "id|name|data", ":" for comments, and the
-// error that ended the stream.
+// readAll returns the events formatted as "id|name|data", ":" for comments, and
+// the error that ended the stream.
 func readAll(in io.Reader, limit int) (out []string, err error) {
 	r := sse.NewReader(in, limit)
 	var ev sse.Event
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("the reader", func() {
-	DescribeTable("splits a stream into events, however it is cut up",
+	DescribeTable("splits a stream into events, whatever the sizes of the reads",
 		func(in string, want ...string) {
 			for _, reader := range []io.Reader{strings.NewReader(in), iotest.OneByteReader(strings.NewReader(in))} {
 				got, err := readAll(reader, 4096)
@@ -48,27 +48,27 @@
 			}
 		},
 		Entry("events", "id: 1\ndata: a\n\nid:2\nevent: x\ndata:b\n\n", "1||a", "2|x|b"),
-		Entry("line ends of both kinds", "data: a\r\n\r\ndata: b\n\n", "||a", "||b"),
+		Entry("line endings of both kinds", "data: a\r\n\r\ndata: b\n\n", "||a", "||b"),
 		Entry("comments", ": keep-alive\n\n: more\ndata: a\n: within\n\n", ":", ":", "||a"),
 		Entry("several data lines", "data: a\ndata:\ndata: c\n\n", "||a\n\nc"),
 		Entry("fields between data lines", "data: a\nid: 7\ndata: b\nevent: e\ndata: c\n\n", "7|e|a\nb\nc"),
 		Entry("fields in any order", "data: a\ndata: b\nid: 7\n\n", "7||a\nb"),
 		Entry("unknown fields", "retry: 5\nfoo\ndata: a\n\n", "||a"),
-		Entry("empty lines", "\n\n\ndata: a\n\n\n", "||a"),
-		Entry("a second space", "data:  a\n\n", "|| a"),
+		Entry("repeated blank lines", "\n\n\ndata: a\n\n\n", "||a"),
+		Entry("a second space after the colon", "data:  a\n\n", "|| a"),
 	)
 
-	It("takes lines longer than its buffer", func() {
+	It("reads lines longer than its buffer", func() {
 		long := strings.Repeat("x", 10_000)
 		got, err := readAll(strings.NewReader("data: "+long+"\n\n"), 0)
 		Expect(err).To(Equal(io.EOF))
 		Expect(got).To(Equal([]string{"||" + long}))
 	})
 
-	// An engine crashes in the middle of an event, its link breaks, or it
-	// sends a line without end. Half an event must not pass for a whole one:
-	// the caller would miss words that nobody knows of.
-	DescribeTable("ends a broken stream with a type",
+	// When an engine crashes within an event, its connection breaks or it sends
+	// an endless line, a partial event must not be returned as a complete one:
+	// the caller would lose text without an error.
+	DescribeTable("ends a broken stream with a typed error",
 		func(in io.Reader, kind failure.Kind) {
 			got, err := readAll(in, 64)
 			Expect(got).To(Equal([]string{"||a"}))
@@ -77,9 +77,9 @@
 		},
 		Entry("within a line", strings.NewReader("data: a\n\ndata: b"), failure.KindTargetLost),
 		Entry("within an event", strings.NewReader("data: a\n\ndata: b\n"), failure.KindTargetLost),
-		Entry("by the link", io.MultiReader(strings.NewReader("data: a\n\n"), iotest.ErrReader(errors.New("reset"))), failure.KindTargetLost),
-		Entry("too long a line", strings.NewReader("data: a\n\ndata: "+strings.Repeat("x", 100)), failure.KindTargetFailed),
-		Entry("too long an event", strings.NewReader("data: a\n\n"+strings.Repeat("data: x\n", 100)), failure.KindTargetFailed),
+		Entry("with a connection error", io.MultiReader(strings.NewReader("data: a\n\n"), iotest.ErrReader(errors.New("reset"))), failure.KindTargetLost),
+		Entry("with too long a line", strings.NewReader("data: a\n\ndata: "+strings.Repeat("x", 100)), failure.KindTargetFailed),
+		Entry("with too long an event", strings.NewReader("data: a\n\n"+strings.Repeat("data: x\n", 100)), failure.KindTargetFailed),
 	)
 
 	It("reads the next stream after Reset", func() {
@@ -100,7 +100,7 @@
 })
 
 var _ = Describe("the writer", func() {
-	It("writes what the reader reads", func() {
+	It("writes events that the reader parses unchanged", func() {
 		out := sse.AppendEvent(nil, "7", "end", []byte("a\nb\n"))
 		out = sse.AppendComment(out, "quiet")
 		out = sse.AppendEventWithID(out, func(b []byte) []byte { return append(b, "h"...) }, "", []byte("c"))
@@ -111,8 +111,9 @@
 	})
 })
 
-// FuzzReader checks that any bytes end in io.EOF or a typed failure, within
-// the limit, and that what was read is written and read back unchanged.
+// FuzzReader checks that any input ends with io.EOF or a typed error, that no
+// event exceeds the limit, and that a parsed event is unchanged after it was
+// written and parsed again.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\ndata: b\n\n: c\n\n"))
 	f.Add([]byte("data: a\nid: 7\ndata: b\nevent: e\ndata: c\r\n\r\n"))
@@ -127,7 +128,7 @@
 			}
 			if err != nil {
 				if kind := failure.KindOf(err); kind != failure.KindTargetLost && kind != failure.KindTargetFailed {
-					t.Fatalf("untyped end: %v", err)
+					t.Fatalf("stream ended with an untyped error: %v", err)
 				}
 				return
 			}
@@ -135,12 +136,12 @@
 				continue
 			}
 			want := fmt.Sprintf("%s|%s|%s", ev.ID, ev.Name, ev.Data)
-			again, err := readAll(bytes.NewReader(sse.AppendEvent(nil, string(ev.ID), string(ev.Name), ev.Data)), 1<<20)
-			if err != io.EOF || len(again) != 1 || again[0] != want {
+			reread, err := readAll(bytes.NewReader(sse.AppendEvent(nil, string(ev.ID), string(ev.Name), ev.Data)), 1<<20)
+			if err != io.EOF || len(reread) != 1 || reread[0] != want {
 				if strings.ContainsRune(want, '\r') {
-					continue // a bare CR is data for us, and part of a line end once it stands before LF
+					continue // the reader treats a bare CR as data, and as part of the line ending before an LF
 				}
-				t.Fatalf("%q came back as %q (%v)", want, again, err)
+				t.Fatalf("event %q was read back as %q (%v)", want, reread, err)
 			}
 		}
 	})
--- a/internal/sse/writer.go
+++ b/internal/sse/writer.go
@@ -2,33 +2,34 @@
 
 import "bytes"
 
-// ContentType is the media type of a stream of events.
+// ContentType is the media type of an event stream.
 const ContentType = "text/event-stream"
 
-// KeepAlive is a comment that shows a quiet stream to be alive.
+// KeepAlive is a comment that is sent on an idle stream to show that its
+// connection still works.
 const KeepAlive = ": keep-alive\n\n"
 
-// AppendEvent appends one event. An empty id or name is left out. Data with
-// line feeds becomes several data lines; id and name must hold none.
+// AppendEvent appends one event. An empty id or name is omitted. Data with line
+// feeds is written as several data lines; id and name must not contain any.
 func AppendEvent(dst []byte, id, name string, data []byte) []byte {
 	if id != "" {
 		dst = append(dst, "id: "...)
 		dst = append(dst, id...)
 		dst = append(dst, '\n')
 	}
-	return appendRest(dst, name, data)
+	return appendNameAndData(dst, name, data)
 }
 
-// AppendEventWithID appends one event whose id is written by appendID, so that
-// a sealed handle needs no string of its own.
+// AppendEventWithID appends one event whose id appendID writes, which avoids
+// allocating a string for a sealed handle.
 func AppendEventWithID(dst []byte, appendID func([]byte) []byte, name string, data []byte) []byte {
 	dst = append(dst, "id: "...)
 	dst = appendID(dst)
 	dst = append(dst, '\n')
-	return appendRest(dst, name, data)
+	return appendNameAndData(dst, name, data)
 }
 
-func appendRest(dst []byte, name string, data []byte) []byte {
+func appendNameAndData(dst []byte, name string, data []byte) []byte {
 	if name != "" {
 		dst = append(dst, "event: "...)
 		dst = append(dst, name...)
@@ -46,7 +47,7 @@
 	}
 }
 
-// AppendComment appends a comment line; text must hold no line feed.
+// AppendComment appends a comment line. text must not contain a line feed.
 func AppendComment(dst []byte, text string) []byte {
 	dst = append(dst, ": "...)
 	dst = append(dst, text...)
