--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,6 +1,6 @@
-// Package call holds the requests that the gateway relays and what targets
-// answer, in the product's types. How they look on the wire is the business
-// of a Dialect.
+// Package call defines the gateway's model of relayed requests and of the
+// targets' responses, independent of their wire format. A Dialect translates
+// between the two.
 package call
 
 import (
@@ -13,153 +13,162 @@
 
 // Request is a caller's request.
 type Request struct {
-	// ID names one attempt of the client.
+	// ID identifies one attempt of the client.
 	ID string
-	// Key is the client account's key, empty when there is none.
+	// Key is the API key of the client account, empty when there is none.
 	Key    string
 	Method string
 	Host   string
-	// Path selects the route; URI is the request target as it was sent.
+	// Path selects the route; URI is the request target as received.
 	Path, URI string
-	// Header holds what is passed on as it came.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// Patience is how long the client waits, counted from Arrived; 0 when it
-	// doesn't say.
+	// Patience is the client's timeout, counted from Arrived; 0 when the client
+	// sets none.
 	Patience time.Duration
 	Arrived  time.Time
 	Prompt   Prompt
-	// ResumeAfter is the id of the last event that the client has of an
-	// earlier attempt; empty when it starts anew.
+	// ResumeAfter is the id of the last event that the client received in an
+	// earlier attempt; empty for a new request.
 	ResumeAfter string
 }
 
-// Prompt is what a request says of its prompt; zero when it has none.
+// Prompt describes a request's prompt; it is zero for a request without one.
 type Prompt struct {
 	Model string
-	// Tokens are read, at most MaxOutput are made.
+	// Tokens is the length of the prompt, MaxOutput the limit of generated
+	// tokens.
 	Tokens, MaxOutput int
-	// LengthHint is the client's estimate of the tokens that will be made, 0
-	// when it gives none. It is right at the median and often far off.
+	// LengthHint is the client's estimate of the number of generated tokens, 0
+	// when it gives none. It is accurate at the median, but single estimates
+	// are often far off.
 	LengthHint int
-	// Parts are shared with other prompts, in their order.
+	// Parts are the leading segments that the prompt may share with others, in
+	// their order.
 	Parts []Part
 }
 
-// Part is a piece of a prompt that targets may have in their caches.
+// Part is a segment of a prompt that targets may have in their caches.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Handoff says where the memory of a moved generation lies.
+// Handoff locates the KV cache of a generation that is moved to another
+// target.
 type Handoff struct {
-	// From is the target (ip:port) that made the copy, or the one that keeps it
-	// where it is a backup.
+	// From is the target (ip:port) that made the copy or, for a backup, the one
+	// that stores it.
 	From string
-	// Handle names the copy; of a backup it is the request's id.
+	// Handle identifies the copy; for a backup it is the request's id.
 	Handle string
 }
 
-// Send is one sending of a request to a target.
+// Send is one attempt to send a request to a target.
 type Send struct {
 	*Request
 	Target  directory.Target
 	Account string
-	// Left is how long the target may work.
+	// Left is the time that remains for the target to respond.
 	Left time.Duration
-	// Priority from 0 (first) to 9; negative when none is set.
+	// Priority is from 0 (highest) to 9; negative when none is set.
 	Priority int
-	// Resume is set to go on with a generation at another target, behind the
-	// event After.
+	// Resume is set to continue a generation at another target, after the event
+	// with the id After.
 	Resume *Handoff
 	After  string
-	// Backup is the target (ip:port) that keeps a copy of the generation's
-	// memory as it grows; empty for none.
+	// Backup is the target (ip:port) that continuously receives a copy of the
+	// generation's KV cache; empty for none.
 	Backup string
 }
 
-// Load is what a target says of its load.
+// Load is the load that a target reports.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is what the header of a target's answer says.
+// Answer is the parsed header of a target's response.
 type Answer struct {
 	Status int
-	// Echo is the id of the request that this answers.
+	// Echo is the id of the request that this response belongs to.
 	Echo string
-	// Sealed answers carry the target's mark; a success without it is not one.
+	// Sealed is set when the response has the target's seal. A success status
+	// without it does not count as a success.
 	Sealed bool
-	// NotRun is the target's own word that it did not run the request and
-	// never will. No other failure proves that.
+	// NotRun is set when the target states that it did not execute the request
+	// and never will. No other failure proves that.
 	NotRun bool
-	// OtherTarget says that another target has the address by now.
+	// OtherTarget is set when the address now belongs to another target.
 	OtherTarget bool
-	// Leaving says that the target may be about to stop.
+	// Leaving is set when the target may be about to shut down.
 	Leaving bool
 	Load    *Load
-	// Rate is the requests a second that the target takes from all hosts
-	// together; nil when it names none.
+	// Rate is the number of requests per second that the target accepts from
+	// all hosts together; nil when it gives none.
 	Rate *float64
-	// RetryAfter is 0 when the target names no time.
+	// RetryAfter is 0 when the target gives no delay.
 	RetryAfter time.Duration
 }
 
-// MoveResult says what a copy of a generation's memory brought.
+// MoveResult is the result of copying a generation's KV cache.
 type MoveResult struct {
 	Handle string
-	// Events are those made so far.
+	// Events is the number of events generated so far.
 	Events int
 }
 
-// Run is one generation that an engine reports.
+// Run is one generation in an engine's report.
 type Run struct {
 	ID     string
 	Tokens int
 	Events int
 }
 
-// Report is what an engine says of itself, a few hundred milliseconds old.
+// Report is an engine's report of its own state, a few hundred milliseconds
+// old.
 type Report struct {
 	Running, Waiting       int
 	MemoryUsed, MemorySize int
 	Leaving                bool
-	// LeavesIn is 0 when the engine does not say when it leaves.
+	// LeavesIn is the time until the engine shuts down, 0 when it gives none.
 	LeavesIn time.Duration
 	Runs     []Run
 }
 
-// Health is a target's answer to the question whether it takes work, as of now.
+// Health is the result of a health check of a target.
 type Health struct {
-	// OK is set while the target takes work and does not leave.
+	// OK is set while the target accepts work and is not shutting down.
 	OK bool
-	// Busy says that the target refused the question for want of a place,
-	// which says nothing of its health.
+	// Busy is set when the target rejected the check for lack of capacity,
+	// which says nothing about its health.
 	Busy bool
 }
 
-// Dialect translates between the wire and these types. It decides nothing.
+// Dialect translates between the wire format and the types of this package. It
+// makes no decisions.
 type Dialect interface {
-	// ReadRequest reads what a caller's request says; the body was read before.
+	// ReadRequest parses a caller's request, whose body has been read already.
 	ReadRequest(r *http.Request, body []byte, arrived time.Time) (*Request, error)
-	// WriteSend makes the request for a target.
+	// WriteSend builds the HTTP request for a target.
 	WriteSend(ctx context.Context, s *Send) (*http.Request, error)
-	// ReadAnswer reads the header of a target's answer.
+	// ReadAnswer parses the header of a target's response.
 	ReadAnswer(resp *http.Response) Answer
-	// CopyHeader copies what a caller gets of an answer's header.
+	// CopyHeader copies the response headers that a caller may receive.
 	CopyHeader(to, from http.Header)
-	// WriteFailure answers a request that the system itself ends.
+	// WriteFailure responds to a request that the gateway itself fails.
 	WriteFailure(w http.ResponseWriter, id string, err error)
 }
 
-// Engines calls model engines beside the requests themselves.
+// Engines calls the management interfaces of model engines, and the health
+// checks of targets.
 type Engines interface {
-	// Move copies a generation's memory from one engine to another. With last,
-	// the generation stops first and its stream ends without its end.
+	// Move copies a generation's KV cache from one engine to another. With
+	// last, the generation is stopped first, and its stream ends without its
+	// closing event.
 	Move(ctx context.Context, from string, id, to string, last bool) (MoveResult, error)
-	// Drop frees the copy of a move.
+	// Drop frees a copy that Move made.
 	Drop(ctx context.Context, from string, handle string) error
-	// Report asks an engine for its state.
+	// Report fetches an engine's report.
 	Report(ctx context.Context, at string) (Report, error)
-	// Health asks a target at its service's path for health.
+	// Health checks a target at the health path of its service.
 	Health(ctx context.Context, at, path string) (Health, error)
 }
