--- a/internal/targetclient/client.go
+++ b/internal/targetclient/client.go
@@ -1,12 +1,13 @@
-// Package targetclient makes the HTTP clients that call targets.
+// Package targetclient provides the HTTP clients that call targets.
 //
-// Go's http.Transport re-sends a request by itself when a reused connection
+// Go's http.Transport automatically retries a request when a reused connection
 // fails, if the request has an Idempotency-Key or X-Idempotency-Key header or
-// a body that can be replayed, and http.Client follows redirects. Behind a
-// target that runs a call and then drops the connection, that books a work
-// order twice, and the caller sees a plain success. Whether a call may be sent
-// again is for the entry to decide, so no client made here does it: NewOnce
-// can't, by construction, and New has nothing that sets it off.
+// a body that can be replayed, and http.Client follows redirects. If a target
+// runs a call and then drops the connection, the retry runs the call twice
+// while the caller sees a success. Only the entry decides whether a call may be
+// sent again, so neither client of this package retries: the at-most-once
+// client sends each request on a connection of its own, and Client removes from
+// a request whatever makes Go retry it.
 package targetclient
 
 import (
@@ -17,91 +18,95 @@
 	"time"
 )
 
-// Settings bound the calls to a target; the zero value of a field means its
-// default.
+// Settings holds the timeouts and limits of calls to a target. The zero value
+// of a field means its default.
 type Settings struct {
-	// Dial bounds the connecting, TLS included.
+	// Dial is the timeout for connecting, including the TLS handshake.
 	Dial time.Duration
-	// Header bounds the wait for the answer's header after the request was
+	// Header is the timeout for the response header after the request was
 	// written.
 	Header time.Duration
-	// Silence bounds the time without a single byte from the target once it
-	// answers. A connection that some box between has forgotten stays open
-	// and silent for good; only this ends it.
+	// Silence is the read idle timeout of a response. A connection whose state
+	// a middlebox has dropped stays open forever without data; only this timeout
+	// ends it.
 	Silence time.Duration
-	// IdlePerTarget bounds the idle connections that New keeps per target.
-	IdlePerTarget int
-	// TLS gives the settings of the next connection, so that they can follow
-	// renewed files; nil means plain text.
+	// MaxIdleConnsPerTarget is the maximum number of idle connections that a Client
+	// keeps per target.
+	MaxIdleConnsPerTarget int
+	// TLS returns the configuration of the next connection, so that renewed
+	// certificates take effect; nil means plain text.
 	TLS func() *tls.Config
 }
 
-// The defaults and their grounds.
+// The defaults of the settings.
 const (
-	// DefaultDial: two lost SYNs (1 s each) would be past it; a target in the
-	// region connects in a few milliseconds.
-	DefaultDial = time.Second
-	// DefaultHeader: a plain service answers within a second, also when slow.
-	DefaultHeader = 10 * time.Second
-	// DefaultSilence: engines send a comment every second; five lost ones in
-	// a row mean a dead connection.
-	DefaultSilence = 5 * time.Second
-	// DefaultIdlePerTarget: about the requests that one entry has in progress
-	// at one target.
-	DefaultIdlePerTarget = 16
+	// DefaultDialTimeout is exceeded after two lost SYNs (1 s each). A target in
+	// the region connects within a few milliseconds.
+	DefaultDialTimeout = time.Second
+	// DefaultResponseHeaderTimeout leaves room for plain services, which respond
+	// within a second even when they are slow.
+	DefaultResponseHeaderTimeout = 10 * time.Second
+	// DefaultReadIdleTimeout allows for five missing comments in a row, which
+	// mean a dead connection. Engines send a comment every second.
+	DefaultReadIdleTimeout = 5 * time.Second
+	// DefaultMaxIdleConnsPerTarget is about the number of requests that one
+	// entry has in progress at one target.
+	DefaultMaxIdleConnsPerTarget = 16
 )
 
-// bufferSize is that of a connection's two buffers, in bytes. A stream brings
-// events of some hundred bytes and holds its connection for minutes; Go's
-// default of 4 KiB each was the largest part of a stream's memory.
+// bufferSize is the size of a connection's read buffer and of its write buffer,
+// in bytes. Events of a stream have a few hundred bytes, and a stream keeps its
+// connection for minutes; with Go's default of 4 KiB each, the buffers were the
+// largest part of a stream's memory.
 const bufferSize = 1 << 10
 
-// maxHeaderBytes bounds the header of a target's answer.
+// maxHeaderBytes is the maximum size of a response header, in bytes.
 const maxHeaderBytes = 64 << 10
 
 func (s Settings) withDefaults() Settings {
 	if s.Dial == 0 {
-		s.Dial = DefaultDial
+		s.Dial = DefaultDialTimeout
 	}
 	if s.Header == 0 {
-		s.Header = DefaultHeader
+		s.Header = DefaultResponseHeaderTimeout
 	}
 	if s.Silence == 0 {
-		s.Silence = DefaultSilence
+		s.Silence = DefaultReadIdleTimeout
 	}
-	if s.IdlePerTarget == 0 {
-		s.IdlePerTarget = DefaultIdlePerTarget
+	if s.MaxIdleConnsPerTarget == 0 {
+		s.MaxIdleConnsPerTarget = DefaultMaxIdleConnsPerTarget
 	}
 	return s
 }
 
-// keepAlive finds dead peers while a request waits for its answer's header,
-// when Silence does not run yet: 3 s + 3 x 1 s.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
+// keepAliveConfig detects dead peers within 3 s + 3 x 1 s. It covers the wait
+// for the response header, when the read idle timeout does not apply yet.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
-// dial connects, with the TLS handshake done: what is written to the
-// connection afterwards is the request and nothing else.
+// dial connects and completes the TLS handshake, so that everything that is
+// written to the connection afterwards belongs to the request.
 func (s Settings) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Dial)
 	defer cancel()
-	raw, err := Dial(ctx, network, address, s.Dial)
+	conn, err := Dial(ctx, network, address, s.Dial)
 	if err != nil || s.TLS == nil {
-		return raw, err
+		return conn, err
 	}
 	config := s.TLS()
 	if config.ServerName == "" {
 		config.ServerName, _, _ = net.SplitHostPort(address)
 	}
-	secured := tls.Client(raw, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
-		_ = raw.Close()
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		_ = conn.Close()
 		return nil, err
 	}
-	return secured, nil
+	return tlsConn, nil
 }
 
-// transport never speaks HTTP/2: its client re-sends on its own account after
-// GOAWAY and REFUSED_STREAM, and its streams share one connection's fate.
+// transport returns a transport without HTTP/2. Go's HTTP/2 client retries
+// requests automatically after GOAWAY and REFUSED_STREAM, and all streams of a
+// connection fail together.
 func (s Settings) transport() *http.Transport {
 	return &http.Transport{
 		Proxy:                  nil,
@@ -109,7 +114,7 @@
 		DialTLSContext:         s.dial,
 		TLSNextProto:           map[string]func(string, *tls.Conn) http.RoundTripper{},
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    s.IdlePerTarget,
+		MaxIdleConnsPerHost:    s.MaxIdleConnsPerTarget,
 		IdleConnTimeout:        30 * time.Second,
 		ResponseHeaderTimeout:  s.Header,
 		MaxResponseHeaderBytes: maxHeaderBytes,
@@ -118,45 +123,45 @@
 	}
 }
 
-// quiet returns a copy of the request without anything that makes Go send it
-// again. The target still receives the key: header names don't depend on case,
-// while Go looks for the canonical spelling only.
-func quiet(req *http.Request) *http.Request {
+// withoutAutoRetry returns a copy of the request that Go does not retry
+// automatically. The target still receives the idempotency key: HTTP header
+// names are case-insensitive, while Go checks for the canonical spelling only.
+func withoutAutoRetry(req *http.Request) *http.Request {
 	out := req.Clone(req.Context())
 	out.GetBody = nil
 	if out.Body != nil && out.Body != http.NoBody {
-		out.Body = plainBody{out.Body}
+		out.Body = opaqueBody{out.Body}
 	}
-	for canonical, spelled := range resendHeaders {
+	for canonical, unrecognized := range retryHeaderSpellings {
 		if values, present := out.Header[canonical]; present {
 			delete(out.Header, canonical)
-			out.Header[spelled] = values
+			out.Header[unrecognized] = values
 		}
 	}
 	return out
 }
 
-// resendHeaders maps the headers that make http.Transport re-send a request to
-// spellings that don't.
-var resendHeaders = map[string]string{
+// retryHeaderSpellings maps the headers that make http.Transport retry a
+// request to spellings that it does not recognize.
+var retryHeaderSpellings = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// plainBody hides the concrete type of a body, from which net/http could make
-// a second copy.
-type plainBody struct {
+// opaqueBody hides the concrete type of a body, from which net/http could
+// create a second copy for a retry.
+type opaqueBody struct {
 	body interface {
 		Read([]byte) (int, error)
 		Close() error
 	}
 }
 
-func (b plainBody) Read(p []byte) (int, error) { return b.body.Read(p) }
-func (b plainBody) Close() error               { return b.body.Close() }
+func (b opaqueBody) Read(p []byte) (int, error) { return b.body.Read(p) }
+func (b opaqueBody) Close() error               { return b.body.Close() }
 
-// Client calls targets whose requests may be sent again, by the entry's own
-// decision. It keeps connections. It is safe for concurrent use.
+// Client calls targets whose requests the entry may decide to send again. It
+// reuses connections. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 }
@@ -165,29 +170,29 @@
 func New(s Settings) *Client {
 	s = s.withDefaults()
 	t := s.transport()
-	t.DialContext = s.dialWatched
-	t.DialTLSContext = s.dialWatched
+	t.DialContext = s.dialWithReadTimeout
+	t.DialTLSContext = s.dialWithReadTimeout
 	return &Client{transport: t}
 }
 
-func (s Settings) dialWatched(ctx context.Context, network, address string) (net.Conn, error) {
+func (s Settings) dialWithReadTimeout(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := s.dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{Conn: conn, silence: s.Silence + s.Header}, nil
+	return &readTimeoutConn{Conn: conn, timeout: s.Silence + s.Header}, nil
 }
 
-// Do sends the request once. Redirects are handed back like any answer. A
-// failure is a *failure.Error; see classify.
+// Do sends the request once. It returns redirects like any other response.
+// Errors are of type *failure.Error, see classifyError.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
-	sent := &sentFlag{}
-	resp, err := c.transport.RoundTrip(quiet(sent.trace(req)))
+	tracker := &writeTracker{}
+	resp, err := c.transport.RoundTrip(withoutAutoRetry(tracker.trace(req)))
 	if err != nil {
-		return nil, classify(err, sent.started.Load())
+		return nil, classifyError(err, tracker.gotConn.Load())
 	}
 	return resp, nil
 }
 
-// CloseIdle closes the connections that are not in use.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
--- a/internal/targetclient/grpc.go
+++ b/internal/targetclient/grpc.go
@@ -2,11 +2,11 @@
 
 import "google.golang.org/grpc"
 
-// OnceDialOptions keep grpc-go from sending a call a second time by a retry
-// policy, be it ours or one that a resolver brings. What remains are grpc's
-// transparent retries, which happen only when the server never saw the call;
-// the owner's record makes even those harmless.
-func OnceDialOptions() []grpc.DialOption {
+// AtMostOnceDialOptions disables grpc-go's retry policies, including those of a
+// service config that a resolver returns. What remains are gRPC's transparent
+// retries, which only happen when the server never processed the call; the
+// owner's record of executed calls makes those harmless as well.
+func AtMostOnceDialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
--- a/internal/targetclient/once.go
+++ b/internal/targetclient/once.go
@@ -14,141 +14,146 @@
 	"filbertdeck/internal/failure"
 )
 
-// ExecutedHeader is how a target says that it did not run a call.
+// ExecutedHeader is the response header in which a target states that it did
+// not run a call.
 const ExecutedHeader = "Filbert-Executed"
 
-// Once calls targets whose calls may run at most once. It is safe for
+// Once is a client for calls that may run at most once. It is safe for
 // concurrent use.
 type Once struct {
 	settings Settings
 }
 
-// NewOnce returns a client that sends each request at most once: a connection
-// of its own for each call, which nothing can be re-sent on.
+// NewOnce returns a client that sends each request at most once, on a new
+// connection per call, so that no retry on a reused connection can happen.
 func NewOnce(s Settings) *Once { return &Once{settings: s.withDefaults()} }
 
-// Do sends the request. before, if given, runs after the connection stands and
-// right before the first byte is written; when it returns an error nothing is
-// written and Do returns that error. It is the place for the last check of the
-// right to run the call: between it and the write there is one function call.
+// Do sends the request. beforeWrite, if given, runs once the connection is
+// established, right before the first byte is written. When it returns an
+// error, nothing is written and Do returns that error. It is meant for the last
+// check that the call may still run: only one function call separates it from
+// the write.
 //
-// The failure says whether the call ran: no before the first byte and when the
-// target itself says so, unknown afterwards.
-func (o *Once) Do(req *http.Request, before func() error) (*http.Response, error) {
-	gate := &gate{before: before}
+// Errors state whether the call ran: ExecutedNo before the first byte was
+// written, ExecutedUnknown afterwards. A target can state in its response that
+// it did not run the call, see ReportsNotExecuted.
+func (o *Once) Do(req *http.Request, beforeWrite func() error) (*http.Response, error) {
+	gate := &writeGate{beforeWrite: beforeWrite}
 	t := o.settings.transport()
-	// The connection is closed after the answer, but the target is not asked to
-	// close it: then its own wish to do so, a sign that it stops, would not show.
+	// The connection is closed after the response, but without a "Connection:
+	// close" request header. With that header, a "Connection: close" from the
+	// target would no longer show that the target is shutting down.
 	t.MaxIdleConnsPerHost = -1
 	connect := func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := o.settings.dialWatched(ctx, network, address)
+		conn, err := o.settings.dialWithReadTimeout(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
 		return &gatedConn{Conn: conn, gate: gate}, nil
 	}
 	t.DialContext, t.DialTLSContext = connect, connect
-	resp, err := t.RoundTrip(quiet(req))
+	resp, err := t.RoundTrip(withoutAutoRetry(req))
 	if err != nil {
-		sent, refused := gate.close()
-		if refused != nil {
-			return nil, refused
+		sent, checkErr := gate.close()
+		if checkErr != nil {
+			return nil, checkErr
 		}
-		return nil, classify(err, sent)
+		return nil, classifyError(err, sent)
 	}
 	return resp, nil
 }
 
-// DidNotRun tells whether the target itself said that it did not run the call.
-// Only a refusal can say so: a success with that header contradicts itself.
-func DidNotRun(resp *http.Response) bool {
+// ReportsNotExecuted reports whether the target stated that it did not run the
+// call. Only an error status counts, since a success status contradicts the
+// header.
+func ReportsNotExecuted(resp *http.Response) bool {
 	return resp.StatusCode >= http.StatusBadRequest &&
 		resp.Header.Get(ExecutedHeader) == string(failure.ExecutedNo)
 }
 
-// gate lets a call's first byte through at most once. All connections of one
-// call share it, so that even a second connection could not send it again.
-type gate struct {
-	mu      sync.Mutex
-	before  func() error
-	owner   *gatedConn
-	refused error
-	closed  bool
+// writeGate allows only one connection to write a call. All connections of the
+// call share it, so that a second connection can't send the call again.
+type writeGate struct {
+	mu          sync.Mutex
+	beforeWrite func() error
+	conn        *gatedConn
+	checkErr    error
+	closed      bool
 }
 
-// pass is asked before each write.
-func (g *gate) pass(conn *gatedConn) error {
+// admit returns nil if conn may write. It is called before each write.
+func (g *writeGate) admit(conn *gatedConn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case g.owner == conn:
+	case g.conn == conn:
 		return nil
-	case g.owner != nil:
-		return failure.New(failure.KindInternal, "a call must not be sent on a second connection").Unknown()
+	case g.conn != nil:
+		return failure.New(failure.KindInternal, "the call was already sent on another connection").Unknown()
 	case g.closed:
-		return failure.New(failure.KindInternal, "the call was given up before it was sent")
-	case g.refused != nil:
-		return g.refused
+		return failure.New(failure.KindInternal, "the call was cancelled before it was sent")
+	case g.checkErr != nil:
+		return g.checkErr
 	}
-	if g.before != nil {
-		if g.refused = g.before(); g.refused != nil {
-			return g.refused
+	if g.beforeWrite != nil {
+		if g.checkErr = g.beforeWrite(); g.checkErr != nil {
+			return g.checkErr
 		}
 	}
-	g.owner = conn
+	g.conn = conn
 	return nil
 }
 
-// close ends the call after a failure and tells whether its first byte may
-// have left. A write that has not begun by now never begins: the caller is
-// about to hear that nothing ran.
-func (g *gate) close() (sent bool, refused error) {
+// close ends the call after an error and reports whether its first byte may
+// have been sent. It blocks any later first write, since the caller is about to
+// receive ExecutedNo.
+func (g *writeGate) close() (sent bool, checkErr error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	return g.owner != nil, g.refused
+	return g.conn != nil, g.checkErr
 }
 
 type gatedConn struct {
 	net.Conn
-	gate *gate
+	gate *writeGate
 }
 
 func (c *gatedConn) Write(p []byte) (int, error) {
-	if err := c.gate.pass(c); err != nil {
+	if err := c.gate.admit(c); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// watchedConn ends a connection that brings no byte for too long.
-type watchedConn struct {
+// readTimeoutConn fails a read that receives no data within the timeout.
+type readTimeoutConn struct {
 	net.Conn
-	silence time.Duration
+	timeout time.Duration
 }
 
-func (c *watchedConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
+func (c *readTimeoutConn) Read(p []byte) (int, error) {
+	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-// sentFlag notes that a request had a connection and may have been written.
-type sentFlag struct{ started atomic.Bool }
+// writeTracker records that a request got a connection and may have been written.
+type writeTracker struct{ gotConn atomic.Bool }
 
-func (f *sentFlag) trace(req *http.Request) *http.Request {
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { f.started.Store(true) }}
+func (t *writeTracker) trace(req *http.Request) *http.Request {
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { t.gotConn.Store(true) }}
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 }
 
-// classify types an error of the transport. sent tells that the first byte may
-// have left; without it the call certainly did not run.
-func classify(err error, sent bool) *failure.Error {
+// classifyError converts an error of the transport. sent is set when the first
+// byte may have been sent; otherwise the call certainly did not run.
+func classifyError(err error, sent bool) *failure.Error {
 	kind, text := failure.KindTargetLost, "the target broke the connection"
 	switch {
 	case isTimeout(err):
-		kind, text = failure.KindTargetTimeout, "the target did not answer in time"
+		kind, text = failure.KindTargetTimeout, "the target did not respond in time"
 	case !sent:
 		kind, text = failure.KindTargetFailed, "the target can't be reached"
 	}
--- a/internal/targetclient/targetclient_test.go
+++ b/internal/targetclient/targetclient_test.go
@@ -30,21 +30,21 @@
 	RunSpecs(t, "target client")
 }
 
-// recorder is a target that keeps its own record of what it ran. It answers
-// the first call on each connection and then does as told.
-type recorder struct {
+// recordingTarget is a target that records the calls that it ran.
+type recordingTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
-	ran      []string // the bodies run, in order
+	bodies   []string // of the calls that ran, in order
 	keys     []string
 }
 
-// newRecorder serves each connection by answering its first `healthy` calls and
-// handing the next one to fail.
-func newRecorder(healthy int, fail func(net.Conn)) *recorder {
+// newRecordingTarget starts a target that, on each connection, responds to the
+// first calls, as many as successes says, and passes the connection of the next
+// call to fail.
+func newRecordingTarget(successes int, fail func(net.Conn)) *recordingTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	r := &recorder{listener: l}
+	r := &recordingTarget{listener: l}
 	DeferCleanup(l.Close)
 	go func() {
 		for {
@@ -52,13 +52,13 @@
 			if err != nil {
 				return
 			}
-			go r.serve(conn, healthy, fail)
+			go r.serve(conn, successes, fail)
 		}
 	}()
 	return r
 }
 
-func (r *recorder) serve(conn net.Conn, healthy int, fail func(net.Conn)) {
+func (r *recordingTarget) serve(conn net.Conn, successes int, fail func(net.Conn)) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for n := 0; ; n++ {
@@ -68,10 +68,10 @@
 		}
 		body, _ := io.ReadAll(req.Body)
 		r.mu.Lock()
-		r.ran = append(r.ran, string(body))
+		r.bodies = append(r.bodies, string(body))
 		r.keys = append(r.keys, req.Header.Get("Idempotency-Key")+req.Header.Get("X-Idempotency-Key"))
 		r.mu.Unlock()
-		if n >= healthy {
+		if n >= successes {
 			fail(conn)
 			return
 		}
@@ -79,10 +79,10 @@
 	}
 }
 
-func (r *recorder) count(body string) (n int) {
+func (r *recordingTarget) executions(body string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.ran {
+	for _, b := range r.bodies {
 		if b == body {
 			n++
 		}
@@ -90,7 +90,7 @@
 	return n
 }
 
-func (r *recorder) request(method, body, header string) *http.Request {
+func (r *recordingTarget) request(method, body, header string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+r.listener.Addr().String()+"/book", bytes.NewReader([]byte(body)))
 	Expect(err).NotTo(HaveOccurred())
 	if header != "" {
@@ -99,7 +99,7 @@
 	return req
 }
 
-func drain(resp *http.Response, err error) error {
+func drainBody(resp *http.Response, err error) error {
 	if err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
@@ -107,19 +107,18 @@
 	return err
 }
 
-var _ = Describe("hidden re-sends", func() {
-	// The target books, then its connection drops before the answer. Go's
-	// transport takes the reused connection for an idle one that was closed
-	// and sends the booking again by itself. The user sees one success and two
-	// crews.
-	DescribeTable("book once where a plain client books twice",
+var _ = Describe("automatic retries", func() {
+	// The target runs the call, then its connection drops before the response.
+	// Go's transport assumes that the reused connection was closed while idle
+	// and retries, so that the call runs twice and the caller sees one success.
+	DescribeTable("run a call once where http.Client runs it twice",
 		func(method, header string) {
-			drop := func(net.Conn) {}
-			naive := newRecorder(1, drop)
-			plain := &http.Client{}
-			Expect(drain(plain.Do(naive.request("POST", "warm up", "")))).To(Succeed())
-			Expect(drain(plain.Do(naive.request(method, "booking", header)))).To(Succeed(), "the caller sees no error")
-			Expect(naive.count("booking")).To(Equal(2), "the plain client must show the fault")
+			closeConn := func(net.Conn) {}
+			controlTarget := newRecordingTarget(1, closeConn)
+			defaultClient := &http.Client{}
+			Expect(drainBody(defaultClient.Do(controlTarget.request("POST", "warm up", "")))).To(Succeed())
+			Expect(drainBody(defaultClient.Do(controlTarget.request(method, "booking", header)))).To(Succeed(), "the caller receives no error")
+			Expect(controlTarget.executions("booking")).To(Equal(2), "http.Client must show the double execution")
 
 			for name, do := range map[string]func(*http.Request) (*http.Response, error){
 				"once": func(req *http.Request) (*http.Response, error) {
@@ -127,51 +126,51 @@
 				},
 				"ordinary": targetclient.New(targetclient.Settings{}).Do,
 			} {
-				target := newRecorder(1, drop)
-				Expect(drain(do(target.request("POST", "warm up", "")))).To(Succeed())
-				err := drain(do(target.request(method, "booking", header)))
-				Expect(target.count("booking")).To(Equal(1), name)
+				target := newRecordingTarget(1, closeConn)
+				Expect(drainBody(do(target.request("POST", "warm up", "")))).To(Succeed())
+				err := drainBody(do(target.request(method, "booking", header)))
+				Expect(target.executions("booking")).To(Equal(1), name)
 				if name == "ordinary" {
 					Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
 				} else {
-					Expect(err).NotTo(HaveOccurred(), "its own connection was healthy")
+					Expect(err).NotTo(HaveOccurred(), "a new connection must not fail")
 				}
 				if header != "" {
 					Expect(target.keys).To(ContainElement("key-1"), "the target still receives the key")
 				}
 			}
 		},
-		Entry("by Idempotency-Key", "POST", "Idempotency-Key"),
-		Entry("by X-Idempotency-Key", "POST", "X-Idempotency-Key"),
-		Entry("by a replayable body", "GET", ""),
+		Entry("with Idempotency-Key", "POST", "Idempotency-Key"),
+		Entry("with X-Idempotency-Key", "POST", "X-Idempotency-Key"),
+		Entry("with a replayable body", "GET", ""),
 	)
 
-	// A target answers a booking with a redirect that keeps method and body. A
-	// client that follows it books at the second place too.
-	It("hands a redirect back", func() {
+	// A client that follows a redirect which keeps method and body sends the
+	// call a second time.
+	It("do not follow a redirect", func() {
 		redirect := func(conn net.Conn) {
 			_, _ = io.WriteString(conn, "HTTP/1.1 307 Temporary Redirect\r\nLocation: /book\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		}
-		target := newRecorder(0, redirect)
-		_ = drain((&http.Client{}).Do(target.request("POST", "naive", "")))
-		Expect(target.count("naive")).To(BeNumerically(">", 1))
+		target := newRecordingTarget(0, redirect)
+		_ = drainBody((&http.Client{}).Do(target.request("POST", "naive", "")))
+		Expect(target.executions("naive")).To(BeNumerically(">", 1))
 		resp, err := targetclient.NewOnce(targetclient.Settings{}).Do(target.request("POST", "once", ""), nil)
-		Expect(drain(resp, err)).To(Succeed())
+		Expect(drainBody(resp, err)).To(Succeed())
 		Expect(resp.StatusCode).To(Equal(307))
-		Expect(target.count("once")).To(Equal(1))
+		Expect(target.executions("once")).To(Equal(1))
 	})
 
-	// An owner runs a forwarded booking and then dies with the answer, which
-	// grpc reports as unavailable. A retry policy, which a resolver can bring
-	// unasked, sends the booking again.
-	It("switches grpc's retry policies off", func() {
+	// When an owner runs a forwarded call and crashes before its response, gRPC
+	// returns Unavailable. A retry policy, which a resolver can supply in its
+	// service config, would send the call again.
+	It("do not follow gRPC retry policies", func() {
 		const policy = `{"methodConfig":[{"name":[{}],"retryPolicy":{"maxAttempts":3,"initialBackoff":"0.001s",
 			"maxBackoff":"0.001s","backoffMultiplier":1,"retryableStatusCodes":["UNAVAILABLE"]}}]}`
 		for _, c := range []struct {
 			options []grpc.DialOption
 			runs    int
-		}{{nil, 3}, {targetclient.OnceDialOptions(), 1}} {
-			owner := &dyingOwner{}
+		}{{nil, 3}, {targetclient.AtMostOnceDialOptions(), 1}} {
+			owner := &unavailableOwner{}
 			server := grpc.NewServer()
 			filbertv1.RegisterForwardServer(server, owner)
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -190,72 +189,71 @@
 	})
 })
 
-type dyingOwner struct {
+type unavailableOwner struct {
 	filbertv1.UnimplementedForwardServer
 	runs int
 }
 
-func (d *dyingOwner) RunOnce(context.Context, *filbertv1.RunOnceRequest) (*filbertv1.RunOnceReply, error) {
-	d.runs++
-	return nil, status.Error(codes.Unavailable, "dying")
+func (o *unavailableOwner) RunOnce(context.Context, *filbertv1.RunOnceRequest) (*filbertv1.RunOnceReply, error) {
+	o.runs++
+	return nil, status.Error(codes.Unavailable, "crashed")
 }
 
-var _ = Describe("what a failure says", func() {
-	short := targetclient.Settings{Dial: 200 * time.Millisecond, Header: 100 * time.Millisecond, Silence: 100 * time.Millisecond}
-	freeze := func(net.Conn) { time.Sleep(time.Second) }
-	refused := errors.New("no right any more")
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+var _ = Describe("the execution state in an error", func() {
+	shortTimeouts := targetclient.Settings{Dial: 200 * time.Millisecond, Header: 100 * time.Millisecond, Silence: 100 * time.Millisecond}
+	hang := func(net.Conn) { time.Sleep(time.Second) }
+	errRevoked := errors.New("permission was revoked")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	nobody := free.Addr().String()
-	_ = free.Close()
+	unusedAddress := listener.Addr().String()
+	_ = listener.Close()
 
 	DescribeTable("is certain before the first byte and unknown after it",
-		func(before func() error, fail func(net.Conn), dead bool, kind failure.Kind, executed failure.Executed, runs int) {
-			target := newRecorder(0, fail)
+		func(before func() error, fail func(net.Conn), unreachable bool, kind failure.Kind, executed failure.Executed, runs int) {
+			target := newRecordingTarget(0, fail)
 			req := target.request("POST", "booking", "Idempotency-Key")
-			if dead {
-				req.URL.Host = nobody
+			if unreachable {
+				req.URL.Host = unusedAddress
 			}
-			err := drain(targetclient.NewOnce(short).Do(req, before))
+			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(req, before))
 			Expect(failure.KindOf(err)).To(Equal(kind))
 			Expect(failure.From(err).Executed).To(Equal(executed))
-			Expect(target.count("booking")).To(Equal(runs))
+			Expect(target.executions("booking")).To(Equal(runs))
 		},
-		Entry("nobody listens", nil, nil, true, failure.KindTargetFailed, failure.ExecutedNo, 0),
-		Entry("the last check fails", func() error { return failure.Wrap(refused, failure.KindKeyUnvouched, "late").Unknown() },
+		Entry("nothing listens at the address", nil, nil, true, failure.KindTargetFailed, failure.ExecutedNo, 0),
+		Entry("beforeWrite fails", func() error { return failure.Wrap(errRevoked, failure.KindKeyUnvouched, "late").Unknown() },
 			nil, false, failure.KindKeyUnvouched, failure.ExecutedUnknown, 0),
-		Entry("it runs, then drops", nil, func(net.Conn) {}, false, failure.KindTargetLost, failure.ExecutedUnknown, 1),
-		Entry("it runs, then freezes", nil, freeze, false, failure.KindTargetTimeout, failure.ExecutedUnknown, 1),
-		Entry("it answers nonsense", nil, func(c net.Conn) { _, _ = io.WriteString(c, "???\r\n\r\n") }, false,
+		Entry("the target runs the call, then drops the connection", nil, func(net.Conn) {}, false, failure.KindTargetLost, failure.ExecutedUnknown, 1),
+		Entry("the target runs the call, then hangs", nil, hang, false, failure.KindTargetTimeout, failure.ExecutedUnknown, 1),
+		Entry("the target sends an invalid response", nil, func(c net.Conn) { _, _ = io.WriteString(c, "???\r\n\r\n") }, false,
 			failure.KindTargetLost, failure.ExecutedUnknown, 1),
 	)
 
-	// A refusal that says so is the only answer after which a caller may book
-	// again; a success with the same header contradicts itself.
-	DescribeTable("believes only a refusal that says it did not run",
+	// An error status with the header is the only response after which a caller
+	// may repeat a call; a success status contradicts the header.
+	DescribeTable("is no only for an error status with the header",
 		func(code int, header string, want bool) {
 			answer := fmt.Sprintf("HTTP/1.1 %d X\r\nFilbert-Executed: %s\r\nContent-Length: 0\r\n\r\n", code, header)
-			target := newRecorder(0, func(c net.Conn) { _, _ = io.WriteString(c, answer) })
-			resp, err := targetclient.NewOnce(short).Do(target.request("POST", "x", ""), nil)
-			Expect(drain(resp, err)).To(Succeed())
-			Expect(targetclient.DidNotRun(resp)).To(Equal(want))
+			target := newRecordingTarget(0, func(c net.Conn) { _, _ = io.WriteString(c, answer) })
+			resp, err := targetclient.NewOnce(shortTimeouts).Do(target.request("POST", "x", ""), nil)
+			Expect(drainBody(resp, err)).To(Succeed())
+			Expect(targetclient.ReportsNotExecuted(resp)).To(Equal(want))
 		},
 		Entry(nil, 503, "no", true), Entry(nil, 503, "", false), Entry(nil, 503, "yes", false), Entry(nil, 200, "no", false),
 	)
 
-	// A box between the two ends forgets the connection in the middle of an
-	// answer. Nothing arrives any more and nothing fails either; without a
-	// bound the technician waits for good.
-	It("ends an answer that falls silent", func() {
-		target := newRecorder(0, func(c net.Conn) {
+	// When a middlebox drops the state of a connection within a response, neither
+	// data nor an error arrives; without a timeout the caller waits forever.
+	It("comes after a timeout when a response stalls", func() {
+		target := newRecordingTarget(0, func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			time.Sleep(time.Second)
 		})
 		for _, do := range []func(*http.Request) (*http.Response, error){
-			targetclient.New(short).Do,
-			func(r *http.Request) (*http.Response, error) { return targetclient.NewOnce(short).Do(r, nil) },
+			targetclient.New(shortTimeouts).Do,
+			func(r *http.Request) (*http.Response, error) { return targetclient.NewOnce(shortTimeouts).Do(r, nil) },
 		} {
 			resp, err := do(target.request("POST", "x", ""))
 			Expect(err).NotTo(HaveOccurred())
@@ -266,23 +264,23 @@
 		}
 	})
 
-	// The caller hangs up while the connection is being made. The write that
-	// would follow must not happen after "did not run" was said.
-	It("sends nothing after a call was given up", func() {
-		target := newRecorder(0, func(net.Conn) {})
-		var denied []string
+	// The caller cancels while the connection is being established. Once Do has
+	// returned ExecutedNo, the request must not be written any more.
+	It("stays true when a call is cancelled while connecting", func() {
+		target := newRecordingTarget(0, func(net.Conn) {})
+		var notExecuted []string
 		for i := range 50 {
 			body := fmt.Sprint("call ", i)
 			ctx, cancel := context.WithCancel(context.Background())
 			go cancel()
-			err := drain(targetclient.NewOnce(short).Do(target.request("POST", body, "").WithContext(ctx), nil))
+			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(target.request("POST", body, "").WithContext(ctx), nil))
 			if err != nil && failure.From(err).Executed == failure.ExecutedNo {
-				denied = append(denied, body)
+				notExecuted = append(notExecuted, body)
 			}
 		}
 		Consistently(func() (ran int) {
-			for _, body := range denied {
-				ran += target.count(body)
+			for _, body := range notExecuted {
+				ran += target.executions(body)
 			}
 			return ran
 		}, "100ms", "10ms").Should(BeZero())
