--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -24,8 +24,8 @@
 	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// Patience is the client's timeout, counted from Arrived; 0 when the client
-	// sets none.
+	// Patience is the client's timeout, counted from the request's arrival; 0
+	// when the client sets none.
 	Patience time.Duration
 	Arrived  time.Time
 	Prompt   Prompt
@@ -37,7 +37,7 @@
 // Prompt describes a request's prompt; it is zero for a request without one.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt, MaxOutput the limit of generated
+	// The number of tokens of the prompt, and the maximum number of generated
 	// tokens.
 	Tokens, MaxOutput int
 	// LengthHint is the client's estimate of the number of generated tokens, 0
@@ -74,8 +74,8 @@
 	Left time.Duration
 	// Priority is from 0 (highest) to 9; negative when none is set.
 	Priority int
-	// Resume is set to continue a generation at another target, after the event
-	// with the id After.
+	// Resume is set to continue a generation at another target. The event id in
+	// the next field is the last one that the client has.
 	Resume *Handoff
 	After  string
 	// Backup is the target (ip:port) that continuously receives a copy of the
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "settings")
 }
 
-type sample struct {
+type testSettings struct {
 	Listen string        `arg:"--listen,env:SAMPLE_LISTEN" check:"hostport" default:"127.0.0.1:1"`
 	Wait   time.Duration `arg:"--wait,env:SAMPLE_WAIT" check:"1s..1m" default:"2s"`
 	Count  int           `arg:"--count,env:SAMPLE_COUNT" check:"1..10" default:"3"`
@@ -27,10 +27,12 @@
 	Secret string        `arg:"--secret,env:SAMPLE_SECRET" check:"text|x" default:"x" secret:"true"`
 }
 
-func (sample) Version() string { return "1" }
+func (testSettings) Version() string { return "1" }
 
 var _ = Describe("a process's settings", func() {
-	parse := func(args ...string) error { return settings.Parse("sample", "about", &sample{}, args, io.Discard) }
+	parse := func(args ...string) error {
+		return settings.Parse("sample", "about", &testSettings{}, args, io.Discard)
+	}
 
 	// A process that starts with a mistyped value would listen on the wrong
 	// address or wait forever without a visible cause.
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -125,12 +125,12 @@
 
 // parseField parses the field in the line buf[start:end]. Unknown fields are
 // ignored, as the HTML standard requires.
-func (r *Reader) parseField(from, to int) {
-	line := r.buf[from:to]
+func (r *Reader) parseField(start, end int) {
+	line := r.buf[start:end]
 	colon := bytes.IndexByte(line, ':')
-	name, value := line, span{to, to}
+	name, value := line, span{end, end}
 	if colon >= 0 {
-		name, value = line[:colon], span{from + colon + 1, to}
+		name, value = line[:colon], span{start + colon + 1, end}
 	}
 	if value.start < value.end && r.buf[value.start] == ' ' {
 		value.start++
@@ -160,9 +160,9 @@
 		joined := append([]byte(nil), r.data.slice(r.buf)...)
 		joined = append(joined, '\n')
 		joined = append(joined, value.slice(r.buf)...)
-		from := len(r.buf)
+		start := len(r.buf)
 		r.buf = append(r.buf, joined...)
-		r.data = span{from, len(r.buf)}
+		r.data = span{start, len(r.buf)}
 		return
 	}
 	r.buf[r.data.end] = '\n'
