--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle follows a serving process from its start to its stop: whether the
-// balancer may send it callers, and which requests are still in progress. The
-// order of a stop is decided in internal/decide/drain; this package gives it a
-// clock and counts the requests.
+// Package lifecycle tracks a server process from its start to its stop: whether
+// the load balancer may send it requests, and how many requests are in
+// progress. internal/decide/drain decides the steps of a stop; this package
+// provides its clock and its request counts.
 package lifecycle
 
 import (
@@ -15,79 +15,83 @@
 )
 
 const (
-	// stepEvery is how often a stop looks whether it may go on.
-	stepEvery = 20 * time.Millisecond
-	// retryStopping is told to callers who still come: the balancer sends the
-	// next try elsewhere.
-	retryStopping = time.Second
+	// stepInterval is the interval at which a stop checks for its next step.
+	stepInterval = 20 * time.Millisecond
+	// stoppingRetryAfter is the retry delay for callers that are rejected during
+	// a stop: the load balancer sends the retry to another host.
+	stoppingRetryAfter = time.Second
 )
 
-// Lifecycle is safe for concurrent use.
+// Lifecycle is the state of a server process. It is safe for concurrent use.
 type Lifecycle struct {
-	ready func() error
-	start time.Time
+	ready     func() error
+	startedAt time.Time
 
-	mu      sync.Mutex
-	stop    *drain.Stop
-	running int
+	mu         sync.Mutex
+	stop       *drain.Stop
+	inProgress int
 }
 
-// New returns a lifecycle; ready tells what is missing until callers can be
-// served. notice is how long a stop stays open after it was announced, wait
-// how long it waits for requests in progress, 0 for as long as they last.
+// New returns a lifecycle. ready returns an error while the process can't serve
+// requests yet. notice is how long a stopping process still accepts requests
+// after it reports not ready. wait limits how long a stop waits for requests in
+// progress; 0 means no limit.
 func New(ready func() error, notice, wait time.Duration) *Lifecycle {
 	return NewWithStop(ready, drain.StopConfig{
 		AnnounceFor: notice, QuietFor: notice, AnnounceLimit: 3 * notice, LingerFor: notice, FinishLimit: wait,
 	})
 }
 
-// NewWithStop is New with the figures of the stop given one by one.
+// NewWithStop is New with each duration of the stop set separately.
 func NewWithStop(ready func() error, stop drain.StopConfig) *Lifecycle {
-	return &Lifecycle{ready: ready, start: time.Now(), stop: drain.NewStop(stop)}
+	return &Lifecycle{ready: ready, startedAt: time.Now(), stop: drain.NewStop(stop)}
 }
 
-func (l *Lifecycle) now() time.Duration { return time.Since(l.start) }
+func (l *Lifecycle) now() time.Duration { return time.Since(l.startedAt) }
 
-// Begin counts a request in progress; the returned function must be called
-// when it ends. It fails while the process refuses new work.
+// Begin registers a request in progress. The caller must call the returned
+// function when the request ends. It fails while the process rejects new
+// requests.
 func (l *Lifecycle) Begin() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stop.Arrived(l.now())
 	if !l.stop.TakesNew() {
-		return nil, failure.New(failure.KindStopping, "the process is stopping").After(retryStopping)
+		return nil, failure.New(failure.KindStopping, "the process is stopping").After(stoppingRetryAfter)
 	}
-	l.running++
+	l.inProgress++
 	return l.end, nil
 }
 
 func (l *Lifecycle) end() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.running--
+	l.inProgress--
 }
 
-// Running counts the requests in progress.
+// Running returns the number of requests in progress.
 func (l *Lifecycle) Running() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.running
+	return l.inProgress
 }
 
-// Ready tells why the balancer should send no callers, nil when it may.
+// Ready returns nil if the load balancer may send requests, and otherwise the
+// reason why it may not.
 func (l *Lifecycle) Ready() error {
 	l.mu.Lock()
-	open := l.stop.Ready()
+	accepting := l.stop.Ready()
 	l.mu.Unlock()
-	if !open {
+	if !accepting {
 		return failure.New(failure.KindStopping, "the process is stopping")
 	}
 	return l.ready()
 }
 
-// Stop goes through the steps of a planned stop until it is done or ctx ends.
+// Stop performs a graceful stop. It returns an error if requests were still in
+// progress at the time limit or when ctx ended.
 func (l *Lifecycle) Stop(ctx context.Context) error {
-	ticker := time.NewTicker(stepEvery)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for !l.step() {
 		select {
@@ -96,7 +100,7 @@
 			return failure.Wrap(ctx.Err(), failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
 		}
 	}
-	if l.cut() {
+	if l.interrupted() {
 		return failure.New(failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
 	}
 	return nil
@@ -106,21 +110,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stop.Begin(l.now())
-	return l.stop.Step(l.now(), l.running) == drain.Done
+	return l.stop.Step(l.now(), l.inProgress) == drain.Done
 }
 
-func (l *Lifecycle) cut() bool {
+func (l *Lifecycle) interrupted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stop.Cut()
 }
 
-// Healthz answers that the process lives.
+// Healthz is the liveness endpoint.
 func (l *Lifecycle) Healthz(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Readyz answers whether the balancer may send callers.
+// Readyz is the readiness endpoint for the load balancer.
 func (l *Lifecycle) Readyz(w http.ResponseWriter, _ *http.Request) {
 	if err := l.Ready(); err != nil {
 		failure.Write(w, err)
