--- a/internal/process/background.go
+++ b/internal/process/background.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc"
 )
 
-// Background runs a controller from the program's start to its stop, and waits
-// for its end.
+// Background starts run in a goroutine when the program starts. When the
+// program stops, it cancels the context and waits for run to return.
 func Background(lc fx.Lifecycle, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -31,7 +31,7 @@
 	})
 }
 
-// Every runs a job at an interval from the program's start to its stop.
+// Every runs a job periodically from the program's start to its stop.
 func Every(lc fx.Lifecycle, interval time.Duration, job func()) {
 	Background(lc, func(ctx context.Context) {
 		ticker := time.NewTicker(interval)
@@ -47,7 +47,7 @@
 	})
 }
 
-// Listen opens a listener at an ip:port.
+// Listen opens a listener on an ip:port.
 type Listen func(address string) (net.Listener, error)
 
 // ServeRPC serves gRPC from the program's start to its stop.
@@ -65,21 +65,21 @@
 	})
 }
 
-// adminReadLimit bounds the time in which an operator's client sends its
-// headers.
-const adminReadLimit = 10 * time.Second
+// adminReadHeaderTimeout is the timeout for reading the headers of an
+// administration request.
+const adminReadHeaderTimeout = 10 * time.Second
 
 // ServeAdmin serves an administration interface from the program's start to
 // its stop.
 func ServeAdmin(lc fx.Lifecycle, handler http.Handler, listen Listen, address string) {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminReadLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminReadHeaderTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return StartHTTP(server, listen, address) },
 		OnStop:  func(context.Context) error { return server.Close() },
 	})
 }
 
-// StartHTTP opens the listener of a server and serves in the background.
+// StartHTTP opens a server's listener and serves in the background.
 func StartHTTP(server *http.Server, listen Listen, address string) error {
 	l, err := listen(address)
 	if err != nil {
--- a/internal/process/logwriter.go
+++ b/internal/process/logwriter.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// logQueue bounds the lines that wait to be written: some 400 KB.
-	logQueue = 2048
-	// logFlush bounds how long the end of a process waits for its last lines.
-	logFlush = 200 * time.Millisecond
+	// logQueueLines is the maximum number of queued lines, about 400 KB.
+	logQueueLines = 2048
+	// logFlushTimeout is how long Close waits for the queued lines to be written.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// LogWriter passes lines on to a writer without ever blocking who logs. A
-// reader of our output that falls behind would otherwise stop every request
-// that logs a line. What doesn't fit into the queue is dropped and counted, and
-// the count is written once there is room.
+// LogWriter writes lines to a writer asynchronously and never blocks the
+// goroutine that logs. Otherwise a slow consumer of the output would stall
+// every request that logs a line. Lines that don't fit into the queue are
+// dropped and counted; the count is written before the next line.
 type LogWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	once    sync.Once
-	closing chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
+	closing   chan struct{}
 }
 
-// NewLogWriter returns a writer of lines to out; close it to have the last
-// ones written.
+// NewLogWriter returns a writer of lines to out. Close writes the lines that
+// are still queued.
 func NewLogWriter(out io.Writer) *LogWriter {
 	w := &LogWriter{
-		out: out, lines: make(chan []byte, logQueue), done: make(chan struct{}), closing: make(chan struct{}),
+		out: out, lines: make(chan []byte, logQueueLines), done: make(chan struct{}), closing: make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never fails: a lost log line must not become
-// the failure of a request.
+// Write implements io.Writer. It never fails, since a dropped log line must not
+// fail a request.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -49,12 +49,13 @@
 	return len(line), nil
 }
 
-// Close writes what waits, as long as that takes no time to speak of.
+// Close writes the queued lines and returns after a timeout at the latest. It
+// never fails.
 func (w *LogWriter) Close() error {
-	w.once.Do(func() { close(w.closing) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
-	case <-time.After(logFlush):
+	case <-time.After(logFlushTimeout):
 	}
 	return nil
 }
--- a/internal/process/logwriter_test.go
+++ b/internal/process/logwriter_test.go
@@ -18,27 +18,27 @@
 	RunSpecs(t, "process")
 }
 
-// slowReader takes nothing until it is let go.
-type slowReader struct {
-	let chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+// blockedWriter blocks writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *slowReader) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-func (s *slowReader) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
-var _ = Describe("the log's writer", func() {
+var _ = Describe("the log writer", func() {
 	It("writes every line in order", func() {
 		reader, writer := io.Pipe()
 		w := process.NewLogWriter(writer)
@@ -51,16 +51,16 @@
 		Expect(string(buf)).To(Equal("line 0\nline 1\nline 2\n"))
 	})
 
-	// Whoever collects the output has stopped reading. If logging waited for
-	// it, every request would stand still with it.
-	It("drops and counts lines in place of blocking", func() {
-		s := &slowReader{let: make(chan struct{})}
+	// If logging blocked while the consumer of the output has stopped reading,
+	// every request would stall.
+	It("drops and counts lines instead of blocking", func() {
+		s := &blockedWriter{unblock: make(chan struct{})}
 		w := process.NewLogWriter(s)
 		for range 5000 {
 			_, err := w.Write([]byte("line\n"))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		close(s.let)
+		close(s.unblock)
 		Eventually(s.text).Should(ContainSubstring("log lines dropped"))
 		Expect(w.Close()).To(Succeed())
 	})
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts and stops one of our programs: settings, logger,
-// fx application, signals, exit code.
+// Package process runs a server program: it parses the settings, creates the
+// logger and the fx application, handles signals and sets the exit code.
 package process
 
 import (
@@ -19,37 +19,41 @@
 	"filbertdeck/internal/settings"
 )
 
-// Exit codes of the serving programs.
+// Exit codes of the server programs.
 const (
-	ExitOK     = 0
-	ExitFailed = 1
+	ExitOK      = 0
+	ExitFailure = 1
 )
 
-// startTimeout bounds the start: listeners and first connections only.
+// startTimeout is the timeout for starting the application, which only opens
+// listeners and first connections.
 const startTimeout = 30 * time.Second
 
-// noticeSteps is how many notices a planned stop takes at most: three until it
-// refuses, one after the last request.
-const noticeSteps = 4
+// maxNoticePeriods is the maximum duration of the notice phases of a graceful
+// stop, as a multiple of Common.StopNotice: three until new requests are
+// rejected, and one after the last request.
+const maxNoticePeriods = 4
 
-// Program is one serving program.
+// Program describes one server program.
 type Program struct {
 	Name  string
 	About string
-	// Settings points to the program's settings, Common to the part in it that
-	// all programs share.
+	// Settings points to the program's settings, Common to the part of them
+	// that all programs share.
 	Settings any
 	Common   *settings.Common
-	// Prepare, if given, completes the settings after they were parsed, such as
-	// from a file that the deployment writes.
+	// Prepare, if given, completes the parsed settings, for example from a file
+	// that the deployment writes.
 	Prepare func() error
 	// LogTo receives the log lines; standard error by default.
 	LogTo io.Writer
-	// Options build the application from the settings.
+	// Options returns the fx options of the application. It is called after the
+	// settings were parsed.
 	Options func() []fx.Option
 }
 
-// Main runs the program until it is asked to stop and gives its exit code.
+// Main runs the program until it receives a stop signal and returns its exit
+// code.
 func Main(p Program) int {
 	err := settings.Parse(p.Name, p.About, p.Settings, os.Args[1:], os.Stdout)
 	if settings.IsHelp(err) {
@@ -77,11 +81,11 @@
 		fx.Provide(metrics.NewRegistry),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.StartTimeout(startTimeout),
-		fx.StopTimeout(noticeSteps*p.Common.StopNotice + p.Common.StopWait + startTimeout),
+		fx.StopTimeout(maxNoticePeriods*p.Common.StopNotice + p.Common.StopWait + startTimeout),
 	}, p.Options()...)
 	app := fx.New(options...)
 	if err := app.Err(); err != nil {
-		return failed(log, "cannot be built", err)
+		return reportFailure(log, "cannot be built", err)
 	}
 	return serve(app, log)
 }
@@ -90,7 +94,7 @@
 	startCtx, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
 	defer cancel()
 	if err := app.Start(startCtx); err != nil {
-		return failed(log, "cannot start", err)
+		return reportFailure(log, "cannot start", err)
 	}
 	log.Info("started")
 	signal := <-app.Wait()
@@ -98,20 +102,20 @@
 	stopCtx, cancelStop := context.WithTimeout(context.Background(), app.StopTimeout())
 	defer cancelStop()
 	if err := app.Stop(stopCtx); err != nil {
-		return failed(log, "did not stop in order", err)
+		return reportFailure(log, "did not stop in order", err)
 	}
 	log.Info("stopped")
 	return signal.ExitCode
 }
 
-func failed(log *slog.Logger, what string, err error) int {
+func reportFailure(log *slog.Logger, what string, err error) int {
 	var typed *failure.Error
 	if errors.As(err, &typed) && typed.Kind == failure.KindSettingInvalid {
 		fmt.Fprintln(os.Stderr, typed)
 		return settings.ExitUsage
 	}
 	log.Error("process "+what, "error", err)
-	return ExitFailed
+	return ExitFailure
 }
 
 // NewLogger returns the process's logger.
