--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,12 +1,13 @@
-// Package rpc makes the gRPC connections between our processes.
+// Package rpc creates the gRPC connections and servers that processes of the
+// system use among themselves.
 //
-// gRPC re-sends a call by itself when a connection breaks before the server
-// answered ("transparent retry"), and retries by service configuration. Calls
-// that may not run twice therefore carry ids that the callee checks; the
-// service configuration is ignored, so that none can be published by a name
-// service. A connection that goes silent is noticed by the callers of this
-// package through answers that stay out (each long-lived stream has a
-// heartbeat), since gRPC's own keepalive asks at most every ten seconds.
+// gRPC retries a call by itself when a connection breaks before the server
+// responded ("transparent retry"), and also as a service config says. Calls
+// that must not run twice therefore carry ids that the server checks, and
+// service configs are disabled, so that a name service can't supply one. The
+// users of this package detect an unresponsive peer by missing responses (each
+// long-lived stream has a heartbeat), since gRPC's keepalive pings at most
+// every ten seconds.
 package rpc
 
 import (
@@ -24,27 +25,27 @@
 )
 
 const (
-	// maxMessage bounds one message: a whole table of 11,000 accounts is below
-	// two megabytes.
-	maxMessage = 8 << 20
-	// The reconnection delays are short: a peer that was restarted is wanted
-	// back within a second, and each process has few peers.
-	reconnectBase = 50 * time.Millisecond
-	reconnectMax  = time.Second
-	connectLimit  = time.Second
+	// maxMessageSize is the size limit of one message, in bytes. A full table of
+	// 11,000 accounts is below two megabytes.
+	maxMessageSize = 8 << 20
+	// The reconnect delays are short, since the connection to a restarted peer
+	// should be restored within a second, and each process has few peers.
+	reconnectBaseDelay = 50 * time.Millisecond
+	reconnectMaxDelay  = time.Second
+	connectTimeout     = time.Second
 
-	// window is the fixed flow-control window. Without one gRPC estimates the
-	// bandwidth with a ping for each piece of data, which was a third to a half
-	// of the bytes of an idle session; a fixed window ends that.
-	window = 1 << 20
+	// flowControlWindow is the fixed flow-control window, in bytes. Without a
+	// fixed window, gRPC estimates the bandwidth and sends a ping for each data
+	// frame, which made up a third to a half of the bytes of an idle session.
+	flowControlWindow = 1 << 20
 
-	keepaliveTime    = 10 * time.Second
-	keepaliveTimeout = 2 * time.Second
-	keepaliveLeast   = 5 * time.Second
+	keepaliveInterval    = 10 * time.Second
+	keepaliveTimeout     = 2 * time.Second
+	keepaliveMinInterval = 5 * time.Second
 )
 
-// Credentials are the transport credentials of both directions; nil means
-// plain text.
+// Credentials holds the transport credentials of clients and servers; nil
+// means plain text.
 type Credentials struct {
 	Client, Server credentials.TransportCredentials
 }
@@ -56,8 +57,8 @@
 	return c.Client
 }
 
-// Dial returns a connection to an ip:port that is opened on first use. It
-// never asks a proxy or a name service.
+// Dial returns a connection to an ip:port that is established on first use. It
+// uses no proxy and no name resolution.
 func Dial(address string, c Credentials) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(c.client()),
@@ -65,38 +66,39 @@
 		grpc.WithDisableServiceConfig(),
 		grpc.WithDisableRetry(),
 		grpc.WithIdleTimeout(0),
-		grpc.WithInitialWindowSize(window),
-		grpc.WithInitialConnWindowSize(window),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
 		grpc.WithContextDialer(dialTCP),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: reconnectBase, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMax},
-			MinConnectTimeout: connectLimit,
+			Backoff:           backoff.Config{BaseDelay: reconnectBaseDelay, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMaxDelay},
+			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{
-			Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true,
+			Time: keepaliveInterval, Timeout: keepaliveTimeout, PermitWithoutStream: true,
 		}))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindControlLost, "address %s cannot be dialled", address)
+		return nil, failure.Wrap(err, failure.KindControlLost, "cannot create a client for address %s", address)
 	}
 	return conn, nil
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: connectLimit}
+	d := net.Dialer{Timeout: connectTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// NewServer returns a server whose callers may send keepalive pings.
+// NewServer returns a server that permits the keepalive pings of Dial's
+// connections.
 func NewServer(c Credentials) *grpc.Server {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.InitialWindowSize(window),
-		grpc.InitialConnWindowSize(window),
+		grpc.MaxRecvMsgSize(maxMessageSize),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
-			MinTime: keepaliveLeast, PermitWithoutStream: true,
+			MinTime: keepaliveMinInterval, PermitWithoutStream: true,
 		}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 	}
 	if c.Server != nil {
 		options = append(options, grpc.Creds(c.Server))
