--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -118,7 +118,7 @@
 		case errors.Is(err, io.EOF):
 			return failure.New(failure.KindTargetLost, "stream ended within an event").Unknown()
 		default:
-			return failure.Wrap(err, failure.KindTargetLost, "stream broke").Unknown()
+			return failure.Wrap(err, failure.KindTargetLost, "reading the stream failed").Unknown()
 		}
 	}
 }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -80,7 +80,7 @@
 		case errors.Is(err, io.EOF):
 			return failure.New(failure.KindTargetLost, "stream ended within an event").Unknown()
 		default:
-			return failure.Wrap(err, failure.KindTargetLost, "stream broke").Unknown()
+			return failure.Wrap(err, failure.KindTargetLost, "reading the stream failed").Unknown()
 		}
 	}
 }
--- a/internal/targetclient/dial.go
+++ b/internal/targetclient/dial.go
@@ -9,10 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpUserTimeout limits how long sent data may stay unacknowledged. A host that is
-// partitioned or without power sends nothing, not even a reset, and the kernel
-// would retransmit for minutes. On links with a latency of a few milliseconds,
-// two seconds without an acknowledgement mean several lost packets in a row.
+// tcpUserTimeout limits how long sent data may stay unacknowledged. A host that
+// is partitioned or without power sends nothing, not even a reset, and the
+// kernel would retransmit for minutes. On links with a latency of a few
+// milliseconds, two seconds without an acknowledgement mean several lost
+// packets in a row.
 const tcpUserTimeout = 2 * time.Second
 
 // Dial opens a TCP connection that detects an unresponsive peer: with
--- a/internal/targetclient/once.go
+++ b/internal/targetclient/once.go
@@ -150,7 +150,7 @@
 // classifyError converts an error of the transport. sent is set when the first
 // byte may have been sent; otherwise the call certainly did not run.
 func classifyError(err error, sent bool) *failure.Error {
-	kind, text := failure.KindTargetLost, "the target broke the connection"
+	kind, text := failure.KindTargetLost, "the connection to the target broke"
 	switch {
 	case isTimeout(err):
 		kind, text = failure.KindTargetTimeout, "the target did not respond in time"
