--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -1,5 +1,5 @@
-// Package secure turns the settings of a process into its TLS identity and its
-// listeners.
+// Package secure creates a process's TLS identity and listeners from its
+// settings.
 package secure
 
 import (
@@ -12,21 +12,21 @@
 	"filbertdeck/internal/tlsfiles"
 )
 
-// Identity is the process's TLS identity; without one it speaks plain text,
-// which must be asked for and is for loopback only.
+// Identity is the TLS identity of a process. A process without certificate uses
+// plain text, which must be enabled and is allowed on loopback addresses only.
 type Identity struct {
-	source *tlsfiles.Source
-	plain  bool
+	source    *tlsfiles.Source
+	plainText bool
 }
 
-// New reads the identity that the settings name.
+// New loads the certificate files from the settings.
 func New(c *settings.Common) (*Identity, error) {
 	if c.TLSCert == "" && c.TLSKey == "" {
-		return &Identity{plain: c.PlainText}, nil
+		return &Identity{plainText: c.PlainText}, nil
 	}
 	if c.TLSCert == "" || c.TLSKey == "" || c.TLSCA == "" {
 		return nil, failure.New(failure.KindSettingInvalid,
-			"--tls-cert (FILBERT_TLS_CERT), --tls-key (FILBERT_TLS_KEY) and --tls-ca (FILBERT_TLS_CA) go together; allowed: all three or none")
+			"--tls-cert (FILBERT_TLS_CERT), --tls-key (FILBERT_TLS_KEY) and --tls-ca (FILBERT_TLS_CA) must be set together; allowed: all three or none")
 	}
 	source, err := tlsfiles.Load(tlsfiles.Files{Cert: c.TLSCert, Key: c.TLSKey, CA: c.TLSCA})
 	if err != nil {
@@ -35,31 +35,31 @@
 	return &Identity{source: source}, nil
 }
 
-// Listen opens a listener without TLS of its own (gRPC brings it).
+// Listen opens a TCP listener for a gRPC server, which adds TLS itself.
 func (i *Identity) Listen(address string) (net.Listener, error) {
-	if err := tlsfiles.CheckListener(address, i.source != nil, i.plain); err != nil {
+	if err := tlsfiles.CheckListener(address, i.source != nil, i.plainText); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindSettingInvalid, "address %s cannot be listened on", address)
+		return nil, failure.Wrap(err, failure.KindSettingInvalid, "cannot listen on address %s", address)
 	}
 	return l, nil
 }
 
-// ListenHTTP opens a listener for HTTP. Callers show bearer keys, not
-// certificates, so they are not asked for one.
+// ListenHTTP opens a listener for HTTP. Callers authenticate with bearer keys,
+// so no client certificate is requested.
 func (i *Identity) ListenHTTP(address string) (net.Listener, error) {
 	l, err := i.Listen(address)
 	if err != nil || i.source == nil {
 		return l, err
 	}
-	config := i.source.Server().Clone()
+	config := i.source.ServerConfig().Clone()
 	config.ClientAuth = tls.NoClientCert
 	config.NextProtos = []string{"h2", "http/1.1"}
-	if per := config.GetConfigForClient; per != nil {
+	if getConfig := config.GetConfigForClient; getConfig != nil {
 		config.GetConfigForClient = func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			c, err := per(h)
+			c, err := getConfig(h)
 			if c != nil {
 				c = c.Clone()
 				c.ClientAuth, c.NextProtos = tls.NoClientCert, config.NextProtos
@@ -70,13 +70,14 @@
 	return tls.NewListener(l, config), nil
 }
 
-// Credentials are those of gRPC, mutual between our processes.
+// Credentials returns the gRPC credentials for mutual TLS between processes of
+// the system.
 func (i *Identity) Credentials() rpc.Credentials {
 	if i.source == nil {
 		return rpc.Credentials{}
 	}
 	return rpc.Credentials{
-		Client: i.source.GRPCClient(),
-		Server: i.source.GRPCServer(),
+		Client: i.source.ClientCredentials(),
+		Server: i.source.ServerCredentials(),
 	}
 }
--- a/internal/tlsfiles/grpc.go
+++ b/internal/tlsfiles/grpc.go
@@ -7,15 +7,16 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// GRPCServer returns credentials of a gRPC server that follow the files.
-func (s *Source) GRPCServer() credentials.TransportCredentials {
-	return credentials.NewTLS(s.Server())
+// ServerCredentials returns the credentials of a gRPC server. New connections
+// use the current files.
+func (s *Source) ServerCredentials() credentials.TransportCredentials {
+	return credentials.NewTLS(s.ServerConfig())
 }
 
-// GRPCClient returns credentials of a gRPC client that follow the files, the
-// authority's too.
-func (s *Source) GRPCClient() credentials.TransportCredentials {
-	return clientCredentials{credentials.NewTLS(s.Client()), s}
+// ClientCredentials returns the credentials of a gRPC client. New connections
+// use the current files, including the CA file.
+func (s *Source) ClientCredentials() credentials.TransportCredentials {
+	return clientCredentials{credentials.NewTLS(s.ClientConfig()), s}
 }
 
 type clientCredentials struct {
@@ -23,9 +24,10 @@
 	source *Source
 }
 
-// ClientHandshake secures one connection with the settings of the moment.
+// ClientHandshake implements credentials.TransportCredentials with the current
+// TLS configuration.
 func (c clientCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.source.Client()).ClientHandshake(ctx, authority, conn)
+	return credentials.NewTLS(c.source.ClientConfig()).ClientHandshake(ctx, authority, conn)
 }
 
 // Clone implements credentials.TransportCredentials.
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,11 +1,12 @@
-// Package tlsfiles gives TLS settings from files that may change while the
-// process runs: the platform renews certificates in place.
+// Package tlsfiles provides TLS configurations from files that may change
+// while the process runs: the platform renews certificates in place.
 //
-// The files are looked at again at handshakes, at most once an interval, so no
-// goroutine is needed and an idle process reads nothing. A set of files that
-// can't be used (half written, key and certificate of different ages) changes
-// nothing: the last good one stays in force and Failures counts it. Otherwise
-// a renewal that is caught half-way would cut a host off.
+// The files are checked for changes during handshakes, at most once per
+// interval, so that no goroutine is needed and an idle process reads nothing.
+// An invalid set of files (partially written, or a key that does not match its
+// certificate) is ignored: the last valid set stays in use, and the failed
+// reload is counted. Otherwise a handshake in the middle of a renewal would
+// disconnect the host.
 package tlsfiles
 
 import (
@@ -20,43 +21,45 @@
 	"filbertdeck/internal/failure"
 )
 
-// lookAgain is how often files are looked at, at most. Renewals happen days
-// before an expiry; seconds do not matter.
-const lookAgain = time.Second
+// minCheckInterval is the minimum interval between two checks for changed files.
+// Certificates are renewed days before they expire, so a delay of seconds does
+// not matter.
+const minCheckInterval = time.Second
 
-// Files names the files of one identity, in PEM.
+// Files holds the paths of one identity's PEM files.
 type Files struct {
 	Cert, Key string
-	// CA verifies the other side; empty leaves clients unverified and makes
-	// Client use the system's authorities.
+	// CA contains the CA certificates that verify peers. If it is empty,
+	// servers don't verify clients, and clients use the system's CAs.
 	CA string
 }
 
-// Source is an identity that follows its files. It is safe for concurrent use.
+// Source is a TLS identity that is reloaded when its files change. It is safe
+// for concurrent use.
 type Source struct {
 	files    Files
 	now      func() time.Time
 	current  atomic.Pointer[identity]
 	failures atomic.Int64
 
-	mu     sync.Mutex
-	looked time.Time
+	mu        sync.Mutex
+	lastCheck time.Time
 }
 
 type identity struct {
-	cert   *tls.Certificate
-	roots  *x509.CertPool
-	stamps [3]stamp
+	cert     *tls.Certificate
+	roots    *x509.CertPool
+	versions [3]fileVersion
 }
 
-// stamp tells two contents of a file apart without reading it.
-type stamp struct {
+// fileVersion distinguishes two contents of a file without reading it.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// Load reads the files; it fails with KindSettingInvalid when they can't be
-// used. Errors name files, never contents.
+// Load reads the files. It fails with KindSettingInvalid when they are invalid.
+// Errors contain file names, never contents.
 func Load(files Files) (*Source, error) {
 	s := &Source{files: files, now: time.Now}
 	id, err := files.read()
@@ -64,23 +67,23 @@
 		return nil, err
 	}
 	s.current.Store(id)
-	s.looked = s.now()
+	s.lastCheck = s.now()
 	return s, nil
 }
 
-// Failures counts the changes that could not be taken over.
-func (s *Source) Failures() int64 { return s.failures.Load() }
+// ReloadFailures returns the number of failed reloads.
+func (s *Source) ReloadFailures() int64 { return s.failures.Load() }
 
-// Expires is when the certificate in force ends.
-func (s *Source) Expires() time.Time { return s.latest().cert.Leaf.NotAfter }
+// ExpiresAt returns the expiry time of the current certificate.
+func (s *Source) ExpiresAt() time.Time { return s.refreshed().cert.Leaf.NotAfter }
 
-// Server returns the settings of a listener. With a CA, clients must present a
-// certificate that it signed (mutual TLS).
-func (s *Source) Server() *tls.Config {
+// ServerConfig returns the TLS configuration of a listener. With a CA file,
+// clients must present a certificate that the CA signed (mutual TLS).
+func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.latest().server(), nil
+			return s.refreshed().server(), nil
 		},
 	}
 }
@@ -94,12 +97,12 @@
 	return config
 }
 
-// Client returns the settings for the next connection: they present the
-// certificate and verify the server by the authority in force now. crypto/tls
-// fixes its roots with the settings, so settings that are kept don't follow a
-// change of the authority; ask for new ones at each dial.
-func (s *Source) Client() *tls.Config {
-	id := s.latest()
+// ClientConfig returns the TLS configuration for one connection. It presents the
+// current certificate and verifies the server with the current CA. A tls.Config
+// has fixed root CAs, so a cached one does not follow a change of the CA;
+// request a new one for each dial.
+func (s *Source) ClientConfig() *tls.Config {
+	id := s.refreshed()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*id.cert},
@@ -107,13 +110,14 @@
 	}
 }
 
-// latest gives the identity in force, after a look at the files when one is
-// due. Only one handshake at a time looks; the others use what there is.
-func (s *Source) latest() *identity {
+// refreshed returns the current identity and first checks the files for changes
+// if the interval has passed. Only one handshake at a time checks them; others
+// use the identity that is loaded.
+func (s *Source) refreshed() *identity {
 	if s.mu.TryLock() {
 		defer s.mu.Unlock()
-		if now := s.now(); now.Sub(s.looked) >= lookAgain {
-			s.looked = now
+		if now := s.now(); now.Sub(s.lastCheck) >= minCheckInterval {
+			s.lastCheck = now
 			s.reload()
 		}
 	}
@@ -121,8 +125,8 @@
 }
 
 func (s *Source) reload() {
-	stamps, err := s.files.stamps()
-	if err == nil && stamps == s.current.Load().stamps {
+	versions, err := s.files.versions()
+	if err == nil && versions == s.current.Load().versions {
 		return
 	}
 	id, err := s.files.read()
@@ -134,61 +138,62 @@
 }
 
 func (f Files) read() (*identity, error) {
-	// Stamps first: a change between the two is then seen at the next look.
-	stamps, err := f.stamps()
+	// The versions are read first, so that a change before the files are read
+	// is noticed at the next check.
+	versions, err := f.versions()
 	if err != nil {
 		return nil, err
 	}
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindSettingInvalid, "certificate %s and key %s", f.Cert, f.Key)
+		return nil, failure.Wrap(err, failure.KindSettingInvalid, "cannot load certificate %s with key %s", f.Cert, f.Key)
 	}
-	id := &identity{cert: &cert, stamps: stamps}
+	id := &identity{cert: &cert, versions: versions}
 	if f.CA == "" {
 		return id, nil
 	}
 	pem, err := os.ReadFile(f.CA)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindSettingInvalid, "authority file %s", f.CA)
+		return nil, failure.Wrap(err, failure.KindSettingInvalid, "cannot read CA file %s", f.CA)
 	}
 	id.roots = x509.NewCertPool()
 	if !id.roots.AppendCertsFromPEM(pem) {
-		return nil, failure.New(failure.KindSettingInvalid, "authority file %s holds no certificate", f.CA)
+		return nil, failure.New(failure.KindSettingInvalid, "CA file %s contains no certificate", f.CA)
 	}
 	return id, nil
 }
 
-func (f Files) stamps() ([3]stamp, error) {
-	var out [3]stamp
+func (f Files) versions() ([3]fileVersion, error) {
+	var out [3]fileVersion
 	for i, name := range []string{f.Cert, f.Key, f.CA} {
 		if name == "" {
 			continue
 		}
 		info, err := os.Stat(name)
 		if err != nil {
-			return out, failure.Wrap(err, failure.KindSettingInvalid, "file %s", name)
+			return out, failure.Wrap(err, failure.KindSettingInvalid, "cannot stat file %s", name)
 		}
-		out[i] = stamp{modified: info.ModTime(), size: info.Size()}
+		out[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 	}
 	return out, nil
 }
 
-// CheckListener refuses a listener in plain text unless it was asked for and
-// its address is a loopback one. Bearer keys and bodies would otherwise cross
-// the network in the clear because of one forgotten setting.
-func CheckListener(address string, secured, plainAsked bool) error {
-	if secured {
+// CheckListener rejects a plain text listener unless plain text is enabled and
+// the address is a loopback address. Otherwise one forgotten setting would send
+// bearer keys and bodies over the network unencrypted.
+func CheckListener(address string, hasTLS, plainTextAllowed bool) error {
+	if hasTLS {
 		return nil
 	}
-	if !plainAsked {
-		return failure.New(failure.KindSettingInvalid, "listener %s has no certificate and plain text was not asked for", address)
+	if !plainTextAllowed {
+		return failure.New(failure.KindSettingInvalid, "listener %s has no certificate and plain text is not enabled", address)
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return failure.Wrap(err, failure.KindSettingInvalid, "listener %s", address)
+		return failure.Wrap(err, failure.KindSettingInvalid, "invalid listener address %s", address)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return failure.New(failure.KindSettingInvalid, "listener %s: plain text is for loopback addresses", address)
+		return failure.New(failure.KindSettingInvalid, "listener %s: plain text is allowed on loopback addresses only", address)
 	}
 	return nil
 }
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -35,7 +35,7 @@
 	RunSpecs(t, "tlsfiles")
 }
 
-// authority signs certificates for 127.0.0.1.
+// authority is a CA that signs certificates for 127.0.0.1.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -54,14 +54,14 @@
 	return &authority{cert, key, der}
 }
 
-var serial int64 = 10
+var lastSerial int64 = 10
 
-// write puts a new certificate, its key and the authority into dir.
-func (a *authority) write(dir string) (files tlsfiles.Files, number int64) {
-	serial++
+// writeFiles writes a new certificate, its key and the CA certificate to dir.
+func (a *authority) writeFiles(dir string) (files tlsfiles.Files, serialNumber int64) {
+	lastSerial++
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(serial), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+		SerialNumber: big.NewInt(lastSerial), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -75,20 +75,21 @@
 		files.CA:   {Type: "CERTIFICATE", Bytes: a.der},
 	} {
 		Expect(os.WriteFile(name, pem.EncodeToMemory(block), 0o600)).To(Succeed())
-		changed := time.Now().Add(time.Duration(serial) * time.Minute) // a time of its own for each version
+		changed := time.Now().Add(time.Duration(lastSerial) * time.Minute) // distinct for each version
 		Expect(os.Chtimes(name, changed, changed)).To(Succeed())
 	}
-	return files, serial
+	return files, lastSerial
 }
 
-func load(files tlsfiles.Files) *tlsfiles.Source {
+func loadSource(files tlsfiles.Files) *tlsfiles.Source {
 	s, err := tlsfiles.Load(files)
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-// shake makes one connection and gives the server certificate's number.
-func shake(server, client *tls.Config) (int64, error) {
+// handshake opens one connection and returns the serial number of the server's
+// certificate.
+func handshake(server, client *tls.Config) (int64, error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = l.Close() }()
@@ -104,68 +105,68 @@
 	}
 	defer func() { _ = conn.Close() }()
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
-		return 0, err // a refusal of the client's certificate shows here
+		return 0, err // a rejected client certificate is reported by this read
 	}
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
 var _ = Describe("an identity from files", func() {
-	It("verifies both sides", func() {
-		ours, other := newAuthority(), newAuthority()
-		files, number := ours.write(GinkgoT().TempDir())
-		source := load(files)
-		Expect(shake(source.Server(), source.Client())).To(Equal(number))
-		foreignFiles, _ := other.write(GinkgoT().TempDir())
-		foreign := load(foreignFiles)
+	It("verifies clients and servers", func() {
+		trusted, other := newAuthority(), newAuthority()
+		files, number := trusted.writeFiles(GinkgoT().TempDir())
+		source := loadSource(files)
+		Expect(handshake(source.ServerConfig(), source.ClientConfig())).To(Equal(number))
+		otherFiles, _ := other.writeFiles(GinkgoT().TempDir())
+		otherSource := loadSource(otherFiles)
 		for name, pair := range map[string][2]*tls.Config{
-			"a client of another authority": {source.Server(), withRoots(foreign.Client(), source.Client())},
-			"a client without certificate":  {source.Server(), {InsecureSkipVerify: true}},
-			"a server of another authority": {foreign.Server(), source.Client()},
-			"a server of another name":      {source.Server(), named(source.Client(), "127.0.0.2")},
+			"a client of another CA":       {source.ServerConfig(), withRoots(otherSource.ClientConfig(), source.ClientConfig())},
+			"a client without certificate": {source.ServerConfig(), {InsecureSkipVerify: true}},
+			"a server of another CA":       {otherSource.ServerConfig(), source.ClientConfig()},
+			"a server of another name":     {source.ServerConfig(), withServerName(source.ClientConfig(), "127.0.0.2")},
 		} {
-			_, err := shake(pair[0], pair[1])
+			_, err := handshake(pair[0], pair[1])
 			Expect(err).To(HaveOccurred(), name)
 		}
-		Expect(source.Expires()).To(BeTemporally(">", time.Now()))
+		Expect(source.ExpiresAt()).To(BeTemporally(">", time.Now()))
 	})
 
-	// The platform renews a certificate in place. Processes that went on with
-	// the old one would be cut off from their peers at its expiry, all at once.
-	// A renewal that is caught half-way must change nothing until it is whole.
-	It("follows its files, and only whole sets of them", func() {
+	// The platform renews certificates in place. Processes that kept the old one
+	// would all lose their peers when it expires. A renewal that is only partly
+	// written must not take effect before it is complete.
+	It("is reloaded when a complete set of files has changed", func() {
 		dir := GinkgoT().TempDir()
-		files, before := newAuthority().write(dir)
-		source := load(files)
-		server := source.Server()
-		Expect(shake(server, source.Client())).To(Equal(before))
+		files, oldSerial := newAuthority().writeFiles(dir)
+		source := loadSource(files)
+		server := source.ServerConfig()
+		Expect(handshake(server, source.ClientConfig())).To(Equal(oldSerial))
 
 		oldKey, err := os.ReadFile(files.Key)
 		Expect(err).NotTo(HaveOccurred())
-		_, after := newAuthority().write(dir)
+		_, newSerial := newAuthority().writeFiles(dir)
 		newKey, err := os.ReadFile(files.Key)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(os.WriteFile(files.Key, oldKey, 0o600)).To(Succeed())
 		Eventually(func() int64 {
-			Expect(shake(server, source.Client())).To(Equal(before), "half a renewal")
-			return source.Failures()
+			Expect(handshake(server, source.ClientConfig())).To(Equal(oldSerial), "the renewal is incomplete")
+			return source.ReloadFailures()
 		}, "10s", "100ms").Should(BeNumerically(">", 0))
 
 		Expect(os.WriteFile(files.Key, newKey, 0o600)).To(Succeed())
-		Eventually(func() (int64, error) { return shake(server, source.Client()) }, "10s", "100ms").Should(Equal(after))
+		Eventually(func() (int64, error) { return handshake(server, source.ClientConfig()) }, "10s", "100ms").Should(Equal(newSerial))
 	})
 
-	It("secures gRPC in both directions", func() {
-		files, _ := newAuthority().write(GinkgoT().TempDir())
-		source := load(files)
+	It("authenticates gRPC clients and servers", func() {
+		files, _ := newAuthority().writeFiles(GinkgoT().TempDir())
+		source := loadSource(files)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		server := grpc.NewServer(grpc.Creds(source.GRPCServer()))
+		server := grpc.NewServer(grpc.Creds(source.ServerCredentials()))
 		go func() { _ = server.Serve(l) }()
 		DeferCleanup(server.Stop)
 		for creds, want := range map[credentials.TransportCredentials]codes.Code{
-			source.GRPCClient().Clone():       codes.Unimplemented, // it got through
-			insecure.NewCredentials():         codes.Unavailable,
-			credentials.NewTLS(&tls.Config{}): codes.Unavailable,
+			source.ClientCredentials().Clone(): codes.Unimplemented, // the call reached the server
+			insecure.NewCredentials():          codes.Unavailable,
+			credentials.NewTLS(&tls.Config{}):  codes.Unavailable,
 		} {
 			conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(creds))
 			Expect(err).NotTo(HaveOccurred())
@@ -175,9 +176,9 @@
 		}
 	})
 
-	It("is refused with a type when a file can't be used", func() {
+	It("is rejected with a typed error when a file is invalid", func() {
 		dir := GinkgoT().TempDir()
-		files, _ := newAuthority().write(dir)
+		files, _ := newAuthority().writeFiles(dir)
 		Expect(os.WriteFile(filepath.Join(dir, "empty"), nil, 0o600)).To(Succeed())
 		for _, broken := range []tlsfiles.Files{
 			{Cert: filepath.Join(dir, "none"), Key: files.Key},
@@ -190,22 +191,22 @@
 	})
 })
 
-// withRoots makes a client accept the server, so that the refusal is the
-// server's.
+// withRoots makes a client trust the server, so that only the server can reject
+// the connection.
 func withRoots(c, trusting *tls.Config) *tls.Config {
 	c.RootCAs = trusting.RootCAs
 	return c
 }
 
-func named(c *tls.Config, name string) *tls.Config {
+func withServerName(c *tls.Config, name string) *tls.Config {
 	c.ServerName = name
 	return c
 }
 
-var _ = DescribeTable("a listener in plain text must be asked for and local",
-	func(address string, secured, asked, ok bool) {
-		err := tlsfiles.CheckListener(address, secured, asked)
-		if ok {
+var _ = DescribeTable("a plain text listener must be enabled and on loopback",
+	func(address string, hasTLS, plainTextAllowed, valid bool) {
+		err := tlsfiles.CheckListener(address, hasTLS, plainTextAllowed)
+		if valid {
 			Expect(err).NotTo(HaveOccurred())
 			return
 		}
