--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,5 +1,5 @@
-// Package usage reads what a process has used, as the Linux kernel counts it.
-// The measuring tools use it; the system itself does not.
+// Package usage reads the CPU time and memory of a process from Linux's /proc.
+// Only the measurement tools use it.
 package usage
 
 import (
@@ -11,55 +11,57 @@
 	"filbertdeck/internal/failure"
 )
 
-// Usage is what a process has used since its start.
+// Usage is the resource usage of a process.
 type Usage struct {
+	// CPU is the user and system time since the process started.
 	CPU time.Duration
-	// Resident is memory in bytes.
+	// Resident is the resident memory in bytes.
 	Resident int64
 }
 
-// Add sums the usage of two processes.
+// Add returns the sum of two usages.
 func (u Usage) Add(v Usage) Usage {
 	return Usage{CPU: u.CPU + v.CPU, Resident: u.Resident + v.Resident}
 }
 
-// clockTick is the unit of processor times in /proc on Linux (USER_HZ).
+// clockTick is the unit of CPU times in /proc on Linux (1/USER_HZ).
 const clockTick = 10 * time.Millisecond
 
-// The places of figures after the program's name in /proc/PID/stat.
+// The indexes of fields after the program name in /proc/PID/stat.
 const (
-	fieldUser     = 11
-	fieldSystem   = 12
-	fieldResident = 21
+	fieldUserTime      = 11
+	fieldSystemTime    = 12
+	fieldResidentPages = 21
 )
 
-// Of reads the usage of a process from /proc.
+// Of returns the usage of a process.
 func Of(pid int) (Usage, error) {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return Usage{}, failure.Wrap(err, failure.KindInternal, "usage of process %d", pid)
+		return Usage{}, failure.Wrap(err, failure.KindInternal, "cannot read the usage of process %d", pid)
 	}
 	u, ok := Parse(string(stat))
 	if !ok {
-		return Usage{}, failure.New(failure.KindInternal, "usage of process %d cannot be read", pid)
+		return Usage{}, failure.New(failure.KindInternal, "cannot parse the usage of process %d", pid)
 	}
 	return u, nil
 }
 
-// Parse reads the text of /proc/PID/stat.
+// Parse parses the content of /proc/PID/stat.
 func Parse(stat string) (Usage, bool) {
-	// The name may hold spaces and brackets; the last bracket ends it.
+	// The program name may contain spaces and parentheses; the last closing
+	// parenthesis ends it.
 	end := strings.LastIndex(stat, ") ")
 	if end < 0 {
 		return Usage{}, false
 	}
 	fields := strings.Fields(stat[end+2:])
-	if len(fields) <= fieldResident {
+	if len(fields) <= fieldResidentPages {
 		return Usage{}, false
 	}
-	user, errUser := strconv.ParseInt(fields[fieldUser], 10, 64)
-	system, errSystem := strconv.ParseInt(fields[fieldSystem], 10, 64)
-	pages, errPages := strconv.ParseInt(fields[fieldResident], 10, 64)
+	user, errUser := strconv.ParseInt(fields[fieldUserTime], 10, 64)
+	system, errSystem := strconv.ParseInt(fields[fieldSystemTime], 10, 64)
+	pages, errPages := strconv.ParseInt(fields[fieldResidentPages], 10, 64)
 	ok := errUser == nil && errSystem == nil && errPages == nil
 	return Usage{CPU: time.Duration(user+system) * clockTick, Resident: pages * int64(os.Getpagesize())}, ok
 }
