--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics serves the counters of one process as JSON over HTTP.
+// Package metrics serves the metrics of a process as JSON over HTTP.
 package metrics
 
 import (
@@ -10,14 +10,14 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// NewRegistry returns the process's registry, with the runtime's own figures.
+// NewRegistry returns a registry that includes the Go runtime's memory metrics.
 func NewRegistry() gometrics.Registry {
 	r := gometrics.NewRegistry()
 	gometrics.RegisterRuntimeMemStats(r)
 	return r
 }
 
-// Handler serves every metric of the registry.
+// Handler serves all metrics of the registry.
 func Handler(r gometrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		gometrics.CaptureRuntimeMemStatsOnce(r)
@@ -28,7 +28,7 @@
 	})
 }
 
-// Mount adds the counters and Go's profiles to an administration listener.
+// Mount adds the metrics and Go's pprof profiles to an administration router.
 func Mount(r *mux.Router, reg gometrics.Registry) {
 	r.Handle("/metrics", Handler(reg))
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,7 +1,7 @@
-// Package prefix computes the hashes by which engines name the parts of a
-// prompt that they hold in their cache. The chain is the one that the engines
-// publish (docs/protocols.md): xxhash64 over blocks of 64 bytes, each hash
-// covering the one before it, so that equal hashes mean equal beginnings.
+// Package prefix computes the hashes with which engines identify the prompt
+// prefixes in their caches. It uses the engines' published scheme
+// (docs/protocols.md): xxhash64 over blocks of 64 bytes, where each hash covers
+// the previous one, so that equal hashes mean equal prefixes.
 package prefix
 
 import (
@@ -13,28 +13,30 @@
 const (
 	// BlockSize is the length of a block in bytes.
 	BlockSize = 64
-	// MaxBlocks bounds the chain that is sent with a request. Longer common
-	// beginnings than 2 KiB do not change the choice of a target, and each
-	// hash costs eight bytes on the wire.
+	// MaxBlocks limits the number of hashes that are sent with a request. Common
+	// prefixes beyond 2 KiB do not change the choice of a target, and each hash
+	// takes eight bytes on the wire.
 	MaxBlocks = 32
 )
 
-// Chain returns the hashes of the prompt's whole leading blocks.
+// Chain returns the hashes of the prompt's complete leading blocks, at most
+// MaxBlocks of them.
 func Chain(prompt string) []uint64 {
 	n := min(len(prompt)/BlockSize, MaxBlocks)
 	chain := make([]uint64, 0, n)
-	var earlier uint64
+	var previous uint64
 	var buf [8 + BlockSize]byte
 	for i := range n {
-		binary.LittleEndian.PutUint64(buf[:8], earlier)
+		binary.LittleEndian.PutUint64(buf[:8], previous)
 		copy(buf[8:], prompt[i*BlockSize:(i+1)*BlockSize])
-		earlier = xxhash.Sum64(buf[:])
-		chain = append(chain, earlier)
+		previous = xxhash.Sum64(buf[:])
+		chain = append(chain, previous)
 	}
 	return chain
 }
 
-// Fingerprint names a request: equal for equal requests of any account.
+// Fingerprint returns a hash of a request. Equal requests have the same
+// fingerprint, whatever their account.
 func Fingerprint(service, prompt string, maxTokens int) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(service)
--- a/internal/rolloutwire/rolloutwire.go
+++ b/internal/rolloutwire/rolloutwire.go
@@ -1,5 +1,5 @@
-// Package rolloutwire translates documents between the types that decide and
-// the messages that hosts exchange.
+// Package rolloutwire converts between the document types of
+// internal/decide/rollout and the protobuf messages that hosts exchange.
 package rolloutwire
 
 import (
@@ -7,22 +7,23 @@
 	"filbertdeck/internal/decide/rollout"
 )
 
-// ToHead gives the message of a head; section names the document where a
-// message carries heads of several.
+// ToHead converts a head to its message. section names the document, for
+// messages that contain the heads of several documents.
 func ToHead(section string, h rollout.Head) *filbertv1.DocumentHead {
 	return &filbertv1.DocumentHead{
 		Section: section, Epoch: h.Version.Epoch, Revision: h.Version.Revision, Digest: h.Digest,
 	}
 }
 
-// FromHead reads a head; a missing one is that of no document.
+// FromHead converts a message to a head. A nil message gives the zero head,
+// which stands for no document.
 func FromHead(h *filbertv1.DocumentHead) rollout.Head {
 	return rollout.Head{
 		Version: rollout.Version{Epoch: h.GetEpoch(), Revision: h.GetRevision()}, Digest: h.GetDigest(),
 	}
 }
 
-// ToDelta gives the message of a delta.
+// ToDelta converts a delta to its message.
 func ToDelta(section string, d rollout.Delta) *filbertv1.DocumentDelta {
 	out := &filbertv1.DocumentDelta{
 		Head: ToHead(section, d.Head), FromEpoch: d.From.Epoch, FromRevision: d.From.Revision, Full: d.Full,
@@ -34,7 +35,7 @@
 	return out
 }
 
-// FromDelta reads a delta.
+// FromDelta converts a message to a delta.
 func FromDelta(d *filbertv1.DocumentDelta) rollout.Delta {
 	out := rollout.Delta{
 		From: rollout.Version{Epoch: d.GetFromEpoch(), Revision: d.GetFromRevision()},
