--- a/internal/blackboard/section.go
+++ b/internal/blackboard/section.go
@@ -1,8 +1,8 @@
-// Package blackboard holds what the controllers of one process know, in typed
-// sections. Each section has one writer, the controller that owns it; any
-// number of goroutines read it without a lock, through an immutable snapshot
-// (read-copy-update). A reader keeps the snapshot that it got for as long as
-// it works on one request, so that it never sees half a change.
+// Package blackboard provides the shared state of one process's controllers, in
+// typed sections. Each section has one writer, the controller that owns it. Any
+// number of goroutines read it without locking, through immutable snapshots
+// (read-copy-update). A reader uses one snapshot for the whole of a request, so
+// that it never sees a partial change.
 package blackboard
 
 import (
@@ -12,7 +12,8 @@
 	"filbertdeck/internal/failure"
 )
 
-// Section is one typed part of the blackboard. The zero value is empty.
+// Section is one typed part of the blackboard. The zero value is an empty
+// section.
 type Section[T any] struct {
 	value   atomic.Pointer[T]
 	claimed atomic.Bool
@@ -21,12 +22,12 @@
 	changed chan struct{}
 }
 
-// Get returns the snapshot in force, nil before the first write. The caller
-// must not change it.
+// Get returns the current snapshot, or nil before the first write. The caller
+// must not modify it.
 func (s *Section[T]) Get() *T { return s.value.Load() }
 
-// Changed returns a channel that is closed at the next write. Take it before
-// Get, so that no write falls between the two.
+// Changed returns a channel that is closed at the next write. Call it before
+// Get, so that no write between the two calls is missed.
 func (s *Section[T]) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,11 +37,11 @@
 	return s.changed
 }
 
-// Claim gives the section's only writer. A second claim fails: two writers
-// would undo each other's snapshots without anyone noticing.
+// Claim returns the section's only writer. A second call fails, since two
+// writers would silently overwrite each other's snapshots.
 func (s *Section[T]) Claim() (*Writer[T], error) {
 	if !s.claimed.CompareAndSwap(false, true) {
-		return nil, failure.New(failure.KindInternal, "section of type %T has a writer already", *new(T))
+		return nil, failure.New(failure.KindInternal, "section of type %T already has a writer", *new(T))
 	}
 	return &Writer[T]{section: s}, nil
 }
@@ -48,11 +49,11 @@
 // Writer publishes snapshots of one section.
 type Writer[T any] struct{ section *Section[T] }
 
-// Get returns the snapshot in force, nil before the first write.
+// Get returns the current snapshot, or nil before the first write.
 func (w *Writer[T]) Get() *T { return w.section.Get() }
 
-// Publish makes value the snapshot in force and wakes those who wait. The
-// value must not change afterwards.
+// Publish makes value the current snapshot and notifies the receivers of
+// Changed. The caller must not modify value afterwards.
 func (w *Writer[T]) Publish(value *T) {
 	s := w.section
 	s.value.Store(value)
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -1,5 +1,5 @@
-// Package reference writes the configuration reference from the settings' own
-// declarations, so that the page cannot differ from the programs.
+// Package reference generates the configuration reference from the settings
+// declarations, so that the page always matches the programs.
 package reference
 
 import (
@@ -13,7 +13,7 @@
 	"filbertdeck/internal/settings"
 )
 
-// Program is one program's part of the page.
+// Program is one program's section of the page.
 type Program struct {
 	Name, About string
 	Settings    any
@@ -29,7 +29,7 @@
 	}
 }
 
-const head = `# Configuration reference
+const pageHeader = `# Configuration reference
 
 Made by ` + "`make reference`" + ` from the settings' declarations; CI checks that it is in
 date. Each setting is a flag or an environment variable; the flag wins. Every
@@ -37,15 +37,15 @@
 and one line that names flag, variable, value and what is allowed.
 `
 
-// Markdown gives the page.
+// Markdown returns the page.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(pageHeader)
 	for _, p := range Programs() {
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", p.Name, firstParagraph(p.About))
 		b.WriteString("| flag | variable | default | allowed | meaning |\n|---|---|---|---|---|\n")
 		for _, f := range settings.Fields(p.Settings) {
-			fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", f.Flag, f.EnvVar, code(f.Default), f.Allowed, f.Help)
+			fmt.Fprintf(&b, "| `%s` | `%s` | %s | %s | %s |\n", f.Flag, f.EnvVar, inlineCode(f.Default), f.Allowed, f.Help)
 		}
 	}
 	return b.String()
@@ -56,7 +56,7 @@
 	return first
 }
 
-func code(text string) string {
+func inlineCode(text string) string {
 	if text == "" {
 		return ""
 	}
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,13 +1,13 @@
-// Package version names the build.
+// Package version provides the version of the build.
 package version
 
 import "runtime/debug"
 
-// Release is the version of the source; the build's revision is added to it
-// where the toolchain recorded one.
+// Release is the release version of the source code.
 const Release = "0.1.0"
 
-// String gives the release and, if known, the revision it was built from.
+// String returns the release, followed by the VCS revision if the toolchain
+// recorded one in the build.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,4 +1,5 @@
-// Package wake has the two small things that controllers wait with.
+// Package wake provides helpers for goroutines that wait for a time or for a
+// signal.
 package wake
 
 import (
@@ -6,25 +7,25 @@
 	"time"
 )
 
-// Sleep waits for a time, or until ctx is done; a time that is not positive is
-// over at once.
+// Sleep waits for d or until ctx is done. It returns immediately if d is not
+// positive.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
-// Signal wakes who waits on a channel of one place; a signal that waits there
-// already says the same.
-func Signal(c chan struct{}) {
+// Signal wakes the receiver of a channel with a buffer of one. It never blocks:
+// if a signal is pending already, another one is not needed.
+func Signal(ch chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case ch <- struct{}{}:
 	default:
 	}
 }
