--- a/cmd/filbert-burn/main.go
+++ b/cmd/filbert-burn/main.go
@@ -1,5 +1,5 @@
-// Filbert-burn reports service-level burn, shares and the evidence for each
-// promise.
+// Command filbert-burn reports the burn rates of the service-level objectives,
+// the shares of the client accounts and the evidence for each guarantee.
 package main
 
 import (
--- a/cmd/filbert-control/main.go
+++ b/cmd/filbert-control/main.go
@@ -1,4 +1,5 @@
-// Filbert-control admits requests to targets on an entry host.
+// Command filbert-control runs the control process on an entry host, which
+// admits requests to targets.
 package main
 
 import (
--- a/cmd/filbert-demo/main.go
+++ b/cmd/filbert-demo/main.go
@@ -1,4 +1,5 @@
-// Filbert-demo runs the product's main job on one machine and shows it.
+// Command filbert-demo demonstrates the main functions of the system on one
+// computer.
 package main
 
 import (
@@ -15,20 +16,20 @@
 	"filbertdeck/internal/version"
 )
 
-// limit bounds the whole demo.
-const limit = time.Minute
+// timeout is the time limit of the demo.
+const timeout = time.Minute
 
 type args struct {
 	BinDir string `arg:"--bin-dir,env:FILBERT_DEMO_BIN_DIR" default:"bin" help:"folder of the programs"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements go-arg's Versioned interface.
 func (args) Version() string { return "filbert-demo " + version.String() }
 
 func main() {
 	var a args
 	arg.MustParse(&a)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/filbert-entry/main.go
+++ b/cmd/filbert-entry/main.go
@@ -1,4 +1,4 @@
-// Filbert-entry takes callers' requests on an entry host.
+// Command filbert-entry serves callers' requests on an entry host.
 package main
 
 import (
--- a/cmd/filbert-experiment/main.go
+++ b/cmd/filbert-experiment/main.go
@@ -1,6 +1,6 @@
-// Command filbert-experiment measures the admission decisions against naive
-// ones, without network and with a fake clock, and prints one table a
-// scenario.
+// Command filbert-experiment compares the admission decisions with simple
+// baselines, without a network and with a simulated clock, and prints one table
+// per scenario.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	List  bool     `arg:"--list" help:"list the scenarios and end"`
 }
 
-// Version is what --version prints.
+// Version implements go-arg's Versioned interface.
 func (settings) Version() string { return "filbert-experiment " + version.String() }
 
 func main() {
--- a/cmd/filbert-gateway/main.go
+++ b/cmd/filbert-gateway/main.go
@@ -1,5 +1,5 @@
-// Filbert-gateway relays callers' requests to targets on an entry host of the
-// users' platform.
+// Command filbert-gateway relays callers' requests to targets on an entry host
+// of the users' platform.
 package main
 
 import (
--- a/cmd/filbert-load/main.go
+++ b/cmd/filbert-load/main.go
@@ -1,5 +1,5 @@
-// Command filbert-load makes an open-loop load on entries and measures what
-// callers receive.
+// Command filbert-load generates open-loop load on entries and measures the
+// responses.
 package main
 
 import (
--- a/cmd/filbert-overhead/main.go
+++ b/cmd/filbert-overhead/main.go
@@ -1,4 +1,5 @@
-// Filbert-overhead measures what an entry and a control process cost.
+// Command filbert-overhead measures the latency, CPU time and memory that an
+// entry and a control process add.
 package main
 
 import (
@@ -25,16 +26,16 @@
 	Idle     time.Duration `arg:"--idle" default:"5s" help:"how long an idle control process is watched"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements go-arg's Versioned interface.
 func (args) Version() string { return "filbert-overhead " + version.String() }
 
-// limit bounds the whole measurement.
-const limit = 5 * time.Minute
+// timeout is the time limit of all measurements together.
+const timeout = 5 * time.Minute
 
 func main() {
 	var a args
 	arg.MustParse(&a)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/filbert-paired/main.go
+++ b/cmd/filbert-paired/main.go
@@ -1,4 +1,5 @@
-// Filbert-paired plays the same days with two checkouts and compares them.
+// Command filbert-paired simulates the same days with two checkouts and compares
+// the results.
 package main
 
 import (
@@ -27,7 +28,7 @@
 	Why       string   `arg:"--why" default:"paired comparison" help:"noted with each run"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements go-arg's Versioned interface.
 func (args) Version() string { return "filbert-paired " + version.String() }
 
 func main() {
--- a/cmd/filbert-reference/main.go
+++ b/cmd/filbert-reference/main.go
@@ -1,4 +1,5 @@
-// Filbert-reference writes the configuration reference to standard output.
+// Command filbert-reference writes the configuration reference to standard
+// output.
 package main
 
 import (
--- a/cmd/filbert-slopes/main.go
+++ b/cmd/filbert-slopes/main.go
@@ -1,4 +1,5 @@
-// Filbert-slopes measures how each role's cost grows, for docs/CAPACITY.md.
+// Command filbert-slopes measures how the cost of each role grows with its
+// load, for docs/CAPACITY.md.
 package main
 
 import (
@@ -15,30 +16,30 @@
 	"filbertdeck/internal/version"
 )
 
-type timed struct {
+type durationArgs struct {
 	Over time.Duration `arg:"--over" default:"10s" help:"how long each state is watched"`
 }
 
 type processArgs struct {
-	timed
+	durationArgs
 	BinDir string   `arg:"--bin-dir" default:"bin" help:"folder of the programs"`
 	Edits  int      `arg:"--edits" default:"2" help:"edits of one row a second"`
 	Points []string `arg:"positional" help:"accounts, targets, fleet, published, all; each without a name"`
 }
 
 type args struct {
-	Plan       *struct{}    `arg:"subcommand:plan" help:"the plan of pools, in this process"`
-	Table      *struct{}    `arg:"subcommand:table" help:"the table in force and its push to an entry, in this process"`
-	Accounting *struct{}    `arg:"subcommand:accounting" help:"the counters that an entry hands to its control process, in this process"`
-	Admission  *timed       `arg:"subcommand:admission" help:"the session between an entry and an allocator, on loopback"`
-	Processes  *processArgs `arg:"subcommand:processes" help:"real processes against accounts, targets, hosts and edits"`
+	Plan       *struct{}     `arg:"subcommand:plan" help:"the plan of pools, in this process"`
+	Table      *struct{}     `arg:"subcommand:table" help:"the table in force and its push to an entry, in this process"`
+	Accounting *struct{}     `arg:"subcommand:accounting" help:"the counters that an entry hands to its control process, in this process"`
+	Admission  *durationArgs `arg:"subcommand:admission" help:"the session between an entry and an allocator, on loopback"`
+	Processes  *processArgs  `arg:"subcommand:processes" help:"real processes against accounts, targets, hosts and edits"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version implements go-arg's Versioned interface.
 func (args) Version() string { return "filbert-slopes " + version.String() }
 
-// limit bounds a whole measurement.
-const limit = 10 * time.Minute
+// timeout is the time limit of one measurement.
+const timeout = 10 * time.Minute
 
 func main() {
 	var a args
@@ -46,7 +47,7 @@
 	if parser.Subcommand() == nil {
 		parser.Fail("a subcommand is missing")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/filbert-standin/main.go
+++ b/cmd/filbert-standin/main.go
@@ -1,5 +1,5 @@
-// Command filbert-standin runs one stand-in for tests and the demo: the
-// platform's configuration service, a model engine or a plain service.
+// Command filbert-standin runs a simulated configuration service, model engine
+// or plain service for tests and the demo.
 package main
 
 import (
--- a/cmd/filbertctl/main.go
+++ b/cmd/filbertctl/main.go
@@ -1,4 +1,4 @@
-// Filbertctl is the operators' command line.
+// Command filbertctl is the operators' command-line tool.
 package main
 
 import (
