--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -24,8 +24,8 @@
 
 // Lifecycle is the state of a server process. It is safe for concurrent use.
 type Lifecycle struct {
-	ready     func() error
-	startedAt time.Time
+	checkReady func() error
+	startedAt  time.Time
 
 	mu         sync.Mutex
 	stop       *drain.Stop
@@ -44,7 +44,7 @@
 
 // NewWithStop is New with each duration of the stop set separately.
 func NewWithStop(ready func() error, stop drain.StopConfig) *Lifecycle {
-	return &Lifecycle{ready: ready, startedAt: time.Now(), stop: drain.NewStop(stop)}
+	return &Lifecycle{checkReady: ready, startedAt: time.Now(), stop: drain.NewStop(stop)}
 }
 
 func (l *Lifecycle) now() time.Duration { return time.Since(l.startedAt) }
@@ -85,7 +85,7 @@
 	if !accepting {
 		return failure.New(failure.KindStopping, "the process is stopping")
 	}
-	return l.ready()
+	return l.checkReady()
 }
 
 // Stop performs a graceful stop. It returns an error if requests were still in
--- a/internal/process/background.go
+++ b/internal/process/background.go
@@ -47,11 +47,11 @@
 	})
 }
 
-// Listen opens a listener on an ip:port.
-type Listen func(address string) (net.Listener, error)
+// ListenFunc opens a listener on an ip:port.
+type ListenFunc func(address string) (net.Listener, error)
 
 // ServeRPC serves gRPC from the program's start to its stop.
-func ServeRPC(lc fx.Lifecycle, server *grpc.Server, listen Listen, address string) {
+func ServeRPC(lc fx.Lifecycle, server *grpc.Server, listen ListenFunc, address string) {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			l, err := listen(address)
@@ -71,7 +71,7 @@
 
 // ServeAdmin serves an administration interface from the program's start to
 // its stop.
-func ServeAdmin(lc fx.Lifecycle, handler http.Handler, listen Listen, address string) {
+func ServeAdmin(lc fx.Lifecycle, handler http.Handler, listen ListenFunc, address string) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminReadHeaderTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return StartHTTP(server, listen, address) },
@@ -80,7 +80,7 @@
 }
 
 // StartHTTP opens a server's listener and serves in the background.
-func StartHTTP(server *http.Server, listen Listen, address string) error {
+func StartHTTP(server *http.Server, listen ListenFunc, address string) error {
 	l, err := listen(address)
 	if err != nil {
 		return err
--- a/internal/process/logwriter_test.go
+++ b/internal/process/logwriter_test.go
@@ -25,17 +25,17 @@
 	written bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.unblock
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.Write(p)
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.written.Write(p)
 }
 
-func (s *blockedWriter) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.String()
+func (b *blockedWriter) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.written.String()
 }
 
 var _ = Describe("the log writer", func() {
@@ -54,14 +54,14 @@
 	// If logging blocked while the consumer of the output has stopped reading,
 	// every request would stall.
 	It("drops and counts lines instead of blocking", func() {
-		s := &blockedWriter{unblock: make(chan struct{})}
-		w := process.NewLogWriter(s)
+		out := &blockedWriter{unblock: make(chan struct{})}
+		w := process.NewLogWriter(out)
 		for range 5000 {
 			_, err := w.Write([]byte("line\n"))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		close(s.unblock)
-		Eventually(s.text).Should(ContainSubstring("log lines dropped"))
+		close(out.unblock)
+		Eventually(out.text).Should(ContainSubstring("log lines dropped"))
 		Expect(w.Close()).To(Succeed())
 	})
 })
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -108,13 +108,13 @@
 	return signal.ExitCode
 }
 
-func reportFailure(log *slog.Logger, what string, err error) int {
+func reportFailure(log *slog.Logger, event string, err error) int {
 	var typed *failure.Error
 	if errors.As(err, &typed) && typed.Kind == failure.KindSettingInvalid {
 		fmt.Fprintln(os.Stderr, typed)
 		return settings.ExitUsage
 	}
-	log.Error("process "+what, "error", err)
+	log.Error("process "+event, "error", err)
 	return ExitFailure
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,12 +40,12 @@
 
 // String gives the flag, the environment variable, the value and the allowed
 // values. It omits the value of a secret.
-func (f InvalidValue) String() string {
-	value := f.Value
-	if f.Secret {
+func (v InvalidValue) String() string {
+	value := v.Value
+	if v.Secret {
 		value = "(secret)"
 	}
-	return fmt.Sprintf("%s (%s) is %q: %s; allowed: %s", f.Flag, f.EnvVar, value, f.Reason, f.Allowed)
+	return fmt.Sprintf("%s (%s) is %q: %s; allowed: %s", v.Flag, v.EnvVar, value, v.Reason, v.Allowed)
 }
 
 var errHelp = failure.New(failure.KindSettingInvalid, "help or version was printed")
@@ -81,8 +81,8 @@
 		return nil
 	}
 	lines := make([]string, len(invalid))
-	for i, f := range invalid {
-		lines[i] = f.String()
+	for i, v := range invalid {
+		lines[i] = v.String()
 	}
 	return failure.New(failure.KindSettingInvalid, "%s", strings.Join(lines, "; "))
 }
--- a/internal/targetclient/targetclient_test.go
+++ b/internal/targetclient/targetclient_test.go
@@ -120,15 +120,15 @@
 			Expect(drainBody(defaultClient.Do(controlTarget.request(method, "booking", header)))).To(Succeed(), "the caller receives no error")
 			Expect(controlTarget.executions("booking")).To(Equal(2), "http.Client must show the double execution")
 
-			for name, do := range map[string]func(*http.Request) (*http.Response, error){
+			for name, send := range map[string]func(*http.Request) (*http.Response, error){
 				"once": func(req *http.Request) (*http.Response, error) {
 					return targetclient.NewOnce(targetclient.Settings{}).Do(req, nil)
 				},
 				"ordinary": targetclient.New(targetclient.Settings{}).Do,
 			} {
 				target := newRecordingTarget(1, closeConn)
-				Expect(drainBody(do(target.request("POST", "warm up", "")))).To(Succeed())
-				err := drainBody(do(target.request(method, "booking", header)))
+				Expect(drainBody(send(target.request("POST", "warm up", "")))).To(Succeed())
+				err := drainBody(send(target.request(method, "booking", header)))
 				Expect(target.executions("booking")).To(Equal(1), name)
 				if name == "ordinary" {
 					Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
@@ -211,13 +211,13 @@
 	_ = listener.Close()
 
 	DescribeTable("is certain before the first byte and unknown after it",
-		func(before func() error, fail func(net.Conn), unreachable bool, kind failure.Kind, executed failure.Executed, runs int) {
+		func(beforeWrite func() error, fail func(net.Conn), unreachable bool, kind failure.Kind, executed failure.Executed, runs int) {
 			target := newRecordingTarget(0, fail)
 			req := target.request("POST", "booking", "Idempotency-Key")
 			if unreachable {
 				req.URL.Host = unusedAddress
 			}
-			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(req, before))
+			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(req, beforeWrite))
 			Expect(failure.KindOf(err)).To(Equal(kind))
 			Expect(failure.From(err).Executed).To(Equal(executed))
 			Expect(target.executions("booking")).To(Equal(runs))
@@ -251,11 +251,11 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			time.Sleep(time.Second)
 		})
-		for _, do := range []func(*http.Request) (*http.Response, error){
+		for _, send := range []func(*http.Request) (*http.Response, error){
 			targetclient.New(shortTimeouts).Do,
 			func(r *http.Request) (*http.Response, error) { return targetclient.NewOnce(shortTimeouts).Do(r, nil) },
 		} {
-			resp, err := do(target.request("POST", "x", ""))
+			resp, err := send(target.request("POST", "x", ""))
 			Expect(err).NotTo(HaveOccurred())
 			text, err := io.ReadAll(resp.Body)
 			Expect(string(text)).To(Equal("half"))
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/tlsfiles/tlsfiles_test.go
@@ -113,18 +113,18 @@
 var _ = Describe("an identity from files", func() {
 	It("verifies clients and servers", func() {
 		trusted, other := newAuthority(), newAuthority()
-		files, number := trusted.writeFiles(GinkgoT().TempDir())
+		files, serialNumber := trusted.writeFiles(GinkgoT().TempDir())
 		source := loadSource(files)
-		Expect(handshake(source.ServerConfig(), source.ClientConfig())).To(Equal(number))
+		Expect(handshake(source.ServerConfig(), source.ClientConfig())).To(Equal(serialNumber))
 		otherFiles, _ := other.writeFiles(GinkgoT().TempDir())
 		otherSource := loadSource(otherFiles)
-		for name, pair := range map[string][2]*tls.Config{
+		for name, configs := range map[string][2]*tls.Config{
 			"a client of another CA":       {source.ServerConfig(), withRoots(otherSource.ClientConfig(), source.ClientConfig())},
 			"a client without certificate": {source.ServerConfig(), {InsecureSkipVerify: true}},
 			"a server of another CA":       {otherSource.ServerConfig(), source.ClientConfig()},
 			"a server of another name":     {source.ServerConfig(), withServerName(source.ClientConfig(), "127.0.0.2")},
 		} {
-			_, err := handshake(pair[0], pair[1])
+			_, err := handshake(configs[0], configs[1])
 			Expect(err).To(HaveOccurred(), name)
 		}
 		Expect(source.ExpiresAt()).To(BeTemporally(">", time.Now()))
@@ -180,12 +180,12 @@
 		dir := GinkgoT().TempDir()
 		files, _ := newAuthority().writeFiles(dir)
 		Expect(os.WriteFile(filepath.Join(dir, "empty"), nil, 0o600)).To(Succeed())
-		for _, broken := range []tlsfiles.Files{
+		for _, invalid := range []tlsfiles.Files{
 			{Cert: filepath.Join(dir, "none"), Key: files.Key},
 			{Cert: files.Key, Key: files.Cert},
 			{Cert: files.Cert, Key: files.Key, CA: filepath.Join(dir, "empty")},
 		} {
-			_, err := tlsfiles.Load(broken)
+			_, err := tlsfiles.Load(invalid)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		}
 	})
@@ -193,8 +193,8 @@
 
 // withRoots makes a client trust the server, so that only the server can reject
 // the connection.
-func withRoots(c, trusting *tls.Config) *tls.Config {
-	c.RootCAs = trusting.RootCAs
+func withRoots(c, rootsFrom *tls.Config) *tls.Config {
+	c.RootCAs = rootsFrom.RootCAs
 	return c
 }
 
