--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -28,7 +28,7 @@
 	startedAt  time.Time
 
 	mu         sync.Mutex
-	stop       *drain.Stop
+	stop       *drain.Shutdown
 	inProgress int
 }
 
@@ -37,14 +37,14 @@
 // after it reports not ready. wait limits how long a stop waits for requests in
 // progress; 0 means no limit.
 func New(ready func() error, notice, wait time.Duration) *Lifecycle {
-	return NewWithStop(ready, drain.StopConfig{
-		AnnounceFor: notice, QuietFor: notice, AnnounceLimit: 3 * notice, LingerFor: notice, FinishLimit: wait,
+	return NewWithStop(ready, drain.ShutdownConfig{
+		MinAnnounce: notice, QuietPeriod: notice, MaxAnnounce: 3 * notice, LingerDuration: notice, DrainTimeout: wait,
 	})
 }
 
 // NewWithStop is New with each duration of the stop set separately.
-func NewWithStop(ready func() error, stop drain.StopConfig) *Lifecycle {
-	return &Lifecycle{checkReady: ready, startedAt: time.Now(), stop: drain.NewStop(stop)}
+func NewWithStop(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
+	return &Lifecycle{checkReady: ready, startedAt: time.Now(), stop: drain.NewShutdown(stop)}
 }
 
 func (l *Lifecycle) now() time.Duration { return time.Since(l.startedAt) }
@@ -55,8 +55,8 @@
 func (l *Lifecycle) Begin() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stop.Arrived(l.now())
-	if !l.stop.TakesNew() {
+	l.stop.NoteArrival(l.now())
+	if !l.stop.AcceptsNew() {
 		return nil, failure.New(failure.KindStopping, "the process is stopping").After(stoppingRetryAfter)
 	}
 	l.inProgress++
@@ -116,7 +116,7 @@
 func (l *Lifecycle) interrupted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stop.Cut()
+	return l.stop.CutWork()
 }
 
 // Healthz is the liveness endpoint.
