--- a/internal/process/logwriter_test.go
+++ b/internal/process/logwriter_test.go
@@ -18,27 +18,27 @@
 	RunSpecs(t, "process")
 }
 
-// slowReader takes nothing until it is let go.
-type slowReader struct {
-	let chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+// blockedWriter blocks writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *slowReader) Write(p []byte) (int, error) {
-	<-s.let
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.Write(p)
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.written.Write(p)
 }
 
-func (s *slowReader) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.String()
+func (b *blockedWriter) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.written.String()
 }
 
-var _ = Describe("the log's writer", func() {
+var _ = Describe("the log writer", func() {
 	It("writes every line in order", func() {
 		reader, writer := io.Pipe()
 		w := process.NewLogWriter(writer)
@@ -51,17 +51,17 @@
 		Expect(string(buf)).To(Equal("line 0\nline 1\nline 2\n"))
 	})
 
-	// Whoever collects the output has stopped reading. If logging waited for
-	// it, every request would stand still with it.
-	It("drops and counts lines in place of blocking", func() {
-		s := &slowReader{let: make(chan struct{})}
-		w := process.NewLogWriter(s)
+	// If logging blocked while the consumer of the output has stopped reading,
+	// every request would stall.
+	It("drops and counts lines instead of blocking", func() {
+		out := &blockedWriter{unblock: make(chan struct{})}
+		w := process.NewLogWriter(out)
 		for range 5000 {
 			_, err := w.Write([]byte("line\n"))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		close(s.let)
-		Eventually(s.text).Should(ContainSubstring("log lines dropped"))
+		close(out.unblock)
+		Eventually(out.text).Should(ContainSubstring("log lines dropped"))
 		Expect(w.Close()).To(Succeed())
 	})
 })
