--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -22,9 +22,9 @@
 	RunSpecs(t, "burn report")
 }
 
-var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var startTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func host(version string, rows ...adminapi.AccountingRow) burn.Host {
+func hostReading(version string, rows ...adminapi.AccountingRow) burn.Host {
 	return burn.Host{
 		Control:    "127.0.0.1:1",
 		Accounting: &adminapi.AccountingDocument{Rows: rows},
@@ -34,18 +34,18 @@
 	}
 }
 
-func row(life, tokens, good, total uint64) adminapi.AccountingRow {
+func accountingRow(incarnation, tokens, good, total uint64) adminapi.AccountingRow {
 	return adminapi.AccountingRow{
-		Entry: "host-1", Incarnation: life, Account: "big", Service: "reports", Received: total, Ran: total,
+		Entry: "host-1", Incarnation: incarnation, Account: "big", Service: "reports", Received: total, Ran: total,
 		Tokens: tokens, FirstToken: accounting.Ratio{Good: good, Total: total}, Whole: accounting.Ratio{Good: total, Total: total},
 	}
 }
 
-func at(seconds int, hosts ...burn.Host) burn.Sample {
-	return burn.Sample{At: start.Add(time.Duration(seconds) * time.Second), Hosts: hosts}
+func sampleAt(seconds int, hosts ...burn.Host) burn.Sample {
+	return burn.Sample{Time: startTime.Add(time.Duration(seconds) * time.Second), Hosts: hosts}
 }
 
-func objective(r burn.Report, name string) burn.ServiceObjective {
+func findObjective(r burn.Report, name string) burn.ServiceObjective {
 	for _, o := range r.Objectives {
 		if o.Name == name {
 			return o
@@ -55,7 +55,7 @@
 	return burn.ServiceObjective{}
 }
 
-func promise(r burn.Report, part string) burn.Promise {
+func findPromise(r burn.Report, part string) burn.Promise {
 	for _, p := range r.Promises {
 		if strings.Contains(p.Text, part) {
 			return p
@@ -66,86 +66,86 @@
 }
 
 var _ = Describe("a burn report", func() {
-	It("divides bad events by the budget, over each window", func() {
+	It("calculates burn rates since the start and over each window", func() {
 		r := burn.Build([]burn.Sample{
-			at(0, host("1.1", row(1, 0, 100, 100))),
-			at(60, host("1.1", row(1, 0, 190, 200))),
+			sampleAt(0, hostReading("1.1", accountingRow(1, 0, 100, 100))),
+			sampleAt(60, hostReading("1.1", accountingRow(1, 0, 190, 200))),
 		}, []time.Duration{time.Minute, time.Hour})
-		o := objective(r, "first token")
-		Expect(o.Since.Burn).To(BeNumerically("~", 1, 1e-9)) // 5% bad, 5% allowed
-		Expect(o.Windows).To(HaveLen(1), "an hour was not observed")
-		Expect(o.Windows[0].Burn).To(BeNumerically("~", 2, 1e-9))
+		o := findObjective(r, "first token")
+		Expect(o.SinceStart.BurnRate).To(BeNumerically("~", 1, 1e-9)) // 5% bad, 5% allowed
+		Expect(o.Windows).To(HaveLen(1), "the samples do not cover an hour")
+		Expect(o.Windows[0].BurnRate).To(BeNumerically("~", 2, 1e-9))
 	})
 
-	// A host is cut off and cannot be read. Its callers may see nothing but
-	// errors; a report that leaves it out would show the rest as perfect.
-	It("never counts missing data as good", func() {
-		s := at(0, host("1.1", row(1, 5, 9, 9)), burn.Host{Control: "127.0.0.1:2", Problem: "does not answer"})
+	// A host that cannot be read may be returning errors to all of its callers.
+	// Leaving it out of the report would show perfect results for the others.
+	It("does not count missing data as good", func() {
+		s := sampleAt(0, hostReading("1.1", accountingRow(1, 5, 9, 9)), burn.Host{Control: "127.0.0.1:2", Problem: "does not answer"})
 		r := burn.Build([]burn.Sample{s}, nil)
 		Expect(r.Complete()).To(BeFalse())
-		Expect(promise(r, "every token").Verdict).To(Equal(burn.Incomplete))
+		Expect(findPromise(r, "every token").Verdict).To(Equal(burn.Incomplete))
 		var text bytes.Buffer
-		Expect(burn.Text(&text, r)).To(Succeed())
+		Expect(burn.WriteText(&text, r)).To(Succeed())
 		Expect(text.String()).To(ContainSubstring("NOT READ: 127.0.0.1:2"))
 	})
 
-	// An entry is replaced and counts from zero. Taking its new counters for
-	// the old ones would make requests disappear from the account.
-	It("keeps the counts of an entry that was replaced", func() {
+	// A replaced entry counts from zero again. Overwriting the old counters with
+	// the new ones would lose requests from the totals.
+	It("keeps the counts of a replaced entry", func() {
 		r := burn.Build([]burn.Sample{
-			at(0, host("1.1", row(1, 500, 90, 100))),
-			at(10, host("1.1", row(2, 20, 10, 10))),
+			sampleAt(0, hostReading("1.1", accountingRow(1, 500, 90, 100))),
+			sampleAt(10, hostReading("1.1", accountingRow(2, 20, 10, 10))),
 		}, nil)
-		Expect(objective(r, "first token").Since.Events).To(Equal(accounting.Ratio{Good: 100, Total: 110}))
+		Expect(findObjective(r, "first token").SinceStart.Events).To(Equal(accounting.Ratio{Good: 100, Total: 110}))
 		Expect(r.Shares[0].Tokens).To(BeEquivalentTo(520))
-		Expect(r.Restarts).To(Equal(1))
+		Expect(r.EntryRestarts).To(Equal(1))
 	})
 
-	// The configuration service is restored to yesterday and a host takes
-	// yesterday's table. An accepted edit is gone, and only the version tells.
-	It("shows an edit that was taken back", func() {
-		r := burn.Build([]burn.Sample{at(0, host("2.9", row(1, 1, 1, 1))), at(1, host("2.8", row(1, 1, 1, 1)))}, nil)
-		Expect(promise(r, "accepted edit").Verdict).To(Equal(burn.Broken))
+	// The configuration service is restored from an old backup and a host loads the
+	// old table. An accepted edit is lost; only the version number shows it.
+	It("reports a reverted edit as a broken promise", func() {
+		r := burn.Build([]burn.Sample{sampleAt(0, hostReading("2.9", accountingRow(1, 1, 1, 1))), sampleAt(1, hostReading("2.8", accountingRow(1, 1, 1, 1)))}, nil)
+		Expect(findPromise(r, "accepted edit").Verdict).To(Equal(burn.Broken))
 		Expect(r.Breach()).To(BeTrue())
 	})
 
-	// An edit reaches two of three hosts. The third serves by the old weights,
-	// and one that cannot be read must not pass for one that holds the edit.
+	// One host still serves with the old table and another cannot be read. The
+	// unread host must not count as holding the edit.
 	It("counts hosts without the newest table, and hosts that were not read, as bad", func() {
-		r := burn.Build([]burn.Sample{at(0, host("1.2"), host("1.1"), burn.Host{Control: "127.0.0.1:2", Problem: "gone"})}, nil)
-		Expect(objective(r, "edits in force").Since.Events).To(Equal(accounting.Ratio{Good: 1, Total: 3}))
+		r := burn.Build([]burn.Sample{sampleAt(0, hostReading("1.2"), hostReading("1.1"), burn.Host{Control: "127.0.0.1:2", Problem: "gone"})}, nil)
+		Expect(findObjective(r, "edits in force").SinceStart.Events).To(Equal(accounting.Ratio{Good: 1, Total: 3}))
 	})
 
-	It("shows a target above what it bears, and rows that do not balance", func() {
-		h := host("1.1", row(1, 1, 1, 1))
+	It("reports a target above its limit and unbalanced rows", func() {
+		h := hostReading("1.1", accountingRow(1, 1, 1, 1))
 		h.Targets.Targets = []adminapi.TargetStatus{{Address: "127.0.0.1:9", Known: true, Bears: 2, Running: 3}}
 		h.Accounting.Faults = []adminapi.AccountingRow{{Received: 1}}
-		r := burn.Build([]burn.Sample{at(0, h)}, nil)
-		Expect(promise(r, "just started").Verdict).To(Equal(burn.Broken))
-		Expect(r.Unbalanced).To(Equal(1))
+		r := burn.Build([]burn.Sample{sampleAt(0, h)}, nil)
+		Expect(findPromise(r, "just started").Verdict).To(Equal(burn.Broken))
+		Expect(r.UnbalancedRows).To(Equal(1))
 	})
 
-	It("compares service per weight", func() {
-		small := row(1, 100, 1, 1)
+	It("compares tokens per weight between accounts", func() {
+		small := accountingRow(1, 100, 1, 1)
 		small.Account = "small"
-		r := burn.Build([]burn.Sample{at(0, host("1.1", row(1, 150, 1, 1), small))}, nil)
+		r := burn.Build([]burn.Sample{sampleAt(0, hostReading("1.1", accountingRow(1, 150, 1, 1), small))}, nil)
 		Expect(r.Shares[0].PerWeight).To(BeNumerically("~", 0.5, 1e-9))
 		Expect(r.Spread).To(BeNumerically("~", 2, 1e-9))
 	})
 
-	It("is one page that needs nothing else and escapes what hosts say", func() {
+	It("renders a self-contained HTML page and escapes text from hosts", func() {
 		h := burn.Host{Control: "127.0.0.1:2", Problem: "<script>alert(1)</script>"}
-		r := burn.Build([]burn.Sample{at(0, host("1.1", row(1, 1, 1, 1))), at(1, host("1.1", row(1, 2, 1, 2)), h)}, nil)
+		r := burn.Build([]burn.Sample{sampleAt(0, hostReading("1.1", accountingRow(1, 1, 1, 1))), sampleAt(1, hostReading("1.1", accountingRow(1, 2, 1, 2)), h)}, nil)
 		var page bytes.Buffer
-		Expect(burn.HTML(&page, r)).To(Succeed())
+		Expect(burn.WriteHTML(&page, r)).To(Succeed())
 		Expect(page.String()).To(And(ContainSubstring("<svg"), ContainSubstring("@media print")))
 		Expect(page.String()).NotTo(Or(ContainSubstring("<script"), ContainSubstring("http://"), ContainSubstring("src=")))
 	})
 
-	It("names a control process that answers rubbish or refuses", func() {
-		bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }))
-		defer bad.Close()
-		c := &burn.Collector{Controls: []string{bad.Listener.Addr().String()}, Scheme: "http", Client: bad.Client()}
-		Expect(c.Collect(context.Background()).Hosts[0].Problem).To(ContainSubstring("no document"))
+	It("reports a control process that returns an invalid document", func() {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }))
+		defer server.Close()
+		c := &burn.Collector{Controls: []string{server.Listener.Addr().String()}, Scheme: "http", Client: server.Client()}
+		Expect(c.Collect(context.Background()).Hosts[0].Problem).To(ContainSubstring("with an invalid document"))
 	})
 })
--- a/internal/burn/command.go
+++ b/internal/burn/command.go
@@ -16,24 +16,24 @@
 	"filbertdeck/internal/version"
 )
 
-// Settings of filbert-burn.
+// Settings are the command-line flags and environment variables of filbert-burn.
 type Settings struct {
-	Control []string        `arg:"--control,separate,env:FILBERT_CONTROL" check:"hostport" help:"administration address of a control process; repeat the flag for all of them"`
-	KeyFile string          `arg:"--key-file,env:FILBERT_KEY_FILE" check:"file?" help:"file with the key of operator or monitor"`
-	CA      string          `arg:"--ca,env:FILBERT_CA" check:"file?" help:"authority (PEM) of the control processes' certificates; empty means plain text"`
-	For     time.Duration   `arg:"--for,env:FILBERT_BURN_FOR" check:"0s..168h" default:"0s" help:"how long to watch; 0 takes one sample"`
-	Every   time.Duration   `arg:"--every,env:FILBERT_BURN_EVERY" check:"100ms..1h" default:"10s" help:"time between two samples"`
-	Windows []time.Duration `arg:"--window,separate,env:FILBERT_BURN_WINDOWS" check:"1s..168h" help:"windows of the burn rates (default 1m 5m 1h 6h, those that fit)"`
-	From    string          `arg:"--from,env:FILBERT_BURN_FROM" check:"file?" help:"samples saved earlier; they come before the new ones"`
-	Save    string          `arg:"--save,env:FILBERT_BURN_SAVE" help:"file to save the samples to, one JSON document a line"`
-	JSON    bool            `arg:"--json,env:FILBERT_BURN_JSON" help:"write JSON in place of text"`
-	HTML    string          `arg:"--html,env:FILBERT_BURN_HTML" help:"write one HTML page with plots to this file as well"`
+	ControlAddresses []string        `arg:"--control,separate,env:FILBERT_CONTROL" check:"hostport" help:"administration address of a control process; repeat the flag for all of them"`
+	KeyFile          string          `arg:"--key-file,env:FILBERT_KEY_FILE" check:"file?" help:"file with the key of operator or monitor"`
+	CAFile           string          `arg:"--ca,env:FILBERT_CA" check:"file?" help:"authority (PEM) of the control processes' certificates; empty means plain text"`
+	Duration         time.Duration   `arg:"--for,env:FILBERT_BURN_FOR" check:"0s..168h" default:"0s" help:"how long to watch; 0 takes one sample"`
+	Interval         time.Duration   `arg:"--every,env:FILBERT_BURN_EVERY" check:"100ms..1h" default:"10s" help:"time between two samples"`
+	Windows          []time.Duration `arg:"--window,separate,env:FILBERT_BURN_WINDOWS" check:"1s..168h" help:"windows of the burn rates (default 1m 5m 1h 6h, those that fit)"`
+	InputFile        string          `arg:"--from,env:FILBERT_BURN_FROM" check:"file?" help:"samples saved earlier; they come before the new ones"`
+	OutputFile       string          `arg:"--save,env:FILBERT_BURN_SAVE" help:"file to save the samples to, one JSON document a line"`
+	JSON             bool            `arg:"--json,env:FILBERT_BURN_JSON" help:"write JSON in place of text"`
+	HTMLFile         string          `arg:"--html,env:FILBERT_BURN_HTML" help:"write one HTML page with plots to this file as well"`
 }
 
-// Version implements go-arg's versioned interface.
+// Version returns the version line; it implements go-arg's Versioned interface.
 func (Settings) Version() string { return Program + " " + version.String() }
 
-// Program and About name the program.
+// Program name and description, as shown in the help text.
 const (
 	Program = "filbert-burn"
 	About   = `filbert-burn reports service-level burn, shares and the evidence for each promise.
@@ -44,30 +44,30 @@
 Exit codes: 0 no breach seen, 1 a promise is broken or a row does not balance, 2 usage, 3 hosts could not be read.`
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
 	ExitOK         = 0
 	ExitBreach     = 1
 	ExitIncomplete = 3
 )
 
-// readLimit bounds one question to a control process.
-const readLimit = 5 * time.Second
+// requestTimeout limits one request to a control process.
+const requestTimeout = 5 * time.Second
 
 var defaultWindows = []time.Duration{time.Minute, 5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Run makes the report and gives the exit code.
+// Run collects the samples, writes the report and returns the exit code.
 func Run(ctx context.Context, s Settings, out io.Writer) (int, error) {
-	collector, err := s.collector()
+	collector, err := s.newCollector()
 	if err != nil {
 		return 0, err
 	}
-	samples, err := s.earlier()
+	samples, err := s.loadSamples()
 	if err != nil {
 		return 0, err
 	}
-	samples = append(samples, watch(ctx, collector, s.For, s.Every)...)
-	if err := s.save(samples); err != nil {
+	samples = append(samples, collectSamples(ctx, collector, s.Duration, s.Interval)...)
+	if err := s.saveSamples(samples); err != nil {
 		return 0, err
 	}
 	windows := s.Windows
@@ -75,7 +75,7 @@
 		windows = defaultWindows
 	}
 	report := Build(samples, windows)
-	if err := s.write(out, report); err != nil {
+	if err := s.writeReport(out, report); err != nil {
 		return 0, err
 	}
 	return exitCode(report), nil
@@ -91,11 +91,11 @@
 	return ExitOK
 }
 
-func (s Settings) collector() (*Collector, error) {
-	if len(s.Control) == 0 {
+func (s Settings) newCollector() (*Collector, error) {
+	if len(s.ControlAddresses) == 0 {
 		return nil, failure.New(failure.KindSettingInvalid, "--control (FILBERT_CONTROL) is missing; allowed: ip:port, at least one")
 	}
-	c := &Collector{Controls: s.Control, Scheme: "http", Client: &http.Client{Timeout: readLimit}}
+	c := &Collector{Controls: s.ControlAddresses, Scheme: "http", Client: &http.Client{Timeout: requestTimeout}}
 	if s.KeyFile != "" {
 		key, err := os.ReadFile(s.KeyFile)
 		if err != nil {
@@ -103,34 +103,34 @@
 		}
 		c.Key = strings.TrimSpace(string(key))
 	}
-	if s.CA == "" {
+	if s.CAFile == "" {
 		return c, nil
 	}
-	pem, err := os.ReadFile(s.CA)
+	pem, err := os.ReadFile(s.CAFile)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--ca (FILBERT_CA)")
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, failure.New(failure.KindSettingInvalid, "--ca (FILBERT_CA) is %q; allowed: a file of certificates in PEM", s.CA)
+		return nil, failure.New(failure.KindSettingInvalid, "--ca (FILBERT_CA) is %q; allowed: a file of certificates in PEM", s.CAFile)
 	}
 	c.Scheme = "https"
 	c.Client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}}
 	return c, nil
 }
 
-// watch samples until the time is over or ctx ends; the report covers what was
-// seen by then.
-func watch(ctx context.Context, c *Collector, length, every time.Duration) []Sample {
+// collectSamples takes a sample at every interval until the duration has passed
+// or ctx ends. The report covers the samples taken by then.
+func collectSamples(ctx context.Context, c *Collector, duration, interval time.Duration) []Sample {
 	samples := []Sample{c.Collect(ctx)}
-	end := time.After(length)
-	ticker := time.NewTicker(every)
+	deadline := time.After(duration)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for length > 0 {
+	for duration > 0 {
 		select {
 		case <-ticker.C:
 			samples = append(samples, c.Collect(ctx))
-		case <-end:
+		case <-deadline:
 			return append(samples, c.Collect(ctx))
 		case <-ctx.Done():
 			return samples
@@ -139,21 +139,21 @@
 	return samples
 }
 
-func (s Settings) earlier() ([]Sample, error) {
-	if s.From == "" {
+func (s Settings) loadSamples() ([]Sample, error) {
+	if s.InputFile == "" {
 		return nil, nil
 	}
-	f, err := os.Open(s.From)
+	f, err := os.Open(s.InputFile)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--from (FILBERT_BURN_FROM)")
 	}
 	defer func() { _ = f.Close() }()
 	var samples []Sample
-	for d := json.NewDecoder(f); ; {
-		var one Sample
-		switch err := d.Decode(&one); err {
+	for decoder := json.NewDecoder(f); ; {
+		var sample Sample
+		switch err := decoder.Decode(&sample); err {
 		case nil:
-			samples = append(samples, one)
+			samples = append(samples, sample)
 		case io.EOF:
 			return samples, nil
 		default:
@@ -162,17 +162,17 @@
 	}
 }
 
-func (s Settings) save(samples []Sample) error {
-	if s.Save == "" {
+func (s Settings) saveSamples(samples []Sample) error {
+	if s.OutputFile == "" {
 		return nil
 	}
-	f, err := os.Create(s.Save)
+	f, err := os.Create(s.OutputFile)
 	if err != nil {
 		return failure.Wrap(err, failure.KindSettingInvalid, "--save (FILBERT_BURN_SAVE)")
 	}
 	encoder := json.NewEncoder(f)
-	for _, one := range samples {
-		if err := encoder.Encode(one); err != nil {
+	for _, sample := range samples {
+		if err := encoder.Encode(sample); err != nil {
 			_ = f.Close()
 			return failure.Wrap(err, failure.KindInternal, "the samples cannot be saved")
 		}
@@ -180,13 +180,13 @@
 	return f.Close()
 }
 
-func (s Settings) write(out io.Writer, r Report) error {
-	if s.HTML != "" {
-		f, err := os.Create(s.HTML)
+func (s Settings) writeReport(out io.Writer, r Report) error {
+	if s.HTMLFile != "" {
+		f, err := os.Create(s.HTMLFile)
 		if err != nil {
 			return failure.Wrap(err, failure.KindSettingInvalid, "--html (FILBERT_BURN_HTML)")
 		}
-		if err := HTML(f, r); err != nil {
+		if err := WriteHTML(f, r); err != nil {
 			_ = f.Close()
 			return err
 		}
@@ -199,23 +199,24 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(r)
 	}
-	return Text(out, r)
+	return WriteText(out, r)
 }
 
-// Main runs the program and gives its exit code; parse fills the settings.
-func Main(ctx context.Context, parse func(*Settings) error, help func(error) bool, out, errs io.Writer) int {
+// Main runs the program and returns its exit code. parse fills in the settings;
+// isHelp reports whether its error is a request for help.
+func Main(ctx context.Context, parse func(*Settings) error, isHelp func(error) bool, out, errOut io.Writer) int {
 	const exitUsage = 2
 	var s Settings
 	if err := parse(&s); err != nil {
-		if help(err) {
+		if isHelp(err) {
 			return ExitOK
 		}
-		_, _ = fmt.Fprintln(errs, err)
+		_, _ = fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
 	code, err := Run(ctx, s, out)
 	if err != nil {
-		_, _ = fmt.Fprintln(errs, err)
+		_, _ = fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
 	return code
--- a/internal/burn/doc.go
+++ b/internal/burn/doc.go
@@ -1,13 +1,14 @@
-// Package burn turns the accounting of all hosts into a service-level burn
-// report for operators and the outside monitor: objectives per service with
-// burn rates over several windows, shares of service against weights, and one
-// line for each promise with its evidence.
+// Package burn builds a service-level burn report for operators and external
+// monitoring from the accounting data of all hosts. The report contains the
+// objectives of each service with burn rates over several windows, each
+// account's share of service relative to its weight, and a verdict with
+// evidence for each promise.
 //
-// It only reads, through the administration interface. Data that is missing
-// is never counted as good: a host that could not be read is named, and every
-// verdict that would need it says "incomplete".
+// The package only reads from the administration API. Missing data never counts
+// as good: the report names each host that could not be read, and verdicts that
+// depend on it are "incomplete".
 //
-// A burn rate is the part of bad events divided by the part that the objective
-// allows: 1 uses the error budget up just at the end of its period, 10 in a
-// tenth of it.
+// A burn rate is the fraction of bad events divided by the fraction that the
+// objective allows. At a rate of 1 the error budget is used up exactly at the
+// end of its period, at a rate of 10 after a tenth of the period.
 package burn
--- a/internal/burn/objective.go
+++ b/internal/burn/objective.go
@@ -11,15 +11,16 @@
 // Objective is one service-level objective.
 type Objective struct {
 	Name string `json:"name"`
-	// Meaning says what a good event is.
+	// Meaning describes a good event.
 	Meaning string `json:"meaning"`
-	// Target is the part of events that must be good.
+	// Target is the fraction of events that must be good.
 	Target float64 `json:"target"`
-	count  func(adminapi.AccountingRow) accounting.Ratio
+	events func(adminapi.AccountingRow) accounting.Ratio
 }
 
-// Objectives lists the objectives. The first two are the users' figures (95 in
-// 100); the others are this project's until the users name theirs.
+// Objectives lists the objectives of each service. The first two come from the
+// users' requirements (95 percent); the others are defaults until the users
+// specify values.
 var Objectives = []Objective{
 	{"first token", "within 550 ms", 0.95, func(r adminapi.AccountingRow) accounting.Ratio { return r.FirstToken }},
 	{"between tokens", "within 61 ms", 0.95, func(r adminapi.AccountingRow) accounting.Ratio { return r.TokenGap }},
@@ -34,125 +35,127 @@
 	return accounting.Ratio{Good: r.Refused + r.Ran, Total: ended}
 }
 
-// Window is a burn rate over the last part of the report.
+// Window is the burn rate over the most recent part of the report period.
 type Window struct {
 	Length time.Duration    `json:"length_ns"`
 	Events accounting.Ratio `json:"events"`
-	// Burn is -1 when there were no events.
-	Burn float64 `json:"burn"`
+	// BurnRate is -1 if there were no events.
+	BurnRate float64 `json:"burn"`
 }
 
-// ServiceObjective is one objective of one service.
+// ServiceObjective is the result of one objective for one service.
 type ServiceObjective struct {
-	Service   string `json:"service"`
-	Objective `json:"objective"`
-	Since     Window   `json:"since_start"`
-	Windows   []Window `json:"windows"`
-	// Series is the burn rate between each two samples, for the plot; -1 where
-	// there were no events.
+	Service    string `json:"service"`
+	Objective  `json:"objective"`
+	SinceStart Window   `json:"since_start"`
+	Windows    []Window `json:"windows"`
+	// Series holds the burn rate between consecutive samples, for the plot; -1
+	// where there were no events.
 	Series []float64 `json:"series"`
 }
 
-// noEvents stands for a burn rate of no events.
-const noEvents = -1
+// noEventsBurnRate is the burn rate reported when there were no events.
+const noEventsBurnRate = -1
 
-func burnOf(events accounting.Ratio, target float64) float64 {
+func burnRate(events accounting.Ratio, target float64) float64 {
 	if events.Total == 0 {
-		return noEvents
+		return noEventsBurnRate
 	}
-	bad := float64(events.Total-events.Good) / float64(events.Total)
-	return bad / (1 - target)
+	badFraction := float64(events.Total-events.Good) / float64(events.Total)
+	return badFraction / (1 - target)
 }
 
-// editsInForce is judged by samples, not by requests: a good event is a host
-// that holds the newest table seen so far.
-var editsInForce = Objective{Name: "edits in force", Meaning: "a host, at a sample, with the newest table", Target: 0.99}
-
-// fleetWide stands in the report for what belongs to no service.
-const fleetWide = "(all hosts)"
-
-// point is the state of all rows at one time.
-type point struct {
-	at   time.Time
-	rows map[key]adminapi.AccountingRow
-	// inForce counts up from sample to sample; a host that was not read is no
-	// good event.
-	inForce accounting.Ratio
+// editsObjective counts hosts per sample instead of requests: a good event is a
+// host that holds the newest table version seen so far.
+var editsObjective = Objective{Name: "edits in force", Meaning: "a host, at a sample, with the newest table", Target: 0.99}
+
+// allHosts is the service name in the report for objectives that apply to no
+// particular service.
+const allHosts = "(all hosts)"
+
+// snapshot is the state of all accounting rows at one time.
+type snapshot struct {
+	time time.Time
+	rows map[accountService]adminapi.AccountingRow
+	// editsInForce accumulates over the samples. A host that could not be read
+	// counts as a bad event.
+	editsInForce accounting.Ratio
 }
 
-// ofService adds an objective's events of a service's rows.
-func (p point) ofService(service string, count func(adminapi.AccountingRow) accounting.Ratio) accounting.Ratio {
+// serviceEvents sums the events of an objective over the rows of a service.
+func (s snapshot) serviceEvents(service string, events func(adminapi.AccountingRow) accounting.Ratio) accounting.Ratio {
 	var total accounting.Ratio
-	for k, row := range p.rows {
-		if k.service == service {
-			total = sum(total, count(row))
+	for key, row := range s.rows {
+		if key.service == service {
+			total = addRatios(total, events(row))
 		}
 	}
 	return total
 }
 
-// objectives works the burn rates out; points are in the order of time.
-func objectives(points []point, windows []time.Duration) []ServiceObjective {
-	if len(points) == 0 {
+// evaluateObjectives calculates the burn rates. The snapshots are in
+// chronological order.
+func evaluateObjectives(snapshots []snapshot, windows []time.Duration) []ServiceObjective {
+	if len(snapshots) == 0 {
 		return nil
 	}
-	last := points[len(points)-1]
-	var out []ServiceObjective
-	edits := serviceObjective(points, windows, fleetWide, editsInForce, func(p point) accounting.Ratio { return p.inForce })
-	out = append(out, edits)
-	for _, service := range services(last) {
+	last := snapshots[len(snapshots)-1]
+	var results []ServiceObjective
+	edits := evaluateObjective(snapshots, windows, allHosts, editsObjective, func(s snapshot) accounting.Ratio { return s.editsInForce })
+	results = append(results, edits)
+	for _, service := range serviceNames(last) {
 		for _, o := range Objectives {
-			so := serviceObjective(points, windows, service, o, func(p point) accounting.Ratio { return p.ofService(service, o.count) })
-			if so.Since.Events.Total > 0 {
-				out = append(out, so)
+			result := evaluateObjective(snapshots, windows, service, o, func(s snapshot) accounting.Ratio { return s.serviceEvents(service, o.events) })
+			if result.SinceStart.Events.Total > 0 {
+				results = append(results, result)
 			}
 		}
 	}
-	return out
+	return results
 }
 
-func serviceObjective(
-	points []point, windows []time.Duration, service string, o Objective, events func(point) accounting.Ratio,
+func evaluateObjective(
+	snapshots []snapshot, windows []time.Duration, service string, o Objective, events func(snapshot) accounting.Ratio,
 ) ServiceObjective {
-	last := points[len(points)-1]
-	now := events(last)
-	so := ServiceObjective{Service: service, Objective: o}
-	so.Since = Window{Events: now, Burn: burnOf(now, o.Target)}
+	last := snapshots[len(snapshots)-1]
+	current := events(last)
+	result := ServiceObjective{Service: service, Objective: o}
+	result.SinceStart = Window{Events: current, BurnRate: burnRate(current, o.Target)}
 	for _, length := range windows {
-		begin := before(points, last.at.Add(-length))
-		if begin == nil {
+		start := snapshotBefore(snapshots, last.time.Add(-length))
+		if start == nil {
 			continue
 		}
-		part := minus(now, events(*begin))
-		so.Windows = append(so.Windows, Window{Length: length, Events: part, Burn: burnOf(part, o.Target)})
+		delta := subtractRatios(current, events(*start))
+		result.Windows = append(result.Windows, Window{Length: length, Events: delta, BurnRate: burnRate(delta, o.Target)})
 	}
-	for i := 1; i < len(points); i++ {
-		part := minus(events(points[i]), events(points[i-1]))
-		so.Series = append(so.Series, burnOf(part, o.Target))
+	for i := 1; i < len(snapshots); i++ {
+		delta := subtractRatios(events(snapshots[i]), events(snapshots[i-1]))
+		result.Series = append(result.Series, burnRate(delta, o.Target))
 	}
-	return so
+	return result
 }
 
-// before gives the last point not after at, nil when the report does not reach
-// back so far.
-func before(points []point, at time.Time) *point {
-	for i := len(points) - 1; i >= 0; i-- {
-		if !points[i].at.After(at) {
-			return &points[i]
+// snapshotBefore returns the last snapshot at or before t, or nil if the report
+// does not reach back that far.
+func snapshotBefore(snapshots []snapshot, t time.Time) *snapshot {
+	for i := len(snapshots) - 1; i >= 0; i-- {
+		if !snapshots[i].time.After(t) {
+			return &snapshots[i]
 		}
 	}
 	return nil
 }
 
-func services(p point) []string {
+func serviceNames(s snapshot) []string {
 	seen := map[string]bool{}
-	var out []string
-	for k := range p.rows {
-		if !seen[k.service] {
-			seen[k.service] = true
-			out = append(out, k.service)
+	var names []string
+	for key := range s.rows {
+		if !seen[key.service] {
+			seen[key.service] = true
+			names = append(names, key.service)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
--- a/internal/burn/promises.go
+++ b/internal/burn/promises.go
@@ -8,113 +8,115 @@
 	"filbertdeck/internal/adminapi"
 )
 
-// Verdict says what the evidence of a promise amounts to.
+// Verdict is the assessment of a promise, based on its evidence.
 type Verdict string
 
-// The verdicts. Evidence from counters can show that a promise was broken; it
-// cannot prove that it was kept where nothing was counted.
+// Possible verdicts. Counters can show that a promise was broken, but where
+// nothing was counted they cannot prove that it was kept.
 const (
-	Holds       Verdict = "no breach seen"
+	NoBreach    Verdict = "no breach seen"
 	Broken      Verdict = "BROKEN"
 	NotObserved Verdict = "not observed"
 	Incomplete  Verdict = "incomplete"
 )
 
-// Promise is one promise of the brief with its evidence.
+// Promise is a guarantee given to the users, with its verdict and evidence.
 type Promise struct {
 	Text     string  `json:"promise"`
 	Verdict  Verdict `json:"verdict"`
 	Evidence string  `json:"evidence"`
 }
 
-// evidence is what the promises are judged by.
+// evidence is the data from which the verdicts are derived. incompleteReads is
+// the number of unread hosts and unbalanced rows.
 type evidence struct {
-	total    adminapi.AccountingRow
-	last     Sample
-	first    Sample
-	missing  int
-	restarts int
-}
-
-// promises gives one line a promise, in the order of the users' page.
-func promises(e evidence) []Promise {
-	lines := []Promise{
-		e.wholeAnswers(), e.coldTargets(), e.drained(), e.ownAnswers(), e.notRun(), e.atMostOnce(),
-		e.leaving(), e.plannedStops(), e.edits(),
-	}
-	for i := range lines {
-		if e.missing > 0 && lines[i].Verdict == Holds {
-			lines[i].Verdict = Incomplete
+	total           adminapi.AccountingRow
+	lastSample      Sample
+	firstSample     Sample
+	incompleteReads int
+	restarts        int
+}
+
+// checkPromises assesses every promise, in the order of the users' documentation.
+// With incomplete data, no promise is reported as kept.
+func checkPromises(e evidence) []Promise {
+	promises := []Promise{
+		e.wholeAnswersPromise(), e.startingTargetsPromise(), e.drainedTargetsPromise(), e.matchingAnswersPromise(), e.notRunPromise(), e.atMostOncePromise(),
+		e.leavingTargetsPromise(), e.plannedStopsPromise(), e.editsPromise(),
+	}
+	for i := range promises {
+		if e.incompleteReads > 0 && promises[i].Verdict == NoBreach {
+			promises[i].Verdict = Incomplete
 		}
 	}
-	return lines
+	return promises
 }
 
-func verdict(broken bool, seen uint64) Verdict {
+func verdictFor(broken bool, observed uint64) Verdict {
 	switch {
 	case broken:
 		return Broken
-	case seen == 0:
+	case observed == 0:
 		return NotObserved
 	default:
-		return Holds
+		return NoBreach
 	}
 }
 
-func (e evidence) wholeAnswers() Promise {
-	w := e.total.Whole
+func (e evidence) wholeAnswersPromise() Promise {
+	ratio := e.total.Whole
 	return Promise{
-		"every token once, in order, from one generation", verdict(false, w.Total),
+		"every token once, in order, from one generation", verdictFor(false, ratio.Total),
 		fmt.Sprintf("%d of %d generations ended whole, the others with a typed end; %d frames out of place were not passed on; %d streams resumed",
-			w.Good, w.Total, e.total.OutOfPlace, e.total.Resumes),
+			ratio.Good, ratio.Total, e.total.OutOfPlace, e.total.Resumes),
 	}
 }
 
-func (e evidence) coldTargets() Promise {
-	over, seen := 0, uint64(0)
-	var worst []string
-	for _, t := range e.targets() {
+func (e evidence) startingTargetsPromise() Promise {
+	overLimit, reported := 0, uint64(0)
+	var details []string
+	for _, t := range e.uniqueTargets() {
 		if !t.Known || t.Bears == 0 {
 			continue
 		}
-		seen++
+		reported++
 		if t.Running > t.Bears {
-			over++
-			worst = append(worst, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Bears))
+			overLimit++
+			details = append(details, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Bears))
 		}
 	}
-	text := fmt.Sprintf("%d targets reported what they bear; %d were above it", seen, over)
-	if over > 0 {
-		text += ": " + strings.Join(worst, ", ")
+	text := fmt.Sprintf("%d targets reported what they bear; %d were above it", reported, overLimit)
+	if overLimit > 0 {
+		text += ": " + strings.Join(details, ", ")
 	}
-	return Promise{"a target that has just started never receives more than it bears", verdict(over > 0, seen), text}
+	return Promise{"a target that has just started never receives more than it bears", verdictFor(overLimit > 0, reported), text}
 }
 
-// targets gives each target once, from the process that admits to it where one
-// answered.
-func (e evidence) targets() []adminapi.TargetStatus {
-	best := map[string]adminapi.TargetStatus{}
-	for _, h := range e.last.Hosts {
+// uniqueTargets returns each target once. It prefers the status from the control
+// process that admits requests to the target, if that process answered.
+func (e evidence) uniqueTargets() []adminapi.TargetStatus {
+	byID := map[string]adminapi.TargetStatus{}
+	for _, h := range e.lastSample.Hosts {
 		if h.Targets == nil {
 			continue
 		}
 		for _, t := range h.Targets.Targets {
 			id := t.Service + " " + t.Address
-			if old, ok := best[id]; !ok || (t.Known && !old.Known) {
-				best[id] = t
+			if existing, ok := byID[id]; !ok || (t.Known && !existing.Known) {
+				byID[id] = t
 			}
 		}
 	}
-	out := make([]adminapi.TargetStatus, 0, len(best))
-	for _, t := range best {
+	out := make([]adminapi.TargetStatus, 0, len(byID))
+	for _, t := range byID {
 		out = append(out, t)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Address < out[j].Address })
 	return out
 }
 
-func (e evidence) runningAt(match func(adminapi.TargetStatus) bool) (targets, running int) {
-	for _, t := range e.targets() {
+func (e evidence) countRunning(match func(adminapi.TargetStatus) bool) (targets, running int) {
+	for _, t := range e.uniqueTargets() {
 		if match(t) {
 			targets++
 			running += t.Running
@@ -123,67 +125,67 @@
 	return targets, running
 }
 
-func (e evidence) drained() Promise {
-	targets, running := e.runningAt(func(t adminapi.TargetStatus) bool { return t.Drained })
+func (e evidence) drainedTargetsPromise() Promise {
+	targets, running := e.countRunning(func(t adminapi.TargetStatus) bool { return t.Drained })
 	return Promise{
-		"a data centre that was taken out receives no new work after a few seconds", verdict(false, uint64(targets)),
+		"a data centre that was taken out receives no new work after a few seconds", verdictFor(false, uint64(targets)),
 		fmt.Sprintf("%d targets are in data centres taken out; %d requests still finish there", targets, running),
 	}
 }
 
-func (e evidence) ownAnswers() Promise {
+func (e evidence) matchingAnswersPromise() Promise {
 	return Promise{
-		"each caller gets the whole answer to its own request", verdict(false, e.total.Ran),
+		"each caller gets the whole answer to its own request", verdictFor(false, e.total.Ran),
 		fmt.Sprintf("%d requests ran; %d crossed or misnumbered frames were caught", e.total.Ran, e.total.OutOfPlace),
 	}
 }
 
-func (e evidence) notRun() Promise {
+func (e evidence) notRunPromise() Promise {
 	return Promise{
-		"a request that is said not to have run did not run", verdict(false, e.total.Refused),
+		"a request that is said not to have run did not run", verdictFor(false, e.total.Refused),
 		fmt.Sprintf("%d requests were refused as not run, %d ended as unknown; targets' own records are not visible here",
 			e.total.Refused, e.total.Unknown),
 	}
 }
 
-func (e evidence) atMostOnce() Promise {
+func (e evidence) atMostOncePromise() Promise {
 	return Promise{
-		"a booking or signature runs at most once", verdict(false, e.total.Replays+e.total.Ran),
+		"a booking or signature runs at most once", verdictFor(false, e.total.Replays+e.total.Ran),
 		fmt.Sprintf("%d calls sent again were answered from the record; targets' own records are not visible here", e.total.Replays),
 	}
 }
 
-func (e evidence) leaving() Promise {
-	targets, running := e.runningAt(func(t adminapi.TargetStatus) bool { return t.Published == "leaving" })
+func (e evidence) leavingTargetsPromise() Promise {
+	targets, running := e.countRunning(func(t adminapi.TargetStatus) bool { return t.Published == "leaving" })
 	return Promise{
-		"a leaving target receives no new work after a few seconds", verdict(false, uint64(targets)),
+		"a leaving target receives no new work after a few seconds", verdictFor(false, uint64(targets)),
 		fmt.Sprintf("%d targets are leaving; %d requests still finish there", targets, running),
 	}
 }
 
-func (e evidence) plannedStops() Promise {
+func (e evidence) plannedStopsPromise() Promise {
 	return Promise{
-		"a planned stop cuts no request in progress", verdict(false, uint64(e.restarts)),
+		"a planned stop cuts no request in progress", verdictFor(false, uint64(e.restarts)),
 		fmt.Sprintf("%d entry processes were replaced while this report was made; a stop that cuts logs it and exits with 1", e.restarts),
 	}
 }
 
-func (e evidence) edits() Promise {
+func (e evidence) editsPromise() Promise {
 	versions := map[string]int{}
 	refused := map[string]bool{}
-	went := false
-	for i, h := range e.last.Hosts {
-		d := tableOf(h)
-		if d == nil {
+	reverted := false
+	for i, h := range e.lastSample.Hosts {
+		status := tableStatus(h)
+		if status == nil {
 			continue
 		}
-		versions[d.Version]++
-		if d.Refused != "" {
-			refused[d.Refused+": "+d.RefusedReason] = true
+		versions[status.Version]++
+		if status.Refused != "" {
+			refused[status.Refused+": "+status.RefusedReason] = true
 		}
-		if i < len(e.first.Hosts) {
-			if earlier := tableOf(e.first.Hosts[i]); earlier != nil && older(d.Version, earlier.Version) {
-				went = true
+		if i < len(e.firstSample.Hosts) {
+			if firstStatus := tableStatus(e.firstSample.Hosts[i]); firstStatus != nil && olderVersion(status.Version, firstStatus.Version) {
+				reverted = true
 			}
 		}
 	}
@@ -194,12 +196,12 @@
 	sort.Strings(counts)
 	text := strings.Join(counts, ", ")
 	if len(refused) > 0 {
-		text += fmt.Sprintf("; refused: %s", strings.Join(sorted(refused), "; "))
+		text += fmt.Sprintf("; refused: %s", strings.Join(sortedKeys(refused), "; "))
 	}
-	return Promise{"an accepted edit is in force everywhere within seconds and never reverts", verdict(went, uint64(len(versions))), text}
+	return Promise{"an accepted edit is in force everywhere within seconds and never reverts", verdictFor(reverted, uint64(len(versions))), text}
 }
 
-func tableOf(h Host) *adminapi.DocumentStatus {
+func tableStatus(h Host) *adminapi.DocumentStatus {
 	if h.Rollout == nil {
 		return nil
 	}
@@ -211,22 +213,23 @@
 	return nil
 }
 
-// older compares versions of the form epoch.revision.
-func older(a, b string) bool {
-	var ae, ar, be, br uint64
-	_, errA := fmt.Sscanf(a, "%d.%d", &ae, &ar)
-	_, errB := fmt.Sscanf(b, "%d.%d", &be, &br)
+// olderVersion reports whether version a precedes version b; both have the form
+// epoch.revision. It returns false for malformed versions.
+func olderVersion(a, b string) bool {
+	var aEpoch, aRevision, bEpoch, bRevision uint64
+	_, errA := fmt.Sscanf(a, "%d.%d", &aEpoch, &aRevision)
+	_, errB := fmt.Sscanf(b, "%d.%d", &bEpoch, &bRevision)
 	if errA != nil || errB != nil {
 		return false
 	}
-	return ae < be || (ae == be && ar < br)
+	return aEpoch < bEpoch || (aEpoch == bEpoch && aRevision < bRevision)
 }
 
-func sorted(set map[string]bool) []string {
-	out := make([]string, 0, len(set))
-	for s := range set {
-		out = append(out, s)
+func sortedKeys(set map[string]bool) []string {
+	keys := make([]string, 0, len(set))
+	for key := range set {
+		keys = append(keys, key)
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(keys)
+	return keys
 }
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -6,77 +6,79 @@
 	"filbertdeck/internal/accounting"
 )
 
-// Report is the whole report.
+// Report is the complete burn report.
 type Report struct {
 	From    time.Time `json:"from"`
 	To      time.Time `json:"to"`
 	Samples int       `json:"samples"`
-	// Missing lists the control processes that could not be read in the last
-	// sample, with the reason; Gaps counts unanswered readings over all samples.
-	Missing    []Host             `json:"missing"`
-	Gaps       int                `json:"gaps"`
-	Unbalanced int                `json:"unbalanced_rows"`
-	Restarts   int                `json:"entry_restarts"`
-	Objectives []ServiceObjective `json:"objectives"`
-	Shares     []Share            `json:"shares"`
-	// Spread is the largest service per weight over the least, among accounts
-	// that were served at all; 0 with fewer than two.
+	// UnreadHosts lists the control processes that could not be read in the last
+	// sample, with the reason. FailedReads counts failed reads over all samples.
+	UnreadHosts    []Host             `json:"missing"`
+	FailedReads    int                `json:"gaps"`
+	UnbalancedRows int                `json:"unbalanced_rows"`
+	EntryRestarts  int                `json:"entry_restarts"`
+	Objectives     []ServiceObjective `json:"objectives"`
+	Shares         []Share            `json:"shares"`
+	// Spread is the ratio of the highest to the lowest number of tokens per
+	// weight among the accounts that received tokens; 0 with fewer than two such
+	// accounts.
 	Spread   float64   `json:"spread"`
 	Promises []Promise `json:"promises"`
 }
 
-// Build makes the report from samples in the order of time.
+// Build creates the report from samples in chronological order.
 func Build(samples []Sample, windows []time.Duration) Report {
 	r := Report{Samples: len(samples)}
 	if len(samples) == 0 {
 		return r
 	}
 	t := newTotals()
-	points := make([]point, 0, len(samples))
-	var versions newestTable
+	snapshots := make([]snapshot, 0, len(samples))
+	var tableVersions tableVersionTracker
 	for _, s := range samples {
-		t.take(s)
-		points = append(points, point{at: s.At, rows: t.rows(), inForce: versions.take(s)})
-		r.Gaps += len(missing(s))
+		t.addSample(s)
+		snapshots = append(snapshots, snapshot{time: s.Time, rows: t.sumIncarnations(), editsInForce: tableVersions.addSample(s)})
+		r.FailedReads += len(unreadHosts(s))
 	}
 	first, last := samples[0], samples[len(samples)-1]
-	end := points[len(points)-1]
-	r.From, r.To = first.At, last.At
-	r.Missing = missing(last)
-	r.Unbalanced = unbalanced(last)
-	r.Restarts = t.restarts()
-	r.Objectives = objectives(points, windows)
-	r.Shares = shares(end, weightsOf(last))
-	r.Spread = spread(r.Shares)
-	r.Promises = promises(evidence{
-		total: sumRows(end), first: first, last: last, missing: len(r.Missing) + r.Unbalanced, restarts: r.Restarts,
+	latest := snapshots[len(snapshots)-1]
+	r.From, r.To = first.Time, last.Time
+	r.UnreadHosts = unreadHosts(last)
+	r.UnbalancedRows = countUnbalanced(last)
+	r.EntryRestarts = t.restarts()
+	r.Objectives = evaluateObjectives(snapshots, windows)
+	r.Shares = accountShares(latest, accountWeights(last))
+	r.Spread = perWeightSpread(r.Shares)
+	r.Promises = checkPromises(evidence{
+		total: totalRow(latest), firstSample: first, lastSample: last, incompleteReads: len(r.UnreadHosts) + r.UnbalancedRows, restarts: r.EntryRestarts,
 	})
 	return r
 }
 
-// newestTable follows the newest version of the table that any host showed.
-type newestTable struct {
+// tableVersionTracker tracks the newest table version that any host reported and
+// counts the hosts that hold it.
+type tableVersionTracker struct {
 	version string
 	events  accounting.Ratio
 }
 
-// take counts a sample's hosts and gives the sum so far.
-func (n *newestTable) take(s Sample) accounting.Ratio {
+// addSample counts the hosts of a sample and returns the totals so far.
+func (t *tableVersionTracker) addSample(s Sample) accounting.Ratio {
 	for _, h := range s.Hosts {
-		if d := tableOf(h); d != nil && (n.version == "" || older(n.version, d.Version)) {
-			n.version = d.Version
+		if status := tableStatus(h); status != nil && (t.version == "" || olderVersion(t.version, status.Version)) {
+			t.version = status.Version
 		}
 	}
 	for _, h := range s.Hosts {
-		n.events.Total++
-		if d := tableOf(h); d != nil && d.Version == n.version {
-			n.events.Good++
+		t.events.Total++
+		if status := tableStatus(h); status != nil && status.Version == t.version {
+			t.events.Good++
 		}
 	}
-	return n.events
+	return t.events
 }
 
-func missing(s Sample) []Host {
+func unreadHosts(s Sample) []Host {
 	var out []Host
 	for _, h := range s.Hosts {
 		if h.Problem != "" {
@@ -86,7 +88,7 @@
 	return out
 }
 
-func unbalanced(s Sample) int {
+func countUnbalanced(s Sample) int {
 	n := 0
 	for _, h := range s.Hosts {
 		if h.Accounting != nil {
@@ -96,33 +98,32 @@
 	return n
 }
 
-func spread(all []Share) float64 {
-	least, n := 0.0, 0
-	for _, s := range all {
+func perWeightSpread(shares []Share) float64 {
+	lowest, n := 0.0, 0
+	for _, s := range shares {
 		if s.Tokens == 0 || s.Weight == 0 {
 			continue
 		}
-		if n == 0 || s.PerWeight < least {
-			least = s.PerWeight
+		if n == 0 || s.PerWeight < lowest {
+			lowest = s.PerWeight
 		}
 		n++
 	}
-	if n < 2 || least == 0 {
+	if n < 2 || lowest == 0 {
 		return 0
 	}
-	return 1 / least
+	return 1 / lowest
 }
 
-// Breach tells whether the report shows a broken promise or a row that does
-// not balance.
+// Breach reports whether a promise was broken or a row does not balance.
 func (r Report) Breach() bool {
 	for _, p := range r.Promises {
 		if p.Verdict == Broken {
 			return true
 		}
 	}
-	return r.Unbalanced > 0
+	return r.UnbalancedRows > 0
 }
 
-// Complete tells whether every host was read.
-func (r Report) Complete() bool { return len(r.Missing) == 0 && r.Gaps == 0 }
+// Complete reports whether every host was read in every sample.
+func (r Report) Complete() bool { return len(r.UnreadHosts) == 0 && r.FailedReads == 0 }
--- a/internal/burn/sample.go
+++ b/internal/burn/sample.go
@@ -12,13 +12,14 @@
 	"filbertdeck/internal/failure"
 )
 
-// Sample is what all control processes said at one time.
+// Sample holds the responses of all control processes at one time.
 type Sample struct {
-	At    time.Time `json:"at"`
+	Time  time.Time `json:"at"`
 	Hosts []Host    `json:"hosts"`
 }
 
-// Host is one control process's answer; Problem says why there is none.
+// Host is the response of one control process. If there is none, Problem gives
+// the reason.
 type Host struct {
 	Control    string                       `json:"control"`
 	Problem    string                       `json:"problem,omitempty"`
@@ -28,7 +29,7 @@
 	Targets    *adminapi.TargetsDocument    `json:"targets,omitempty"`
 }
 
-// Collector reads the administration interfaces.
+// Collector reads the administration APIs of the control processes.
 type Collector struct {
 	Controls []string
 	Key      string
@@ -36,23 +37,23 @@
 	Client   *http.Client
 }
 
-// maxDocument bounds one answer, in bytes.
-const maxDocument = 64 << 20
+// maxDocumentBytes limits the size of one response.
+const maxDocumentBytes = 64 << 20
 
-// Collect asks every control process at once.
+// Collect reads all control processes in parallel.
 func (c *Collector) Collect(ctx context.Context) Sample {
-	s := Sample{At: time.Now(), Hosts: make([]Host, len(c.Controls))}
+	s := Sample{Time: time.Now(), Hosts: make([]Host, len(c.Controls))}
 	var wg sync.WaitGroup
-	for i, control := range c.Controls {
-		wg.Go(func() { s.Hosts[i] = c.host(ctx, control) })
+	for i, address := range c.Controls {
+		wg.Go(func() { s.Hosts[i] = c.fetchHost(ctx, address) })
 	}
 	wg.Wait()
 	return s
 }
 
-func (c *Collector) host(ctx context.Context, control string) Host {
+func (c *Collector) fetchHost(ctx context.Context, address string) Host {
 	h := Host{
-		Control: control, Accounting: &adminapi.AccountingDocument{}, Accounts: &adminapi.AccountsDocument{},
+		Control: address, Accounting: &adminapi.AccountingDocument{}, Accounts: &adminapi.AccountsDocument{},
 		Rollout: &adminapi.RolloutDocument{}, Targets: &adminapi.TargetsDocument{},
 	}
 	documents := []struct {
@@ -65,29 +66,29 @@
 		{"/admin/v1/targets", h.Targets},
 	}
 	for _, d := range documents {
-		if err := c.get(ctx, control, d.path, d.into); err != nil {
-			return Host{Control: control, Problem: err.Error()}
+		if err := c.fetchDocument(ctx, address, d.path, d.into); err != nil {
+			return Host{Control: address, Problem: err.Error()}
 		}
 	}
 	return h
 }
 
-func (c *Collector) get(ctx context.Context, control, path string, into any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Scheme+"://"+control+path, nil)
+func (c *Collector) fetchDocument(ctx context.Context, address, path string, dest any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Scheme+"://"+address+path, nil)
 	if err != nil {
-		return failure.Wrap(err, failure.KindSettingInvalid, "address %q", control)
+		return failure.Wrap(err, failure.KindSettingInvalid, "address %q", address)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	resp, err := c.Client.Do(req)
 	if err != nil {
-		return failure.Wrap(err, failure.KindControlLost, "%s does not answer", control)
+		return failure.Wrap(err, failure.KindControlLost, "%s does not answer", address)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return failure.New(failure.KindControlLost, "%s answered %s with status %d", control, path, resp.StatusCode)
+		return failure.New(failure.KindControlLost, "%s answered %s with status %d", address, path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDocument)).Decode(into); err != nil {
-		return failure.Wrap(err, failure.KindControlLost, "%s answered %s with something that is no document", control, path)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxDocumentBytes)).Decode(dest); err != nil {
+		return failure.Wrap(err, failure.KindControlLost, "%s answered %s with an invalid document", address, path)
 	}
 	return nil
 }
--- a/internal/burn/shares.go
+++ b/internal/burn/shares.go
@@ -6,67 +6,69 @@
 	"filbertdeck/internal/adminapi"
 )
 
-// Share is what one account received against its weight.
+// Share compares the service that an account received with its weight.
 type Share struct {
 	Account string  `json:"account"`
 	Weight  float64 `json:"weight"`
 	Tokens  uint64  `json:"tokens"`
 	Calls   uint64  `json:"calls"`
-	// Refused is the part of its requests that were refused.
-	Refused float64 `json:"refused_part"`
-	// PerWeight is tokens divided by weight, relative to the largest account's.
+	// RefusedFraction is the fraction of the account's requests that were refused.
+	RefusedFraction float64 `json:"refused_part"`
+	// PerWeight is tokens divided by weight, relative to the account with the
+	// highest value.
 	PerWeight float64 `json:"per_weight"`
-	// WaitMS is the mean wait for admission, in milliseconds.
+	// WaitMS is the mean wait for admission per call, in milliseconds.
 	WaitMS float64 `json:"wait_ms"`
 }
 
-// shares compares accounts over all services. Service per weight is only fair
-// to compare between accounts that always had requests waiting; an account
-// that asks for little gets little. The mean waits beside it tell the two
-// apart.
-func shares(p point, weights map[string]float64) []Share {
+// accountShares compares accounts over all services. Service per weight is only
+// comparable between accounts that always had requests waiting, because an
+// account that sends few requests also receives few tokens. The mean wait shows
+// which of the two cases applies.
+func accountShares(s snapshot, weights map[string]float64) []Share {
 	byAccount := map[string]*Share{}
-	waits, received, refused := map[string]uint64{}, map[string]uint64{}, map[string]uint64{}
-	for k, row := range p.rows {
-		if _, known := weights[k.account]; !known {
+	waitMS, received, refused := map[string]uint64{}, map[string]uint64{}, map[string]uint64{}
+	for key, row := range s.rows {
+		if _, known := weights[key.account]; !known {
 			continue
 		}
-		s := byAccount[k.account]
-		if s == nil {
-			s = &Share{Account: k.account, Weight: weights[k.account]}
-			byAccount[k.account] = s
+		share := byAccount[key.account]
+		if share == nil {
+			share = &Share{Account: key.account, Weight: weights[key.account]}
+			byAccount[key.account] = share
 		}
-		s.Tokens += row.Tokens
-		s.Calls += row.Ran
-		waits[k.account] += row.WaitMS
-		received[k.account] += row.Received
-		refused[k.account] += row.Refused
+		share.Tokens += row.Tokens
+		share.Calls += row.Ran
+		waitMS[key.account] += row.WaitMS
+		received[key.account] += row.Received
+		refused[key.account] += row.Refused
 	}
 	var out []Share
-	var most float64
-	for name, s := range byAccount {
-		if s.Weight > 0 {
-			most = max(most, float64(s.Tokens)/s.Weight)
+	var maxPerWeight float64
+	for name, share := range byAccount {
+		if share.Weight > 0 {
+			maxPerWeight = max(maxPerWeight, float64(share.Tokens)/share.Weight)
 		}
-		if s.Calls > 0 {
-			s.WaitMS = float64(waits[name]) / float64(s.Calls)
+		if share.Calls > 0 {
+			share.WaitMS = float64(waitMS[name]) / float64(share.Calls)
 		}
 		if received[name] > 0 {
-			s.Refused = float64(refused[name]) / float64(received[name])
+			share.RefusedFraction = float64(refused[name]) / float64(received[name])
 		}
-		out = append(out, *s)
+		out = append(out, *share)
 	}
 	for i := range out {
-		if most > 0 && out[i].Weight > 0 {
-			out[i].PerWeight = float64(out[i].Tokens) / out[i].Weight / most
+		if maxPerWeight > 0 && out[i].Weight > 0 {
+			out[i].PerWeight = float64(out[i].Tokens) / out[i].Weight / maxPerWeight
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Account < out[j].Account })
 	return out
 }
 
-// weightsOf takes the weights from the last sample that has them.
-func weightsOf(s Sample) map[string]float64 {
+// accountWeights returns the account weights of a sample. If hosts disagree, the
+// last host in the sample takes precedence.
+func accountWeights(s Sample) map[string]float64 {
 	weights := map[string]float64{}
 	for _, h := range s.Hosts {
 		if h.Accounts == nil {
@@ -79,11 +81,11 @@
 	return weights
 }
 
-// sumRows adds all rows of a point up.
-func sumRows(p point) adminapi.AccountingRow {
+// totalRow sums all rows of a snapshot.
+func totalRow(s snapshot) adminapi.AccountingRow {
 	var total adminapi.AccountingRow
-	for _, row := range p.rows {
-		total = add(total, row)
+	for _, row := range s.rows {
+		total = addRows(total, row)
 	}
 	return total
 }
--- a/internal/burn/totals.go
+++ b/internal/burn/totals.go
@@ -5,65 +5,67 @@
 	"filbertdeck/internal/adminapi"
 )
 
-// key names a row of the accounting over all hosts.
-type key struct{ account, service string }
+// accountService identifies an accounting row that is summed over all hosts.
+type accountService struct{ account, service string }
 
-// life names one life of one entry's counters.
-type life struct {
+// counterID identifies the counters of one incarnation of an entry process.
+type counterID struct {
 	entry       string
 	incarnation uint64
-	key
+	accountService
 }
 
-// totals are counters over all hosts and all lives that were seen. An entry
-// that restarts begins at 0; the last state of its earlier life stays counted,
-// and what happened between that state and its end is lost, which is told.
+// totals accumulates counters over all hosts and entry incarnations. A restarted
+// entry counts from 0 again. The last sampled counters of its previous
+// incarnation remain included; events between that sample and the restart are
+// lost, which is why the report shows the number of restarts.
 type totals struct {
-	last map[life]adminapi.AccountingRow
-	// lives counts the incarnations of each entry.
-	lives map[string]map[uint64]bool
+	latest map[counterID]adminapi.AccountingRow
+	// incarnations holds the incarnations seen of each entry.
+	incarnations map[string]map[uint64]bool
 }
 
 func newTotals() *totals {
-	return &totals{last: map[life]adminapi.AccountingRow{}, lives: map[string]map[uint64]bool{}}
+	return &totals{latest: map[counterID]adminapi.AccountingRow{}, incarnations: map[string]map[uint64]bool{}}
 }
 
-// take adds a sample; counters of one life only rise.
-func (t *totals) take(s Sample) {
+// addSample adds a sample. It replaces earlier values of the same incarnation,
+// because the counters of an incarnation only increase.
+func (t *totals) addSample(s Sample) {
 	for _, h := range s.Hosts {
 		if h.Accounting == nil {
 			continue
 		}
 		for _, row := range h.Accounting.Rows {
-			id := life{entry: row.Entry, incarnation: row.Incarnation, key: key{row.Account, row.Service}}
-			t.last[id] = row
-			if t.lives[row.Entry] == nil {
-				t.lives[row.Entry] = map[uint64]bool{}
+			id := counterID{entry: row.Entry, incarnation: row.Incarnation, accountService: accountService{row.Account, row.Service}}
+			t.latest[id] = row
+			if t.incarnations[row.Entry] == nil {
+				t.incarnations[row.Entry] = map[uint64]bool{}
 			}
-			t.lives[row.Entry][row.Incarnation] = true
+			t.incarnations[row.Entry][row.Incarnation] = true
 		}
 	}
 }
 
-// restarts counts the lives that ended while the report was made.
+// restarts counts the entry restarts observed during the report period.
 func (t *totals) restarts() int {
 	n := 0
-	for _, incarnations := range t.lives {
+	for _, incarnations := range t.incarnations {
 		n += len(incarnations) - 1
 	}
 	return n
 }
 
-// rows adds the lives up.
-func (t *totals) rows() map[key]adminapi.AccountingRow {
-	out := map[key]adminapi.AccountingRow{}
-	for id, row := range t.last {
-		out[id.key] = add(out[id.key], row)
+// sumIncarnations sums the counters of all incarnations by account and service.
+func (t *totals) sumIncarnations() map[accountService]adminapi.AccountingRow {
+	out := map[accountService]adminapi.AccountingRow{}
+	for id, row := range t.latest {
+		out[id.accountService] = addRows(out[id.accountService], row)
 	}
 	return out
 }
 
-func add(a, b adminapi.AccountingRow) adminapi.AccountingRow {
+func addRows(a, b adminapi.AccountingRow) adminapi.AccountingRow {
 	a.Account, a.Service = b.Account, b.Service
 	a.Received += b.Received
 	a.Refused += b.Refused
@@ -80,18 +82,18 @@
 	a.Resumes += b.Resumes
 	a.Replays += b.Replays
 	a.OutOfPlace += b.OutOfPlace
-	a.FirstToken = sum(a.FirstToken, b.FirstToken)
-	a.TokenGap = sum(a.TokenGap, b.TokenGap)
-	a.NoStall = sum(a.NoStall, b.NoStall)
-	a.Whole = sum(a.Whole, b.Whole)
-	a.Lookup = sum(a.Lookup, b.Lookup)
+	a.FirstToken = addRatios(a.FirstToken, b.FirstToken)
+	a.TokenGap = addRatios(a.TokenGap, b.TokenGap)
+	a.NoStall = addRatios(a.NoStall, b.NoStall)
+	a.Whole = addRatios(a.Whole, b.Whole)
+	a.Lookup = addRatios(a.Lookup, b.Lookup)
 	return a
 }
 
-func sum(a, b accounting.Ratio) accounting.Ratio {
+func addRatios(a, b accounting.Ratio) accounting.Ratio {
 	return accounting.Ratio{Good: a.Good + b.Good, Total: a.Total + b.Total}
 }
 
-func minus(a, b accounting.Ratio) accounting.Ratio {
+func subtractRatios(a, b accounting.Ratio) accounting.Ratio {
 	return accounting.Ratio{Good: a.Good - b.Good, Total: a.Total - b.Total}
 }
