--- a/internal/burn/objective.go
+++ b/internal/burn/objective.go
@@ -57,6 +57,8 @@
 // noEventsBurnRate is the burn rate reported when there were no events.
 const noEventsBurnRate = -1
 
+// burnRate returns the fraction of bad events divided by the fraction that target
+// allows.
 func burnRate(events accounting.Ratio, target float64) float64 {
 	if events.Total == 0 {
 		return noEventsBurnRate
@@ -101,8 +103,8 @@
 	}
 	last := snapshots[len(snapshots)-1]
 	var results []ServiceObjective
-	edits := evaluateObjective(snapshots, windows, allHosts, editsObjective, func(s snapshot) accounting.Ratio { return s.editsInForce })
-	results = append(results, edits)
+	editsResult := evaluateObjective(snapshots, windows, allHosts, editsObjective, func(s snapshot) accounting.Ratio { return s.editsInForce })
+	results = append(results, editsResult)
 	for _, service := range serviceNames(last) {
 		for _, o := range Objectives {
 			result := evaluateObjective(snapshots, windows, service, o, func(s snapshot) accounting.Ratio { return s.serviceEvents(service, o.events) })
--- a/internal/burn/promises.go
+++ b/internal/burn/promises.go
@@ -41,7 +41,8 @@
 // With incomplete data, no promise is reported as kept.
 func checkPromises(e evidence) []Promise {
 	promises := []Promise{
-		e.wholeAnswersPromise(), e.startingTargetsPromise(), e.drainedTargetsPromise(), e.matchingAnswersPromise(), e.notRunPromise(), e.atMostOncePromise(),
+		e.wholeAnswersPromise(), e.startingTargetsPromise(), e.drainedTargetsPromise(),
+		e.matchingAnswersPromise(), e.notRunPromise(), e.atMostOncePromise(),
 		e.leavingTargetsPromise(), e.plannedStopsPromise(), e.editsPromise(),
 	}
 	for i := range promises {
@@ -52,6 +53,8 @@
 	return promises
 }
 
+// verdictFor returns the verdict for a promise; observed is the number of events
+// or objects to which the promise applied.
 func verdictFor(broken bool, observed uint64) Verdict {
 	switch {
 	case broken:
--- a/internal/load/call.go
+++ b/internal/load/call.go
@@ -14,82 +14,87 @@
 	"filbertdeck/internal/failure"
 )
 
-// outcome is what became of one call.
+// outcome is the result of one call.
 type outcome struct {
-	// err is nil for a whole answer; violation is set when a promise was broken.
+	// err is nil if a complete answer was received. violation is set if the
+	// answer failed verification.
 	err       error
 	violation Violation
-	// tokens were received; attempts counts resumes and repeated sends.
-	tokens, attempts int
-	// first is the time of the first token, for streams; stall is the time that
-	// gaps between tokens took beyond the bound.
-	first time.Time
-	stall time.Duration
+	// tokens is the number of tokens received. retries counts resumed streams and
+	// repeated requests.
+	tokens, retries int
+	// firstTokenAt is only set for streams. stallTime is the total time by which
+	// gaps between tokens exceeded the stall threshold.
+	firstTokenAt time.Time
+	stallTime    time.Duration
 }
 
 // caller makes the calls of one run.
 type caller struct {
-	client *client
-	bound  time.Duration
-	seed   uint64
-	// gap is told the time before each token but an answer's first.
-	gap func(Call, time.Duration)
+	client         *client
+	stallThreshold time.Duration
+	seed           uint64
+	// onTokenGap receives the time between each token of a stream and the
+	// previous one.
+	onTokenGap func(Call, time.Duration)
 }
 
-// do makes one call and gives its outcome.
-func (c *caller) do(ctx context.Context, call Call) outcome {
-	ctx, cancel := context.WithTimeout(ctx, c.client.target.Timeout)
+// makeCall makes one call and returns its outcome.
+func (c *caller) makeCall(ctx context.Context, call Call) outcome {
+	ctx, cancel := context.WithTimeout(ctx, c.client.config.Timeout)
 	defer cancel()
 	switch call.Kind.Type {
-	case TypeStream:
-		return c.stream(ctx, call)
-	case TypeWhole:
-		return c.whole(ctx, call)
-	case TypeLookup:
-		return c.lookup(ctx, call)
+	case CallTypeStream:
+		return c.callStream(ctx, call)
+	case CallTypeWhole:
+		return c.callWhole(ctx, call)
+	case CallTypeLookup:
+		return c.callLookup(ctx, call)
 	default:
-		return c.once(ctx, call)
+		return c.callOnce(ctx, call)
 	}
 }
 
+// charsPerToken is the number of prompt characters written per prompt token.
 const charsPerToken = 4
 
-// prompt writes a prompt of the call's length: a beginning that calls of one
-// account and kind share, so that prefix caches have something to keep, then
-// what is the call's own, and the mark by which the stand-in knows the length.
+// prompt builds a prompt of the call's length. It starts with text shared by all
+// calls of the same account and kind, so that prefix caches can be effective. The
+// unique part at the end includes the marker from which the engine stand-in
+// takes the output length.
 func (c *caller) prompt(call Call) string {
-	shared := fmt.Sprintf("%s of account %d. ", call.Kind.Name, call.Account)
-	own := fmt.Sprintf(" call %d of seed %d [tokens=%d]", call.Number, c.seed, call.Length)
-	fill := max(0, call.PromptTokens*charsPerToken-len(own))
-	return strings.Repeat(shared, fill/len(shared)+1)[:fill] + own
+	sharedText := fmt.Sprintf("%s of account %d. ", call.Kind.Name, call.AccountIndex)
+	uniqueText := fmt.Sprintf(" call %d of seed %d [tokens=%d]", call.Number, c.seed, call.OutputTokens)
+	fillChars := max(0, call.PromptTokens*charsPerToken-len(uniqueText))
+	return strings.Repeat(sharedText, fillChars/len(sharedText)+1)[:fillChars] + uniqueText
 }
 
-// completionBody is the callers' request.
-type completionBody struct {
+// completionRequest is the JSON body of a completion request.
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-func (c *caller) completion(call Call, stream bool) request {
-	body, _ := json.Marshal(completionBody{
+func (c *caller) completionSpec(call Call, stream bool) requestSpec {
+	body, _ := json.Marshal(completionRequest{
 		Model: call.Kind.Service, Prompt: c.prompt(call), MaxTokens: call.Kind.Output.Max, Stream: stream,
 	})
-	return request{method: http.MethodPost, path: "/v1/completions", body: string(body), account: call.Account, generation: true}
+	return requestSpec{method: http.MethodPost, path: "/v1/completions", body: string(body), accountIndex: call.AccountIndex, generation: true}
 }
 
-// position says where an answer's tokens belong.
-type position struct {
+// tokenPosition gives the generation and the offset of the tokens in an event.
+type tokenPosition struct {
 	Generation string `json:"generation"`
 	Offset     int    `json:"offset"`
 	Tokens     int    `json:"tokens"`
 }
 
-// completionAnswer is the callers' answer, whole or one event of it. An engine
-// that is called directly gives position and text at the top level.
-type completionAnswer struct {
-	position
+// completionResponse is the JSON body of a whole answer or of one stream event.
+// An engine that is called directly returns position and text at the top level.
+type completionResponse struct {
+	tokenPosition
 	Text    string `json:"text"`
 	Choices []struct {
 		Text string `json:"text"`
@@ -97,132 +102,137 @@
 	Usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	} `json:"usage"`
-	Filbert position `json:"filbert"`
+	Filbert tokenPosition `json:"filbert"`
 }
 
-func parseCompletion(data []byte, direct bool) (completionAnswer, bool) {
-	var a completionAnswer
-	err := json.Unmarshal(data, &a)
-	if direct && a.Filbert.Generation == "" {
-		a.Filbert = a.position
+func parseCompletion(data []byte, direct bool) (completionResponse, bool) {
+	var response completionResponse
+	err := json.Unmarshal(data, &response)
+	if direct && response.Filbert.Generation == "" {
+		response.Filbert = response.tokenPosition
 	}
-	return a, err == nil && (len(a.Choices) == 1 || direct)
+	return response, err == nil && (len(response.Choices) == 1 || direct)
 }
 
-func (a completionAnswer) piece() piece {
-	f, text := a.Filbert, a.Text
-	if len(a.Choices) == 1 {
-		text = a.Choices[0].Text
+func (r completionResponse) chunk() tokenChunk {
+	position, text := r.Filbert, r.Text
+	if len(r.Choices) == 1 {
+		text = r.Choices[0].Text
 	}
-	return piece{generation: f.Generation, offset: f.Offset, tokens: f.Tokens, text: text}
+	return tokenChunk{generation: position.Generation, offset: position.Offset, tokens: position.Tokens, text: text}
 }
 
-func (c *caller) whole(ctx context.Context, call Call) outcome {
-	var o outcome
+func (c *caller) callWhole(ctx context.Context, call Call) outcome {
+	var out outcome
 	var body []byte
-	o.attempts, o.err = c.client.retry(ctx, noProgress, func() (err error) {
-		body, err = c.client.answer(ctx, c.completion(call, false))
+	out.retries, out.err = c.client.retry(ctx, noProgress, func() (err error) {
+		body, err = c.client.fetch(ctx, c.completionSpec(call, false))
 		return err
 	})
-	if o.err != nil {
-		return o
+	if out.err != nil {
+		return out
 	}
-	a, ok := parseCompletion(body, c.client.target.direct())
+	response, ok := parseCompletion(body, c.client.config.direct())
 	if !ok {
-		o.violation = ViolationMalformed
-		return o
+		out.violation = ViolationMalformed
+		return out
 	}
-	check := checker{}
-	p := a.piece()
-	p.tokens = a.Usage.CompletionTokens
-	if o.violation = check.add(p); o.violation == "" {
-		o.violation = check.complete(call.Length)
+	checker := tokenChecker{}
+	chunk := response.chunk()
+	chunk.tokens = response.Usage.CompletionTokens
+	if out.violation = checker.checkChunk(chunk); out.violation == "" {
+		out.violation = checker.checkLength(call.OutputTokens)
 	}
-	o.tokens = check.next
-	return o
+	out.tokens = checker.nextOffset
+	return out
 }
 
-// plainAnswer is what the stand-in of a plain service answers.
-type plainAnswer struct {
+// plainResponse is the response of a plain service's stand-in, which echoes the
+// request and counts its executions.
+type plainResponse struct {
 	Path       string `json:"path"`
 	Body       string `json:"body"`
 	Executions int    `json:"executions"`
 }
 
-func (c *caller) mark(call Call) string { return fmt.Sprintf("call-%d-%d", c.seed, call.Number) }
+// callID identifies a call in its request, so that the echo in the response can
+// be attributed to it.
+func (c *caller) callID(call Call) string { return fmt.Sprintf("call-%d-%d", c.seed, call.Number) }
 
-func (c *caller) lookup(ctx context.Context, call Call) outcome {
-	var o outcome
+func (c *caller) callLookup(ctx context.Context, call Call) outcome {
+	var out outcome
 	var body []byte
-	q := request{method: http.MethodGet, account: call.Account}
-	q.path = c.client.servicePath(call.Kind, "items/"+strconv.Itoa(call.Number%100)+"?mark="+c.mark(call))
-	o.attempts, o.err = c.client.retry(ctx, noProgress, func() (err error) {
-		body, err = c.client.answer(ctx, q)
+	spec := requestSpec{method: http.MethodGet, accountIndex: call.AccountIndex}
+	spec.path = c.client.servicePath(call.Kind, "items/"+strconv.Itoa(call.Number%100)+"?mark="+c.callID(call))
+	out.retries, out.err = c.client.retry(ctx, noProgress, func() (err error) {
+		body, err = c.client.fetch(ctx, spec)
 		return err
 	})
-	if o.err == nil {
-		o.violation = c.plainFault(call, body, func(a plainAnswer) string { return a.Path })
+	if out.err == nil {
+		out.violation = c.checkPlainResponse(call, body, func(r plainResponse) string { return r.Path })
 	}
-	return o
+	return out
 }
 
-// plainFault tells whether an answer belongs to the call.
-func (c *caller) plainFault(call Call, body []byte, echo func(plainAnswer) string) Violation {
-	var a plainAnswer
-	if json.Unmarshal(body, &a) != nil {
+// checkPlainResponse verifies that a response belongs to the call and that a call
+// with an idempotency key ran once.
+func (c *caller) checkPlainResponse(call Call, body []byte, echoed func(plainResponse) string) Violation {
+	var response plainResponse
+	if json.Unmarshal(body, &response) != nil {
 		return ViolationMalformed
 	}
-	if !strings.HasSuffix(strings.Trim(echo(a), `"`), c.mark(call)) {
-		return ViolationCrossed
+	if !strings.HasSuffix(strings.Trim(echoed(response), `"`), c.callID(call)) {
+		return ViolationCrossedAnswer
 	}
-	if call.Kind.Type == TypeOnce && a.Executions != 1 {
-		return ViolationTwice
+	if call.Kind.Type == CallTypeOnce && response.Executions != 1 {
+		return ViolationRanTwice
 	}
 	return ""
 }
 
-// once mints a key and makes the call under it. After a lost connection it
-// sends the call again under the same key, as a careful caller does.
-func (c *caller) once(ctx context.Context, call Call) outcome {
-	var o outcome
+// callOnce obtains an idempotency key and makes the call with it. After a lost
+// connection it repeats the request with the same key, as callers should.
+func (c *caller) callOnce(ctx context.Context, call Call) outcome {
+	var out outcome
 	var key string
-	o.attempts, o.err = c.client.retry(ctx, noProgress, func() (err error) {
-		key, err = c.mintKey(ctx, call)
+	out.retries, out.err = c.client.retry(ctx, noProgress, func() (err error) {
+		key, err = c.requestKey(ctx, call)
 		return err
 	})
-	if o.err != nil {
-		return o
+	if out.err != nil {
+		return out
 	}
-	q := request{
-		method: http.MethodPost, account: call.Account, body: strconv.Quote(c.mark(call)),
+	spec := requestSpec{
+		method: http.MethodPost, accountIndex: call.AccountIndex, body: strconv.Quote(c.callID(call)),
 		path: c.client.servicePath(call.Kind, "orders"), headers: [][2]string{{"Idempotency-Key", key}},
 	}
 	var body []byte
-	again, err := c.client.retry(ctx, noProgress, func() (err error) {
-		body, err = c.client.answer(ctx, q)
+	retries, err := c.client.retry(ctx, noProgress, func() (err error) {
+		body, err = c.client.fetch(ctx, spec)
 		return err
 	})
-	o.attempts += again
-	if o.err = err; err == nil {
-		o.violation = c.plainFault(call, body, func(a plainAnswer) string { return a.Body })
+	out.retries += retries
+	if out.err = err; err == nil {
+		out.violation = c.checkPlainResponse(call, body, func(r plainResponse) string { return r.Body })
 	}
-	return o
+	return out
 }
 
-// mintKey asks an entry for a key; a stand-in that is called directly takes any.
-func (c *caller) mintKey(ctx context.Context, call Call) (string, error) {
-	if c.client.target.direct() {
+// requestKey obtains an idempotency key from an entry. Stand-ins that are called
+// directly accept any key, so a random one is used.
+func (c *caller) requestKey(ctx context.Context, call Call) (string, error) {
+	if c.client.config.direct() {
 		return uuid.NewString(), nil
 	}
-	body, err := c.client.answer(ctx, request{method: http.MethodPost, path: "/v1/idempotency-keys", account: call.Account})
+	body, err := c.client.fetch(ctx, requestSpec{method: http.MethodPost, path: "/v1/idempotency-keys", accountIndex: call.AccountIndex})
 	if err != nil {
 		return "", err
 	}
-	var minted struct {
+	var response struct {
 		Key string `json:"key"`
 	}
-	if json.Unmarshal(body, &minted) != nil || minted.Key == "" {
-		return "", failure.New(failure.KindInternal, "no key in the answer")
+	if json.Unmarshal(body, &response) != nil || response.Key == "" {
+		return "", failure.New(failure.KindInternal, "response contains no idempotency key")
 	}
-	return minted.Key, nil
+	return response.Key, nil
 }
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -5,98 +5,103 @@
 	"strings"
 )
 
-// Violation names a broken promise that a caller can see for itself.
+// Violation is a broken promise that a caller can detect from its answers.
 type Violation string
 
-// The violations.
+// Possible violations.
 const (
-	// ViolationOrder is a token that is missing, repeated or out of order.
-	ViolationOrder Violation = "token-order"
-	// ViolationWord is a token that is not the one that the stand-in makes at
-	// its place.
-	ViolationWord Violation = "wrong-word"
-	// ViolationGeneration is an answer made of two generations.
-	ViolationGeneration Violation = "two-generations"
-	// ViolationShort is an answer that was called complete and is not.
-	ViolationShort Violation = "incomplete"
-	// ViolationCrossed is the answer to another call.
-	ViolationCrossed Violation = "crossed-answer"
-	// ViolationTwice is a call under a key that ran more than once.
-	ViolationTwice Violation = "ran-twice"
-	// ViolationMalformed is an answer that does not follow its interface.
+	// ViolationTokenOrder means that a token is missing, repeated or out of order.
+	ViolationTokenOrder Violation = "token-order"
+	// ViolationWrongWord means that a token is not one that the stand-in
+	// generates.
+	ViolationWrongWord Violation = "wrong-word"
+	// ViolationMixedGenerations means that the tokens of an answer do not all
+	// belong to one generation.
+	ViolationMixedGenerations Violation = "two-generations"
+	// ViolationIncomplete means that an answer ended as complete without all of
+	// its tokens.
+	ViolationIncomplete Violation = "incomplete"
+	// ViolationCrossedAnswer means that the answer belongs to another call.
+	ViolationCrossedAnswer Violation = "crossed-answer"
+	// ViolationRanTwice means that a call with an idempotency key ran more than
+	// once.
+	ViolationRanTwice Violation = "ran-twice"
+	// ViolationMalformed means that an answer does not conform to the API.
 	ViolationMalformed Violation = "malformed"
 )
 
-// checker follows the tokens of one answer. The stand-in makes the word at
-// index k of generation g "w<k>-<g's last 6 characters> ", so that every token
-// tells where it belongs.
-type checker struct {
+// tokenChecker verifies the tokens of one answer. The stand-in generates the word
+// at index k of generation g as "w<k>-<last 6 characters of g> ", so that every
+// token identifies its position and generation.
+type tokenChecker struct {
 	generation string
-	next       int
+	nextOffset int
 }
 
-const tailLength = 6
+// generationSuffixLength is the number of characters of the generation id that
+// each word contains.
+const generationSuffixLength = 6
 
-// piece is what one event, or one whole answer, brought.
-type piece struct {
+// tokenChunk is the content of one event or of one whole answer.
+type tokenChunk struct {
 	generation string
 	offset     int
 	tokens     int
 	text       string
 }
 
-// add takes the next piece and gives what is wrong with it, or "".
-func (c *checker) add(p piece) Violation {
+// checkChunk verifies the next chunk and returns the violation found, or "".
+func (c *tokenChecker) checkChunk(chunk tokenChunk) Violation {
 	if c.generation == "" {
-		c.generation = p.generation
+		c.generation = chunk.generation
 	}
-	if p.generation != c.generation || p.generation == "" {
-		return ViolationGeneration
+	if chunk.generation != c.generation || chunk.generation == "" {
+		return ViolationMixedGenerations
 	}
-	if p.offset != c.next {
-		return ViolationOrder
+	if chunk.offset != c.nextOffset {
+		return ViolationTokenOrder
 	}
-	if v := c.words(p); v != "" {
+	if v := c.checkWords(chunk); v != "" {
 		return v
 	}
-	c.next += p.tokens
+	c.nextOffset += chunk.tokens
 	return ""
 }
 
-func (c *checker) words(p piece) Violation {
-	tail := p.generation[max(0, len(p.generation)-tailLength):]
+func (c *tokenChecker) checkWords(chunk tokenChunk) Violation {
+	suffix := chunk.generation[max(0, len(chunk.generation)-generationSuffixLength):]
 	words := 0
-	for word := range strings.FieldsSeq(p.text) {
-		index, wordTail, ok := parseWord(word)
+	for word := range strings.FieldsSeq(chunk.text) {
+		index, wordSuffix, ok := parseWord(word)
 		switch {
 		case !ok:
-			return ViolationWord
-		case wordTail != tail:
-			return ViolationGeneration
-		case index != p.offset+words:
-			return ViolationOrder
+			return ViolationWrongWord
+		case wordSuffix != suffix:
+			return ViolationMixedGenerations
+		case index != chunk.offset+words:
+			return ViolationTokenOrder
 		}
 		words++
 	}
-	if words != p.tokens {
-		return ViolationOrder
+	if words != chunk.tokens {
+		return ViolationTokenOrder
 	}
 	return ""
 }
 
-func parseWord(word string) (index int, tail string, ok bool) {
-	number, tail, ok := strings.Cut(strings.TrimPrefix(word, "w"), "-")
+func parseWord(word string) (index int, suffix string, ok bool) {
+	number, suffix, ok := strings.Cut(strings.TrimPrefix(word, "w"), "-")
 	if !ok || word[0] != 'w' {
 		return 0, "", false
 	}
 	index, err := strconv.Atoi(number)
-	return index, tail, err == nil
+	return index, suffix, err == nil
 }
 
-// complete tells whether an answer that was called complete is.
-func (c *checker) complete(length int) Violation {
-	if c.next != length {
-		return ViolationShort
+// checkLength verifies that a complete answer has the expected number of tokens.
+func (c *tokenChecker) checkLength(length int) Violation {
+	if c.nextOffset != length {
+		return ViolationIncomplete
 	}
 	return ""
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -15,53 +15,57 @@
 	"filbertdeck/internal/failure"
 )
 
-// Target says whom to load, and as whom.
-type Target struct {
-	// Entries are ip:port.
+// ClientConfig holds the addresses to call, the accounts to call as, and the
+// limits of a call.
+type ClientConfig struct {
+	// Entries are addresses of entries in the form ip:port.
 	Entries []string
-	// DirectEngines and DirectApps are stand-ins that are called without the
-	// system between, as the measure of what the system adds. They take the
-	// place of Entries; a lost stream is not resumed then.
+	// DirectEngines and DirectApps are addresses of stand-ins to call directly,
+	// which gives a baseline for the overhead of the system. They replace
+	// Entries. Lost streams are not resumed in this mode.
 	DirectEngines, DirectApps []string
-	// Accounts and Keys go together.
-	Accounts, Keys []string
-	// Timeout bounds a call with all its attempts. Opening is the time in which
-	// a stream must open and a plain service must answer; a request waits for
-	// its admission that long. Whole generations have the timeout alone. Silence
-	// is the time without a byte, keep-alive comments included, after which an
-	// open stream counts as lost.
-	Timeout, Opening, Silence time.Duration
-	// Attempts bounds the tries of one call after lost connections, counted
-	// again from the start whenever tokens came. A refusal
-	// is final: an open loop that asks again would change its own rate.
-	Attempts int
+	// Accounts and APIKeys have the same length; each key belongs to the account
+	// at the same index.
+	Accounts, APIKeys []string
+	// Timeout limits a call including all its attempts. OpenTimeout is the time
+	// in which a stream must open or a plain service must answer, including the
+	// wait for admission; whole generations are only limited by Timeout.
+	// IdleTimeout is the time without any event, keep-alive comments included,
+	// after which an open stream counts as lost.
+	Timeout, OpenTimeout, IdleTimeout time.Duration
+	// MaxAttempts limits the attempts of one call after lost connections. The
+	// count restarts whenever new tokens were received. Refusals are not
+	// retried, since retries would change the rate of the open loop.
+	MaxAttempts int
 }
 
-// client makes calls through the entries.
+// client sends requests to the entries, or directly to the stand-ins.
 type client struct {
-	target Target
-	http   *http.Client
-	turn   atomic.Uint64
+	config      ClientConfig
+	http        *http.Client
+	nextAddress atomic.Uint64
 }
 
-// idlePerEntry keeps connections between calls, as a caller's library does.
-const idlePerEntry = 256
+// maxIdleConnsPerEntry is the number of idle connections kept for reuse, as the
+// HTTP library of a real caller does.
+const maxIdleConnsPerEntry = 256
 
-// maxAnswer bounds a whole answer in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes limits the size of a response body.
+const maxResponseBytes = 16 << 20
 
-// pauseBeforeRetry spaces the attempts after a lost connection.
-const pauseBeforeRetry = 100 * time.Millisecond
+// retryDelay is the time between attempts after a lost connection.
+const retryDelay = 100 * time.Millisecond
 
-// connectTimeout is short: entries are a millisecond away.
+// connectTimeout limits the connection setup. It is short because the network
+// latency to the entries is about a millisecond.
 const connectTimeout = 2 * time.Second
 
-func newClient(t Target) *client {
+func newClient(config ClientConfig) *client {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: idlePerEntry, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConnsPerEntry, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext,
 	}
-	return &client{target: t, http: &http.Client{
+	return &client{config: config, http: &http.Client{
 		Transport:     transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -69,140 +73,144 @@
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-func (t *Target) direct() bool { return len(t.DirectEngines)+len(t.DirectApps) > 0 }
+func (c *ClientConfig) direct() bool { return len(c.DirectEngines)+len(c.DirectApps) > 0 }
 
-// address gives the entries in turn, so that calls spread and a retry goes to
-// another one.
-func (c *client) address(generation bool) string {
-	list := c.target.Entries
-	if c.target.direct() {
-		list = c.target.DirectApps
+// pickAddress selects the addresses in turn (round robin), so that calls are
+// distributed and a retry goes to another entry.
+func (c *client) pickAddress(generation bool) string {
+	addresses := c.config.Entries
+	if c.config.direct() {
+		addresses = c.config.DirectApps
 	}
-	if c.target.direct() && generation {
-		list = c.target.DirectEngines
+	if c.config.direct() && generation {
+		addresses = c.config.DirectEngines
 	}
-	return list[c.turn.Add(1)%uint64(len(list))]
+	return addresses[c.nextAddress.Add(1)%uint64(len(addresses))]
 }
 
-// request is one HTTP request to whichever entry is next.
-type request struct {
+// requestSpec describes one HTTP request, without the address to send it to.
+type requestSpec struct {
 	method, path, body string
-	account            int
-	// generation tells completions from calls of plain services.
+	accountIndex       int
+	// generation is true for completions and false for calls of plain services.
 	generation bool
 	headers    [][2]string
 }
 
-// Kinds of failures that the tool itself sees. Their names differ from those
-// that entries answer with: an entry's "target-lost" is a final answer, while
-// after a lost connection the caller asks again.
+// Failure kinds detected by the load generator itself. Their names differ from
+// the kinds that entries return: "target-lost" from an entry is a final answer,
+// while a lost connection is retried.
 const (
 	kindConnectionLost failure.Kind = "connection-lost"
 	kindCallTimeout    failure.Kind = "call-timeout"
 )
 
-// send gives the response, whose body the caller closes. Its error is of kind
-// connection-lost: nobody knows what became of the request.
-func (c *client) send(ctx context.Context, q request) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+c.address(q.generation)+q.path, strings.NewReader(q.body))
+// send sends a request and returns the response, whose body must be closed by
+// the caller. A transport error is returned as connection-lost with an unknown
+// outcome, because the request may have been executed.
+func (c *client) send(ctx context.Context, spec requestSpec) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, spec.method, "http://"+c.pickAddress(spec.generation)+spec.path, strings.NewReader(spec.body))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "request can't be made")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create the request")
 	}
-	// Without GetBody the transport never sends a request twice by itself.
-	r.GetBody = nil
-	r.Header.Set("Authorization", "Bearer "+c.target.Keys[q.account])
-	if q.body != "" {
-		r.Header.Set("Content-Type", "application/json")
+	// Without GetBody, the transport cannot resend a request on its own.
+	req.GetBody = nil
+	req.Header.Set("Authorization", "Bearer "+c.config.APIKeys[spec.accountIndex])
+	if spec.body != "" {
+		req.Header.Set("Content-Type", "application/json")
 	}
-	for _, h := range q.headers {
-		r.Header.Set(h[0], h[1])
+	for _, h := range spec.headers {
+		req.Header.Set(h[0], h[1])
 	}
-	resp, err := c.http.Do(r)
+	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, lost(err)
+		return nil, connectionLost(err)
 	}
 	return resp, nil
 }
 
-func lost(err error) error {
+func connectionLost(err error) error {
 	return failure.Wrap(err, kindConnectionLost, "connection to the entry was lost").Unknown()
 }
 
-// answer sends a request and reads its whole answer; a refusal is an error.
-func (c *client) answer(ctx context.Context, q request) ([]byte, error) {
-	if !q.generation {
+// fetch sends a request and reads the complete response body. Statuses of 300
+// and above are returned as errors.
+func (c *client) fetch(ctx context.Context, spec requestSpec) ([]byte, error) {
+	if !spec.generation {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, c.target.Opening)
+		ctx, cancel = context.WithTimeout(ctx, c.config.OpenTimeout)
 		defer cancel()
 	}
-	resp, err := c.send(ctx, q)
+	resp, err := c.send(ctx, spec)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, lost(err)
+		return nil, connectionLost(err)
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return nil, refusal(resp, body)
+		return nil, parseRefusal(resp, body)
 	}
 	return body, nil
 }
 
-// refusal gives a problem document as a failure. An answer that is none is of
-// kind internal with an unknown outcome.
-func refusal(resp *http.Response, body []byte) error {
-	var p failure.Problem
-	if json.Unmarshal(body, &p) != nil || p.Type == "" {
+// parseRefusal converts a problem document to a failure. A response without a
+// problem document becomes an internal failure with an unknown outcome.
+func parseRefusal(resp *http.Response, body []byte) error {
+	var problem failure.Problem
+	if json.Unmarshal(body, &problem) != nil || problem.Type == "" {
 		return failure.New(failure.KindInternal, "status %d without a problem document", resp.StatusCode).Unknown()
 	}
-	return failure.FromProblem(p)
+	return failure.FromProblem(problem)
 }
 
-func isLost(err error) bool { return failure.KindOf(err) == kindConnectionLost }
+func isConnectionLost(err error) bool { return failure.KindOf(err) == kindConnectionLost }
 
-// retry calls try until it succeeds or fails for good, or until the attempts
-// are used up without progress between them; it gives the number of attempts
-// after the first. A long stream over a bad link may break more often than
-// Attempts and still get through.
-func (c *client) retry(ctx context.Context, progress func() int, try func() error) (int, error) {
-	again, left, reached := 0, c.target.Attempts, progress()
+// retry calls attempt until it succeeds, fails with anything but a lost
+// connection, or has used up the attempts without progress. It returns the
+// number of retries. Progress restarts the count, so a long stream over an
+// unreliable link may break more than MaxAttempts times and still complete.
+func (c *client) retry(ctx context.Context, progress func() int, attempt func() error) (int, error) {
+	retries, attemptsLeft, lastProgress := 0, c.config.MaxAttempts, progress()
 	for {
-		err := try()
-		if !isLost(err) || ctx.Err() != nil {
-			return again, timeoutOr(ctx, err)
+		err := attempt()
+		if !isConnectionLost(err) || ctx.Err() != nil {
+			return retries, timeoutError(ctx, err)
 		}
-		if now := progress(); now > reached {
-			reached, left = now, c.target.Attempts
+		if current := progress(); current > lastProgress {
+			lastProgress, attemptsLeft = current, c.config.MaxAttempts
 		}
-		if left--; left <= 0 {
-			return again, err
+		if attemptsLeft--; attemptsLeft <= 0 {
+			return retries, err
 		}
-		again++
+		retries++
 		select {
-		case <-time.After(pauseBeforeRetry):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// noProgress is that of calls whose answer comes all at once.
+// noProgress is the progress function of calls that receive their answer in one
+// piece.
 func noProgress() int { return 0 }
 
-// timeoutOr turns a loss that the call's own timeout caused into one.
-func timeoutOr(ctx context.Context, err error) error {
+// timeoutError converts an error caused by the call's own timeout to a
+// call-timeout failure. Other errors are returned unchanged.
+func timeoutError(ctx context.Context, err error) error {
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Wrap(err, kindCallTimeout, "call took longer than its timeout").Unknown()
 	}
 	return err
 }
 
-// servicePath gives the path of a call, which a stand-in sees without the
-// entry's prefix.
-func (c *client) servicePath(k *Kind, rest string) string {
-	if c.target.direct() {
-		return "/" + rest
+// servicePath returns the path of a call. Stand-ins that are called directly
+// expect it without the entry's prefix.
+func (c *client) servicePath(kind *CallKind, suffix string) string {
+	if c.config.direct() {
+		return "/" + suffix
 	}
-	return fmt.Sprintf("/v1/services/%s/%s", k.Service, rest)
+	return fmt.Sprintf("/v1/services/%s/%s", kind.Service, suffix)
 }
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -30,17 +30,17 @@
 promise (tokens out of order, crossed answers, a call that ran twice) ends with
 exit code 3, wrong settings end with 2.`
 
-// The exit codes beside settings.ExitUsage.
+// Exit codes in addition to settings.ExitUsage.
 const (
 	exitFailed = 1
-	// exitBroken says that a run saw a broken promise.
-	exitBroken = 3
+	// exitViolation means that an answer broke a promise during the run.
+	exitViolation = 3
 )
 
-// Main runs the program and gives its exit code.
+// Main runs the program and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	errOut = &lockedWriter{out: errOut}
-	code, err := command(args, out, errOut)
+	code, err := runCommand(args, out, errOut)
 	switch {
 	case err == nil || settings.IsHelp(err):
 		return code
@@ -52,7 +52,7 @@
 	return exitFailed
 }
 
-// lockedWriter takes lines of several goroutines.
+// lockedWriter serializes writes from several goroutines.
 type lockedWriter struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -65,18 +65,18 @@
 	return w.out.Write(p)
 }
 
-func command(args []string, out, errOut io.Writer) (int, error) {
+func runCommand(args []string, out, errOut io.Writer) (int, error) {
 	name := ""
 	if len(args) > 0 {
 		name, args = args[0], args[1:]
 	}
 	switch name {
 	case "run":
-		return run(args, out, errOut)
+		return runLoad(args, out, errOut)
 	case "trial":
-		return trial(args, out, errOut)
+		return runTrial(args, out, errOut)
 	case "compare":
-		return 0, compare(args, out)
+		return 0, compareFiles(args, out)
 	case "profiles":
 		return 0, writeJSON(out, Profiles())
 	case "-h", "--help":
@@ -89,36 +89,36 @@
 	return 0, failure.New(failure.KindSettingInvalid, "first argument is %q; allowed: run, trial, compare, profiles", name)
 }
 
-// run makes a load until it is over or the process is told to stop.
-func run(args []string, out, errOut io.Writer) (int, error) {
-	cfg, path, err := parseRun(args, out)
+// runLoad generates load until the run ends or the process is asked to stop.
+func runLoad(args []string, out, errOut io.Writer) (int, error) {
+	cfg, path, err := parseRunSettings(args, out)
 	if err != nil {
 		return 0, err
 	}
-	cfg.Progress = errOut
-	ctx, stop := untilTold()
+	cfg.ProgressOutput = errOut
+	ctx, stop := signalContext()
 	defer stop()
-	return finish(path, out, errOut, Run(ctx, cfg))
+	return writeResult(path, out, errOut, Run(ctx, cfg))
 }
 
-// untilTold gives a context that ends when the process is told to stop.
-func untilTold() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled by SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// finish saves a result and gives the exit code that it means.
-func finish(path string, out, errOut io.Writer, result *Result) (int, error) {
-	if err := save(path, out, result); err != nil {
+// writeResult saves the result and returns the exit code for it.
+func writeResult(path string, out, errOut io.Writer, result *Result) (int, error) {
+	if err := saveResult(path, out, result); err != nil {
 		return 0, err
 	}
-	if result.Broken() {
+	if result.HasViolations() {
 		_, _ = fmt.Fprintln(errOut, "a promise was broken: see violations in the result")
-		return exitBroken, nil
+		return exitViolation, nil
 	}
 	return 0, nil
 }
 
-func save(path string, out io.Writer, result *Result) error {
+func saveResult(path string, out io.Writer, result *Result) error {
 	if path == "" {
 		return writeJSON(out, result)
 	}
@@ -136,17 +136,17 @@
 	return e.Encode(value)
 }
 
-func compare(args []string, out io.Writer) error {
+func compareFiles(args []string, out io.Writer) error {
 	if len(args) != 2 {
 		return failure.New(failure.KindSettingInvalid, "compare got %d arguments; allowed: two files of results", len(args))
 	}
-	a, err := Load(args[0])
+	a, err := LoadResult(args[0])
 	if err != nil {
 		return err
 	}
-	b, err := Load(args[1])
+	b, err := LoadResult(args[1])
 	if err != nil {
 		return err
 	}
-	return Compare(out, a, b)
+	return WriteComparison(out, a, b)
 }
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -12,33 +12,33 @@
 	"filbertdeck/internal/failure"
 )
 
-// measure is one figure of a result.
-type measure struct {
+// metric is one named value of a result.
+type metric struct {
 	name  string
 	value float64
 }
 
-// measures lists a result's figures in a fixed order. Figures without samples
-// are left out: a latency of nothing is no latency of zero.
-func measures(r *Result) []measure {
-	list := counts("total", r.Total)
-	list = append(list, measure{"total unsent", float64(r.Unsent)},
-		measure{"total tokens/s", float64(r.Total.Tokens) / max(r.Seconds, math.SmallestNonzeroFloat64)})
+// resultMetrics lists the metrics of a result in a fixed order. Latencies without
+// samples are omitted, since they would appear as a latency of zero.
+func resultMetrics(r *Result) []metric {
+	list := countMetrics("total", r.Total)
+	list = append(list, metric{"total unsent", float64(r.Unsent)},
+		metric{"total tokens/s", float64(r.Total.Tokens) / max(r.Seconds, math.SmallestNonzeroFloat64)})
 	if r.Targets != nil {
-		list = append(list, targetMeasures(r.Targets)...)
+		list = append(list, targetMetrics(r.Targets)...)
 	}
 	for _, name := range sortedNames(r.Kinds) {
-		list = append(list, groupMeasures(name, r.Kinds[name])...)
+		list = append(list, groupMetrics(name, r.Kinds[name])...)
 	}
 	for _, name := range sortedNames(r.Accounts) {
-		list = append(list, groupMeasures("account "+name, r.Accounts[name])...)
+		list = append(list, groupMetrics("account "+name, r.Accounts[name])...)
 	}
 	return list
 }
 
-func targetMeasures(t *TargetCounts) []measure {
+func targetMetrics(t *TargetCounts) []metric {
 	e := t.Engines
-	return []measure{
+	return []metric{
 		{"engines started", float64(e.Submitted)}, {"engines finished", float64(e.Finished)},
 		{"engines cancelled", float64(e.Cancelled)}, {"engines tokens", float64(e.Tokens)},
 		{"engines preemptions", float64(e.Preemptions)}, {"engines recomputed tokens", float64(e.Recomputed)},
@@ -58,18 +58,18 @@
 	return names
 }
 
-func counts(name string, c Counts) []measure {
-	return []measure{
+func countMetrics(name string, c Counts) []metric {
+	return []metric{
 		{name + " sent", float64(c.Sent)}, {name + " whole", float64(c.Whole)}, {name + " refused", float64(c.Refused)},
-		{name + " violated", float64(c.Violated)}, {name + " refused without time", float64(c.WithoutTime)},
-		{name + " sent again", float64(c.Again)}, {name + " tokens", float64(c.Tokens)},
+		{name + " violated", float64(c.Violated)}, {name + " refused without time", float64(c.RefusedWithoutRetryAfter)},
+		{name + " sent again", float64(c.Retries)}, {name + " tokens", float64(c.Tokens)},
 	}
 }
 
-func groupMeasures(name string, g *Group) []measure {
-	list := counts(name, g.Counts)
+func groupMetrics(name string, g *Group) []metric {
+	list := countMetrics(name, g.Counts)
 	for _, r := range g.Refusals {
-		list = append(list, measure{fmt.Sprintf("%s refused %s, executed %s", name, r.Type, r.Executed), float64(r.Count)})
+		list = append(list, metric{fmt.Sprintf("%s refused %s, executed %s", name, r.Type, r.Executed), float64(r.Count)})
 	}
 	for _, s := range []struct {
 		name    string
@@ -78,47 +78,48 @@
 		{"first token", g.FirstToken}, {"between tokens", g.BetweenTokens}, {"stall", g.Stall},
 		{"answer", g.Answer}, {"refusal", g.Refusal},
 	} {
-		list = append(list, summaryMeasures(name+" "+s.name, s.summary)...)
+		list = append(list, summaryMetrics(name+" "+s.name, s.summary)...)
 	}
 	return list
 }
 
-func summaryMeasures(name string, s Summary) []measure {
+func summaryMetrics(name string, s Summary) []metric {
 	if s.Count == 0 {
 		return nil
 	}
-	return []measure{
+	return []metric{
 		{name + " mean ms", s.Mean}, {name + " p50 ms", s.P50}, {name + " p99 ms", s.P99}, {name + " max ms", s.Max},
 	}
 }
 
-// Compare writes the figures of two results side by side, with B's difference
-// from A. A figure that only one of them has stands alone.
-func Compare(out io.Writer, a, b *Result) error {
-	inB := map[string]float64{}
-	for _, m := range measures(b) {
-		inB[m.name] = m.value
-	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(w, "measure\tA\tB\tdifference\t")
-	for _, m := range measures(a) {
-		value, both := inB[m.name]
-		delete(inB, m.name)
-		if both {
-			_, _ = fmt.Fprintf(w, "%s\t%.5g\t%.5g\t%s\t\n", m.name, m.value, value, difference(m.value, value))
+// WriteComparison writes the metrics of two results side by side, with the
+// difference of B from A. Metrics that only one result has are listed without a
+// difference.
+func WriteComparison(out io.Writer, a, b *Result) error {
+	valuesB := map[string]float64{}
+	for _, metric := range resultMetrics(b) {
+		valuesB[metric.name] = metric.value
+	}
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	_, _ = fmt.Fprintln(table, "measure\tA\tB\tdifference\t")
+	for _, metric := range resultMetrics(a) {
+		value, inBoth := valuesB[metric.name]
+		delete(valuesB, metric.name)
+		if inBoth {
+			_, _ = fmt.Fprintf(table, "%s\t%.5g\t%.5g\t%s\t\n", metric.name, metric.value, value, formatDifference(metric.value, value))
 		} else {
-			_, _ = fmt.Fprintf(w, "%s\t%.5g\t-\t\t\n", m.name, m.value)
+			_, _ = fmt.Fprintf(table, "%s\t%.5g\t-\t\t\n", metric.name, metric.value)
 		}
 	}
-	for _, m := range measures(b) {
-		if _, alone := inB[m.name]; alone {
-			_, _ = fmt.Fprintf(w, "%s\t-\t%.5g\t\t\n", m.name, m.value)
+	for _, metric := range resultMetrics(b) {
+		if _, onlyInB := valuesB[metric.name]; onlyInB {
+			_, _ = fmt.Fprintf(table, "%s\t-\t%.5g\t\t\n", metric.name, metric.value)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func difference(a, b float64) string {
+func formatDifference(a, b float64) string {
 	if a == b {
 		return "="
 	}
@@ -128,8 +129,8 @@
 	return fmt.Sprintf("%+.1f%%", (b-a)/a*100)
 }
 
-// Load reads a result that a run wrote.
-func Load(path string) (*Result, error) {
+// LoadResult reads the result file of a run.
+func LoadResult(path string) (*Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "result %q can't be read", path)
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,12 +1,13 @@
-// Package load makes an open-loop load on a running system and measures what
-// its callers receive: the program filbert-load.
+// Package load implements the program filbert-load, an open-loop load generator
+// that measures what the callers of a running system receive.
 //
-// The load pattern is a deployment's mix of calls (Profiles) whose arrivals
-// are a Poisson process with bursts, whose lengths are heavy-tailed and whose
-// accounts differ in size, all drawn from one seed ahead of the answers.
-// Latencies run from the intended start, so that a stall of the system counts
-// for every call that it held up (no coordinated omission).
+// A workload is a deployment's mix of calls (see Profiles). Arrivals follow a
+// Poisson process with bursts, lengths are heavy-tailed, and accounts differ in
+// size. All of these are drawn from one seed and do not depend on the answers.
+// Latencies are measured from the intended start, so that a stall of the system
+// counts for every call that it delayed (no coordinated omission).
 //
-// Every answer is checked: tokens in order, once, of one generation and of the
-// right words; answers that belong to their call; keyed calls that ran once.
+// Every answer is verified: each token arrives exactly once, in order, with the
+// expected text and from a single generation; each answer belongs to its call;
+// and each call with an idempotency key ran once.
 package load
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -33,8 +33,8 @@
 	RunSpecs(t, "load")
 }
 
-func calls(a Arrivals, accounts int) []Call {
-	p, _ := ProfileNamed("cooperative")
+func scheduledCalls(a ArrivalConfig, accounts int) []Call {
+	p, _ := FindProfile("cooperative")
 	s := newSchedule(a, p, accounts)
 	var out []Call
 	for c, ok := s.next(); ok; c, ok = s.next() {
@@ -44,44 +44,44 @@
 }
 
 var _ = Describe("the schedule", func() {
-	base := Arrivals{Rate: 100, Duration: 100 * time.Second, LengthScale: 1, Seed: 7}
+	base := ArrivalConfig{Rate: 100, Duration: 100 * time.Second, LengthScale: 1, Seed: 7}
 
-	It("is the same for the same seed and another for another", func() {
+	It("is identical for the same seed and differs for another", func() {
 		other := base
 		other.Seed = 8
-		Expect(calls(base, 10)).To(Equal(calls(base, 10)))
-		Expect(calls(other, 10)[0].At).NotTo(Equal(calls(base, 10)[0].At))
+		Expect(scheduledCalls(base, 10)).To(Equal(scheduledCalls(base, 10)))
+		Expect(scheduledCalls(other, 10)[0].IntendedStart).NotTo(Equal(scheduledCalls(base, 10)[0].IntendedStart))
 	})
 
-	It("keeps rate, shares, account sizes and medians", func() {
-		all := calls(base, 10)
+	It("has the configured rate, shares, account sizes and medians", func() {
+		all := scheduledCalls(base, 10)
 		Expect(len(all)).To(BeNumerically("~", 10_000, 400))
-		kinds, accounts, above := map[string]int{}, map[int]int{}, 0
+		kinds, accounts, longWaivers := map[string]int{}, map[int]int{}, 0
 		for _, c := range all {
 			kinds[c.Kind.Name]++
-			accounts[c.Account]++
-			if c.Kind.Name == "waiver" && c.Length > 250 {
-				above++
+			accounts[c.AccountIndex]++
+			if c.Kind.Name == "waiver" && c.OutputTokens > 250 {
+				longWaivers++
 			}
 		}
 		Expect(kinds["lookup"]).To(BeNumerically("~", 5500, 250))
 		Expect(accounts[0]).To(BeNumerically("~", 3414, 200))
 		Expect(accounts[9]).To(BeNumerically("~", 341, 80))
-		Expect(above).To(BeNumerically("~", kinds["waiver"]/2, 120))
+		Expect(longWaivers).To(BeNumerically("~", kinds["waiver"]/2, 120))
 	})
 
 	It("adds bursts at the end of each period", func() {
 		a := base
-		a.BurstFactor, a.BurstEvery, a.BurstFor = 10, 10*time.Second, time.Second
-		in := 0
-		all := calls(a, 3)
+		a.BurstFactor, a.BurstInterval, a.BurstDuration = 10, 10*time.Second, time.Second
+		inBursts := 0
+		all := scheduledCalls(a, 3)
 		for _, c := range all {
-			if c.At%a.BurstEvery >= 9*time.Second {
-				in++
+			if c.IntendedStart%a.BurstInterval >= 9*time.Second {
+				inBursts++
 			}
 		}
-		Expect(in).To(BeNumerically("~", 10_000, 400))
-		Expect(len(all) - in).To(BeNumerically("~", 9_000, 400))
+		Expect(inBursts).To(BeNumerically("~", 10_000, 400))
+		Expect(len(all) - inBursts).To(BeNumerically("~", 9_000, 400))
 	})
 
 	It("has profiles whose shares sum to one", func() {
@@ -95,42 +95,42 @@
 	})
 })
 
-var _ = DescribeTable("the checker finds", func(want Violation, pieces ...piece) {
-	c, got := checker{}, Violation("")
-	for _, p := range pieces {
-		if got = c.add(p); got != "" {
+var _ = DescribeTable("the checker finds", func(want Violation, chunks ...tokenChunk) {
+	c, got := tokenChecker{}, Violation("")
+	for _, p := range chunks {
+		if got = c.checkChunk(p); got != "" {
 			break
 		}
 	}
 	if got == "" {
-		got = c.complete(3)
+		got = c.checkLength(3)
 	}
 	Expect(got).To(Equal(want))
 },
-	Entry("nothing", Violation(""), piece{"gen-abcdef", 0, 2, "w0-abcdef w1-abcdef "}, piece{"gen-abcdef", 2, 1, "w2-abcdef "}),
-	Entry("a repeated token", ViolationOrder, piece{"g", 0, 1, "w0-g "}, piece{"g", 0, 1, "w0-g "}),
-	Entry("a missing token", ViolationOrder, piece{"g", 0, 1, "w0-g "}, piece{"g", 2, 1, "w2-g "}),
-	Entry("a word at the wrong place", ViolationOrder, piece{"g", 0, 2, "w1-g w0-g "}),
-	Entry("fewer words than told", ViolationOrder, piece{"g", 0, 2, "w0-g "}),
-	Entry("another generation", ViolationGeneration, piece{"g", 0, 1, "w0-g "}, piece{"h", 1, 1, "w1-h "}),
-	Entry("another generation's words", ViolationGeneration, piece{"g", 0, 1, "w0-h "}),
-	Entry("no generation", ViolationGeneration, piece{"", 0, 1, "w0- "}),
-	Entry("other words", ViolationWord, piece{"g", 0, 1, "hello "}),
-	Entry("an early end", ViolationShort, piece{"g", 0, 2, "w0-g w1-g "}),
+	Entry("nothing", Violation(""), tokenChunk{"gen-abcdef", 0, 2, "w0-abcdef w1-abcdef "}, tokenChunk{"gen-abcdef", 2, 1, "w2-abcdef "}),
+	Entry("a repeated token", ViolationTokenOrder, tokenChunk{"g", 0, 1, "w0-g "}, tokenChunk{"g", 0, 1, "w0-g "}),
+	Entry("a missing token", ViolationTokenOrder, tokenChunk{"g", 0, 1, "w0-g "}, tokenChunk{"g", 2, 1, "w2-g "}),
+	Entry("a word at the wrong position", ViolationTokenOrder, tokenChunk{"g", 0, 2, "w1-g w0-g "}),
+	Entry("fewer words than declared", ViolationTokenOrder, tokenChunk{"g", 0, 2, "w0-g "}),
+	Entry("another generation", ViolationMixedGenerations, tokenChunk{"g", 0, 1, "w0-g "}, tokenChunk{"h", 1, 1, "w1-h "}),
+	Entry("another generation's words", ViolationMixedGenerations, tokenChunk{"g", 0, 1, "w0-h "}),
+	Entry("no generation", ViolationMixedGenerations, tokenChunk{"", 0, 1, "w0- "}),
+	Entry("unexpected words", ViolationWrongWord, tokenChunk{"g", 0, 1, "hello "}),
+	Entry("an early end", ViolationIncomplete, tokenChunk{"g", 0, 2, "w0-g w1-g "}),
 )
 
-// fakeEntry answers as an entry does, and breaks one thing when told to.
+// fakeEntry responds like an entry and injects the configured fault.
 type fakeEntry struct {
-	mu      sync.Mutex
-	fault   string
-	ran     map[string]int
-	minted  int
-	resumed int
-	// silenced is set once a stream has gone silent for good.
-	silenced bool
+	mu         sync.Mutex
+	fault      string
+	executions map[string]int
+	mintedKeys int
+	resumes    int
+	// hung is set once a request has been left without a complete response.
+	hung bool
 }
 
-var tokensMark = regexp.MustCompile(`\[tokens=(\d+)\]`)
+var tokensPattern = regexp.MustCompile(`\[tokens=(\d+)\]`)
 
 const fakeGeneration = "gen-123456"
 
@@ -143,39 +143,39 @@
 		failure.Write(w, failure.New(failure.KindOverloaded, "full").After(time.Second))
 	case f.fault == "drop":
 		panic(http.ErrAbortHandler)
-	case f.fault == "hang plain" && !f.silenced && strings.HasPrefix(r.URL.Path, "/v1/services/"):
+	case f.fault == "hang plain" && !f.hung && strings.HasPrefix(r.URL.Path, "/v1/services/"):
 		f.hang(r)
 	case r.URL.Path == "/v1/idempotency-keys":
-		f.minted++
-		fmt.Fprintf(w, `{"key":"k%d"}`, f.minted)
+		f.mintedKeys++
+		fmt.Fprintf(w, `{"key":"k%d"}`, f.mintedKeys)
 	case strings.HasPrefix(r.URL.Path, "/v1/services/"):
-		f.plain(w, r, string(body))
+		f.servePlain(w, r, string(body))
 	default:
-		f.generate(w, r, body)
+		f.serveCompletion(w, r, body)
 	}
 }
 
-func (f *fakeEntry) plain(w http.ResponseWriter, r *http.Request, body string) {
+func (f *fakeEntry) servePlain(w http.ResponseWriter, r *http.Request, body string) {
 	key := r.Header.Get("Idempotency-Key")
-	f.ran[key]++
-	a := plainAnswer{Path: r.URL.RequestURI(), Body: body, Executions: f.ran[key]}
+	f.executions[key]++
+	response := plainResponse{Path: r.URL.RequestURI(), Body: body, Executions: f.executions[key]}
 	if f.fault == "crossed" {
-		a.Path, a.Body = a.Path+"0", a.Body+"0"
+		response.Path, response.Body = response.Path+"0", response.Body+"0"
 	}
 	if f.fault == "twice" {
-		a.Executions++
+		response.Executions++
 	}
-	_ = json.NewEncoder(w).Encode(a)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-func (f *fakeEntry) generate(w http.ResponseWriter, r *http.Request, body []byte) {
-	var q completionBody
-	_ = json.Unmarshal(body, &q)
-	length, _ := strconv.Atoi(tokensMark.FindStringSubmatch(q.Prompt)[1])
+func (f *fakeEntry) serveCompletion(w http.ResponseWriter, r *http.Request, body []byte) {
+	var request completionRequest
+	_ = json.Unmarshal(body, &request)
+	length, _ := strconv.Atoi(tokensPattern.FindStringSubmatch(request.Prompt)[1])
 	if f.fault == "short" {
 		length--
 	}
-	if !q.Stream {
+	if !request.Stream {
 		text := ""
 		for i := range length {
 			text += fmt.Sprintf("w%d-123456 ", i)
@@ -185,19 +185,19 @@
 	}
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	if from > 0 {
-		f.resumed++
+		f.resumes++
 	}
-	if f.fault == "unopened" && !f.silenced {
+	if f.fault == "unopened" && !f.hung {
 		f.hang(r)
 		return
 	}
 	fmt.Fprint(w, ": keep-alive\n\n")
 	for k := from; k < length; k++ {
 		if k == from+3 && (f.fault == "cut" || f.fault == "error") {
-			f.breakOff(w)
+			f.breakStream(w)
 			return
 		}
-		if k == 3 && f.fault == "silent" && !f.silenced {
+		if k == 3 && f.fault == "silent" && !f.hung {
 			_ = http.NewResponseController(w).Flush()
 			f.hang(r)
 			return
@@ -215,15 +215,16 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// hang holds a connection until its caller leaves, while others go on.
+// hang holds a request open until its caller disconnects. It releases the lock
+// so that other requests are served meanwhile.
 func (f *fakeEntry) hang(r *http.Request) {
-	f.silenced = true
+	f.hung = true
 	f.mu.Unlock()
 	<-r.Context().Done()
 	f.mu.Lock()
 }
 
-func (f *fakeEntry) breakOff(w http.ResponseWriter) {
+func (f *fakeEntry) breakStream(w http.ResponseWriter) {
 	if f.fault == "error" {
 		fmt.Fprint(w, "event: error\ndata: {\"type\":\"urn:x\",\"title\":\"target-lost\",\"executed\":\"yes\"}\n\n")
 		return
@@ -234,88 +235,88 @@
 
 var _ = Describe("a run", func() {
 	run := func(fault string) (*Result, *fakeEntry, string) {
-		fake := &fakeEntry{fault: fault, ran: map[string]int{}}
-		site := httptest.NewServer(fake)
-		defer site.Close()
+		fake := &fakeEntry{fault: fault, executions: map[string]int{}}
+		server := httptest.NewServer(fake)
+		defer server.Close()
 		file := filepath.Join(GinkgoT().TempDir(), "r.json")
 		var out, errOut bytes.Buffer
-		code := Main([]string{"run", "--entry", site.Listener.Addr().String(), "--api-key", "a=KEY", "--api-key", "b=KEY",
+		code := Main([]string{"run", "--entry", server.Listener.Addr().String(), "--api-key", "a=KEY", "--api-key", "b=KEY",
 			"--rate", "400", "--duration", "250ms", "--length-scale", "0.01", "--attempts", "2", "--out", file,
 			"--timeout", "1m", "--opening", "2s", "--silence", "2s", "--progress-every", "100ms", "--service", "lookup=other"}, &out, &errOut)
-		r, err := Load(file)
+		r, err := LoadResult(file)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r.Broken()).To(Equal(code == exitBroken), errOut.String())
+		Expect(r.HasViolations()).To(Equal(code == exitViolation), errOut.String())
 		Expect(r.Total.Sent).To(Equal(r.Total.Whole + r.Total.Refused + r.Total.Violated))
 		Expect(r.Accounts["a"].Sent + r.Accounts["b"].Sent).To(Equal(r.Total.Sent))
 		return r, fake, errOut.String()
 	}
 
-	It("measures an entry that does everything right", func() {
+	It("reports no failures for an entry without faults", func() {
 		r, fake, progress := run("")
 		Expect(r.Total.Whole).To(BeNumerically(">", 50))
 		Expect(r.Total.Whole).To(Equal(r.Total.Sent))
 		Expect(r.Kinds["report"].FirstToken.Count).To(BeEquivalentTo(r.Kinds["report"].Sent))
 		Expect(r.Kinds["report"].BetweenTokens.Count).To(BeEquivalentTo(r.Kinds["report"].Tokens - r.Kinds["report"].Sent))
-		Expect(fake.minted).To(Equal(r.Kinds["booking"].Sent))
+		Expect(fake.mintedKeys).To(Equal(r.Kinds["booking"].Sent))
 		Expect(progress).To(ContainSubstring("violated 0"))
 	})
 
-	// The connection breaks after every third token. The caller resumes each
-	// time by the handle it holds, and must get every token once.
-	It("resumes lost streams where they stopped", func() {
+	// The connection breaks after every third token. The caller resumes with the
+	// handle of the last event each time and must receive every token once.
+	It("resumes lost streams after the last token", func() {
 		r, fake, _ := run("cut")
 		Expect(r.Total.Whole).To(Equal(r.Total.Sent))
-		Expect(fake.resumed).To(Equal(r.Kinds["report"].Again))
-		Expect(fake.resumed).To(BeNumerically(">", 0))
+		Expect(fake.resumes).To(Equal(r.Kinds["report"].Retries))
+		Expect(fake.resumes).To(BeNumerically(">", 0))
 	})
 
-	// One connection goes silent in mid-stream, another never opens; both stay
-	// up. A caller without a bound of its own would wait for ever.
-	DescribeTable("asks elsewhere when a connection is silent", func(fault string) {
+	// A connection stays open but sends nothing, either in mid-stream or from the
+	// start. Without timeouts of its own, the caller would wait forever.
+	DescribeTable("retries at another entry when a connection is silent", func(fault string) {
 		r, fake, _ := run(fault)
 		Expect(r.Total.Whole).To(Equal(r.Total.Sent))
-		Expect(fake.silenced).To(BeTrue())
-		Expect(r.Total.Again).To(BeNumerically(">=", 1))
+		Expect(fake.hung).To(BeTrue())
+		Expect(r.Total.Retries).To(BeNumerically(">=", 1))
 	},
-		Entry("that of a plain call", "hang plain"),
+		Entry("during a plain call", "hang plain"),
 		Entry("in mid-stream", "silent"),
-		Entry("before it opens", "unopened"),
+		Entry("before the stream opens", "unopened"),
 	)
 
-	DescribeTable("sees broken promises", func(fault, kind string, want Violation) {
+	DescribeTable("detects violations", func(fault, kind string, want Violation) {
 		r, _, _ := run(fault)
 		Expect(r.Kinds[kind].Violations).To(HaveKey(want))
 		Expect(r.Kinds[kind].Violations).To(HaveLen(1))
 	},
-		Entry("order", "reorder", "report", ViolationOrder),
-		Entry("generation", "switch", "report", ViolationGeneration),
-		Entry("short stream", "short", "report", ViolationShort),
-		Entry("short whole", "short", "contract", ViolationShort),
-		Entry("crossed lookup", "crossed", "lookup", ViolationCrossed),
-		Entry("crossed booking", "crossed", "booking", ViolationCrossed),
-		Entry("booking run twice", "twice", "booking", ViolationTwice),
+		Entry("order", "reorder", "report", ViolationTokenOrder),
+		Entry("generation", "switch", "report", ViolationMixedGenerations),
+		Entry("short stream", "short", "report", ViolationIncomplete),
+		Entry("short whole", "short", "contract", ViolationIncomplete),
+		Entry("crossed lookup", "crossed", "lookup", ViolationCrossedAnswer),
+		Entry("crossed booking", "crossed", "booking", ViolationCrossedAnswer),
+		Entry("booking run twice", "twice", "booking", ViolationRanTwice),
 	)
 
 	DescribeTable("counts refusals by type and outcome", func(fault, kind string, want failure.Kind, executed failure.Executed) {
 		r, _, _ := run(fault)
 		Expect(r.Kinds[kind].Whole).To(BeZero())
-		Expect(r.Kinds[kind].WithoutTime).To(BeZero())
+		Expect(r.Kinds[kind].RefusedWithoutRetryAfter).To(BeZero())
 		Expect(r.Kinds[kind].Refusals).To(ConsistOf(Refusal{Type: want, Executed: executed, Count: r.Kinds[kind].Sent}))
 	},
 		Entry("lost each time", "drop", "lookup", kindConnectionLost, failure.ExecutedUnknown),
 		Entry("refused", "refuse", "lookup", failure.KindOverloaded, failure.ExecutedNo),
 	)
 
-	// An engine died, and the entry ended the stream with that as its answer. A
-	// caller that takes it for a broken connection asks again, without end.
-	It("counts a stream's typed end, with the tokens that came", func() {
+	// An engine fails and the entry ends the stream with a typed error. A caller
+	// that treats this as a lost connection would retry without end.
+	It("counts a stream that ends with a typed error, with the tokens received", func() {
 		r, _, _ := run("error")
 		g := r.Kinds["report"]
 		Expect(g.Refusals).To(ConsistOf(And(HaveField("Type", failure.KindTargetLost), HaveField("Executed", failure.ExecutedYes))))
 		Expect(g.Tokens).To(BeNumerically(">=", 3*g.Refused))
 	})
 
-	It("calls stand-ins directly, as a measure of what the system adds", func() {
+	It("calls stand-ins directly as a baseline", func() {
 		e := engine.NewServer(engine.Config{Model: model.Config{BaseStep: 100 * time.Microsecond}})
 		defer e.Close()
 		engines, apps := httptest.NewServer(e.Handler()), httptest.NewServer(app.NewServer(app.Config{}).Handler())
@@ -330,27 +331,27 @@
 		Expect(r.Kinds["report"].Tokens).To(BeNumerically(">", 0))
 	})
 
-	// The system hangs for a moment. A tool that times calls from their actual
-	// start reports a few slow ones; callers of a fixed rate would all have waited.
-	It("times from the intended start", func() {
+	// The system stalls for a moment. Measuring from the actual start would report
+	// only a few slow calls, although all calls due during the stall have waited.
+	It("measures latency from the intended start", func() {
 		rec, start := newRecorder(), time.Unix(0, 0)
-		call := Call{Kind: &Kind{Type: TypeLookup}}
-		rec.ended(call, outcome{}, start, start.Add(3*time.Second))
-		Expect(rec.group().Answer.P50).To(BeNumerically("~", 3000, 3))
+		call := Call{Kind: &CallKind{Type: CallTypeLookup}}
+		rec.recordOutcome(call, outcome{}, start, start.Add(3*time.Second))
+		Expect(rec.buildGroup().Answer.P50).To(BeNumerically("~", 3000, 3))
 	})
 
-	It("does not start calls beyond its bound, and counts them", func() {
-		hold := make(chan struct{})
-		site := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
-		defer site.Close()
-		defer close(hold)
-		p, _ := ProfileNamed("foundation")
+	It("counts calls above the limit and does not start them", func() {
+		release := make(chan struct{})
+		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+		defer server.Close()
+		defer close(release)
+		p, _ := FindProfile("foundation")
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(300*time.Millisecond, cancel)
 		r := Run(ctx, Config{
-			Profile: p, Arrivals: Arrivals{Rate: 500, Duration: 100 * time.Millisecond, LengthScale: 1, Seed: 1},
-			Target:        Target{Entries: []string{site.Listener.Addr().String()}, Accounts: []string{"a"}, Keys: []string{"k"}, Timeout: time.Minute, Opening: time.Minute, Silence: time.Minute, Attempts: 1},
-			MaxInProgress: 1, Progress: io.Discard, ProgressEvery: time.Second,
+			Profile: p, Arrivals: ArrivalConfig{Rate: 500, Duration: 100 * time.Millisecond, LengthScale: 1, Seed: 1},
+			Client:        ClientConfig{Entries: []string{server.Listener.Addr().String()}, Accounts: []string{"a"}, APIKeys: []string{"k"}, Timeout: time.Minute, OpenTimeout: time.Minute, IdleTimeout: time.Minute, MaxAttempts: 1},
+			MaxInProgress: 1, ProgressOutput: io.Discard, ProgressInterval: time.Second,
 		})
 		Expect(r.Total.Sent).To(Equal(1))
 		Expect(r.Unsent).To(BeNumerically(">", 10))
@@ -358,7 +359,7 @@
 	})
 })
 
-var _ = DescribeTable("wrong settings end with one typed line", func(args, want string) {
+var _ = DescribeTable("invalid settings are reported in one line", func(args, want string) {
 	var out, errOut bytes.Buffer
 	Expect(Main(strings.Fields(args), &out, &errOut)).To(Equal(2))
 	Expect(errOut.String()).To(ContainSubstring(want))
@@ -384,14 +385,14 @@
 )
 
 var _ = Describe("compare", func() {
-	It("shows each measure of both, and those that only one has", func() {
+	It("lists the metrics of both results, and those that only one has", func() {
 		a := &Result{Seconds: 10, Total: Counts{Sent: 4, Tokens: 100}, Kinds: map[string]*Group{
 			"report": {Counts: Counts{Whole: 2}, Stall: Summary{Count: 1, P99: 50}}}}
 		b := &Result{Seconds: 10, Total: Counts{Sent: 4, Tokens: 150}, Kinds: map[string]*Group{
 			"report": {Counts: Counts{Whole: 3}, Answer: Summary{Count: 1, Max: 7},
 				Refusals: []Refusal{{failure.KindPoison, failure.ExecutedNo, 1}}}}}
 		var out bytes.Buffer
-		Expect(Compare(&out, a, b)).To(Succeed())
+		Expect(WriteComparison(&out, a, b)).To(Succeed())
 		text := regexp.MustCompile(` +`).ReplaceAllString(out.String(), " ")
 		for _, line := range []string{"total sent 4 4 =", "total tokens/s 10 15 +50.0%", "report whole 2 3 +50.0%",
 			"report stall p99 ms 50 -", "report answer max ms - 7", "report refused poison-request, executed no - 1"} {
@@ -399,35 +400,35 @@
 		}
 	})
 
-	It("refuses a file that holds no result", func() {
+	It("rejects a file that holds no result", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x.json")
 		Expect(os.WriteFile(path, []byte("{}"), 0o600)).To(Succeed())
-		_, err := Load(path)
+		_, err := LoadResult(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 	})
 })
 
-// FuzzStream feeds bytes from an entry to the reader and the checker: whatever
-// comes, a call ends with an answer, a failure or a violation.
+// FuzzStream passes arbitrary response bytes to the stream reader and the checker.
+// For any input, a call must end with an answer, a failure or a violation.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {\"choices\":[{\"text\":\"w0-g \"}],\"filbert\":{\"generation\":\"g\",\"tokens\":1}}\n\ndata: [DONE]\n\n"), 1)
 	f.Add([]byte("event: error\ndata: {\"title\":\"overloaded\"}\n\n"), 2)
 	f.Add([]byte("data: {\"choices\":[{\"text\":\"- w- w\"}],\"filbert\":{\"generation\":\"g\",\"tokens\":-3}}\n\n"), 3)
 	f.Fuzz(func(t *testing.T, data []byte, length int) {
-		c := &caller{client: &client{}, bound: time.Second, gap: func(Call, time.Duration) {}}
-		s := &following{caller: c, call: Call{Kind: &Kind{Type: TypeStream}, Length: length}}
-		err := s.events(sse.NewReader(bytes.NewReader(data), maxEvent), func() {})
-		if err == nil && s.out.violation == "" && !s.done {
+		c := &caller{client: &client{}, stallThreshold: time.Second, onTokenGap: func(Call, time.Duration) {}}
+		stream := &streamCall{caller: c, call: Call{Kind: &CallKind{Type: CallTypeStream}, OutputTokens: length}}
+		err := stream.readEvents(sse.NewReader(bytes.NewReader(data), maxEventBytes), func() {})
+		if err == nil && stream.out.violation == "" && !stream.done {
 			t.Fatal("the stream ended without a reason")
 		}
-		if s.check.next < 0 {
-			t.Fatalf("%d tokens", s.check.next)
+		if stream.checker.nextOffset < 0 {
+			t.Fatalf("%d tokens", stream.checker.nextOffset)
 		}
 	})
 }
 
 var _ = Describe("a trial", func() {
-	It("starts a deployment, disturbs it and compares it with its stand-ins alone", func() {
+	It("starts a deployment, injects faults and compares it with direct calls", func() {
 		dir := GinkgoT().TempDir()
 		Expect(fleet.Build(dir)).To(Succeed())
 		var out, errOut bytes.Buffer
@@ -448,10 +449,10 @@
 		Expect(r.Targets.Calls).To(BeNumerically(">=", r.Kinds["booking"].Whole))
 	})
 
-	// A booking ran twice while its caller got one good answer: only the
-	// service's own count shows it.
-	It("counts a run as broken when a service ran a key twice", func() {
-		Expect((&Result{Targets: &TargetCounts{Calls: 2}}).Broken()).To(BeFalse())
-		Expect((&Result{Targets: &TargetCounts{Calls: 2, RanTwice: 1}}).Broken()).To(BeTrue())
+	// A booking ran twice but its caller received a single valid answer. Only the
+	// counters of the service show this.
+	It("reports a violation when a service ran a key twice", func() {
+		Expect((&Result{Targets: &TargetCounts{Calls: 2}}).HasViolations()).To(BeFalse())
+		Expect((&Result{Targets: &TargetCounts{Calls: 2, RanTwice: 1}}).HasViolations()).To(BeTrue())
 	})
 })
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,14 +12,15 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// The histograms' range in microseconds and their significant digits.
+// Range of the histograms in microseconds and their precision in significant
+// decimal digits.
 const (
-	lowestUS  = 1
-	highestUS = int64(time.Hour / time.Microsecond)
-	digits    = 3
+	minMicroseconds   = 1
+	maxMicroseconds   = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-// Summary is a histogram in short; times are in milliseconds.
+// Summary summarizes a latency histogram. Times are in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -38,149 +39,156 @@
 	}
 }
 
-// Refusal counts answers of one problem type and outcome.
+// Refusal counts the failed calls of one problem type and execution status.
 type Refusal struct {
 	Type     failure.Kind     `json:"type"`
 	Executed failure.Executed `json:"executed"`
 	Count    int              `json:"count"`
 }
 
-// Counts is what became of the calls of a group:
+// Counts holds the outcomes of a group's calls:
 // sent = whole + refused + violated + in progress.
 type Counts struct {
 	Sent int `json:"sent"`
-	// Whole counts complete answers that passed every check.
+	// Whole counts complete answers that passed all checks.
 	Whole int `json:"whole"`
 	// Refused counts calls that ended in a failure, by type in Refusals; lost
 	// connections and timeouts are among them.
 	Refused int `json:"refused"`
-	// Violated counts answers that broke a promise.
+	// Violated counts answers that failed a check.
 	Violated int `json:"violated"`
 	Tokens   int `json:"tokens"`
-	// WithoutTime counts refusals of calls that did not run which do not say
-	// when to come back.
-	WithoutTime int `json:"refused_without_time"`
-	// Again counts resumes and repeated sends after lost connections.
-	Again int `json:"again"`
+	// RefusedWithoutRetryAfter counts refusals of calls that did not run and
+	// give no time after which to retry.
+	RefusedWithoutRetryAfter int `json:"refused_without_time"`
+	// Retries counts resumed streams and repeated requests after lost
+	// connections.
+	Retries int `json:"again"`
 }
 
-// Group is the measures of one kind or one account.
+// Group holds the measurements of one kind of call or one account.
 type Group struct {
 	Counts
 	Refusals   []Refusal         `json:"refusals,omitempty"`
 	Violations map[Violation]int `json:"violations,omitempty"`
-	// FirstToken, Answer and Refusal run from the intended start; Answer is for
-	// whole answers, Refusal for refusals.
+	// FirstToken, Answer and Refusal are measured from the intended start. Answer
+	// covers whole answers, Refusal covers calls that ended in a failure.
 	FirstToken    Summary `json:"first_token,omitzero"`
 	BetweenTokens Summary `json:"between_tokens,omitzero"`
-	// Stall is the time per stream that gaps took beyond the bound.
+	// Stall is the time per stream by which gaps between tokens exceeded the
+	// stall threshold.
 	Stall   Summary `json:"stall,omitzero"`
 	Answer  Summary `json:"answer,omitzero"`
 	Refusal Summary `json:"refusal,omitzero"`
 }
 
-// Result is a run's outcome, as written to its JSON file.
+// Result is the result of a run, as written to the JSON file.
 type Result struct {
 	Profile string  `json:"profile"`
 	Seed    uint64  `json:"seed"`
 	Rate    float64 `json:"rate"`
-	// Seconds is the measured part of the run, without the warm-up.
-	Seconds      float64 `json:"seconds"`
-	StallBoundMS float64 `json:"stall_bound_ms"`
-	// Unsent counts calls that could not be started, since too many were in
-	// progress; each is a call that a real caller would have made.
+	// Seconds is the length of the measured part of the run, without the warm-up.
+	Seconds          float64 `json:"seconds"`
+	StallThresholdMS float64 `json:"stall_bound_ms"`
+	// Unsent counts calls that were not started because too many were in
+	// progress. Real callers would have made these calls.
 	Unsent int `json:"unsent"`
-	// WarmupViolations counts broken promises during the warm-up, which is
-	// otherwise left out.
+	// WarmupViolations counts violations during the warm-up. No other results of
+	// the warm-up are included.
 	WarmupViolations int `json:"warmup_violations"`
-	// StartDelay is how late the tool itself started calls.
+	// StartDelay is the delay between intended and actual start of calls, caused
+	// by the load generator itself.
 	StartDelay Summary           `json:"start_delay"`
 	Total      Counts            `json:"total"`
 	Kinds      map[string]*Group `json:"kinds"`
 	Accounts   map[string]*Group `json:"accounts"`
-	// Targets is what the stand-ins counted, in a trial.
+	// Targets holds the counters of the stand-ins. It is only set in a trial.
 	Targets *TargetCounts `json:"targets,omitempty"`
 }
 
-// TargetCounts is what the stand-ins of a trial counted by themselves. Engines
-// and services that ended before the trial did are not in it.
+// TargetCounts holds the counters that the stand-ins of a trial report. Engines
+// and services that ended before the trial did are not included.
 type TargetCounts struct {
-	// Engines sums the engines' counters; Unreachable counts the targets that
-	// could not be asked.
+	// Engines is the sum of the engines' counters. Unreachable counts the targets
+	// whose counters could not be read.
 	Engines     model.Stats            `json:"engines"`
 	ByEngine    map[string]model.Stats `json:"by_engine"`
 	Unreachable int                    `json:"unreachable"`
-	// Calls ran at plain services; RanTwice counts keys that ran more than once.
+	// Calls is the number of calls executed by plain services. RanTwice counts
+	// idempotency keys that were executed more than once.
 	Calls    int `json:"calls"`
 	RanTwice int `json:"ran_twice"`
 }
 
-// Broken tells whether the run saw a broken promise.
-func (r *Result) Broken() bool {
+// HasViolations reports whether any promise was broken, including during the
+// warm-up and according to the counters of the stand-ins.
+func (r *Result) HasViolations() bool {
 	twice := r.Targets != nil && r.Targets.RanTwice > 0
 	return twice || r.Total.Violated+r.WarmupViolations > 0
 }
 
-// recorder collects a group's measures.
+// recorder collects the measurements of a group.
 type recorder struct {
-	mu                                         sync.Mutex
-	counts                                     Counts
-	refusals                                   map[Refusal]int
-	violations                                 map[Violation]int
-	first, between, stall, answer, refusalTime *hdrhistogram.Histogram
+	mu                                                    sync.Mutex
+	counts                                                Counts
+	refusals                                              map[Refusal]int
+	violations                                            map[Violation]int
+	firstToken, betweenTokens, stall, answer, refusalTime *hdrhistogram.Histogram
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowestUS, highestUS, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits)
+}
 
 func newRecorder() *recorder {
 	return &recorder{
 		refusals: map[Refusal]int{}, violations: map[Violation]int{},
-		first: newHistogram(), between: newHistogram(), stall: newHistogram(),
+		firstToken: newHistogram(), betweenTokens: newHistogram(), stall: newHistogram(),
 		answer: newHistogram(), refusalTime: newHistogram(),
 	}
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 0), highestUS))
+	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicroseconds))
 }
 
-func (r *recorder) gap(d time.Duration) {
+func (r *recorder) recordTokenGap(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record(r.between, d)
+	record(r.betweenTokens, d)
 }
 
-func (r *recorder) sent() {
+func (r *recorder) recordSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Sent++
 }
 
-// ended takes a call's outcome. start is the intended one, so that the wait of
-// a call that could not be sent in time counts as the system's: a measure from
-// the actual start would leave out the calls that a stall held up.
-func (r *recorder) ended(call Call, o outcome, start, end time.Time) {
+// recordOutcome records the outcome of a call. start is the intended start, so
+// that delays in sending the call are included. Measuring from the actual start
+// would leave out the time for which a stall held up calls.
+func (r *recorder) recordOutcome(call Call, o outcome, start, end time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Tokens += o.tokens
-	r.counts.Again += o.attempts
-	if !o.first.IsZero() {
-		record(r.first, o.first.Sub(start))
+	r.counts.Retries += o.retries
+	if !o.firstTokenAt.IsZero() {
+		record(r.firstToken, o.firstTokenAt.Sub(start))
 	}
-	if call.Kind.Type == TypeStream && o.tokens > 0 {
-		record(r.stall, o.stall)
+	if call.Kind.Type == CallTypeStream && o.tokens > 0 {
+		record(r.stall, o.stallTime)
 	}
 	switch {
 	case o.violation != "":
 		r.counts.Violated++
 		r.violations[o.violation]++
 	case o.err != nil:
-		f := failure.From(o.err)
+		problem := failure.From(o.err)
 		r.counts.Refused++
-		if f.Executed == failure.ExecutedNo && f.RetryAfter == 0 {
-			r.counts.WithoutTime++
+		if problem.Executed == failure.ExecutedNo && problem.RetryAfter == 0 {
+			r.counts.RefusedWithoutRetryAfter++
 		}
-		r.refusals[Refusal{Type: f.Kind, Executed: f.Executed}]++
+		r.refusals[Refusal{Type: problem.Kind, Executed: problem.Executed}]++
 		record(r.refusalTime, end.Sub(start))
 	default:
 		r.counts.Whole++
@@ -194,20 +202,20 @@
 	return r.counts
 }
 
-func (r *recorder) group() *Group {
+func (r *recorder) buildGroup() *Group {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := &Group{
+	group := &Group{
 		Counts: r.counts, Violations: r.violations,
-		FirstToken: summarize(r.first), BetweenTokens: summarize(r.between), Stall: summarize(r.stall),
+		FirstToken: summarize(r.firstToken), BetweenTokens: summarize(r.betweenTokens), Stall: summarize(r.stall),
 		Answer: summarize(r.answer), Refusal: summarize(r.refusalTime),
 	}
 	for refusal, n := range r.refusals {
 		refusal.Count = n
-		g.Refusals = append(g.Refusals, refusal)
+		group.Refusals = append(group.Refusals, refusal)
 	}
-	sortRefusals(g.Refusals)
-	return g
+	sortRefusals(group.Refusals)
+	return group
 }
 
 func sortRefusals(refusals []Refusal) {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,103 +14,103 @@
 // Config describes one run.
 type Config struct {
 	Profile  Profile
-	Arrivals Arrivals
-	Target   Target
-	// Warmup is the first part of the run, which is not measured.
+	Arrivals ArrivalConfig
+	Client   ClientConfig
+	// Warmup is the length of the first part of the run, which is not measured.
 	Warmup time.Duration
-	// MaxInProgress bounds the calls in progress; calls beyond are not sent,
-	// and counted.
+	// MaxInProgress limits the calls in progress. Calls above the limit are
+	// counted but not sent.
 	MaxInProgress int
-	// Progress receives a line every ProgressEvery.
-	Progress      io.Writer
-	ProgressEvery time.Duration
+	// ProgressOutput receives one line per ProgressInterval.
+	ProgressOutput   io.Writer
+	ProgressInterval time.Duration
 }
 
-// book holds the recorders of one part of a run.
-type book struct {
+// recorderSet holds the recorders of one phase of a run, by kind and by account.
+type recorderSet struct {
 	kinds    map[string]*recorder
 	accounts []*recorder
 }
 
-func newBook(cfg Config) *book {
-	b := &book{kinds: map[string]*recorder{}}
+func newRecorderSet(cfg Config) *recorderSet {
+	set := &recorderSet{kinds: map[string]*recorder{}}
 	for _, k := range cfg.Profile.Kinds {
-		b.kinds[k.Name] = newRecorder()
+		set.kinds[k.Name] = newRecorder()
 	}
-	for range cfg.Target.Accounts {
-		b.accounts = append(b.accounts, newRecorder())
+	for range cfg.Client.Accounts {
+		set.accounts = append(set.accounts, newRecorder())
 	}
-	return b
+	return set
 }
 
-// each gives a call's recorders.
-func (b *book) each(call Call, do func(*recorder)) {
-	do(b.kinds[call.Kind.Name])
-	do(b.accounts[call.Account])
+// forCall applies f to the recorders of the call's kind and account.
+func (s *recorderSet) forCall(call Call, f func(*recorder)) {
+	f(s.kinds[call.Kind.Name])
+	f(s.accounts[call.AccountIndex])
 }
 
-// total sums the kinds.
-func (b *book) total() Counts {
-	var t Counts
-	for _, r := range b.kinds {
-		c := r.snapshot()
-		t.Sent += c.Sent
-		t.Whole += c.Whole
-		t.Refused += c.Refused
-		t.Violated += c.Violated
-		t.WithoutTime += c.WithoutTime
-		t.Tokens += c.Tokens
-		t.Again += c.Again
+// total sums the counts of all kinds.
+func (s *recorderSet) total() Counts {
+	var total Counts
+	for _, r := range s.kinds {
+		counts := r.snapshot()
+		total.Sent += counts.Sent
+		total.Whole += counts.Whole
+		total.Refused += counts.Refused
+		total.Violated += counts.Violated
+		total.RefusedWithoutRetryAfter += counts.RefusedWithoutRetryAfter
+		total.Tokens += counts.Tokens
+		total.Retries += counts.Retries
 	}
-	return t
+	return total
 }
 
-// runner is one run in progress.
+// runner is the state of a run in progress.
 type runner struct {
-	cfg          Config
-	caller       *caller
-	start        time.Time
-	warm, main   *book
-	inProgress   atomic.Int64
-	unsent       atomic.Int64
-	delayMu      sync.Mutex
-	startDelay   *hdrhistogram.Histogram
-	calls, lines sync.WaitGroup
+	cfg                      Config
+	caller                   *caller
+	start                    time.Time
+	warmup, measured         *recorderSet
+	inProgress               atomic.Int64
+	unsent                   atomic.Int64
+	startDelayMu             sync.Mutex
+	startDelay               *hdrhistogram.Histogram
+	callGroup, progressGroup sync.WaitGroup
 }
 
-// Run makes the load and waits for the last answer. When ctx ends, no more
-// calls start and those in progress end as lost.
+// Run generates the load and waits for the last answer. When ctx is cancelled,
+// no more calls start and those in progress end as lost connections.
 func Run(ctx context.Context, cfg Config) *Result {
-	r := &runner{cfg: cfg, start: time.Now(), warm: newBook(cfg), main: newBook(cfg), startDelay: newHistogram()}
-	client := newClient(cfg.Target)
+	r := &runner{cfg: cfg, start: time.Now(), warmup: newRecorderSet(cfg), measured: newRecorderSet(cfg), startDelay: newHistogram()}
+	client := newClient(cfg.Client)
 	defer client.close()
-	r.caller = &caller{client: client, bound: cfg.Profile.StallBound, seed: cfg.Arrivals.Seed, gap: r.gap}
+	r.caller = &caller{client: client, stallThreshold: cfg.Profile.StallThreshold, seed: cfg.Arrivals.Seed, onTokenGap: r.recordTokenGap}
 	stop := make(chan struct{})
-	r.lines.Go(func() { r.report(stop) })
+	r.progressGroup.Go(func() { r.reportProgress(stop) })
 	r.dispatch(ctx)
-	r.calls.Wait()
+	r.callGroup.Wait()
 	close(stop)
-	r.lines.Wait()
+	r.progressGroup.Wait()
 	return r.result()
 }
 
-func (r *runner) book(call Call) *book {
-	if call.At < r.cfg.Warmup {
-		return r.warm
+func (r *runner) recordersFor(call Call) *recorderSet {
+	if call.IntendedStart < r.cfg.Warmup {
+		return r.warmup
 	}
-	return r.main
+	return r.measured
 }
 
-func (r *runner) gap(call Call, d time.Duration) {
-	r.book(call).each(call, func(rec *recorder) { rec.gap(d) })
+func (r *runner) recordTokenGap(call Call, d time.Duration) {
+	r.recordersFor(call).forCall(call, func(rec *recorder) { rec.recordTokenGap(d) })
 }
 
-// dispatch starts each call at its time.
+// dispatch starts each call at its intended time.
 func (r *runner) dispatch(ctx context.Context) {
-	s := newSchedule(r.cfg.Arrivals, r.cfg.Profile, len(r.cfg.Target.Accounts))
-	for call, ok := s.next(); ok; call, ok = s.next() {
+	schedule := newSchedule(r.cfg.Arrivals, r.cfg.Profile, len(r.cfg.Client.Accounts))
+	for call, ok := schedule.next(); ok; call, ok = schedule.next() {
 		select {
-		case <-time.After(time.Until(r.start.Add(call.At))):
+		case <-time.After(time.Until(r.start.Add(call.IntendedStart))):
 		case <-ctx.Done():
 			return
 		}
@@ -119,63 +119,63 @@
 			continue
 		}
 		r.inProgress.Add(1)
-		r.calls.Go(func() { r.call(ctx, call) })
+		r.callGroup.Go(func() { r.runCall(ctx, call) })
 	}
 }
 
-func (r *runner) call(ctx context.Context, call Call) {
+func (r *runner) runCall(ctx context.Context, call Call) {
 	defer r.inProgress.Add(-1)
-	intended := r.start.Add(call.At)
-	r.delayed(time.Since(intended))
-	b := r.book(call)
-	b.each(call, (*recorder).sent)
-	out := r.caller.do(ctx, call)
+	intended := r.start.Add(call.IntendedStart)
+	r.recordStartDelay(time.Since(intended))
+	recorders := r.recordersFor(call)
+	recorders.forCall(call, (*recorder).recordSent)
+	result := r.caller.makeCall(ctx, call)
 	end := time.Now()
-	b.each(call, func(rec *recorder) { rec.ended(call, out, intended, end) })
+	recorders.forCall(call, func(rec *recorder) { rec.recordOutcome(call, result, intended, end) })
 }
 
-func (r *runner) delayed(d time.Duration) {
-	r.delayMu.Lock()
-	defer r.delayMu.Unlock()
+func (r *runner) recordStartDelay(d time.Duration) {
+	r.startDelayMu.Lock()
+	defer r.startDelayMu.Unlock()
 	record(r.startDelay, d)
 }
 
-// report writes a line of progress now and then.
-func (r *runner) report(stop <-chan struct{}) {
-	tick := time.NewTicker(r.cfg.ProgressEvery)
-	defer tick.Stop()
-	last := 0
+// reportProgress writes a progress line at every interval until stop is closed.
+func (r *runner) reportProgress(stop <-chan struct{}) {
+	ticker := time.NewTicker(r.cfg.ProgressInterval)
+	defer ticker.Stop()
+	lastTokens := 0
 	for {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		t, w := r.main.total(), r.warm.total()
-		tokens := t.Tokens + w.Tokens
-		_, _ = fmt.Fprintf(r.cfg.Progress,
+		measured, warmup := r.measured.total(), r.warmup.total()
+		tokens := measured.Tokens + warmup.Tokens
+		_, _ = fmt.Fprintf(r.cfg.ProgressOutput,
 			"%6.1fs sent %d whole %d refused %d violated %d again %d in progress %d unsent %d tokens/s ended %.0f\n",
-			time.Since(r.start).Seconds(), t.Sent+w.Sent, t.Whole+w.Whole, t.Refused+w.Refused, t.Violated+w.Violated,
-			t.Again+w.Again, r.inProgress.Load(), r.unsent.Load(),
-			float64(tokens-last)/r.cfg.ProgressEvery.Seconds())
-		last = tokens
+			time.Since(r.start).Seconds(), measured.Sent+warmup.Sent, measured.Whole+warmup.Whole,
+			measured.Refused+warmup.Refused, measured.Violated+warmup.Violated, measured.Retries+warmup.Retries, r.inProgress.Load(), r.unsent.Load(),
+			float64(tokens-lastTokens)/r.cfg.ProgressInterval.Seconds())
+		lastTokens = tokens
 	}
 }
 
 func (r *runner) result() *Result {
-	a := r.cfg.Arrivals
-	out := &Result{
-		Profile: r.cfg.Profile.Name, Seed: a.Seed, Rate: a.Rate, Seconds: (a.Duration - r.cfg.Warmup).Seconds(),
-		StallBoundMS: float64(r.cfg.Profile.StallBound) / float64(time.Millisecond),
-		Unsent:       int(r.unsent.Load()), WarmupViolations: r.warm.total().Violated,
-		StartDelay: summarize(r.startDelay), Total: r.main.total(),
+	arrivals := r.cfg.Arrivals
+	result := &Result{
+		Profile: r.cfg.Profile.Name, Seed: arrivals.Seed, Rate: arrivals.Rate, Seconds: (arrivals.Duration - r.cfg.Warmup).Seconds(),
+		StallThresholdMS: float64(r.cfg.Profile.StallThreshold) / float64(time.Millisecond),
+		Unsent:           int(r.unsent.Load()), WarmupViolations: r.warmup.total().Violated,
+		StartDelay: summarize(r.startDelay), Total: r.measured.total(),
 		Kinds: map[string]*Group{}, Accounts: map[string]*Group{},
 	}
-	for name, rec := range r.main.kinds {
-		out.Kinds[name] = rec.group()
+	for name, rec := range r.measured.kinds {
+		result.Kinds[name] = rec.buildGroup()
 	}
-	for i, rec := range r.main.accounts {
-		out.Accounts[r.cfg.Target.Accounts[i]] = rec.group()
+	for i, rec := range r.measured.accounts {
+		result.Accounts[r.cfg.Client.Accounts[i]] = rec.buildGroup()
 	}
-	return out
+	return result
 }
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -11,122 +11,123 @@
 	"filbertdeck/internal/sse"
 )
 
-// maxEvent bounds one event of a stream in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one stream event.
+const maxEventBytes = 1 << 20
 
-// doneData is the data of a stream's last event.
+// doneData is the data of the last event of a stream.
 const doneData = "[DONE]"
 
-// following is a stream that is being followed over one or more connections.
-type following struct {
-	caller *caller
-	call   Call
-	check  checker
-	out    outcome
-	handle string
-	last   time.Time
-	done   bool
+// streamCall is the state of a streaming call, which may span several
+// connections.
+type streamCall struct {
+	caller       *caller
+	call         Call
+	checker      tokenChecker
+	out          outcome
+	resumeHandle string
+	lastTokenAt  time.Time
+	done         bool
 }
 
-// stream follows a generation; a lost connection is resumed at another entry
-// by the handle of the last event.
-func (c *caller) stream(ctx context.Context, call Call) outcome {
-	f := &following{caller: c, call: call}
-	f.out.attempts, f.out.err = c.client.retry(ctx, f.received, func() error { return f.connect(ctx) })
-	if f.out.err == nil && f.out.violation == "" {
-		f.out.violation = f.check.complete(call.Length)
+// callStream reads a generation as a stream. After a lost connection it resumes
+// the stream at another entry, with the handle from the last event.
+func (c *caller) callStream(ctx context.Context, call Call) outcome {
+	s := &streamCall{caller: c, call: call}
+	s.out.retries, s.out.err = c.client.retry(ctx, s.receivedTokens, func() error { return s.readConnection(ctx) })
+	if s.out.err == nil && s.out.violation == "" {
+		s.out.violation = s.checker.checkLength(call.OutputTokens)
 	}
-	f.out.tokens = f.check.next
-	return f.out
+	s.out.tokens = s.checker.nextOffset
+	return s.out
 }
 
-func (f *following) received() int { return f.check.next }
+func (s *streamCall) receivedTokens() int { return s.checker.nextOffset }
 
-// connect follows one connection to its end.
-func (f *following) connect(ctx context.Context) error {
+// readConnection opens one connection and reads events until it ends.
+func (s *streamCall) readConnection(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(f.caller.client.target.Opening, cancel)
-	defer silence.Stop()
-	q := f.caller.completion(f.call, true)
-	if f.handle != "" {
-		q.headers = append(q.headers, [2]string{"Last-Event-ID", f.handle})
+	idleTimer := time.AfterFunc(s.caller.client.config.OpenTimeout, cancel)
+	defer idleTimer.Stop()
+	spec := s.caller.completionSpec(s.call, true)
+	if s.resumeHandle != "" {
+		spec.headers = append(spec.headers, [2]string{"Last-Event-ID", s.resumeHandle})
 	}
-	resp, err := f.caller.client.send(ctx, q)
+	resp, err := s.caller.client.send(ctx, spec)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		body, _ := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
-		return refusal(resp, body)
+		body, _ := io.ReadAll(io.LimitReader(resp.Body, maxEventBytes))
+		return parseRefusal(resp, body)
 	}
-	heard := func() { silence.Reset(f.caller.client.target.Silence) }
-	heard()
-	return f.events(sse.NewReader(resp.Body, maxEvent), heard)
+	onEvent := func() { idleTimer.Reset(s.caller.client.config.IdleTimeout) }
+	onEvent()
+	return s.readEvents(sse.NewReader(resp.Body, maxEventBytes), onEvent)
 }
 
-// events takes events to the end of the connection; heard is called for each,
-// comments included.
-func (f *following) events(r *sse.Reader, heard func()) error {
-	var e sse.Event
-	for !f.done && f.out.violation == "" {
-		if err := r.Next(&e); err != nil {
-			return lost(err)
+// readEvents reads events until the stream or the connection ends. It calls
+// onEvent for each event, comments included.
+func (s *streamCall) readEvents(r *sse.Reader, onEvent func()) error {
+	var event sse.Event
+	for !s.done && s.out.violation == "" {
+		if err := r.Next(&event); err != nil {
+			return connectionLost(err)
 		}
-		heard()
+		onEvent()
 		switch {
-		case e.Comment:
-		case string(e.Name) == "error":
-			return streamFailure(e.Data)
+		case event.Comment:
+		case string(event.Name) == "error":
+			return parseStreamError(event.Data)
 		default:
-			f.take(&e)
+			s.handleEvent(&event)
 		}
 	}
 	return nil
 }
 
-func streamFailure(data []byte) error {
-	var p failure.Problem
-	if json.Unmarshal(data, &p) != nil {
+func parseStreamError(data []byte) error {
+	var problem failure.Problem
+	if json.Unmarshal(data, &problem) != nil {
 		return failure.New(failure.KindInternal, "stream failed without a problem document").Unknown()
 	}
-	return failure.FromProblem(p)
+	return failure.FromProblem(problem)
 }
 
-// take checks one event and notes its time.
-func (f *following) take(e *sse.Event) {
-	if string(e.Data) == doneData {
-		f.done = true
+// handleEvent verifies one event and records its timing.
+func (s *streamCall) handleEvent(event *sse.Event) {
+	if string(event.Data) == doneData {
+		s.done = true
 		return
 	}
-	a, ok := parseCompletion(e.Data, f.caller.client.target.direct())
+	response, ok := parseCompletion(event.Data, s.caller.client.config.direct())
 	if !ok {
-		f.out.violation = ViolationMalformed
+		s.out.violation = ViolationMalformed
 		return
 	}
-	if len(e.ID) > 0 && !f.caller.client.target.direct() {
-		f.handle = string(e.ID)
+	if len(event.ID) > 0 && !s.caller.client.config.direct() {
+		s.resumeHandle = string(event.ID)
 	}
-	f.out.violation = f.check.add(a.piece())
-	if f.out.violation == "" && a.Filbert.Tokens > 0 {
-		f.time(a.Filbert.Tokens)
+	s.out.violation = s.checker.checkChunk(response.chunk())
+	if s.out.violation == "" && response.Filbert.Tokens > 0 {
+		s.recordTiming(response.Filbert.Tokens)
 	}
 }
 
-// time notes the gap before an event's first token; its other tokens came
-// together with it.
-func (f *following) time(tokens int) {
+// recordTiming records the gap before the first token of an event. The other
+// tokens of the event arrived together with it and get a gap of 0.
+func (s *streamCall) recordTiming(tokens int) {
 	now := time.Now()
-	if f.last.IsZero() {
-		f.out.first = now
+	if s.lastTokenAt.IsZero() {
+		s.out.firstTokenAt = now
 	} else {
-		gap := now.Sub(f.last)
-		f.caller.gap(f.call, gap)
-		f.out.stall += max(0, gap-f.caller.bound)
+		gap := now.Sub(s.lastTokenAt)
+		s.caller.onTokenGap(s.call, gap)
+		s.out.stallTime += max(0, gap-s.caller.stallThreshold)
 	}
 	for range tokens - 1 {
-		f.caller.gap(f.call, 0)
+		s.caller.onTokenGap(s.call, 0)
 	}
-	f.last = now
+	s.lastTokenAt = now
 }
--- a/internal/load/trial.go
+++ b/internal/load/trial.go
@@ -20,49 +20,50 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// TrialSettings are those of filbert-load trial: a run against a deployment of
-// real processes on the loopback, started for it and ended with it.
+// TrialSettings are the settings of filbert-load trial, a run against a
+// deployment of real processes on the loopback interface. The deployment is
+// started for the run and stopped after it.
 type TrialSettings struct {
 	RunSettings
-	BinDir     string   `arg:"--bin-dir,env:FILBERT_LOAD_BIN_DIR" check:"text" default:"bin" help:"folder of the programs"`
-	Hosts      int      `arg:"--hosts,env:FILBERT_LOAD_HOSTS" check:"1..32" default:"3" help:"entry hosts, over the data centres in turn"`
-	Engines    int      `arg:"--engines,env:FILBERT_LOAD_ENGINES" check:"1..64" default:"4" help:"engines"`
-	Apps       int      `arg:"--apps,env:FILBERT_LOAD_APPS" check:"1..16" default:"2" help:"plain services"`
-	Centres    int      `arg:"--data-centres,env:FILBERT_LOAD_DATA_CENTRES" check:"1..8" default:"2" help:"data centres"`
-	Accounts   int      `arg:"--accounts,env:FILBERT_LOAD_ACCOUNTS" check:"1..1000" default:"5" help:"client accounts, all of one weight"`
-	EngineArgs string   `arg:"--engine-args,env:FILBERT_LOAD_ENGINE_ARGS" help:"options of the engine stand-ins, in one string"`
-	Faults     []string `arg:"--fault,separate,env:FILBERT_LOAD_FAULT" help:"TIME@NAME@ACTION, repeat it: a stand-in's fault as JSON, a mode of the platform as JSON, or kill or start of a target or of a host's control or entry"`
-	Direct     bool     `arg:"--direct,env:FILBERT_LOAD_DIRECT" help:"first make the same load on the stand-ins without the system, and print the comparison (A direct, B through the system)"`
+	BinDir        string   `arg:"--bin-dir,env:FILBERT_LOAD_BIN_DIR" check:"text" default:"bin" help:"folder of the programs"`
+	Hosts         int      `arg:"--hosts,env:FILBERT_LOAD_HOSTS" check:"1..32" default:"3" help:"entry hosts, over the data centres in turn"`
+	Engines       int      `arg:"--engines,env:FILBERT_LOAD_ENGINES" check:"1..64" default:"4" help:"engines"`
+	Apps          int      `arg:"--apps,env:FILBERT_LOAD_APPS" check:"1..16" default:"2" help:"plain services"`
+	DataCentres   int      `arg:"--data-centres,env:FILBERT_LOAD_DATA_CENTRES" check:"1..8" default:"2" help:"data centres"`
+	Accounts      int      `arg:"--accounts,env:FILBERT_LOAD_ACCOUNTS" check:"1..1000" default:"5" help:"client accounts, all of one weight"`
+	EngineArgs    string   `arg:"--engine-args,env:FILBERT_LOAD_ENGINE_ARGS" help:"options of the engine stand-ins, in one string"`
+	Faults        []string `arg:"--fault,separate,env:FILBERT_LOAD_FAULT" help:"TIME@NAME@ACTION, repeat it: a stand-in's fault as JSON, a mode of the platform as JSON, or kill or start of a target or of a host's control or entry"`
+	CompareDirect bool     `arg:"--direct,env:FILBERT_LOAD_DIRECT" help:"first make the same load on the stand-ins without the system, and print the comparison (A direct, B through the system)"`
 }
 
-// disturbance is one fault to bring about at a time of the run.
-type disturbance struct {
+// scheduledFault is a fault to inject at a given time of the run.
+type scheduledFault struct {
 	at           time.Duration
 	name, action string
 }
 
-func (s *TrialSettings) disturbances() ([]disturbance, error) {
-	var list []disturbance
+func (s *TrialSettings) parseFaults() ([]scheduledFault, error) {
+	var faults []scheduledFault
 	for _, text := range s.Faults {
 		parts := strings.SplitN(text, "@", 3)
 		at, err := time.ParseDuration(parts[0])
 		if len(parts) != 3 || err != nil {
-			return nil, invalid("--fault (FILBERT_LOAD_FAULT)", text, "TIME@NAME@ACTION, as 5s@engine-1@kill")
+			return nil, invalidSetting("--fault (FILBERT_LOAD_FAULT)", text, "TIME@NAME@ACTION, as 5s@engine-1@kill")
 		}
-		list = append(list, disturbance{at: at, name: parts[1], action: parts[2]})
+		faults = append(faults, scheduledFault{at: at, name: parts[1], action: parts[2]})
 	}
-	slices.SortStableFunc(list, func(a, b disturbance) int { return cmp.Compare(a.at, b.at) })
-	return list, nil
+	slices.SortStableFunc(faults, func(a, b scheduledFault) int { return cmp.Compare(a.at, b.at) })
+	return faults, nil
 }
 
-// spec describes the deployment that the settings ask for.
-func (s *TrialSettings) spec(p Profile) fleet.Spec {
+// fleetSpec returns the specification of the deployment to start.
+func (s *TrialSettings) fleetSpec(profile Profile) fleet.Spec {
 	spec := fleet.Spec{
-		BinDir: s.BinDir, Hosts: s.spread(s.Hosts), Engines: s.spread(s.Engines), Apps: s.spread(s.Apps),
-		EngineArgs: strings.Fields(s.EngineArgs), Table: s.table(p),
+		BinDir: s.BinDir, Hosts: s.assignDataCentres(s.Hosts), Engines: s.assignDataCentres(s.Engines), Apps: s.assignDataCentres(s.Apps),
+		EngineArgs: strings.Fields(s.EngineArgs), Table: s.operatorTable(profile),
 	}
-	for _, k := range distinct(p.Kinds) {
-		if k.Type == TypeStream || k.Type == TypeWhole {
+	for _, k := range oneKindPerService(profile.Kinds) {
+		if k.Type == CallTypeStream || k.Type == CallTypeWhole {
 			spec.EngineServices = append(spec.EngineServices, k.Service)
 		} else {
 			spec.AppServices = append(spec.AppServices, k.Service)
@@ -71,89 +72,93 @@
 	return spec
 }
 
-// distinct leaves one kind of each service, a streaming one if there is any: a
-// service that delivers whole answers refuses to stream.
-func distinct(kinds []Kind) []Kind {
-	streamsFirst := slices.SortedStableFunc(slices.Values(kinds), func(a, b Kind) int {
-		return cmp.Compare(rank(a), rank(b))
+// oneKindPerService keeps one kind of call for each service. It prefers a
+// streaming kind, because a service configured for whole answers refuses
+// streams.
+func oneKindPerService(kinds []CallKind) []CallKind {
+	streamsFirst := slices.SortedStableFunc(slices.Values(kinds), func(a, b CallKind) int {
+		return cmp.Compare(streamRank(a), streamRank(b))
 	})
-	var out []Kind
+	var result []CallKind
 	for _, k := range streamsFirst {
-		if !slices.ContainsFunc(out, func(o Kind) bool { return o.Service == k.Service }) {
-			out = append(out, k)
+		if !slices.ContainsFunc(result, func(kept CallKind) bool { return kept.Service == k.Service }) {
+			result = append(result, k)
 		}
 	}
-	return out
+	return result
 }
 
-func rank(k Kind) int {
-	if k.Type == TypeStream {
+func streamRank(k CallKind) int {
+	if k.Type == CallTypeStream {
 		return 0
 	}
 	return 1
 }
 
-// spread names the data centres of n hosts or targets.
-func (s *TrialSettings) spread(n int) []string {
-	out := make([]string, n)
-	for i := range out {
-		out[i] = "dc-" + strconv.Itoa(i%s.Centres+1)
+// assignDataCentres assigns n hosts or targets to the data centres in turn and
+// returns the data centre names.
+func (s *TrialSettings) assignDataCentres(n int) []string {
+	names := make([]string, n)
+	for i := range names {
+		names[i] = "dc-" + strconv.Itoa(i%s.DataCentres+1)
 	}
-	return out
+	return names
 }
 
 func accountName(i int) string { return "account-" + strconv.Itoa(i+1) }
 
-func accountKey(i int) string { return "trial-key-" + strconv.Itoa(i+1) }
+func accountAPIKey(i int) string { return "trial-key-" + strconv.Itoa(i+1) }
 
-// The services' bounds in a trial: callers wait half a minute at most.
+// Limits of the services in a trial. Callers wait at most half a minute for
+// admission.
 const (
-	tableHeader = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
-	trialWaitMS = 30_000
-	trialQueue  = 10_000
+	tableHeader     = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
+	trialMaxWaitMS  = 30_000
+	trialQueueLimit = 10_000
 )
 
-// table gives the operators' table of the trial.
-func (s *TrialSettings) table(p Profile) string {
-	var t strings.Builder
-	t.WriteString(tableHeader)
+// operatorTable returns the operators' table of the trial as CSV.
+func (s *TrialSettings) operatorTable(profile Profile) string {
+	var table strings.Builder
+	table.WriteString(tableHeader)
 	for i := range s.Accounts {
-		fmt.Fprintf(&t, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.Digest(accountKey(i)))
+		fmt.Fprintf(&table, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.Digest(accountAPIKey(i)))
 	}
-	for _, k := range distinct(p.Kinds) {
-		kind, delivery, tokens := "generation", "stream", strconv.Itoa(k.Output.Max)
+	for _, k := range oneKindPerService(profile.Kinds) {
+		serviceType, delivery, maxTokens := "generation", "stream", strconv.Itoa(k.Output.Max)
 		switch k.Type {
-		case TypeWhole:
+		case CallTypeWhole:
 			delivery = "whole"
-		case TypeLookup:
-			kind, delivery, tokens = "lookup", "", ""
-		case TypeOnce:
-			kind, delivery, tokens = "once", "", ""
+		case CallTypeLookup:
+			serviceType, delivery, maxTokens = "lookup", "", ""
+		case CallTypeOnce:
+			serviceType, delivery, maxTokens = "once", "", ""
 		}
-		fmt.Fprintf(&t, "service,%s,,,,,,,%s,%s,%s,%d,%d\n", k.Service, kind, delivery, tokens, trialWaitMS, trialQueue)
+		fmt.Fprintf(&table, "service,%s,,,,,,,%s,%s,%s,%d,%d\n", k.Service, serviceType, delivery, maxTokens, trialMaxWaitMS, trialQueueLimit)
 	}
-	return t.String()
+	return table.String()
 }
 
-// prepare checks the settings before anything starts.
-func (s *TrialSettings) prepare() (Config, []disturbance, error) {
+// prepare validates the settings before any process starts and returns the
+// configuration of the run.
+func (s *TrialSettings) prepare() (Config, []scheduledFault, error) {
 	if len(s.Entries)+len(s.DirectEngines)+len(s.DirectApps)+len(s.APIKeys) > 0 {
-		return Config{}, nil, invalid("--entry, --direct-engine, --direct-app, --api-key", "given", "none in a trial, which makes its own")
+		return Config{}, nil, invalidSetting("--entry, --direct-engine, --direct-app, --api-key", "given", "none in a trial, which makes its own")
 	}
-	faults, err := s.disturbances()
+	faults, err := s.parseFaults()
 	if err != nil {
 		return Config{}, nil, err
 	}
 	s.Entries = []string{"127.0.0.1:0"}
 	for i := range s.Accounts {
-		s.APIKeys = append(s.APIKeys, accountName(i)+"="+accountKey(i))
+		s.APIKeys = append(s.APIKeys, accountName(i)+"="+accountAPIKey(i))
 	}
 	cfg, err := s.config()
 	return cfg, faults, err
 }
 
-// trial makes a load on a deployment of its own.
-func trial(args []string, out, errOut io.Writer) (int, error) {
+// runTrial generates load on a temporary deployment.
+func runTrial(args []string, out, errOut io.Writer) (int, error) {
 	s := &TrialSettings{}
 	if err := settings.Parse(program+" trial", usage, s, args, out); err != nil {
 		return 0, err
@@ -162,157 +167,159 @@
 	if err != nil {
 		return 0, err
 	}
-	cfg.Progress = errOut
-	ctx, stop := untilTold()
+	cfg.ProgressOutput = errOut
+	ctx, stop := signalContext()
 	defer stop()
 	var direct *Result
-	if s.Direct {
-		if direct, err = s.deployed(ctx, cfg, true, nil, errOut); err != nil {
+	if s.CompareDirect {
+		if direct, err = s.runOnFleet(ctx, cfg, true, nil, errOut); err != nil {
 			return 0, err
 		}
 	}
-	result, err := s.deployed(ctx, cfg, false, faults, errOut)
+	result, err := s.runOnFleet(ctx, cfg, false, faults, errOut)
 	if err != nil {
 		return 0, err
 	}
 	if direct != nil {
-		if err := Compare(errOut, direct, result); err != nil {
+		if err := WriteComparison(errOut, direct, result); err != nil {
 			return 0, err
 		}
 	}
-	return finish(s.Out, out, errOut, result)
+	return writeResult(s.OutputFile, out, errOut, result)
 }
 
-// deployed starts a deployment of its own for one run, and ends it. A direct
-// run leaves its entries aside.
-func (s *TrialSettings) deployed(ctx context.Context, cfg Config, direct bool, faults []disturbance, log io.Writer) (*Result, error) {
-	f, err := fleet.Start(ctx, s.spec(cfg.Profile))
+// runOnFleet starts a deployment for one run and stops it afterwards. A direct
+// run bypasses the entries.
+func (s *TrialSettings) runOnFleet(ctx context.Context, cfg Config, direct bool, faults []scheduledFault, log io.Writer) (*Result, error) {
+	f, err := fleet.Start(ctx, s.fleetSpec(cfg.Profile))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	cfg.Target.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.Callers })
+	cfg.Client.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.Callers })
 	if direct {
-		cfg = directly(cfg, f)
+		cfg = directConfig(cfg, f)
 	}
-	result := disturbed(ctx, cfg, f, faults, log)
-	result.Targets = count(f)
+	result := runWithFaults(ctx, cfg, f, faults, log)
+	result.Targets = collectTargetCounts(f)
 	return result, nil
 }
 
 func addresses[T any](list []T, address func(T) string) []string {
-	out := make([]string, len(list))
-	for i, x := range list {
-		out[i] = address(x)
+	result := make([]string, len(list))
+	for i, element := range list {
+		result[i] = address(element)
 	}
-	return out
+	return result
 }
 
-// directly gives the run that leaves the system out.
-func directly(cfg Config, f *fleet.Fleet) Config {
+// directConfig returns the configuration of a run that calls the stand-ins
+// directly.
+func directConfig(cfg Config, f *fleet.Fleet) Config {
 	address := func(t *fleet.Target) string { return t.Address }
-	cfg.Target.Entries = nil
-	cfg.Target.DirectEngines = addresses(f.Engines, address)
-	cfg.Target.DirectApps = addresses(f.Apps, address)
+	cfg.Client.Entries = nil
+	cfg.Client.DirectEngines = addresses(f.Engines, address)
+	cfg.Client.DirectApps = addresses(f.Apps, address)
 	return cfg
 }
 
-// disturbed makes the run and, meanwhile, its faults, one after the other.
-func disturbed(ctx context.Context, cfg Config, f *fleet.Fleet, faults []disturbance, log io.Writer) *Result {
-	ended, end := context.WithCancel(ctx)
+// runWithFaults performs the run and injects the scheduled faults during it, one
+// after the other.
+func runWithFaults(ctx context.Context, cfg Config, f *fleet.Fleet, faults []scheduledFault, log io.Writer) *Result {
+	faultsCtx, cancelFaults := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
+	defer cancelFaults()
 	start := time.Now()
 	wg.Go(func() {
-		for _, d := range faults {
+		for _, fault := range faults {
 			select {
-			case <-time.After(time.Until(start.Add(d.at))):
-			case <-ended.Done():
+			case <-time.After(time.Until(start.Add(fault.at))):
+			case <-faultsCtx.Done():
 				return
 			}
-			_, _ = fmt.Fprintf(log, "%6.1fs fault %s %s: %s\n", time.Since(start).Seconds(), d.name, d.action, told(bring(f, d)))
+			_, _ = fmt.Fprintf(log, "%6.1fs fault %s %s: %s\n", time.Since(start).Seconds(), fault.name, fault.action, faultResult(injectFault(f, fault)))
 		}
 	})
 	return Run(ctx, cfg)
 }
 
-// count asks the stand-ins what they did.
-func count(f *fleet.Fleet) *TargetCounts {
-	c := &TargetCounts{ByEngine: map[string]model.Stats{}}
+// collectTargetCounts reads the counters of the stand-ins.
+func collectTargetCounts(f *fleet.Fleet) *TargetCounts {
+	counts := &TargetCounts{ByEngine: map[string]model.Stats{}}
 	for _, t := range f.Engines {
 		var stats model.Stats
-		c.reached(f.GetJSON("http://"+t.Address+"/admin/stats", &stats))
-		c.Engines = c.Engines.Plus(stats)
-		c.ByEngine[t.Name] = stats
+		counts.countUnreachable(f.GetJSON("http://"+t.Address+"/admin/stats", &stats))
+		counts.Engines = counts.Engines.Plus(stats)
+		counts.ByEngine[t.Name] = stats
 	}
 	for _, t := range f.Apps {
-		var ran app.Executions
-		c.reached(f.GetJSON("http://"+t.Address+"/admin/executions", &ran))
-		c.Calls += ran.Total
-		for _, n := range ran.ByKey {
+		var executions app.Executions
+		counts.countUnreachable(f.GetJSON("http://"+t.Address+"/admin/executions", &executions))
+		counts.Calls += executions.Total
+		for _, n := range executions.ByKey {
 			if n > 1 {
-				c.RanTwice++
+				counts.RanTwice++
 			}
 		}
 	}
-	return c
+	return counts
 }
 
-func (c *TargetCounts) reached(err error) {
+func (c *TargetCounts) countUnreachable(err error) {
 	if err != nil {
 		c.Unreachable++
 	}
 }
 
-func told(err error) string {
+func faultResult(err error) string {
 	if err != nil {
 		return err.Error()
 	}
 	return "done"
 }
 
-// bring brings a fault about.
-func bring(f *fleet.Fleet, d disturbance) error {
-	if d.name == "platform" {
-		return f.PlatformMode(d.action)
+// injectFault applies a fault to the platform, a target or a process.
+func injectFault(f *fleet.Fleet, fault scheduledFault) error {
+	if fault.name == "platform" {
+		return f.PlatformMode(fault.action)
 	}
 	for _, t := range append(append([]*fleet.Target{}, f.Engines...), f.Apps...) {
-		if t.Name == d.name {
-			return disturbTarget(f, t, d.action)
+		if t.Name == fault.name {
+			return injectTargetFault(f, t, fault.action)
 		}
 	}
 	for _, h := range f.Hosts {
-		switch d.name {
+		switch fault.name {
 		case h.Name + "-entry":
-			return disturbProcess(h.Entry, d.action, func() error { return f.StartEntry(h) })
+			return applyProcessAction(h.Entry, fault.action, func() error { return f.StartEntry(h) })
 		case h.Name + "-control":
-			return disturbProcess(h.ControlProcess, d.action, func() error { return f.StartControl(h) })
+			return applyProcessAction(h.ControlProcess, fault.action, func() error { return f.StartControl(h) })
 		}
 	}
-	return failure.New(failure.KindNotFound, "no target or process is named %q", d.name)
+	return failure.New(failure.KindNotFound, "no target or process is named %q", fault.name)
 }
 
-func disturbTarget(f *fleet.Fleet, t *fleet.Target, action string) error {
+func injectTargetFault(f *fleet.Fleet, t *fleet.Target, action string) error {
 	if strings.HasPrefix(action, "{") {
 		return f.Fault(t, action)
 	}
-	return disturbProcess(t.Process, action, func() error { return f.RestartTarget(t) })
+	return applyProcessAction(t.Process, action, func() error { return f.RestartTarget(t) })
 }
 
-// signals are the actions that are one signal to a process.
-var signals = map[string]os.Signal{
+// processSignals maps actions to the signals that they send to a process.
+var processSignals = map[string]os.Signal{
 	"kill": syscall.SIGKILL, "stop": syscall.SIGTERM, "pause": syscall.SIGSTOP, "resume": syscall.SIGCONT,
 }
 
-func disturbProcess(p *fleet.Process, action string, start func() error) error {
+func applyProcessAction(p *fleet.Process, action string, start func() error) error {
 	if action == "start" {
 		return start()
 	}
-	s, known := signals[action]
-	if !known {
+	signal, ok := processSignals[action]
+	if !ok {
 		return failure.New(failure.KindBadRequest, "action %q is none of kill, stop, pause, resume, start", action)
 	}
-	p.Signal(s)
+	p.Signal(signal)
 	return nil
 }
