--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -55,9 +55,9 @@
 	// which can't be separated. Close the connection and resume at the next
 	// offset.
 	Gap
-	// Crossed: the frame belongs to another generation. Close the connection,
+	// Mismatched: the frame belongs to another generation. Close the connection,
 	// count the event, and resume at the next offset.
-	Crossed
+	Mismatched
 	// Complete: the generation has ended and all its tokens were delivered.
 	Complete
 )
@@ -78,12 +78,12 @@
 const (
 	// Stream sends tokens as they arrive.
 	Stream Mode = iota
-	// Whole buffers tokens until the generation is complete.
-	Whole
+	// Buffered buffers tokens until the generation is complete.
+	Buffered
 )
 
-// Order checks the frames of one request. It is not safe for concurrent use.
-type Order struct {
+// Sequencer checks the frames of one request. It is not safe for concurrent use.
+type Sequencer struct {
 	mode            Mode
 	generation      string
 	nextOffset      uint64
@@ -97,16 +97,16 @@
 }
 
 // New returns the state for a generation that starts now.
-func New(mode Mode, generation string) Order {
-	return Order{mode: mode, generation: generation, maxResumes: DefaultMaxResumes}
+func New(mode Mode, generation string) Sequencer {
+	return Sequencer{mode: mode, generation: generation, maxResumes: DefaultMaxResumes}
 }
 
 // Resume returns the state for a generation that another connection of the
 // caller started: every token before offset has reached the caller. It never
 // changes to another generation, not even at offset 0, because the entry that
 // started it may have delivered more than the caller's handle says.
-func Resume(mode Mode, generation string, offset uint64) Order {
-	return Order{
+func Resume(mode Mode, generation string, offset uint64) Sequencer {
+	return Sequencer{
 		mode: mode, generation: generation, nextOffset: offset, deliveredTokens: offset,
 		resumed: true, maxResumes: DefaultMaxResumes,
 	}
@@ -114,32 +114,32 @@
 
 // ResumeFinished is like Resume, for a caller that has received the finishing
 // frame and lacks only the closing event.
-func ResumeFinished(mode Mode, generation string, offset uint64) Order {
+func ResumeFinished(mode Mode, generation string, offset uint64) Sequencer {
 	o := Resume(mode, generation, offset)
 	o.finished = true
 	return o
 }
 
-// Next returns the index of the next token to request from the target.
-func (o *Order) Next() uint64 { return o.nextOffset }
+// NextOffset returns the index of the next token to request from the target.
+func (o *Sequencer) NextOffset() uint64 { return o.nextOffset }
 
-// Reached returns the number of tokens that may have reached the caller.
-func (o *Order) Reached() uint64 { return o.deliveredTokens }
+// DeliveredTokens returns the number of tokens that may have reached the caller.
+func (o *Sequencer) DeliveredTokens() uint64 { return o.deliveredTokens }
 
 // Generation returns the ID of the generation in progress.
-func (o *Order) Generation() string { return o.generation }
+func (o *Sequencer) Generation() string { return o.generation }
 
 // Complete reports whether the entire answer has been checked.
-func (o *Order) Complete() bool { return o.complete }
+func (o *Sequencer) Complete() bool { return o.complete }
 
 // Finished reports whether all tokens and the generation's finish have been
 // passed on. If the connection is lost after that, only the closing event is
 // missing: the answer has all its tokens and may be marked complete without it.
-func (o *Order) Finished() bool { return o.finished }
+func (o *Sequencer) Finished() bool { return o.finished }
 
-// Conclude marks a finished answer as complete without its closing event, and
+// MarkComplete marks a finished answer as complete without its closing event, and
 // reports whether the answer is complete.
-func (o *Order) Conclude() bool {
+func (o *Sequencer) MarkComplete() bool {
 	o.complete = o.complete || o.finished
 	return o.complete
 }
@@ -147,29 +147,29 @@
 // Check returns the verdict on a frame. In mode Stream the tokens of a passed
 // frame count as delivered even if the write that follows fails, because a
 // failed write may still have left the host.
-func (o *Order) Check(f Frame) Verdict {
+func (o *Sequencer) Check(f Frame) Verdict {
 	switch {
 	case f.Done:
 		return o.checkDone()
 	case f.Generation != o.generation:
-		return Crossed
+		return Mismatched
 	case f.Offset > o.nextOffset:
 		return Gap
 	case f.Offset+f.Tokens < f.Offset:
-		return Crossed // offset overflow: not a valid frame of this generation
+		return Mismatched // offset overflow: not a valid frame of this generation
 	case f.Offset < o.nextOffset && f.Offset+f.Tokens <= o.nextOffset:
 		o.noteFinish(f)
 		return Duplicate
 	case f.Offset < o.nextOffset:
 		return Gap
 	case o.finished && f.Tokens > 0:
-		return Crossed // a generation has no tokens after its end
+		return Mismatched // a generation has no tokens after its end
 	}
 	o.accept(f)
 	return Pass
 }
 
-func (o *Order) accept(f Frame) {
+func (o *Sequencer) accept(f Frame) {
 	o.nextOffset += f.Tokens
 	if f.Tokens > 0 {
 		o.resumes = 0
@@ -182,7 +182,7 @@
 
 // noteFinish records the end of the generation, but only if the finishing frame
 // ends at the next offset: an older frame can't end a longer stream.
-func (o *Order) noteFinish(f Frame) {
+func (o *Sequencer) noteFinish(f Frame) {
 	if f.Finish && f.Offset+f.Tokens == o.nextOffset {
 		o.finished = true
 	}
@@ -190,7 +190,7 @@
 
 // checkDone accepts the closing event only after a finishing frame. Otherwise
 // an answer that a target closed early would count as complete.
-func (o *Order) checkDone() Verdict {
+func (o *Sequencer) checkDone() Verdict {
 	if !o.finished {
 		return Gap
 	}
@@ -198,17 +198,17 @@
 	return Complete
 }
 
-// Release must be called right before a buffered answer is written to the
+// MarkReleased must be called right before a buffered answer is written to the
 // caller.
-func (o *Order) Release() {
+func (o *Sequencer) MarkReleased() {
 	o.released = true
 	o.deliveredTokens = o.nextOffset
 }
 
-// Reopen counts another connection for the same generation, which starts at the
+// TryResume counts another connection for the same generation, which starts at the
 // next offset. It returns false if too many successive connections brought no
 // token.
-func (o *Order) Reopen() bool {
+func (o *Sequencer) TryResume() bool {
 	limit := o.maxResumes
 	if o.MayRestart() {
 		limit = min(limit, maxResumesBeforeRestart)
@@ -223,23 +223,23 @@
 // MayRestart reports whether another generation may answer this request. That
 // is only so while no token can have reached the caller: an answer with tokens
 // of two generations looks plausible and is wrong.
-func (o *Order) MayRestart() bool {
+func (o *Sequencer) MayRestart() bool {
 	return o.deliveredTokens == 0 && !o.released && !o.resumed && !o.complete
 }
 
 // Restart changes to another generation. If that is not allowed, it returns
 // false and changes nothing.
-func (o *Order) Restart(generation string) bool {
+func (o *Sequencer) Restart(generation string) bool {
 	if !o.MayRestart() {
 		return false
 	}
-	*o = Order{mode: o.mode, generation: generation, maxResumes: o.maxResumes}
+	*o = Sequencer{mode: o.mode, generation: generation, maxResumes: o.maxResumes}
 	return true
 }
 
-// Lost returns the error for a request whose generation is gone. It says how
+// LostError returns the error for a request whose generation is gone. It says how
 // many tokens reached the caller and that no more will follow.
-func (o *Order) Lost(cause error) *failure.Error {
+func (o *Sequencer) LostError(cause error) *failure.Error {
 	const text = "the generation was lost after %d delivered tokens"
 	e := failure.New(failure.KindTargetLost, text, o.deliveredTokens)
 	if cause != nil {
--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -18,7 +18,7 @@
 
 const (
 	pass, duplicate, gap = delivery.Pass, delivery.Duplicate, delivery.Gap
-	crossed, complete    = delivery.Crossed, delivery.Complete
+	crossed, complete    = delivery.Mismatched, delivery.Complete
 )
 
 func newFrame(generation string, offset, tokens uint64, finish ...bool) delivery.Frame {
@@ -43,7 +43,7 @@
 			for i, s := range steps {
 				Expect(o.Check(s.frame)).To(Equal(s.want), "frame %d", i)
 			}
-			Expect(o.Reached()).To(Equal(reached))
+			Expect(o.DeliveredTokens()).To(Equal(reached))
 		},
 		Entry("a complete stream", uint64(3), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, 2), pass}, step{newFrame("g", 3, 0, true), pass}, step{closingFrame, complete}),
 		Entry("a finish with the last token", uint64(2), step{newFrame("g", 0, 2, true), pass}, step{closingFrame, complete}),
@@ -79,25 +79,25 @@
 				Expect(o.Check(newFrame("g", uint64(i), 1))).To(Equal(pass))
 			}
 			if released {
-				o.Release()
+				o.MarkReleased()
 			}
 			Expect(o.Restart("h")).To(Equal(want))
 			if want {
 				Expect(o.Generation()).To(Equal("h"))
-				Expect(o.Next()).To(BeZero())
+				Expect(o.NextOffset()).To(BeZero())
 				Expect(o.Check(newFrame("g", 0, 1))).To(Equal(crossed), "frames of the lost generation are rejected")
 				return
 			}
-			lostErr := o.Lost(errors.New("reset"))
+			lostErr := o.LostError(errors.New("reset"))
 			Expect(lostErr.Kind).To(Equal(failure.KindTargetLost))
 			Expect(lostErr.Executed).To(Equal(failure.ExecutedYes))
 			Expect(lostErr.Delivered).To(Equal(frames))
 		},
 		Entry("streamed, nothing sent", delivery.Stream, 0, false, true),
 		Entry("streamed, one token sent", delivery.Stream, 1, false, false),
-		Entry("buffered, nothing released", delivery.Whole, 3, false, true),
-		Entry("buffered and released", delivery.Whole, 3, true, false),
-		Entry("an empty answer released", delivery.Whole, 0, true, false),
+		Entry("buffered, nothing released", delivery.Buffered, 3, false, true),
+		Entry("buffered and released", delivery.Buffered, 3, true, false),
+		Entry("an empty answer released", delivery.Buffered, 0, true, false),
 	)
 
 	// An engine that numbers from the wrong token sends the same wrong frame on
@@ -107,12 +107,12 @@
 		o := delivery.Resume(delivery.Stream, "g", 0)
 		for range 3 {
 			for range delivery.DefaultMaxResumes {
-				Expect(o.Reopen()).To(BeTrue())
+				Expect(o.TryResume()).To(BeTrue())
 			}
-			Expect(o.Reopen()).To(BeFalse())
-			Expect(o.Check(newFrame("g", o.Next(), 1))).To(Equal(pass), "a new token resets the limit")
+			Expect(o.TryResume()).To(BeFalse())
+			Expect(o.Check(newFrame("g", o.NextOffset(), 1))).To(Equal(pass), "a new token resets the limit")
 		}
-		Expect(o.Lost(nil).Delivered).To(Equal(3))
+		Expect(o.LostError(nil).Delivered).To(Equal(3))
 	})
 
 	// The target's connection breaks after the last token, or the caller
@@ -121,24 +121,24 @@
 	It("completes a finished answer without its closing event", func() {
 		o := delivery.New(delivery.Stream, "g")
 		Expect(o.Check(newFrame("g", 0, 1))).To(Equal(pass))
-		Expect(o.Conclude()).To(BeFalse())
+		Expect(o.MarkComplete()).To(BeFalse())
 		Expect(o.Check(newFrame("g", 1, 1, true))).To(Equal(pass))
 		Expect(o.Finished()).To(BeTrue())
-		Expect(o.Conclude()).To(BeTrue())
+		Expect(o.MarkComplete()).To(BeTrue())
 		Expect(o.MayRestart()).To(BeFalse())
 		resumed := delivery.ResumeFinished(delivery.Stream, "g", 2)
-		Expect(resumed.Conclude()).To(BeTrue())
+		Expect(resumed.MarkComplete()).To(BeTrue())
 	})
 
 	// The target hangs before its first token. A second connection without a
 	// response shows that it is stuck, and another target can restart the
 	// request unnoticed by the caller.
 	It("reconnects only once while it may restart", func() {
-		o := delivery.New(delivery.Whole, "g")
-		Expect(o.Reopen()).To(BeTrue())
-		Expect(o.Reopen()).To(BeFalse())
+		o := delivery.New(delivery.Buffered, "g")
+		Expect(o.TryResume()).To(BeTrue())
+		Expect(o.TryResume()).To(BeFalse())
 		Expect(o.Restart("h")).To(BeTrue())
-		Expect(o.Reopen()).To(BeTrue())
+		Expect(o.TryResume()).To(BeTrue())
 	})
 
 	It("names its verdicts", func() {
@@ -173,8 +173,8 @@
 					t.Fatalf("complete after %d tokens", next)
 				}
 			}
-			if o.Reached() != next {
-				t.Fatalf("reached %d, passed %d", o.Reached(), next)
+			if o.DeliveredTokens() != next {
+				t.Fatalf("reached %d, passed %d", o.DeliveredTokens(), next)
 			}
 		}
 	})
--- a/internal/decide/drain/centre.go
+++ b/internal/decide/drain/centre.go
@@ -21,9 +21,9 @@
 	"time"
 )
 
-// Config holds the parameters of a data centre's return to service. A zero
+// RampConfig holds the parameters of a data centre's return to service. A zero
 // field means its default.
-type Config struct {
+type RampConfig struct {
 	// RampDuration is how long a data centre takes to return to its full share
 	// of work. The default is 30 s: engines take about ten seconds to start up
 	// cold, and fill their prefix caches while they serve.
@@ -39,27 +39,27 @@
 	defaultInitialShare = 0.05
 )
 
-// Centres tracks the operators' list of drained data centres. It is not safe
+// DataCentres tracks the operators' list of drained data centres. It is not safe
 // for concurrent use; publish the results in a snapshot.
-type Centres struct {
-	cfg     Config
+type DataCentres struct {
+	cfg     RampConfig
 	drained map[string]bool
 	// returnedAt is when a data centre was first seen to be off the list again.
 	returnedAt map[string]time.Duration
 	hasList    bool
 }
 
-// NewCentres returns a tracker that has seen no list yet. It treats no data
+// NewDataCentres returns a tracker that has seen no list yet. It treats no data
 // centre as drained, but is not Ready.
-func NewCentres(cfg Config) *Centres {
+func NewDataCentres(cfg RampConfig) *DataCentres {
 	cfg.RampDuration = cmp.Or(cfg.RampDuration, defaultRampDuration)
 	cfg.InitialShare = cmp.Or(cfg.InitialShare, defaultInitialShare)
-	return &Centres{cfg: cfg, drained: map[string]bool{}, returnedAt: map[string]time.Duration{}}
+	return &DataCentres{cfg: cfg, drained: map[string]bool{}, returnedAt: map[string]time.Duration{}}
 }
 
-// Set records the current list. A data centre that is no longer on it starts
+// SetDrained records the current list. A data centre that is no longer on it starts
 // its ramp; one that is added stops taking new work at once.
-func (c *Centres) Set(now time.Duration, drained []string) {
+func (c *DataCentres) SetDrained(now time.Duration, drained []string) {
 	for dc := range c.drained {
 		if !slices.Contains(drained, dc) {
 			delete(c.drained, dc)
@@ -76,12 +76,12 @@
 // and has no list could send work to a drained data centre, so it must not
 // serve before it has received one from the configuration service or from a
 // peer.
-func (c *Centres) Ready() bool { return c.hasList }
+func (c *DataCentres) Ready() bool { return c.hasList }
 
-// Share returns the part of its usual new work that a data centre takes: 0
+// WorkShare returns the part of its usual new work that a data centre takes: 0
 // while it is drained, 1 in full service, and a linearly growing value while it
 // returns. Work in progress is not affected.
-func (c *Centres) Share(now time.Duration, dc string) float64 {
+func (c *DataCentres) WorkShare(now time.Duration, dc string) float64 {
 	if c.drained[dc] {
 		return 0
 	}
@@ -96,4 +96,4 @@
 // AcceptsWork reports whether new work may go to a target: neither the target
 // nor its data centre is being drained. After a wait in a queue, call it again
 // just before the grant, because the earlier answer may be outdated.
-func (c *Centres) AcceptsWork(dc string, leaving bool) bool { return !leaving && !c.drained[dc] }
+func (c *DataCentres) AcceptsWork(dc string, leaving bool) bool { return !leaving && !c.drained[dc] }
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -23,30 +23,30 @@
 	// used up one attempt, although the host keeps running for seconds to
 	// finish its last report.
 	It("accepts new work until the last request ends or the time limit is reached", func() {
-		cfg := drain.StopConfig{
-			AnnounceFor: 2 * time.Second, QuietFor: time.Second, AnnounceLimit: 6 * time.Second, LingerFor: time.Second,
-			FinishLimit: 8 * time.Second, OpenWhileBusy: true,
+		cfg := drain.ShutdownConfig{
+			MinAnnounce: 2 * time.Second, QuietPeriod: time.Second, MaxAnnounce: 6 * time.Second, LingerDuration: time.Second,
+			DrainTimeout: 8 * time.Second, AcceptWhileBusy: true,
 		}
-		busy, idle := drain.NewStop(cfg), drain.NewStop(cfg)
-		cfg.OpenWhileBusy = false
-		withoutOption := drain.NewStop(cfg)
-		for _, s := range []*drain.Stop{busy, idle, withoutOption} {
+		busy, idle := drain.NewShutdown(cfg), drain.NewShutdown(cfg)
+		cfg.AcceptWhileBusy = false
+		withoutOption := drain.NewShutdown(cfg)
+		for _, s := range []*drain.Shutdown{busy, idle, withoutOption} {
 			s.Begin(0)
 		}
 		busy.Step(4*time.Second, 1)
 		idle.Step(4*time.Second, 0)
 		withoutOption.Step(4*time.Second, 1)
-		Expect(busy.TakesNew()).To(BeTrue())
-		Expect(idle.TakesNew()).To(BeFalse())
-		Expect(withoutOption.TakesNew()).To(BeFalse())
+		Expect(busy.AcceptsNew()).To(BeTrue())
+		Expect(idle.AcceptsNew()).To(BeFalse())
+		Expect(withoutOption.AcceptsNew()).To(BeFalse())
 		busy.Step(6*time.Second, 1)
-		Expect(busy.TakesNew()).To(BeFalse())
+		Expect(busy.AcceptsNew()).To(BeFalse())
 	})
 })
 
 var _ = Describe("data centres", func() {
 	It("are drained at once, return on a ramp, and can be drained again during it", func() {
-		c := drain.NewCentres(drain.Config{})
+		c := drain.NewDataCentres(drain.RampConfig{})
 		Expect(c.Ready()).To(BeFalse())
 		for _, step := range []struct {
 			at      time.Duration
@@ -57,8 +57,8 @@
 			{17 * time.Second, nil, 0.5}, {18 * time.Second, []string{"west", "east"}, 0},
 			{20 * time.Second, []string{"west"}, 0.05}, {60 * time.Second, []string{"west"}, 1},
 		} {
-			c.Set(step.at, step.drained)
-			Expect(c.Share(step.at, "east")).To(Equal(step.share), step.at.String())
+			c.SetDrained(step.at, step.drained)
+			Expect(c.WorkShare(step.at, "east")).To(Equal(step.share), step.at.String())
 		}
 		Expect(c.Ready()).To(BeTrue())
 		Expect(c.AcceptsWork("west", false)).To(BeFalse())
@@ -83,13 +83,13 @@
 // backlogs are even again, after 10 s.
 func simulateReturn(ramped bool) (excess int) {
 	rnd := rand.New(rand.NewPCG(1, 6))
-	c := drain.NewCentres(drain.Config{})
-	c.Set(0, []string{"back"})
-	c.Set(0, nil)
+	c := drain.NewDataCentres(drain.RampConfig{})
+	c.SetDrained(0, []string{"back"})
+	c.SetDrained(0, nil)
 	for second := range 30 {
 		share, received := 1.0/3, 0
 		if ramped {
-			share *= c.Share(time.Duration(second)*time.Second, "back")
+			share *= c.WorkShare(time.Duration(second)*time.Second, "back")
 		} else if second < 10 {
 			share = 1
 		}
@@ -105,7 +105,7 @@
 
 var _ = Describe("a graceful shutdown", func() {
 	It("announces, waits until no work arrives, refuses, finishes, lingers and ends", func() {
-		s := drain.NewStop(drain.StopConfig{})
+		s := drain.NewShutdown(drain.ShutdownConfig{})
 		Expect(s.Step(0, 3)).To(Equal(drain.Serving))
 		s.Begin(time.Second)
 		for _, step := range []struct {
@@ -116,30 +116,30 @@
 			{7, 5, 4, drain.Refusing}, {3000, 5, 1, drain.Refusing}, {3001, 5, 0, drain.Lingering},
 			{3001, 5, 1, drain.Refusing}, {3002, 5, 0, drain.Lingering}, {3003, 5, 0, drain.Done},
 		} {
-			s.Arrived(time.Duration(step.arrived) * time.Second)
+			s.NoteArrival(time.Duration(step.arrived) * time.Second)
 			Expect(s.Step(time.Duration(step.second)*time.Second, step.running)).To(Equal(step.want), fmt.Sprint(step))
 			Expect(s.Ready()).To(BeFalse())
-			Expect(s.TakesNew()).To(Equal(step.want == drain.Announced))
+			Expect(s.AcceptsNew()).To(Equal(step.want == drain.Announced))
 		}
-		Expect(s.Cut()).To(BeFalse())
+		Expect(s.CutWork()).To(BeFalse())
 	})
 
 	It("refuses requests of a load balancer that ignores readiness, and cuts work only at the configured limit", func() {
-		s := drain.NewStop(drain.StopConfig{FinishLimit: time.Minute})
+		s := drain.NewShutdown(drain.ShutdownConfig{DrainTimeout: time.Minute})
 		s.Begin(0)
-		s.Arrived(14 * time.Second)
+		s.NoteArrival(14 * time.Second)
 		Expect(s.Step(14*time.Second, 1)).To(Equal(drain.Announced))
-		s.Arrived(15 * time.Second)
+		s.NoteArrival(15 * time.Second)
 		Expect(s.Step(15*time.Second, 1)).To(Equal(drain.Refusing))
 		Expect(s.Step(time.Minute, 1)).To(Equal(drain.Done))
-		Expect(s.Cut()).To(BeTrue())
+		Expect(s.CutWork()).To(BeTrue())
 	})
 
 	// A process that stops listening at once refuses what the load balancer
 	// still sends, so callers see failed connections during each rolling
 	// upgrade.
 	It("refuses nothing that a working load balancer sends", func() {
-		announcedFirst, refusedAtOnce := simulateUpgrade(drain.StopConfig{}), simulateUpgrade(drain.StopConfig{AnnounceLimit: 1})
+		announcedFirst, refusedAtOnce := simulateUpgrade(drain.ShutdownConfig{}), simulateUpgrade(drain.ShutdownConfig{MaxAnnounce: 1})
 		Expect(announcedFirst).To(BeZero())
 		Expect(refusedAtOnce).To(BeNumerically(">", 100))
 		AddReportEntry("refused or cut", fmt.Sprint("announced first ", announcedFirst, ", refused at once ", refusedAtOnce))
@@ -149,17 +149,17 @@
 // simulateUpgrade shuts down a process that receives 100 requests a second,
 // each of which takes up to 3 s. The load balancer stops sending 4 s after the
 // announcement. The result is the number of requests that were refused or cut.
-func simulateUpgrade(cfg drain.StopConfig) (lost int) {
+func simulateUpgrade(cfg drain.ShutdownConfig) (lost int) {
 	rnd := rand.New(rand.NewPCG(1, 7))
-	s := drain.NewStop(cfg)
+	s := drain.NewShutdown(cfg)
 	s.Begin(0)
 	running, endingAt := 0, map[int]int{}
 	for step := 0; s.Phase() != drain.Done; step++ { // steps of 10 ms
 		now := time.Duration(step) * 10 * time.Millisecond
 		running -= endingAt[step]
 		if step < 400 {
-			s.Arrived(now)
-			if s.TakesNew() {
+			s.NoteArrival(now)
+			if s.AcceptsNew() {
 				running++
 				endingAt[step+1+rnd.IntN(300)]++
 			} else {
--- a/internal/decide/drain/stop.go
+++ b/internal/decide/drain/stop.go
@@ -30,37 +30,37 @@
 // String returns the name of the phase in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// StopConfig holds the parameters of a graceful shutdown. A zero field means
+// ShutdownConfig holds the parameters of a graceful shutdown. A zero field means
 // its default.
-type StopConfig struct {
-	// AnnounceFor is the minimum time between not being ready and the first
+type ShutdownConfig struct {
+	// MinAnnounce is the minimum time between not being ready and the first
 	// refusal. The default is 5 s: load balancers probe every 1 to 2 s and
 	// remove a host after two failed probes, and the published list lags by as
 	// much.
-	AnnounceFor time.Duration
-	// QuietFor is how long no new work must have arrived before new work is
+	MinAnnounce time.Duration
+	// QuietPeriod is how long no new work must have arrived before new work is
 	// refused. The default is 2 s, the period of a probe.
-	QuietFor time.Duration
-	// AnnounceLimit is the maximum time before new work is refused. The default
+	QuietPeriod time.Duration
+	// MaxAnnounce is the maximum time before new work is refused. The default
 	// is 15 s: a load balancer that ignores readiness never stops sending.
 	// Refusing its requests cuts no work.
-	AnnounceLimit time.Duration
-	// OpenWhileBusy keeps the process accepting new work while work is in
+	MaxAnnounce time.Duration
+	// AcceptWhileBusy keeps the process accepting new work while work is in
 	// progress, up to the maximum time above: the process can't end before that
 	// work does. A load balancer that has lost half of a data centre's hosts
 	// also sends to hosts that are not ready, so refusing there costs callers
 	// an attempt for nothing (21 refusals on a day on which three of eight
 	// hosts were stopped in turn).
-	OpenWhileBusy bool
-	// LingerFor is the time from the end of the last request to the exit. The
+	AcceptWhileBusy bool
+	// LingerDuration is the time from the end of the last request to the exit. The
 	// default is 1 s.
-	LingerFor time.Duration
-	// FinishLimit is the maximum time from the start of the shutdown that work
+	LingerDuration time.Duration
+	// DrainTimeout is the maximum time from the start of the shutdown that work
 	// in progress may take. The default, 0, means no limit: a report of 40,000
 	// tokens at 61 ms per token takes 41 minutes, and no planned stop cuts it.
 	// If the platform has its own limit, set a lower one, so that callers get a
 	// typed error instead of a broken connection.
-	FinishLimit time.Duration
+	DrainTimeout time.Duration
 }
 
 const (
@@ -70,10 +70,10 @@
 	defaultLingerDuration = time.Second
 )
 
-// Stop is the graceful shutdown of one process. It is not safe for concurrent
+// Shutdown is the graceful shutdown of one process. It is not safe for concurrent
 // use.
-type Stop struct {
-	cfg         StopConfig
+type Shutdown struct {
+	cfg         ShutdownConfig
 	phase       Phase
 	phaseSince  time.Duration
 	beganAt     time.Duration
@@ -81,30 +81,30 @@
 	cutWork     bool
 }
 
-// NewStop returns the state of a process that is serving.
-func NewStop(cfg StopConfig) *Stop {
-	cfg.AnnounceFor = cmp.Or(cfg.AnnounceFor, defaultMinAnnounce)
-	cfg.QuietFor = cmp.Or(cfg.QuietFor, defaultQuietPeriod)
-	cfg.AnnounceLimit = cmp.Or(cfg.AnnounceLimit, defaultMaxAnnounce)
-	cfg.LingerFor = cmp.Or(cfg.LingerFor, defaultLingerDuration)
-	return &Stop{cfg: cfg}
+// NewShutdown returns the state of a process that is serving.
+func NewShutdown(cfg ShutdownConfig) *Shutdown {
+	cfg.MinAnnounce = cmp.Or(cfg.MinAnnounce, defaultMinAnnounce)
+	cfg.QuietPeriod = cmp.Or(cfg.QuietPeriod, defaultQuietPeriod)
+	cfg.MaxAnnounce = cmp.Or(cfg.MaxAnnounce, defaultMaxAnnounce)
+	cfg.LingerDuration = cmp.Or(cfg.LingerDuration, defaultLingerDuration)
+	return &Shutdown{cfg: cfg}
 }
 
 // Begin starts the shutdown. Further calls have no effect.
-func (s *Stop) Begin(now time.Duration) {
+func (s *Shutdown) Begin(now time.Duration) {
 	if s.phase == Serving {
 		s.beganAt = now
 		s.enterPhase(now, Announced)
 	}
 }
 
-// Arrived records the arrival of new work, whether it was accepted or refused.
-func (s *Stop) Arrived(now time.Duration) { s.lastArrival = now }
+// NoteArrival records the arrival of new work, whether it was accepted or refused.
+func (s *Shutdown) NoteArrival(now time.Duration) { s.lastArrival = now }
 
 // Step advances the shutdown and returns the phase. running is the number of
 // requests, streams and leases in progress. Call it whenever running changes
 // and several times a second.
-func (s *Stop) Step(now time.Duration, running int) Phase {
+func (s *Shutdown) Step(now time.Duration, running int) Phase {
 	switch s.phase {
 	case Announced:
 		if s.announceDone(now) && !s.acceptsWhileBusy(now, running) {
@@ -115,7 +115,7 @@
 	case Lingering:
 		if running > 0 { // a caller resumed
 			s.enterPhase(now, Refusing)
-		} else if now-s.phaseSince >= s.cfg.LingerFor {
+		} else if now-s.phaseSince >= s.cfg.LingerDuration {
 			s.enterPhase(now, Done)
 		}
 	}
@@ -125,40 +125,40 @@
 // announceDone reports whether the load balancer can be expected to have
 // removed the process: the minimum time has passed and no work arrives any
 // more, or the maximum time has passed.
-func (s *Stop) announceDone(now time.Duration) bool {
+func (s *Shutdown) announceDone(now time.Duration) bool {
 	waited := now - s.phaseSince
-	quiet := now-s.lastArrival >= s.cfg.QuietFor
-	return (waited >= s.cfg.AnnounceFor && quiet) || waited >= s.cfg.AnnounceLimit
+	quiet := now-s.lastArrival >= s.cfg.QuietPeriod
+	return (waited >= s.cfg.MinAnnounce && quiet) || waited >= s.cfg.MaxAnnounce
 }
 
 // acceptsWhileBusy reports whether work in progress keeps the process accepting
 // new work.
-func (s *Stop) acceptsWhileBusy(now time.Duration, running int) bool {
-	return s.cfg.OpenWhileBusy && running > 0 && now-s.phaseSince < s.cfg.AnnounceLimit
+func (s *Shutdown) acceptsWhileBusy(now time.Duration, running int) bool {
+	return s.cfg.AcceptWhileBusy && running > 0 && now-s.phaseSince < s.cfg.MaxAnnounce
 }
 
-func (s *Stop) stepRefusing(now time.Duration, running int) {
+func (s *Shutdown) stepRefusing(now time.Duration, running int) {
 	if running == 0 {
 		s.enterPhase(now, Lingering)
 		return
 	}
-	if s.cfg.FinishLimit > 0 && now-s.beganAt >= s.cfg.FinishLimit {
+	if s.cfg.DrainTimeout > 0 && now-s.beganAt >= s.cfg.DrainTimeout {
 		s.cutWork = true
 		s.enterPhase(now, Done)
 	}
 }
 
-func (s *Stop) enterPhase(now time.Duration, p Phase) { s.phase, s.phaseSince = p, now }
+func (s *Shutdown) enterPhase(now time.Duration, p Phase) { s.phase, s.phaseSince = p, now }
 
 // Phase returns the current phase.
-func (s *Stop) Phase() Phase { return s.phase }
+func (s *Shutdown) Phase() Phase { return s.phase }
 
 // Ready is the answer to the readiness probe.
-func (s *Stop) Ready() bool { return s.phase == Serving }
+func (s *Shutdown) Ready() bool { return s.phase == Serving }
 
-// TakesNew reports whether new work is accepted.
-func (s *Stop) TakesNew() bool { return s.phase <= Announced }
+// AcceptsNew reports whether new work is accepted.
+func (s *Shutdown) AcceptsNew() bool { return s.phase <= Announced }
 
-// Cut reports whether the shutdown reached its time limit and ended with work
+// CutWork reports whether the shutdown reached its time limit and ended with work
 // in progress.
-func (s *Stop) Cut() bool { return s.cutWork }
+func (s *Shutdown) CutWork() bool { return s.cutWork }
--- a/internal/decide/fencing/command.go
+++ b/internal/decide/fencing/command.go
@@ -116,9 +116,9 @@
 
 func (c *Command) maySend(now time.Duration, t *ownership.Tenure) bool {
 	if c.engineChecksFencing {
-		return t.Owner()
+		return t.IsOwner()
 	}
-	return t.Sole(now, ownership.Config{ConfirmFor: c.cfg.ConfirmationTTL, ActFor: c.cfg.CommandTimeout})
+	return t.IsExclusive(now, ownership.Config{ConfirmationTTL: c.cfg.ConfirmationTTL, ActionTTL: c.cfg.CommandTimeout})
 }
 
 // HandleAnswer records the answer to a sent command.
--- a/internal/decide/fencing/fencing_test.go
+++ b/internal/decide/fencing/fencing_test.go
@@ -62,7 +62,7 @@
 // at 10 s.
 func soleTenure() *ownership.Tenure {
 	t := &ownership.Tenure{}
-	t.Set(0, 1, true)
+	t.SetOwner(0, 1, true)
 	t.Confirm(10 * time.Second)
 	return t
 }
@@ -71,7 +71,7 @@
 	It("is sent at once to an engine that checks, and completes with its answer", func() {
 		command, t := fencing.NewCommand(fencing.Config{}, true), &ownership.Tenure{}
 		Expect(command.Step(0, t)).To(Equal(fencing.Wait))
-		t.Set(0, 1, true)
+		t.SetOwner(0, 1, true)
 		Expect(command.Step(0, t)).To(Equal(fencing.Send))
 		command.HandleAnswer(0, fencing.NoAnswer)
 		Expect(command.Step(time.Second, t)).To(Equal(fencing.Read))
@@ -180,7 +180,7 @@
 	for i := range commands {
 		commands[i] = fencing.NewCommand(fencing.Config{}, mode != nonCheckingEngine)
 	}
-	tenures[0].Set(0, 1, true)
+	tenures[0].SetOwner(0, 1, true)
 	var guard fencing.Guard
 	events := map[time.Duration][]func(){}
 	for now := time.Duration(0); now < 60*time.Second; now += tick {
@@ -190,7 +190,7 @@
 		for i := range tenures {
 			t, command := &tenures[i], commands[i]
 			if now == listReadAt[i] {
-				t.Set(now, 2, i == 1)
+				t.SetOwner(now, 2, i == 1)
 			}
 			if now < changeAt || now >= listReadAt[i] {
 				t.Confirm(now)
--- a/internal/decide/health/doc.go
+++ b/internal/decide/health/doc.go
@@ -88,30 +88,30 @@
 	return c
 }
 
-// Standing determines what work a target may get.
-type Standing int
+// Status determines what work a target may get.
+type Status int
 
 // The values. A picker sends the next request that may be repeated or moved to
 // a target that is due for a trial, and records it with BeginTrial. Otherwise
 // it picks healthy targets, degraded ones only if no healthy one has capacity,
 // and never ejected ones.
 const (
-	// Good targets get work.
-	Good Standing = iota
+	// Healthy targets get work.
+	Healthy Status = iota
 	// Trial targets have an open breaker that allows one request, to test
 	// whether they have recovered.
 	Trial
-	// Doubtful targets also have an open breaker, but the ejected share is used
+	// Degraded targets also have an open breaker, but the ejected share is used
 	// up.
-	Doubtful
+	Degraded
 	// Ejected targets get no work.
 	Ejected
 )
 
-var statusNames = [...]string{Good: "good", Trial: "trial", Doubtful: "doubtful", Ejected: "ejected"}
+var statusNames = [...]string{Healthy: "good", Trial: "trial", Degraded: "doubtful", Ejected: "ejected"}
 
 // String returns the name that metrics and logs show.
-func (s Standing) String() string { return statusNames[s] }
+func (s Status) String() string { return statusNames[s] }
 
 // Sample holds the speed of a target as measured by one request or report. A
 // zero field is unknown.
--- a/internal/decide/health/pool.go
+++ b/internal/decide/health/pool.go
@@ -62,18 +62,18 @@
 	p.updateEjections()
 }
 
-// Restarted resets the state of a target: another incarnation answers at its
+// Reset resets the state of a target: another incarnation answers at its
 // address.
-func (p *Pool) Restarted(address string) {
+func (p *Pool) Reset(address string) {
 	if t := p.targets[address]; t != nil {
 		*t = target{address: address}
 		p.updateEjections()
 	}
 }
 
-// Result records the outcome of a request and ends a trial. ok is also true if
+// RecordResult records the outcome of a request and ends a trial. ok is also true if
 // the caller disconnected and the target did nothing wrong.
-func (p *Pool) Result(now time.Duration, address string, ok bool, s Sample, jitter float64) {
+func (p *Pool) RecordResult(now time.Duration, address string, ok bool, s Sample, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
@@ -96,8 +96,8 @@
 	p.updateEjections()
 }
 
-// Observe records the step time from a target's report.
-func (p *Pool) Observe(now time.Duration, address string, step time.Duration, jitter float64) {
+// RecordStepTime records the step time from a target's report.
+func (p *Pool) RecordStepTime(now time.Duration, address string, step time.Duration, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
@@ -109,20 +109,20 @@
 	}
 }
 
-// Standing returns what work the target may get now.
-func (p *Pool) Standing(now time.Duration, address string) Standing {
+// Status returns what work the target may get now.
+func (p *Pool) Status(now time.Duration, address string) Status {
 	t := p.targets[address]
 	switch {
 	case t == nil:
 		return Ejected
 	case !t.breaker.open:
-		return Good
+		return Healthy
 	case t.breaker.trialAllowed(now, p.cfg):
 		return Trial
 	case t.ejected:
 		return Ejected
 	default:
-		return Doubtful
+		return Degraded
 	}
 }
 
--- a/internal/decide/once/call.go
+++ b/internal/decide/idempotency/call.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -30,8 +30,8 @@
 	Key     Key
 	// Fingerprint is the same for calls with the same method, path and body.
 	Fingerprint uint64
-	// Wall is the wall-clock time of arrival. Only UUIDv7 keys need it.
-	Wall time.Time
+	// WallTime is the wall-clock time of arrival. Only UUIDv7 keys need it.
+	WallTime time.Time
 	// Forwarded is set when another entry forwarded the call. Incarnation and
 	// HostsRevision are then the incarnation of this process and the host list
 	// revision that the sender knows; 0 means unknown.
--- a/internal/decide/once/expiry.go
+++ b/internal/decide/idempotency/expiry.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"container/heap"
@@ -61,7 +61,7 @@
 // An opaque key carries none: its record is kept as expired until the space is
 // needed. The record of a call that is still in progress is kept, because its
 // outcome is not known yet.
-func (r *Register) expire(now time.Duration) {
+func (r *Registry) expire(now time.Duration) {
 	q := &r.expiry
 	for len(q.active) > 0 && q.active[0].expires <= now {
 		rec := heap.Pop(&q.active).(*record)
@@ -81,7 +81,7 @@
 
 // dropExpired removes the oldest expired opaque key and reports whether there
 // was one.
-func (r *Register) dropExpired() bool {
+func (r *Registry) dropExpired() bool {
 	q := &r.expiry
 	if len(q.expired) == 0 {
 		return false
--- a/internal/decide/once/hosts.go
+++ b/internal/decide/idempotency/hosts.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -10,19 +10,19 @@
 type HostList struct {
 	// Revision is the configuration service's revision of the list.
 	Revision uint64
-	// Live holds the forwarding addresses of the entries that may own keys.
-	Live []string
-	// Confirmed is when the request that confirmed this list was sent to the
+	// LiveHosts holds the forwarding addresses of the entries that may own keys.
+	LiveHosts []string
+	// ConfirmedAt is when the request that confirmed this list was sent to the
 	// configuration service, on the same clock as now. The time of receipt
 	// would make an old list look recent if the response waited in a socket
 	// buffer while this process was paused.
-	Confirmed time.Duration
+	ConfirmedAt time.Duration
 }
 
 // digest returns a hash that is equal for lists of the same hosts in any order.
 func (l HostList) digest() uint64 {
 	var sum uint64
-	for _, name := range l.Live {
+	for _, name := range l.LiveHosts {
 		sum += xxhash.Sum64String(name)
 	}
 	return sum
@@ -89,7 +89,7 @@
 // confirmations over which ownership still counts as uninterrupted. Hosts that
 // left the list longer than retention ago are removed.
 func (o *ownershipHistory) update(now time.Duration, list HostList, maxGap, retention time.Duration) {
-	if o.hasList && list.Confirmed < o.confirmedAt && list.Revision <= o.revision {
+	if o.hasList && list.ConfirmedAt < o.confirmedAt && list.Revision <= o.revision {
 		return // an older confirmation that arrived late
 	}
 	digest := list.digest()
@@ -98,8 +98,8 @@
 		o.replaceHosts(now, list, discontinuous)
 		o.pruneHosts(now - retention)
 	}
-	o.hasList, o.revision, o.digest, o.confirmedAt = true, list.Revision, digest, list.Confirmed
-	if o.peerRevision <= o.revision || o.peerRevisionAt < list.Confirmed {
+	o.hasList, o.revision, o.digest, o.confirmedAt = true, list.Revision, digest, list.ConfirmedAt
+	if o.peerRevision <= o.revision || o.peerRevisionAt < list.ConfirmedAt {
 		o.peerRevision = 0
 	}
 }
@@ -112,12 +112,12 @@
 // sent. Ownership then starts again.
 func (o *ownershipHistory) isDiscontinuous(list HostList, digest uint64, maxGap time.Duration) bool {
 	switch {
-	case !o.hasList, list.Confirmed-o.confirmedAt > maxGap, list.Revision < o.revision:
+	case !o.hasList, list.ConfirmedAt-o.confirmedAt > maxGap, list.Revision < o.revision:
 		return true
 	case list.Revision == o.revision && digest != o.digest:
 		return true
 	default:
-		return o.peerRevision > list.Revision && o.peerRevisionAt < list.Confirmed
+		return o.peerRevision > list.Revision && o.peerRevisionAt < list.ConfirmedAt
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	wasLive := o.selfLive
 	o.selfLive = false
-	for _, name := range list.Live {
+	for _, name := range list.LiveHosts {
 		if name == o.selfName {
 			o.selfLive = true
 			continue
--- a/internal/decide/once/once.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -1,4 +1,4 @@
-// Package once decides which entry may run a call that must run at most once,
+// Package idempotency decides which entry may run a call that must run at most once,
 // and what the caller of a repeated call is told. It does no I/O, reads no
 // clock and starts no goroutines; the time is passed in.
 //
@@ -42,7 +42,7 @@
 // list as current to some readers, and a process that pauses between the last
 // check and the write for longer than the maximum write delay. Both affect
 // callers' own keys only.
-package once
+package idempotency
 
 import (
 	"time"
@@ -79,9 +79,9 @@
 	expires        time.Duration
 }
 
-// Register records the calls that this entry may run. It is not safe for
+// Registry records the calls that this entry may run. It is not safe for
 // concurrent use; the entry guards it with a lock.
-type Register struct {
+type Registry struct {
 	cfg          Config
 	ownership    ownershipHistory
 	records      map[string]*record
@@ -93,50 +93,50 @@
 // New returns an empty registry. A process that has just started can't rule out
 // that a call with an older key ran elsewhere, so it refuses older keys of
 // callers.
-func New(cfg Config) *Register {
+func New(cfg Config) *Registry {
 	cfg = cfg.withDefaults()
-	return &Register{cfg: cfg, ownership: newOwnershipHistory(cfg.Self.Address), records: map[string]*record{}}
+	return &Registry{cfg: cfg, ownership: newOwnershipHistory(cfg.Self.Address), records: map[string]*record{}}
 }
 
-// SetHosts records a confirmed state of the published host list. It must be
+// ConfirmHosts records a confirmed state of the published host list. It must be
 // called at every confirmation, even if the list has not changed.
-func (r *Register) SetHosts(now time.Duration, list HostList) {
+func (r *Registry) ConfirmHosts(now time.Duration, list HostList) {
 	retention := max(r.cfg.TimeOrderedTTL, r.cfg.OpaqueTTL) + r.cfg.handoverDelay() + r.cfg.MaxFutureTimestamp + r.cfg.MaxClockSkew
 	r.ownership.update(now, list, r.cfg.MaxConfirmationAge, retention)
 }
 
-// Heard records the list revision of a peer. While a peer has a newer list,
+// ObservePeerRevision records the list revision of a peer. While a peer has a newer list,
 // this process's own confirmation does not count. It may be called for each
 // gossip message; forwarded calls report their revision here too.
-func (r *Register) Heard(now time.Duration, revision uint64) {
+func (r *Registry) ObservePeerRevision(now time.Duration, revision uint64) {
 	r.ownership.observePeerRevision(now, revision)
 }
 
 // NextSequence returns the sequence number for the next key that this process
 // mints.
-func (r *Register) NextSequence() uint64 {
+func (r *Registry) NextSequence() uint64 {
 	r.lastSequence++
 	return r.lastSequence
 }
 
 // Owner returns the entry that owns a caller's key by the current list.
-func (r *Register) Owner(account string, key Key) string {
+func (r *Registry) Owner(account string, key Key) string {
 	return r.ownership.owner(hashOf(recordID(account, key)))
 }
 
 // Len returns the number of keys on record.
-func (r *Register) Len() int { return len(r.records) }
+func (r *Registry) Len() int { return len(r.records) }
 
-// Bytes returns the number of bytes that count against the limit on all
+// AnswerBytes returns the number of bytes that count against the limit on all
 // answers.
-func (r *Register) Bytes() int { return r.chargedBytes }
+func (r *Registry) AnswerBytes() int { return r.chargedBytes }
 
 func recordID(account string, key Key) string { return account + "\x00" + key.ID }
 
 func hashOf(id string) uint64 { return xxhash.Sum64String(id) }
 
 // Begin decides what to do with a call that has just arrived.
-func (r *Register) Begin(now time.Duration, call Call) Decision {
+func (r *Registry) Begin(now time.Duration, call Call) Decision {
 	r.expire(now)
 	id := recordID(call.Account, call.Key)
 	if rec := r.records[id]; rec != nil {
@@ -157,7 +157,7 @@
 }
 
 // reserve records a key and reserves space for its answer.
-func (r *Register) reserve(id string, call Call, validity keyValidity) {
+func (r *Registry) reserve(id string, call Call, validity keyValidity) {
 	rec := &record{
 		id: id, heapIndex: notInHeap, state: stateReserved, kind: call.Key.Kind,
 		fingerprint: call.Fingerprint, earliestAccept: validity.earliestAccept, expires: validity.expires,
@@ -168,7 +168,7 @@
 }
 
 // decideRepeated decides about a call whose key is on record.
-func (r *Register) decideRepeated(rec *record, call Call) Decision {
+func (r *Registry) decideRepeated(rec *record, call Call) Decision {
 	if rec.fingerprint != call.Fingerprint {
 		return refuse(failure.New(failure.KindKeyReused, "this idempotency key was used for another call"))
 	}
@@ -193,12 +193,12 @@
 
 // route determines which process handles a call. local is true if it is this
 // one; otherwise d is the decision.
-func (r *Register) route(now time.Duration, call Call, id string) (d Decision, local bool) {
+func (r *Registry) route(now time.Duration, call Call, id string) (d Decision, local bool) {
 	if call.Key.Kind == KeyMinted {
 		return r.routeMinted(call)
 	}
 	if call.Forwarded && call.HostsRevision > 0 {
-		r.Heard(now, call.HostsRevision)
+		r.ObservePeerRevision(now, call.HostsRevision)
 	}
 	if call.Incarnation != 0 && call.Incarnation != r.cfg.Self.Incarnation {
 		return refuse(ownerLostError()), false
@@ -216,7 +216,7 @@
 	}
 }
 
-func (r *Register) routeMinted(call Call) (Decision, bool) {
+func (r *Registry) routeMinted(call Call) (Decision, bool) {
 	owner := call.Key.Owner
 	switch {
 	case owner == r.cfg.Self:
@@ -256,7 +256,7 @@
 // during a pause. The first byte must have left by sendBy; a pause between
 // Check and the write that ends before that is harmless. For a caller's key
 // sendBy is at least the maximum write delay away.
-func (r *Register) Check(now time.Duration, account string, key Key) (sendBy time.Duration, err *failure.Error) {
+func (r *Registry) Check(now time.Duration, account string, key Key) (sendBy time.Duration, err *failure.Error) {
 	id := recordID(account, key)
 	rec := r.records[id]
 	if rec == nil || rec.state != stateReserved {
@@ -279,8 +279,8 @@
 	return sendBy, nil
 }
 
-// Finish records the target's answer.
-func (r *Register) Finish(account string, key Key, answer *Answer) {
+// MarkFinished records the target's answer.
+func (r *Registry) MarkFinished(account string, key Key, answer *Answer) {
 	rec := r.records[recordID(account, key)]
 	if rec == nil || rec.state != stateSent {
 		return
@@ -295,8 +295,8 @@
 	r.setChargedBytes(rec, size)
 }
 
-// Lost records that the call was sent and no answer came back.
-func (r *Register) Lost(account string, key Key) {
+// MarkLost records that the call was sent and no answer came back.
+func (r *Registry) MarkLost(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec == nil || rec.state != stateSent {
 		return
@@ -305,9 +305,9 @@
 	r.setChargedBytes(rec, 0)
 }
 
-// NotRun records that the call certainly did not run: it was never sent, or the
+// MarkNotRun records that the call certainly did not run: it was never sent, or the
 // target reported so. The key may be used again.
-func (r *Register) NotRun(account string, key Key) {
+func (r *Registry) MarkNotRun(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec != nil && (rec.state == stateReserved || rec.state == stateSent) {
 		r.removeRecord(rec)
@@ -315,12 +315,12 @@
 }
 
 // setChargedBytes sets the number of bytes that a record counts for.
-func (r *Register) setChargedBytes(rec *record, size int) {
+func (r *Registry) setChargedBytes(rec *record, size int) {
 	r.chargedBytes += size - rec.chargedBytes
 	rec.chargedBytes = size
 }
 
-func (r *Register) removeRecord(rec *record) {
+func (r *Registry) removeRecord(rec *record) {
 	r.setChargedBytes(rec, 0)
 	r.expiry.remove(rec)
 	delete(r.records, rec.id)
--- a/internal/decide/once/once_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 )
 
@@ -35,43 +35,43 @@
 	return id.String()
 }
 
-func callerKey(text string) once.Key {
-	key, err := once.CallerKey(text)
+func callerKey(text string) idempotency.Key {
+	key, err := idempotency.CallerKey(text)
 	Expect(err).NotTo(HaveOccurred())
 	return key
 }
 
 // self owns every key while it is the only host on the list.
-var self = once.Process{Address: "a", Incarnation: 7}
+var self = idempotency.Process{Address: "a", Incarnation: 7}
 
 // newSoleOwner returns a registry that has been the only owner for an hour, and
 // the current time.
-func newSoleOwner(cfg once.Config) (*once.Register, time.Duration) {
+func newSoleOwner(cfg idempotency.Config) (*idempotency.Registry, time.Duration) {
 	cfg.Self = self
-	r := once.New(cfg)
+	r := idempotency.New(cfg)
 	now := time.Duration(0)
 	for ; now <= time.Hour; now += time.Second {
-		r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+		r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 	}
 	return r, now - time.Second
 }
 
-func call(key once.Key, now time.Duration) once.Call {
-	return once.Call{Account: "park", Key: key, Fingerprint: 1, Wall: epoch.Add(now)}
+func call(key idempotency.Key, now time.Duration) idempotency.Call {
+	return idempotency.Call{Account: "park", Key: key, Fingerprint: 1, WallTime: epoch.Add(now)}
 }
 
-func newTimeOrderedKey(now time.Duration) once.Key {
+func newTimeOrderedKey(now time.Duration) idempotency.Key {
 	return callerKey(uuidV7(epoch.Add(now), uint64(now)))
 }
 
 // decisionText returns a decision as a short string.
-func decisionText(d once.Decision) string {
+func decisionText(d idempotency.Decision) string {
 	switch d.Action {
-	case once.Run:
+	case idempotency.Run:
 		return "run"
-	case once.Replay:
+	case idempotency.Replay:
 		return "replay"
-	case once.Forward:
+	case idempotency.Forward:
 		return "forward " + d.Owner.Address
 	default:
 		return string(d.Err.Kind) + " " + string(d.Err.Executed)
@@ -80,8 +80,8 @@
 
 var _ = Describe("a caller's key", func() {
 	DescribeTable("is read in its canonical form",
-		func(text string, kind once.KeyKind, id string) {
-			key, err := once.CallerKey(text)
+		func(text string, kind idempotency.KeyKind, id string) {
+			key, err := idempotency.CallerKey(text)
 			if kind == 0 {
 				Expect(failure.KindOf(err)).To(Equal(failure.KindKeyInvalid))
 				return
@@ -90,12 +90,12 @@
 			Expect(key.Kind).To(Equal(kind))
 			Expect(key.ID).To(Equal("c/" + id))
 		},
-		Entry(nil, "order-17", once.KeyOpaque, "order-17"),
-		Entry(nil, `"order-17"`, once.KeyOpaque, "order-17"),
-		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", once.KeyTimeOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
-		Entry(nil, "0198f0a0-0000-4000-8000-00000000ABCD", once.KeyOpaque, "0198f0a0-0000-4000-8000-00000000abcd"),
-		Entry(nil, "", once.KeyKind(0), ""), Entry(nil, `""`, once.KeyKind(0), ""), Entry(nil, "a b", once.KeyKind(0), ""),
-		Entry(nil, "é", once.KeyKind(0), ""), Entry(nil, strings.Repeat("x", 256), once.KeyKind(0), ""),
+		Entry(nil, "order-17", idempotency.KeyOpaque, "order-17"),
+		Entry(nil, `"order-17"`, idempotency.KeyOpaque, "order-17"),
+		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", idempotency.KeyTimeOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
+		Entry(nil, "0198f0a0-0000-4000-8000-00000000ABCD", idempotency.KeyOpaque, "0198f0a0-0000-4000-8000-00000000abcd"),
+		Entry(nil, "", idempotency.KeyKind(0), ""), Entry(nil, `""`, idempotency.KeyKind(0), ""), Entry(nil, "a b", idempotency.KeyKind(0), ""),
+		Entry(nil, "é", idempotency.KeyKind(0), ""), Entry(nil, strings.Repeat("x", 256), idempotency.KeyKind(0), ""),
 	)
 	It("carries its time when it is a UUIDv7", func() {
 		Expect(callerKey(uuidV7(epoch, 1)).Timestamp.Equal(epoch)).To(BeTrue())
@@ -107,8 +107,8 @@
 	// in progress, after its answer was lost, or after the target stopped
 	// responding. The second attempt must not send out another crew.
 	DescribeTable("answers a repeated call according to the outcome of the first",
-		func(firstAttempt func(*once.Register, time.Duration, once.Key), want string) {
-			r, now := newSoleOwner(once.Config{})
+		func(firstAttempt func(*idempotency.Registry, time.Duration, idempotency.Key), want string) {
+			r, now := newSoleOwner(idempotency.Config{})
 			key := newTimeOrderedKey(now)
 			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
 			firstAttempt(r, now, key)
@@ -121,32 +121,38 @@
 			other.Account = "other park"
 			Expect(decisionText(r.Begin(now, other))).To(Equal("run"), "accounts don't share keys")
 		},
-		Entry("queued", func(*once.Register, time.Duration, once.Key) {}, "in-progress unknown"),
-		Entry("rejected while queued", func(r *once.Register, _ time.Duration, k once.Key) { r.NotRun("park", k) }, "run"),
+		Entry("queued", func(*idempotency.Registry, time.Duration, idempotency.Key) {}, "in-progress unknown"),
+		Entry("rejected while queued", func(r *idempotency.Registry, _ time.Duration, k idempotency.Key) { r.MarkNotRun("park", k) }, "run"),
 		Entry("sent", mustCheck, "in-progress unknown"),
-		Entry("answered", func(r *once.Register, now time.Duration, k once.Key) {
+		Entry("answered", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
 			mustCheck(r, now, k)
-			r.Finish("park", k, &once.Answer{Status: 200, Body: []byte("booked")})
-			r.Lost("park", k)
-			r.NotRun("park", k)
+			r.MarkFinished("park", k, &idempotency.Answer{Status: 200, Body: []byte("booked")})
+			r.MarkLost("park", k)
+			r.MarkNotRun("park", k)
 		}, "replay"),
-		Entry("answered with more bytes than are kept", func(r *once.Register, now time.Duration, k once.Key) {
+		Entry("answered with more bytes than are kept", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
 			mustCheck(r, now, k)
-			r.Finish("park", k, &once.Answer{Body: make([]byte, once.DefaultMaxBytesPerAnswer+1)})
+			r.MarkFinished("park", k, &idempotency.Answer{Body: make([]byte, idempotency.DefaultMaxBytesPerAnswer+1)})
 		}, "outcome-unknown yes"),
-		Entry("sent without an answer", func(r *once.Register, now time.Duration, k once.Key) { mustCheck(r, now, k); r.Lost("park", k) }, "outcome-unknown unknown"),
-		Entry("the target did not run it", func(r *once.Register, now time.Duration, k once.Key) { mustCheck(r, now, k); r.NotRun("park", k) }, "run"),
+		Entry("sent without an answer", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
+			mustCheck(r, now, k)
+			r.MarkLost("park", k)
+		}, "outcome-unknown unknown"),
+		Entry("the target did not run it", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
+			mustCheck(r, now, k)
+			r.MarkNotRun("park", k)
+		}, "run"),
 	)
 
 	It("allows one check for each call that was begun", func() {
-		r, now := newSoleOwner(once.Config{})
+		r, now := newSoleOwner(idempotency.Config{})
 		key := newTimeOrderedKey(now)
 		_, err := r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
 		r.Begin(now, call(key, now))
 		sendBy, err := r.Check(now, "park", key)
 		Expect(err).To(BeNil())
-		Expect(sendBy - now).To(BeNumerically(">=", once.DefaultMaxWriteDelay))
+		Expect(sendBy - now).To(BeNumerically(">=", idempotency.DefaultMaxWriteDelay))
 		_, err = r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
 		Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"), "a failed check keeps the record")
@@ -156,37 +162,37 @@
 	// oldest key were removed to make room, a retry of that booking would run
 	// it again.
 	It("refuses new keys when it is full", func() {
-		r, now := newSoleOwner(once.Config{MaxKeys: 3})
+		r, now := newSoleOwner(idempotency.Config{MaxKeys: 3})
 		first := newTimeOrderedKey(now)
 		for i := range 3 {
 			key := newTimeOrderedKey(now + time.Duration(i)*time.Millisecond)
 			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
 			mustCheck(r, now, key)
-			r.Finish("park", key, &once.Answer{Body: make([]byte, 100)})
+			r.MarkFinished("park", key, &idempotency.Answer{Body: make([]byte, 100)})
 		}
 		Expect(r.Len()).To(Equal(3))
-		Expect(r.Bytes()).To(Equal(300))
+		Expect(r.AnswerBytes()).To(Equal(300))
 		d := r.Begin(now, call(callerKey("opaque"), now))
 		Expect(decisionText(d)).To(Equal("overloaded no"))
-		Expect(d.Err.RetryAfter).To(BeNumerically("~", once.DefaultKeyTTL, 2*time.Second))
+		Expect(d.Err.RetryAfter).To(BeNumerically("~", idempotency.DefaultKeyTTL, 2*time.Second))
 		Expect(decisionText(r.Begin(now, call(first, now)))).To(Equal("replay"))
 
-		byteLimited, now := newSoleOwner(once.Config{MaxTotalAnswerBytes: once.DefaultMaxBytesPerAnswer})
+		byteLimited, now := newSoleOwner(idempotency.Config{MaxTotalAnswerBytes: idempotency.DefaultMaxBytesPerAnswer})
 		Expect(decisionText(byteLimited.Begin(now, call(newTimeOrderedKey(now), now)))).To(Equal("run"))
 		Expect(decisionText(byteLimited.Begin(now, call(callerKey("x"), now)))).To(Equal("overloaded no"))
 	})
 
 	// A caller retries hours later with a key whose record has been removed.
 	It("refuses expired keys and keeps opaque ones while there is room", func() {
-		r, now := newSoleOwner(once.Config{MaxKeys: 2})
-		keys := map[string]once.Key{"ordered": newTimeOrderedKey(now), "opaque": callerKey("order-17")}
+		r, now := newSoleOwner(idempotency.Config{MaxKeys: 2})
+		keys := map[string]idempotency.Key{"ordered": newTimeOrderedKey(now), "opaque": callerKey("order-17")}
 		for _, key := range keys {
 			r.Begin(now, call(key, now))
 			mustCheck(r, now, key)
-			r.Finish("park", key, &once.Answer{})
+			r.MarkFinished("park", key, &idempotency.Answer{})
 		}
 		for end := now + 20*time.Minute; now < end; now += time.Second {
-			r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+			r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 		}
 		for name, key := range keys {
 			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("idempotency-key-expired unknown"), name)
@@ -199,7 +205,7 @@
 	})
 
 	It("keeps a call in progress after its key has expired", func() {
-		r, now := newSoleOwner(once.Config{})
+		r, now := newSoleOwner(idempotency.Config{})
 		key := callerKey("slow")
 		r.Begin(now, call(key, now))
 		mustCheck(r, now, key)
@@ -208,49 +214,51 @@
 	})
 })
 
-func mustCheck(r *once.Register, now time.Duration, key once.Key) {
+func mustCheck(r *idempotency.Registry, now time.Duration, key idempotency.Key) {
 	_, err := r.Check(now, "park", key)
 	Expect(err).To(BeNil())
 }
 
 var _ = Describe("a minted key", func() {
-	key := func(owner once.Process, at time.Duration) once.Key { return once.MintedKey("1", owner, at) }
+	key := func(owner idempotency.Process, at time.Duration) idempotency.Key {
+		return idempotency.MintedKey("1", owner, at)
+	}
 
 	// The call reaches the wrong entry or a restarted process. Whatever the
 	// lists and clocks say, only the process that minted the key may run it.
 	DescribeTable("runs only in the process that minted it",
-		func(owner once.Process, forwarded bool, want string) {
-			r := once.New(once.Config{Self: self}) // no host list at all
+		func(owner idempotency.Process, forwarded bool, want string) {
+			r := idempotency.New(idempotency.Config{Self: self}) // no host list at all
 			c := call(key(owner, time.Minute), 2*time.Minute)
 			c.Forwarded = forwarded
 			Expect(decisionText(r.Begin(2*time.Minute, c))).To(Equal(want))
 		},
 		Entry("minted by this process", self, false, "run"),
 		Entry("minted by this process, forwarded", self, true, "run"),
-		Entry("minted by another entry", once.Process{Address: "b", Incarnation: 1}, false, "forward b"),
-		Entry("minted by another entry, forwarded", once.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
-		Entry("minted by an earlier process at this address", once.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
+		Entry("minted by another entry", idempotency.Process{Address: "b", Incarnation: 1}, false, "forward b"),
+		Entry("minted by another entry, forwarded", idempotency.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
+		Entry("minted by an earlier process at this address", idempotency.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
 	)
 	It("expires", func() {
-		r := once.New(once.Config{Self: self})
+		r := idempotency.New(idempotency.Config{Self: self})
 		k := key(self, 0)
 		Expect(decisionText(r.Begin(0, call(k, 0)))).To(Equal("run"))
 		mustCheck(r, 0, k)
-		r.Finish("park", k, &once.Answer{})
+		r.MarkFinished("park", k, &idempotency.Answer{})
 		Expect(decisionText(r.Begin(time.Minute, call(k, 0)))).To(Equal("replay"))
 		Expect(decisionText(r.Begin(time.Hour, call(k, 0)))).To(Equal("idempotency-key-expired unknown"))
 		Expect(r.NextSequence()).To(BeNumerically("<", r.NextSequence()))
-		Expect(once.OwnerUnreachable(fmt.Errorf("refused")).Executed).To(Equal(failure.ExecutedUnknown))
+		Expect(idempotency.OwnerUnreachable(fmt.Errorf("refused")).Executed).To(Equal(failure.ExecutedUnknown))
 	})
 })
 
 var _ = Describe("ownership of callers' keys", func() {
 	type hostListChange struct {
 		at   time.Duration // after the hour of sole ownership
-		list once.HostList
+		list idempotency.HostList
 	}
-	hostList := func(revision uint64, hosts ...string) once.HostList {
-		return once.HostList{Revision: revision, Live: hosts}
+	hostList := func(revision uint64, hosts ...string) idempotency.HostList {
+		return idempotency.HostList{Revision: revision, LiveHosts: hosts}
 	}
 	// Hosts join and leave, the list is late, or the service stops answering or
 	// is restored to an older state. The booking may have run at another entry
@@ -258,10 +266,10 @@
 	// running it.
 	DescribeTable("runs a key only if no other entry can have run it",
 		func(changes []hostListChange, opaque bool, keyAge, elapsed time.Duration, want string) {
-			r, start := newSoleOwner(once.Config{})
+			r, start := newSoleOwner(idempotency.Config{})
 			for _, c := range changes {
-				c.list.Confirmed = start + c.at
-				r.SetHosts(start+c.at, c.list)
+				c.list.ConfirmedAt = start + c.at
+				r.ConfirmHosts(start+c.at, c.list)
 			}
 			now := start + elapsed
 			// Key number 3 would be owned by c if c were on the list, but not
@@ -293,10 +301,10 @@
 	)
 
 	It("returns the time until an opaque key can be accepted", func() {
-		r := once.New(once.Config{Self: self})
-		r.SetHosts(0, once.HostList{Revision: 1, Live: []string{"a"}})
+		r := idempotency.New(idempotency.Config{Self: self})
+		r.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}})
 		d := r.Begin(time.Second, call(callerKey("x"), time.Second))
-		want := once.DefaultKeyTTL + once.DefaultMaxConfirmationAge + once.DefaultMaxWriteDelay - time.Second
+		want := idempotency.DefaultKeyTTL + idempotency.DefaultMaxConfirmationAge + idempotency.DefaultMaxWriteDelay - time.Second
 		Expect(d.Err.RetryAfter).To(Equal(want))
 		Expect(r.Owner("park", callerKey("x"))).To(Equal("a"))
 	})
@@ -305,30 +313,30 @@
 	// side forwards a call with its newer revision. From then on this entry's
 	// list does not count until it has caught up.
 	It("refuses keys while a peer has a newer list", func() {
-		r, now := newSoleOwner(once.Config{})
+		r, now := newSoleOwner(idempotency.Config{})
 		c := call(newTimeOrderedKey(now), now)
 		c.Forwarded, c.HostsRevision = true, 9
 		Expect(decisionText(r.Begin(now, c))).To(Equal("idempotency-key-unvouched unknown"))
 		now += time.Second
-		r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+		r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 		Expect(decisionText(r.Begin(now, call(newTimeOrderedKey(now), now)))).To(Equal("idempotency-key-unvouched unknown"), "ownership started again")
-		upToDate, now := newSoleOwner(once.Config{})
-		upToDate.Heard(now, 2)
-		upToDate.SetHosts(now+1, once.HostList{Revision: 2, Live: []string{"a"}, Confirmed: now + 1})
+		upToDate, now := newSoleOwner(idempotency.Config{})
+		upToDate.ObservePeerRevision(now, 2)
+		upToDate.ConfirmHosts(now+1, idempotency.HostList{Revision: 2, LiveHosts: []string{"a"}, ConfirmedAt: now + 1})
 		Expect(decisionText(upToDate.Begin(now+1, call(callerKey("y"), now)))).To(Equal("run"), "a list that was only late does not interrupt ownership")
 	})
 
 	// The process pauses between accepting a call and sending it. Meanwhile
 	// another entry owned the key, or the list was no longer confirmed.
 	DescribeTable("is checked again right before the first byte",
-		func(pause time.Duration, lists ...once.HostList) {
-			r, now := newSoleOwner(once.Config{})
+		func(pause time.Duration, lists ...idempotency.HostList) {
+			r, now := newSoleOwner(idempotency.Config{})
 			key := newTimeOrderedKey(now)
 			Expect(decisionText(r.Begin(now, call(key, now)))).To(Equal("run"))
 			for _, list := range lists {
 				now += pause
-				list.Confirmed = now
-				r.SetHosts(now, list)
+				list.ConfirmedAt = now
+				r.ConfirmHosts(now, list)
 			}
 			if len(lists) == 0 {
 				now += pause
@@ -344,9 +352,9 @@
 
 	It("distributes keys evenly and moves only the keys of the host that changed", func() {
 		hosts := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-		before, after := once.New(once.Config{Self: self}), once.New(once.Config{Self: self})
-		before.SetHosts(0, once.HostList{Revision: 1, Live: hosts})
-		after.SetHosts(0, once.HostList{Revision: 1, Live: hosts[:7]})
+		before, after := idempotency.New(idempotency.Config{Self: self}), idempotency.New(idempotency.Config{Self: self})
+		before.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: hosts})
+		after.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: hosts[:7]})
 		owned := map[string]int{}
 		for i := range 8000 {
 			key := callerKey(fmt.Sprint(i))
@@ -362,7 +370,7 @@
 	})
 
 	It("adds the clock skew to the age of a confirmation", func() {
-		cfg := once.Config{MaxClockSkew: 500 * time.Millisecond}
+		cfg := idempotency.Config{MaxClockSkew: 500 * time.Millisecond}
 		Expect(cfg.ConfirmedAt(time.Minute, epoch.Add(2*time.Second), epoch)).To(Equal(time.Minute - 2500*time.Millisecond))
 		Expect(cfg.ConfirmedAt(time.Minute, epoch, epoch.Add(time.Hour))).To(Equal(time.Minute - 500*time.Millisecond))
 	})
@@ -371,16 +379,16 @@
 func BenchmarkBegin(b *testing.B) {
 	for _, hosts := range []int{8, 3300} {
 		b.Run(fmt.Sprint(hosts, " hosts"), func(b *testing.B) {
-			r := once.New(once.Config{Self: self})
-			list := once.HostList{Revision: 1, Live: []string{"a"}}
+			r := idempotency.New(idempotency.Config{Self: self})
+			list := idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}}
 			for i := range hosts - 1 {
-				list.Live = append(list.Live, fmt.Sprint("10.0.0.1:", i))
+				list.LiveHosts = append(list.LiveHosts, fmt.Sprint("10.0.0.1:", i))
 			}
-			r.SetHosts(0, list)
-			key, _ := once.CallerKey("x")
+			r.ConfirmHosts(0, list)
+			key, _ := idempotency.CallerKey("x")
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Begin(time.Second, once.Call{Account: "park", Key: key})
+				r.Begin(time.Second, idempotency.Call{Account: "park", Key: key})
 			}
 		})
 	}
--- a/internal/decide/once/schedule_test.go
+++ b/internal/decide/idempotency/schedule_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 )
 
@@ -20,7 +20,7 @@
 // answers with a state that was in force after the request was sent, a pause
 // between the last check and the write is shorter than the maximum write delay,
 // and opaque keys are used no longer than configured.
-var scheduleConfig = once.Config{
+var scheduleConfig = idempotency.Config{
 	MaxConfirmationAge: 30 * time.Millisecond, MaxWriteDelay: 20 * time.Millisecond, MaxClockSkew: 6 * time.Millisecond,
 	MaxFutureTimestamp: 20 * time.Millisecond, TimeOrderedTTL: 400 * time.Millisecond,
 	OpaqueTTL: 150 * time.Millisecond, MintedTTL: 400 * time.Millisecond, MaxKeys: 64,
@@ -33,17 +33,17 @@
 }
 
 type simEntry struct {
-	self                once.Process
+	self                idempotency.Process
 	startedAt           time.Duration
 	skew                time.Duration
-	register            *once.Register
+	register            *idempotency.Registry
 	attempts            []attempt
 	confirmationPending bool // a confirmation is in flight
-	pendingList         once.HostList
+	pendingList         idempotency.HostList
 }
 
 type simKey struct {
-	key      once.Key
+	key      idempotency.Key
 	firstUse time.Duration // the caller's first attempt, for opaque keys
 	used     bool
 	runs     int
@@ -82,11 +82,11 @@
 func (s *simulation) restart(i int) {
 	e := s.entries[i]
 	cfg := scheduleConfig
-	cfg.Self = once.Process{Address: fmt.Sprint("e", i), Incarnation: e.self.Incarnation + 1}
+	cfg.Self = idempotency.Process{Address: fmt.Sprint("e", i), Incarnation: e.self.Incarnation + 1}
 	if !s.verifyOwnership {
 		cfg.MaxConfirmationAge, cfg.MaxWriteDelay, cfg.MaxFutureTimestamp, cfg.MaxClockSkew = time.Hour, -time.Hour-time.Second, 1, 1
 	}
-	*e = simEntry{self: cfg.Self, startedAt: s.now, skew: e.skew, register: once.New(cfg)}
+	*e = simEntry{self: cfg.Self, startedAt: s.now, skew: e.skew, register: idempotency.New(cfg)}
 }
 
 func (s *simulation) currentList() listState { return s.history[len(s.history)-1] }
@@ -102,11 +102,11 @@
 		s.changeHosts(arg)
 	case 3, 4, 5:
 		e.confirmationPending = true
-		e.pendingList = once.HostList{Revision: s.currentList().revision, Live: s.currentList().live, Confirmed: s.now - e.startedAt}
+		e.pendingList = idempotency.HostList{Revision: s.currentList().revision, LiveHosts: s.currentList().live, ConfirmedAt: s.now - e.startedAt}
 	case 6, 7, 8:
 		if e.confirmationPending {
 			e.confirmationPending = false
-			e.register.SetHosts(s.now-e.startedAt, e.pendingList)
+			e.register.ConfirmHosts(s.now-e.startedAt, e.pendingList)
 		}
 	case 9, 10:
 		s.submit(e, int(arg)/8)
@@ -144,17 +144,17 @@
 }
 
 func (s *simulation) addKey(arg byte) {
-	var key once.Key
+	var key idempotency.Key
 	n := len(s.keys)
 	switch arg % 3 {
 	case 0: // the caller's clock is wrong by up to 128 ms
 		timestamp := epoch.Add(s.now + time.Duration(int(arg)-128)*time.Millisecond)
-		key, _ = once.CallerKey(uuidV7(timestamp, uint64(n)))
+		key, _ = idempotency.CallerKey(uuidV7(timestamp, uint64(n)))
 	case 1:
-		key, _ = once.CallerKey(fmt.Sprint("opaque-", n))
+		key, _ = idempotency.CallerKey(fmt.Sprint("opaque-", n))
 	default:
 		e := s.entries[int(arg)/3%len(s.entries)]
-		key = once.MintedKey(fmt.Sprint(n), e.self, s.now-e.startedAt)
+		key = idempotency.MintedKey(fmt.Sprint(n), e.self, s.now-e.startedAt)
 	}
 	s.keys = append(s.keys, &simKey{key: key})
 }
@@ -168,21 +168,21 @@
 	if !k.used {
 		k.used, k.firstUse = true, s.now
 	}
-	if k.key.Kind == once.KeyOpaque && s.now-k.firstUse > scheduleConfig.OpaqueTTL {
+	if k.key.Kind == idempotency.KeyOpaque && s.now-k.firstUse > scheduleConfig.OpaqueTTL {
 		return
 	}
-	d := s.begin(e, k, once.Call{})
-	if d.Action == once.Forward {
+	d := s.begin(e, k, idempotency.Call{})
+	if d.Action == idempotency.Forward {
 		for _, owner := range s.entries {
 			if owner.self.Address != d.Owner.Address {
 				continue
 			}
-			d = s.begin(owner, k, once.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
+			d = s.begin(owner, k, idempotency.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
 			e = owner
 			break
 		}
 	}
-	if d.Action == once.Run {
+	if d.Action == idempotency.Run {
 		e.attempts = append(e.attempts, attempt{key: n})
 	}
 	s.checkDecision(k, d)
@@ -191,13 +191,13 @@
 // checkDecision compares a decision with that of a single process that never
 // fails and has complete knowledge. It runs a new key, replays an answer, and
 // reports that a call did not run only if that is true.
-func (s *simulation) checkDecision(k *simKey, d once.Decision) {
+func (s *simulation) checkDecision(k *simKey, d idempotency.Decision) {
 	switch {
-	case d.Action == once.Replay && k.runs == 0:
+	case d.Action == idempotency.Replay && k.runs == 0:
 		s.violations = append(s.violations, "replayed an answer to a call that never ran: "+k.key.ID)
-	case d.Action == once.Refuse && d.Err.Executed == failure.ExecutedNo && k.runs > 0:
+	case d.Action == idempotency.Refuse && d.Err.Executed == failure.ExecutedNo && k.runs > 0:
 		s.violations = append(s.violations, "reported as not run a call that ran: "+k.key.ID)
-	case d.Action == once.Refuse:
+	case d.Action == idempotency.Refuse:
 		s.refusals[d.Err.Kind]++
 	}
 }
@@ -209,8 +209,8 @@
 	failure.KindKeyExpired, failure.KindKeyInvalid, failure.KindOverloaded,
 }
 
-func (s *simulation) begin(e *simEntry, k *simKey, call once.Call) once.Decision {
-	call.Account, call.Key, call.Wall = "a", k.key, epoch.Add(s.now+e.skew)
+func (s *simulation) begin(e *simEntry, k *simKey, call idempotency.Call) idempotency.Decision {
+	call.Account, call.Key, call.WallTime = "a", k.key, epoch.Add(s.now+e.skew)
 	return e.register.Begin(s.now-e.startedAt, call)
 }
 
@@ -223,7 +223,7 @@
 		return
 	}
 	if _, err := e.register.Check(s.now-e.startedAt, "a", s.keys[a.key].key); err != nil {
-		e.register.NotRun("a", s.keys[a.key].key)
+		e.register.MarkNotRun("a", s.keys[a.key].key)
 		e.attempts = append(e.attempts[:n%len(e.attempts)], e.attempts[n%len(e.attempts)+1:]...)
 		return
 	}
@@ -239,18 +239,18 @@
 	e.attempts = append(e.attempts[:n], e.attempts[n+1:]...)
 	key := s.keys[a.key]
 	if s.now-a.checkedAt >= scheduleConfig.MaxWriteDelay {
-		e.register.Lost("a", key.key)
+		e.register.MarkLost("a", key.key)
 		return
 	}
 	switch arg % 4 {
 	case 0:
-		e.register.NotRun("a", key.key) // the target reported that it did not run the call
+		e.register.MarkNotRun("a", key.key) // the target reported that it did not run the call
 	case 1:
 		key.runs++
-		e.register.Lost("a", key.key)
+		e.register.MarkLost("a", key.key)
 	default:
 		key.runs++
-		e.register.Finish("a", key.key, &once.Answer{Status: 200})
+		e.register.MarkFinished("a", key.key, &idempotency.Answer{Status: 200})
 	}
 }
 
@@ -266,7 +266,7 @@
 
 // countRunKeys counts the keys that ran, by kind. Without it a registry that
 // refuses every call would pass the test.
-func (s *simulation) countRunKeys(counts map[once.KeyKind]int) {
+func (s *simulation) countRunKeys(counts map[idempotency.KeyKind]int) {
 	for _, k := range s.keys {
 		if k.runs > 0 {
 			counts[k.key.Kind]++
@@ -334,7 +334,7 @@
 	// them, so some bookings run twice. The same schedules must show that
 	// failure, or they would not show that the check prevents it.
 	It("run each key at most once, where entries without the check run some twice", func() {
-		runKeys := map[once.KeyKind]int{}
+		runKeys := map[idempotency.KeyKind]int{}
 		baselineFailures := 0
 		refusals := map[failure.Kind]int{}
 		for seed := range uint64(1000) {
@@ -352,7 +352,7 @@
 			}
 		}
 		Expect(baselineFailures).To(BeNumerically(">", 100))
-		for _, kind := range []once.KeyKind{once.KeyMinted, once.KeyTimeOrdered, once.KeyOpaque} {
+		for _, kind := range []idempotency.KeyKind{idempotency.KeyMinted, idempotency.KeyTimeOrdered, idempotency.KeyOpaque} {
 			Expect(runKeys[kind]).To(BeNumerically(">", 100), "kind %d", kind)
 		}
 		AddReportEntry("schedules", fmt.Sprintf("ran %v, without the check %d of 1000 ran a key twice, refused %v", runKeys, baselineFailures, refusals))
--- a/internal/decide/once/validity.go
+++ b/internal/decide/idempotency/validity.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -12,7 +12,7 @@
 
 // validateNewKey decides whether this process, the owner of the key, may run a
 // call with a key that is not on record.
-func (r *Register) validateNewKey(now time.Duration, call Call, id string) (keyValidity, *failure.Error) {
+func (r *Registry) validateNewKey(now time.Duration, call Call, id string) (keyValidity, *failure.Error) {
 	switch call.Key.Kind {
 	case KeyMinted:
 		return r.validateMinted(now, call.Key)
@@ -23,7 +23,7 @@
 	}
 }
 
-func (r *Register) validateMinted(now time.Duration, key Key) (keyValidity, *failure.Error) {
+func (r *Registry) validateMinted(now time.Duration, key Key) (keyValidity, *failure.Error) {
 	expires := key.MintedAt + r.cfg.MintedTTL
 	if now >= expires {
 		return keyValidity{}, failure.New(failure.KindKeyExpired, "the idempotency key has expired").Unknown()
@@ -31,8 +31,8 @@
 	return keyValidity{earliestAccept: key.MintedAt, expires: expires}, nil
 }
 
-func (r *Register) validateTimeOrdered(now time.Duration, call Call, id string) (keyValidity, *failure.Error) {
-	age := call.Wall.Sub(call.Key.Timestamp)
+func (r *Registry) validateTimeOrdered(now time.Duration, call Call, id string) (keyValidity, *failure.Error) {
+	age := call.WallTime.Sub(call.Key.Timestamp)
 	if age < -r.cfg.MaxFutureTimestamp {
 		return keyValidity{}, failure.New(failure.KindKeyInvalid, "the key's timestamp is in the future").Unknown()
 	}
@@ -53,7 +53,7 @@
 	return validity, err
 }
 
-func (r *Register) validateOpaque(now time.Duration, id string) (keyValidity, *failure.Error) {
+func (r *Registry) validateOpaque(now time.Duration, id string) (keyValidity, *failure.Error) {
 	validity := keyValidity{earliestAccept: now - r.cfg.OpaqueTTL, expires: now + r.cfg.OpaqueTTL}
 	exclusiveSince, err := r.exclusiveOwnerSince(now, id)
 	if err == nil && validity.earliestAccept < exclusiveSince {
@@ -66,7 +66,7 @@
 // only one that can accept the key: it has owned the key without interruption,
 // and earlier owners have stopped. It fails while the host list is not
 // confirmed.
-func (r *Register) exclusiveOwnerSince(now time.Duration, id string) (exclusiveSince time.Duration, err *failure.Error) {
+func (r *Registry) exclusiveOwnerSince(now time.Duration, id string) (exclusiveSince time.Duration, err *failure.Error) {
 	since, ok := r.ownership.ownerSince(hashOf(id))
 	if !ok {
 		return 0, notExclusiveError("this entry is not the key's owner").After(r.cfg.MaxConfirmationAge)
@@ -83,7 +83,7 @@
 // ensureCapacity makes room for one more key by removing expired ones, or
 // returns an error. A key that has not expired is never removed, because its
 // call could then run a second time.
-func (r *Register) ensureCapacity(now time.Duration) *failure.Error {
+func (r *Registry) ensureCapacity(now time.Duration) *failure.Error {
 	full := func() bool {
 		return len(r.records) >= r.cfg.MaxKeys || r.chargedBytes+r.cfg.MaxBytesPerAnswer > r.cfg.MaxTotalAnswerBytes
 	}
--- a/internal/decide/poison/detector.go
+++ b/internal/decide/poison/detector.go
@@ -58,15 +58,15 @@
 const (
 	// Clear requests run on any target.
 	Clear Verdict = iota
-	// Apart requests run on a target without other suspects.
-	Apart
-	// Alone requests run on a target without any other request.
-	Alone
-	// Guilty requests are refused at once.
-	Guilty
+	// Isolated requests run on a target without other suspects.
+	Isolated
+	// Exclusive requests run on a target without any other request.
+	Exclusive
+	// Blocked requests are refused at once.
+	Blocked
 )
 
-var verdictNames = [...]string{Clear: "clear", Apart: "apart", Alone: "alone", Guilty: "guilty"}
+var verdictNames = [...]string{Clear: "clear", Isolated: "apart", Exclusive: "alone", Blocked: "guilty"}
 
 // String returns the name of the verdict in metrics and logs.
 func (v Verdict) String() string { return verdictNames[v] }
@@ -74,9 +74,9 @@
 // Assessment is the detector's decision about one request.
 type Assessment struct {
 	Verdict Verdict
-	// Wait is how long the request must be held, 0 if it may run now. For a
+	// Delay is how long the request must be held, 0 if it may run now. For a
 	// request that is refused it is the time until the verdict expires.
-	Wait time.Duration
+	Delay time.Duration
 }
 
 // Crash is the death of a target in the form in which it is gossiped.
@@ -105,17 +105,17 @@
 	return &Detector{cfg: cfg.withDefaults(), evidence: map[uint64]fingerprintEvidence{}}
 }
 
-// Crashed records that a target died while it ran the requests with the given
+// AddCrash records that a target died while it ran the requests with the given
 // fingerprints, the latest start first. The death of an idle target is recorded
 // too, because it can indicate a mass failure.
-func (d *Detector) Crashed(now time.Duration, id uint64, fingerprints []uint64) {
+func (d *Detector) AddCrash(now time.Duration, id uint64, fingerprints []uint64) {
 	if d.add(crash{id: id, at: now, suspects: fingerprints}) {
 		d.rebuild(now)
 	}
 }
 
-// Finished records that a request completed.
-func (d *Detector) Finished(now time.Duration, fingerprint uint64) {
+// AddCompletion records that a request completed.
+func (d *Detector) AddCompletion(now time.Duration, fingerprint uint64) {
 	c := completion{fingerprint: fingerprint, at: now, valid: true}
 	d.completions.add(c)
 	if e, suspected := d.evidence[fingerprint]; suspected {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Rule determines how a request may run now.
-func (d *Detector) Rule(now time.Duration, fingerprint uint64) Assessment {
+// Assess determines how a request may run now.
+func (d *Detector) Assess(now time.Duration, fingerprint uint64) Assessment {
 	if len(d.evidence) == 0 {
 		return Assessment{}
 	}
@@ -138,11 +138,11 @@
 	case e.weight < fullWeight:
 		return Assessment{}
 	case e.weight >= guiltyWeight:
-		return Assessment{Verdict: Guilty, Wait: e.expires - now}
+		return Assessment{Verdict: Blocked, Delay: e.expires - now}
 	case e.weight >= aloneWeight:
-		return Assessment{Verdict: Alone, Wait: d.remainingHold(now, e)}
+		return Assessment{Verdict: Exclusive, Delay: d.remainingHold(now, e)}
 	default:
-		return Assessment{Verdict: Apart, Wait: d.remainingHold(now, e)}
+		return Assessment{Verdict: Isolated, Delay: d.remainingHold(now, e)}
 	}
 }
 
@@ -153,11 +153,11 @@
 // MayShare reports whether a request may join a target that runs requests with
 // the given verdicts.
 func MayShare(v Verdict, running []Verdict) bool {
-	if v == Alone {
+	if v == Exclusive {
 		return len(running) == 0
 	}
 	for _, other := range running {
-		if other == Alone || (v == Apart && other == Apart) {
+		if other == Exclusive || (v == Isolated && other == Isolated) {
 			return false
 		}
 	}
--- a/internal/decide/poison/detector_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -27,28 +27,28 @@
 	var d *poison.Detector
 	BeforeEach(func() { d = poison.New(poison.Config{}) })
 	crash := func(at time.Duration, n int, fingerprints ...uint64) {
-		d.Crashed(at, poison.CrashID("t", uint64(n)), fingerprints)
+		d.AddCrash(at, poison.CrashID("t", uint64(n)), fingerprints)
 	}
 
 	It("holds a suspect, isolates it, runs it alone, refuses it, and lets the evidence expire", func() {
 		crash(0, 1, poisonFingerprint, innocentFingerprint)
-		Expect(d.Rule(second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Apart, Wait: 4 * second}))
-		Expect(d.Rule(5*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Apart}))
+		Expect(d.Assess(second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Isolated, Delay: 4 * second}))
+		Expect(d.Assess(5*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Isolated}))
 		crash(6*second, 2, poisonFingerprint)
-		Expect(d.Rule(11*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Alone}))
+		Expect(d.Assess(11*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Exclusive}))
 		crash(12*second, 3, poisonFingerprint)
-		Expect(d.Rule(12*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Guilty, Wait: 10 * time.Minute}))
-		Expect(d.Rule(11*time.Minute, poisonFingerprint)).To(Equal(poison.Assessment{}))
+		Expect(d.Assess(12*second, poisonFingerprint)).To(Equal(poison.Assessment{Verdict: poison.Blocked, Delay: 10 * time.Minute}))
+		Expect(d.Assess(11*time.Minute, poisonFingerprint)).To(Equal(poison.Assessment{}))
 		Expect(d.SuspectCount()).To(BeZero())
 	})
 
 	It("clears a request that completed before or after the crash", func() {
-		d.Finished(0, innocentFingerprint)
+		d.AddCompletion(0, innocentFingerprint)
 		crash(second, 1, poisonFingerprint, innocentFingerprint, 8)
-		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(second, 8).Verdict).To(Equal(poison.Apart))
-		d.Finished(4*second, 8)
-		Expect(d.Rule(4*second, 8).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(second, 8).Verdict).To(Equal(poison.Isolated))
+		d.AddCompletion(4*second, 8)
+		Expect(d.Assess(4*second, 8).Verdict).To(Equal(poison.Clear))
 	})
 
 	// A rack loses power. Four targets die within a second with a hundred
@@ -57,14 +57,14 @@
 		for i := range 4 {
 			crash(time.Duration(i)*second/5, i, uint64(100+i), innocentFingerprint)
 		}
-		Expect(d.Rule(second, 101).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Guilty), "it ran on all four and never completed")
-		d.Finished(second, innocentFingerprint)
-		Expect(d.Rule(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(second, 101).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(second, innocentFingerprint).Verdict).To(Equal(poison.Blocked), "it ran on all four and never completed")
+		d.AddCompletion(second, innocentFingerprint)
+		Expect(d.Assess(second, innocentFingerprint).Verdict).To(Equal(poison.Clear))
 	})
 
 	It("lets suspects share a target only with clear requests", func() {
-		clear, apart, alone := poison.Clear, poison.Apart, poison.Alone
+		clear, apart, alone := poison.Clear, poison.Isolated, poison.Exclusive
 		for _, v := range []poison.Verdict{clear, apart, alone} {
 			Expect(poison.MayShare(v, nil)).To(BeTrue())
 			Expect(poison.MayShare(v, []poison.Verdict{clear})).To(Equal(v != alone))
@@ -181,7 +181,7 @@
 	case r.target < 0:
 		f.start(r, f.IntN(4*poolCount))
 	case r.fingerprint != poisonFingerprint:
-		f.detectors[pool].Finished(f.now, r.fingerprint)
+		f.detectors[pool].AddCompletion(f.now, r.fingerprint)
 		r.ended, r.target = true, -1
 		f.served++
 	default:
@@ -191,7 +191,7 @@
 			o.target, o.nextEvent = -1, f.now+2*tick
 			lost = append(lost, o.fingerprint)
 		}
-		f.detectors[pool].Crashed(f.now, poison.CrashID("t", uint64(f.crashes)), lost)
+		f.detectors[pool].AddCrash(f.now, poison.CrashID("t", uint64(f.crashes)), lost)
 		for to := range f.detectors {
 			f.gossip(pool, to)
 		}
@@ -210,13 +210,13 @@
 
 func (f *fleet) start(r *request, target int) {
 	d := f.detectors[target/4]
-	assessment := d.Rule(f.now, r.fingerprint)
+	assessment := d.Assess(f.now, r.fingerprint)
 	var runningVerdicts []poison.Verdict
 	for _, o := range f.runningOn(target) {
-		runningVerdicts = append(runningVerdicts, d.Rule(f.now, o.fingerprint).Verdict)
+		runningVerdicts = append(runningVerdicts, d.Assess(f.now, o.fingerprint).Verdict)
 	}
-	r.ended = !f.withoutDetector && assessment.Verdict == poison.Guilty
-	if r.ended || !f.withoutDetector && (assessment.Wait > 0 || !poison.MayShare(assessment.Verdict, runningVerdicts)) {
+	r.ended = !f.withoutDetector && assessment.Verdict == poison.Blocked
+	if r.ended || !f.withoutDetector && (assessment.Delay > 0 || !poison.MayShare(assessment.Verdict, runningVerdicts)) {
 		return
 	}
 	r.target, r.nextEvent = target, f.now+3*tick
@@ -241,8 +241,8 @@
 			b.Merge(time.Hour, []poison.Crash{c, c})
 		}
 		for fp := range uint64(4) {
-			if a.Rule(time.Hour, fp) != b.Rule(time.Hour, fp) {
-				t.Fatalf("fingerprint %d: %v and %v", fp, a.Rule(time.Hour, fp), b.Rule(time.Hour, fp))
+			if a.Assess(time.Hour, fp) != b.Assess(time.Hour, fp) {
+				t.Fatalf("fingerprint %d: %v and %v", fp, a.Assess(time.Hour, fp), b.Assess(time.Hour, fp))
 			}
 		}
 	})
@@ -250,9 +250,9 @@
 
 func BenchmarkRule(b *testing.B) {
 	d := poison.New(poison.Config{})
-	d.Crashed(0, 1, []uint64{poisonFingerprint, innocentFingerprint})
+	d.AddCrash(0, 1, []uint64{poisonFingerprint, innocentFingerprint})
 	b.ReportAllocs()
 	for range b.N {
-		d.Rule(second, poisonFingerprint)
+		d.Assess(second, poisonFingerprint)
 	}
 }
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -21,8 +21,8 @@
 // placeBackup selects an engine with room to keep a backup of the generation
 // and names it in the send; nil when there is none. Generations that a new run
 // may continue need no backup.
-func (gen *generation) placeBackup(s *call.Send, target *directory.Seen) *backup {
-	if e := gen.service.Engine; e == nil || !e.Backups || gen.route.Resumable {
+func (gen *generation) placeBackup(s *call.Send, target *directory.ObservedTarget) *backup {
+	if e := gen.service.Engine; e == nil || !e.KeepsBackups || gen.route.Resumable {
 		return nil
 	}
 	backupTarget, reservation, ok := gen.g.cfg.Loads.ReserveBackup(gen.g.view(), gen.Prompt, target)
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -5,25 +5,25 @@
 	"slices"
 	"time"
 
-	"filbertdeck/internal/decide/coldshare"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
 
-// ColdBound limits the requests per second that all hosts together send to a
+// ColdRateLimit limits the requests per second that all hosts together send to a
 // cold target: the service's cold rate times Factor, plus Extra.
-type ColdBound struct {
+type ColdRateLimit struct {
 	Factor, Extra float64
 	// Rank returns this host's rank for a target among the hosts, and the
 	// number of hosts.
 	Rank func(target string) (rank, hosts int)
 }
 
-// BoundCold sets the limit for cold targets. Without it cold targets are
+// SetColdRateLimit sets the limit for cold targets. Without it cold targets are
 // treated like warm ones.
-func (l *Loads) BoundCold(b ColdBound) { l.coldBound = b }
+func (l *TargetLoads) SetColdRateLimit(b ColdRateLimit) { l.coldBound = b }
 
 const (
 	// failurePenaltyDuration is how long a failure counts against a target: until
@@ -64,41 +64,41 @@
 // AvoidDataCentre prefers targets outside a data centre, so that its loss does
 // not take the copy as well.
 func AvoidDataCentre(dataCentre string) Locality {
-	return Locality{remotePenalty: placement.RemoteCharge, excluded: dataCentre, excludedPenalty: placement.RemoteCopyCharge}
+	return Locality{remotePenalty: placement.RemotePenalty, excluded: dataCentre, excludedPenalty: placement.RemoteMigrationPenalty}
 }
 
 // PreferLocal prefers this host's data centre only between targets of about
 // equal load.
-var PreferLocal = Locality{remotePenalty: placement.RemoteCharge}
+var PreferLocal = Locality{remotePenalty: placement.RemotePenalty}
 
 // PreferDataCentre prefers a data centre unless its targets are much more
 // loaded: copies to another data centre take twice as long.
 func PreferDataCentre(dataCentre string) Locality {
-	return Locality{preferred: dataCentre, remotePenalty: placement.RemoteCopyCharge}
+	return Locality{preferred: dataCentre, remotePenalty: placement.RemoteMigrationPenalty}
 }
 
 // coldRate returns the requests per second that a target takes while it is
 // cold, 0 when it is not.
-func (l *Loads) coldRate(view *directory.View, t *directory.Seen) float64 {
+func (l *TargetLoads) coldRate(view *directory.View, t *directory.ObservedTarget) float64 {
 	s, ok := view.Service(t.Service)
-	if !ok || s.ColdRate <= 0 || l.coldBound.Rank == nil {
+	if !ok || s.ColdRequestsPerSecond <= 0 || l.coldBound.Rank == nil {
 		return 0
 	}
-	if l.now() < t.ColdUntil || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
-		return s.ColdRate
+	if l.now() < t.WarmAt || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
+		return s.ColdRequestsPerSecond
 	}
 	return 0
 }
 
 // coldShare returns this host's share of the requests per second to a cold
 // target.
-func (l *Loads) coldShare(target string, rate float64) int {
+func (l *TargetLoads) coldShare(target string, rate float64) int {
 	rank, hosts := l.coldBound.Rank(target)
-	return coldshare.Part(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
+	return coldlimit.SendQuota(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
 }
 
 // RecordFailure records that a target failed a request through its own fault.
-func (l *Loads) RecordFailure(target string) {
+func (l *TargetLoads) RecordFailure(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.loadOf(target)
@@ -112,7 +112,7 @@
 // RecordBrokenRequest records that a target broke off a request, and alerts
 // other hosts. Well-formed failure answers cause no alert, since some requests
 // fail at every target.
-func (l *Loads) RecordBrokenRequest(target string) {
+func (l *TargetLoads) RecordBrokenRequest(target string) {
 	l.RecordFailure(target)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,17 +121,17 @@
 }
 
 // RecordUnreachable records that a target could not be reached.
-func (l *Loads) RecordUnreachable(target string) {
+func (l *TargetLoads) RecordUnreachable(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.loadOf(target).unreachableAt = l.now()
 }
 
 // eligible returns the targets of a service that accept a request now.
-func (l *Loads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
+func (l *TargetLoads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
 	var out targetCandidates
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Usual()
-	for _, t := range view.Pool(req.Service) {
+	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
+	for _, t := range view.ServiceTargets(req.Service) {
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
 		}
@@ -142,35 +142,35 @@
 
 // acceptsRequest reports whether a target accepts a request according to the
 // published state.
-func acceptsRequest(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
-	return view.TakesNew(t) && !slices.Contains(req.Exclude, t.ID)
+func acceptsRequest(view *directory.View, req PlacementRequest, t *directory.ObservedTarget) bool {
+	return view.AcceptsNewRequests(t) && !slices.Contains(req.Exclude, t.ID)
 }
 
 // acceptsIgnoringRate reports whether a target accepts a request, leaving its
 // advertised rate aside.
-func (l *Loads) acceptsIgnoringRate(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
+func (l *TargetLoads) acceptsIgnoringRate(view *directory.View, req PlacementRequest, t *directory.ObservedTarget) bool {
 	return acceptsRequest(view, req, t) && !l.isLeavingLocked(t.ID) && l.withinColdShare(view, t)
 }
 
 // withinColdShare reports whether this host may send a target one more request
 // now: a cold target takes this host's share of its cold rate.
-func (l *Loads) withinColdShare(view *directory.View, t *directory.Seen) bool {
+func (l *TargetLoads) withinColdShare(view *directory.View, t *directory.ObservedTarget) bool {
 	rate := l.coldRate(view, t)
-	return rate == 0 || l.loadOf(t.ID).coldGate.Open(l.now(), l.coldShare(t.ID, rate))
+	return rate == 0 || l.loadOf(t.ID).coldGate.Allows(l.now(), l.coldShare(t.ID, rate))
 }
 
 // newCandidate returns the placement candidate for a target. others is the load
 // that other hosts have there, defaultStep the time per token assumed for
 // engines without measurements.
-func (l *Loads) newCandidate(view *directory.View, t *directory.Seen, locality Locality, others loadshare.Load, defaultStep time.Duration) placement.Candidate {
+func (l *TargetLoads) newCandidate(view *directory.View, t *directory.ObservedTarget, locality Locality, others targetload.Load, defaultStep time.Duration) placement.Candidate {
 	own := l.loadOf(t.ID)
-	all := own.Plus(others)
+	all := own.Add(others)
 	c := placement.Candidate{
-		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.Tokens, Copies: all.Copies, Unread: all.Unread,
-		Step: cmp.Or(l.speeds.Step(t.ID), defaultStep),
+		ID: t.ID, Running: all.Running, Slots: t.Slots, ReservedTokens: all.ReservedTokens, BackupTokens: all.BackupTokens, UnreadTokens: all.UnreadTokens,
+		TimePerToken: cmp.Or(l.speeds.TimePerToken(t.ID), defaultStep),
 	}
 	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
-		c.Memory = s.Engine.MemoryTokens
+		c.MemoryTokens = s.Engine.MemoryTokens
 	}
 	if l.now()-own.failedAt < failurePenaltyDuration {
 		c.Penalty = min(float64(own.failures)*penaltyPerFailure, maxFailurePenalty)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -41,7 +41,7 @@
 
 // selectionState returns the state from which a target is selected now.
 func (g *Gateway) selectionState() *selectionState {
-	return &selectionState{view: g.view(), viewAge: g.cfg.Age(), selectedAt: time.Now()}
+	return &selectionState{view: g.view(), viewAge: g.cfg.ViewAge(), selectedAt: time.Now()}
 }
 
 // recordSend records that the first byte is sent.
@@ -55,7 +55,7 @@
 }
 
 // newSend returns a send of the request to a target.
-func (x *exchange) newSend(target *directory.Seen) *call.Send {
+func (x *exchange) newSend(target *directory.ObservedTarget) *call.Send {
 	s := &call.Send{Request: x.Request, Target: target.Target, Left: time.Until(x.deadline), Priority: -1}
 	if x.account != nil {
 		s.Account = x.account.Name
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,7 +20,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -64,27 +64,27 @@
 
 // Config holds the settings and dependencies of a gateway.
 type Config struct {
-	Dialect call.Dialect
-	Engines call.Engines
-	Board   *published.Board
-	Loads   *Loads
-	Budget  *retrybudget.Budget
-	// Suspects records the requests that crash targets.
-	Suspects *Suspects
-	Client   *targetclient.Once
+	Dialect     call.Dialect
+	Engines     call.Engines
+	Board       *recordsync.Board
+	Loads       *TargetLoads
+	RetryBudget *retrybudget.Budget
+	// CrashEvidence records the requests that crash targets.
+	CrashEvidence *CrashEvidence
+	Client        *targetclient.Once
 	// Migration decides how generations are moved off an engine that stops.
 	Migration migration.Config
 	Log       *slog.Logger
 	Metrics   gometrics.Registry
-	// Current reports whether the published state on the board is recent enough
+	// ViewCurrent reports whether the published state on the board is recent enough
 	// to answer that a route or key does not exist.
-	Current func() bool
-	// Age returns the time since the state on the board was last confirmed to
+	ViewCurrent func() bool
+	// ViewAge returns the time since the state on the board was last confirmed to
 	// be the newest published one; negative when it never was.
-	Age func() time.Duration
-	// Blind reports whether this host has no way to learn what is currently
+	ViewAge func() time.Duration
+	// Disconnected reports whether this host has no way to learn what is currently
 	// published.
-	Blind func() bool
+	Disconnected func() bool
 	// Now returns the time of the process's monotonic clock.
 	Now func() time.Duration
 }
@@ -112,9 +112,9 @@
 // shutdownTimes holds the times of a process shutdown.
 type shutdownTimes struct{ lastStart, exit time.Time }
 
-// StopBy announces that the process shuts down: it starts no generation after
+// AnnounceShutdown announces that the process shuts down: it starts no generation after
 // lastStart and exits at exit.
-func (g *Gateway) StopBy(lastStart, exit time.Time) {
+func (g *Gateway) AnnounceShutdown(lastStart, exit time.Time) {
 	g.shutdown.Store(&shutdownTimes{lastStart, exit})
 }
 
@@ -200,7 +200,7 @@
 		}
 	}
 	g.metrics.countReceived(x.route.Kind)
-	name := x.route.Pick(rand.Float64())
+	name := x.route.PickService(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
 		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
 	}
@@ -213,7 +213,7 @@
 	}
 	x.deadline = x.Arrived.Add(timeout - deadlineMargin)
 	x.fingerprint = fingerprint(x)
-	if g.cfg.Suspects.isPoison(x.fingerprint) {
+	if g.cfg.CrashEvidence.isPoison(x.fingerprint) {
 		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").After(poisonRetryAfter)
 	}
 	if x.route.Kind == directory.Generation && g.exitsBeforeEnd(x) {
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -54,7 +54,7 @@
 
 	mu sync.Mutex
 	// target is the target where the generation runs.
-	target *directory.Seen
+	target *directory.ObservedTarget
 	// cancelStream ends the stream from target.
 	cancelStream context.CancelFunc
 	// backup is the backup of the generation's memory, nil when there is none.
@@ -66,7 +66,7 @@
 
 // engineStream is the part of a generation's stream that one engine produces.
 type engineStream struct {
-	target      *directory.Seen
+	target      *directory.ObservedTarget
 	resp        *http.Response
 	reservation *Reservation
 	cancel      context.CancelFunc
@@ -100,7 +100,7 @@
 func (g *Gateway) relayGeneration(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	g.generations.add(gen)
 	defer g.generations.remove(gen)
 	stream, err := gen.start()
@@ -134,7 +134,7 @@
 		gen.setTarget(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
 			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
-			"running", reservation.candidate.Running, "promised", reservation.candidate.Tokens, "unread", reservation.candidate.Unread, "step", reservation.candidate.Step)
+			"running", reservation.candidate.Running, "promised", reservation.candidate.ReservedTokens, "unread", reservation.candidate.UnreadTokens, "step", reservation.candidate.TimePerToken)
 		stream, err := gen.openStream(gen.newSend(target), target, reservation, selection)
 		if err == nil {
 			gen.setStream(stream)
@@ -158,12 +158,12 @@
 // placementRequest returns the requirements for an engine that starts a new run
 // of the generation.
 func (gen *generation) placementRequest(exclude []string) PlacementRequest {
-	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.Objective, Locality: PreferLocal, Exclude: exclude}
+	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.LatencyObjective, Locality: PreferLocal, Exclude: exclude}
 }
 
 // setTarget records where the generation runs. No move away from there has
 // begun.
-func (gen *generation) setTarget(target *directory.Seen, cancel context.CancelFunc, b *backup) {
+func (gen *generation) setTarget(target *directory.ObservedTarget, cancel context.CancelFunc, b *backup) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	gen.target, gen.cancelStream, gen.backup, gen.move = target, cancel, b, nil
@@ -179,7 +179,7 @@
 }
 
 // isAt reports whether the generation still runs at a target.
-func (gen *generation) isAt(target *directory.Seen) bool {
+func (gen *generation) isAt(target *directory.ObservedTarget) bool {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	return gen.target == target
@@ -187,19 +187,19 @@
 
 // openStream sends the request to an engine and waits for the header of the
 // answer.
-func (gen *generation) openStream(s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStream(s *call.Send, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	return gen.openStreamWithin(0, s, target, reservation, selection)
 }
 
 // openStreamWithin is openStream with a time limit; 0 means none.
-func (gen *generation) openStreamWithin(limit time.Duration, s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStreamWithin(limit time.Duration, s *call.Send, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	ctx, cancel := context.WithCancel(gen.ctx)
 	if limit > 0 {
 		timer := time.AfterFunc(limit, cancel)
 		defer timer.Stop()
 	}
 	newBackup := gen.placeBackup(s, target)
-	end := gen.g.cfg.Suspects.beginRequest(target, gen.fingerprint)
+	end := gen.g.cfg.CrashEvidence.beginRequest(target, gen.fingerprint)
 	resp, answer, err := gen.g.send(ctx, s, selection)
 	if answer.Leaving && gen.movable() {
 		gen.g.checkClosingTarget(target)
@@ -251,7 +251,7 @@
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Event(gen.gaps.last); full && gen.service.Engine != nil {
+		if mean, full := window.Add(gen.gaps.last); full && gen.service.Engine != nil {
 			gen.g.cfg.Loads.RecordStep(stream.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 )
 
@@ -49,8 +49,8 @@
 }
 
 // targets returns the engines at which movable generations of this host run.
-func (s *generationSet) targets() []*directory.Seen {
-	seen := map[string]*directory.Seen{}
+func (s *generationSet) targets() []*directory.ObservedTarget {
+	seen := map[string]*directory.ObservedTarget{}
 	for _, gen := range s.list() {
 		gen.mu.Lock()
 		if gen.target != nil && gen.movable() {
@@ -61,8 +61,8 @@
 	return slices.Collect(maps.Values(seen))
 }
 
-// Run moves generations off leaving targets until ctx is done.
-func (g *Gateway) Run(ctx context.Context) {
+// MoveGenerations moves generations off leaving targets until ctx is done.
+func (g *Gateway) MoveGenerations(ctx context.Context) {
 	ticker := time.NewTicker(disconnectedCheckInterval)
 	defer ticker.Stop()
 	var round healthCheckRound
@@ -101,7 +101,7 @@
 // or a peer answers, and after the first round only some of an engine's hosts
 // check it: what one learns reaches the others a tenth of a second later.
 func (g *Gateway) checkTargets(ctx context.Context, last healthCheckRound) healthCheckRound {
-	if !g.cfg.Blind() {
+	if !g.cfg.Disconnected() {
 		return healthCheckRound{}
 	}
 	now := g.cfg.Now()
@@ -109,7 +109,7 @@
 		return last
 	}
 	for _, t := range g.generations.targets() {
-		if silence.Asks(!last.disconnected, g.cfg.Loads.HostsUsing(t.ID), rand.Float64()) {
+		if storeoutage.ShouldAsk(!last.disconnected, g.cfg.Loads.HostsUsing(t.ID), rand.Float64()) {
 			go g.checkTarget(ctx, t)
 		}
 	}
@@ -118,13 +118,13 @@
 
 // checkClosingTarget checks the health of a target that closes a connection. A
 // target about to stop does so, but it also closes connections at other times.
-func (g *Gateway) checkClosingTarget(t *directory.Seen) {
+func (g *Gateway) checkClosingTarget(t *directory.ObservedTarget) {
 	if acceptsNewWork(g.view(), t.Target) {
 		go g.checkTarget(context.Background(), t)
 	}
 }
 
-func (g *Gateway) checkTarget(ctx context.Context, t *directory.Seen) {
+func (g *Gateway) checkTarget(ctx context.Context, t *directory.ObservedTarget) {
 	service, known := g.view().Service(t.Service)
 	if !known || g.cfg.Loads.Leaving(t.ID) {
 		return
@@ -156,19 +156,19 @@
 // each other. Those of plain services that answer with a stream cannot.
 func (gen *generation) movable() bool {
 	e := gen.service.Engine
-	return e != nil && e.Moves
+	return e != nil && e.CanMigrate
 }
 
 // beginMove begins a move if the generation's target leaves and no move was
 // begun.
-func (gen *generation) beginMove(view *directory.View, loads *Loads) (*directory.Seen, *move, bool) {
+func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.ObservedTarget, *move, bool) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.target == nil || gen.move != nil || !gen.movable() {
 		return nil, nil, false
 	}
 	now, known := view.Target(gen.target.ID)
-	if known && now.Listed && !now.Leaving && !loads.Leaving(gen.target.ID) {
+	if known && now.Published && !now.Leaving && !loads.Leaving(gen.target.ID) {
 		return nil, nil, false
 	}
 	gen.move = &move{done: make(chan struct{})}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,41 +7,41 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/accusers"
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/enginespeed"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/failurereports"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
 
-// Loads holds the load of each target, from this host and from others, and
+// TargetLoads holds the load of each target, from this host and from others, and
 // chooses targets by it.
-type Loads struct {
+type TargetLoads struct {
 	address, dataCentre string
 	now                 func() time.Duration
 
 	mu        sync.Mutex
 	byTarget  map[string]*targetLoad
-	hostLoads *loadshare.Board
+	hostLoads *targetload.Table
 	// alerts holds which targets broke requests or are about to stop. All hosts
 	// need alerts, while loads concern only the hosts that choose among the
 	// same targets.
-	alerts *loadshare.Board
-	speeds *enginespeed.Board
+	alerts *targetload.Table
+	speeds *enginespeed.Estimator
 	// accusers holds the target failures that other hosts reported.
-	accusers  *accusers.Board
-	coldBound ColdBound
+	accusers  *failurereports.Tracker
+	coldBound ColdRateLimit
 	// rates holds the rate limits that targets advertised. borrowRate borrows
 	// one request of another host's share of a rate; nil when none can be
 	// borrowed.
-	rates      *targetrate.Board
+	rates      *targetrate.Limiter
 	borrowRate BorrowRate
 	// ownerQuery queries the host that has the newest counts of a target; nil
 	// for none.
-	ownerQuery AskOwner
+	ownerQuery QueryOwner
 	// hostCount returns the number of hosts that choose targets.
 	hostCount func() int
 	// rng breaks ties and draws the sampled targets.
@@ -54,7 +54,7 @@
 
 // targetLoad is the load of one target from this host.
 type targetLoad struct {
-	loadshare.Load
+	targetload.Load
 	// failedAt is the time of the last failure there that was the target's
 	// fault.
 	failedAt time.Duration
@@ -62,16 +62,16 @@
 	// unreachableAt is the last time at which it could not be reached.
 	unreachableAt time.Duration
 	// coldGate limits the sends while the target is cold.
-	coldGate coldshare.Gate
+	coldGate coldlimit.Limiter
 }
 
-// NewLoads returns empty loads of a host. Other hosts identify the host by its
+// NewTargetLoads returns empty loads of a host. Other hosts identify the host by its
 // address.
-func NewLoads(host, dataCentre string, now func() time.Duration) *Loads {
+func NewTargetLoads(host, dataCentre string, now func() time.Duration) *TargetLoads {
 	start := uint64(time.Now().UnixMicro())
-	return &Loads{
+	return &TargetLoads{
 		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
-		hostLoads: loadshare.New(host, start), alerts: loadshare.New(host, start), speeds: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
+		hostLoads: targetload.New(host, start), alerts: targetload.New(host, start), speeds: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
 		loadsChanged: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
@@ -79,76 +79,76 @@
 
 // SetRand sets the source of random numbers, for reproducible tests and
 // simulations.
-func (l *Loads) SetRand(rng *rand.Rand) { l.rng = rng }
+func (l *TargetLoads) SetRand(rng *rand.Rand) { l.rng = rng }
 
-// CountHosts sets the function that returns the number of hosts that choose
+// SetHostCount sets the function that returns the number of hosts that choose
 // targets. The number is one until then.
-func (l *Loads) CountHosts(hosts func() int) { l.hostCount = hosts }
+func (l *TargetLoads) SetHostCount(hosts func() int) { l.hostCount = hosts }
 
-// Changed returns a channel that receives when there are loads to send to other
+// LoadsChanged returns a channel that receives when there are loads to send to other
 // hosts.
-func (l *Loads) Changed() <-chan struct{} { return l.loadsChanged }
+func (l *TargetLoads) LoadsChanged() <-chan struct{} { return l.loadsChanged }
 
-// Alerted returns a channel that receives when there are alerts to send to
+// AlertsChanged returns a channel that receives when there are alerts to send to
 // other hosts.
-func (l *Loads) Alerted() <-chan struct{} { return l.alertsChanged }
+func (l *TargetLoads) AlertsChanged() <-chan struct{} { return l.alertsChanged }
 
-// ByOwners reports whether loads are sent only to the owners of targets. In a
+// SendsToOwnersOnly reports whether loads are sent only to the owners of targets. In a
 // small fleet all hosts send their loads to each other. In a large one each
 // load would pass through every host although few choose among the same targets
 // at that moment, and the traffic of a host would grow with the fleet.
-func (l *Loads) ByOwners() bool { return !placement.Exact(l.hostCount()) }
+func (l *TargetLoads) SendsToOwnersOnly() bool { return !placement.KnowsRecentChoices(l.hostCount()) }
 
-// News returns the loads that another host has not been sent yet; none when
+// PendingLoads returns the loads that another host has not been sent yet; none when
 // loads are sent to owners.
-func (l *Loads) News(host string) []loadshare.Count {
-	if l.ByOwners() {
+func (l *TargetLoads) PendingLoads(host string) []targetload.HostLoad {
+	if l.SendsToOwnersOnly() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.News(l.now(), host)
+	return l.hostLoads.PeerUpdates(l.now(), host)
 }
 
-// OwnNews returns this host's loads that the owners of their targets have not
+// PendingOwnLoads returns this host's loads that the owners of their targets have not
 // been sent yet.
-func (l *Loads) OwnNews() []loadshare.Count {
+func (l *TargetLoads) PendingOwnLoads() []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.OwnNews(l.now())
+	return l.hostLoads.OwnerUpdates(l.now())
 }
 
-// Take merges loads received from another host.
-func (l *Loads) Take(host string, counts []loadshare.Count) {
+// MergeLoads merges loads received from another host.
+func (l *TargetLoads) MergeLoads(host string, counts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hostLoads.Take(l.now(), host, counts)
+	l.hostLoads.Merge(l.now(), host, counts)
 	l.learnSpeeds(counts)
 }
 
 // learnSpeeds merges the engine speeds contained in counts.
-func (l *Loads) learnSpeeds(counts []loadshare.Count) {
+func (l *TargetLoads) learnSpeeds(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		l.speeds.Heard(c.Target, c.Step)
+		l.speeds.SetRemote(c.Target, c.TimePerToken)
 	}
 }
 
-// Alerts returns the alerts that another host has not been sent yet.
-func (l *Loads) Alerts(host string) []loadshare.Count {
+// PendingAlerts returns the alerts that another host has not been sent yet.
+func (l *TargetLoads) PendingAlerts(host string) []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.alerts.News(l.now(), host)
+	return l.alerts.PeerUpdates(l.now(), host)
 }
 
-// TakeAlerts merges alerts received from another host.
-func (l *Loads) TakeAlerts(host string, alerts []loadshare.Count) {
+// MergeAlerts merges alerts received from another host.
+func (l *TargetLoads) MergeAlerts(host string, alerts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alerts.Take(l.now(), host, alerts)
+	l.alerts.Merge(l.now(), host, alerts)
 	l.mergeRates(alerts)
 	for _, c := range alerts {
 		if c.Host != l.address {
-			l.accusers.Heard(l.now(), c.Host, c.Target, c.Failures)
+			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.FailureSeq)
 		}
 		if c.Leaving {
 			wake.Signal(l.targetLeaving)
@@ -158,11 +158,11 @@
 
 // Prune removes targets that are gone and have no load from this host. Dozens
 // of engines an hour come and go, each under a new id.
-func (l *Loads) Prune(view *directory.View) {
+func (l *TargetLoads) Prune(view *directory.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, t := range l.byTarget {
-		if _, known := view.Target(id); !known && t.Load == (loadshare.Load{}) {
+		if _, known := view.Target(id); !known && t.Load == (targetload.Load{}) {
 			delete(l.byTarget, id)
 		}
 	}
@@ -176,11 +176,11 @@
 }
 
 // setLoad sets this host's load at a target.
-func (l *Loads) setLoad(target string, load loadshare.Load) {
+func (l *TargetLoads) setLoad(target string, load targetload.Load) {
 	t := l.loadOf(target)
-	plain := t.Tokens+t.Copies == 0 && load.Tokens+load.Copies == 0
+	plain := t.ReservedTokens+t.BackupTokens == 0 && load.ReservedTokens+load.BackupTokens == 0
 	t.Load = load
-	l.hostLoads.SetOwn(l.now(), target, load)
+	l.hostLoads.SetLocalLoad(l.now(), target, load)
 	if plain {
 		// Requests of plain services end within milliseconds, so their loads
 		// would be out of date when other hosts receive them.
@@ -189,7 +189,7 @@
 	wake.Signal(l.loadsChanged)
 }
 
-func (l *Loads) loadOf(target string) *targetLoad {
+func (l *TargetLoads) loadOf(target string) *targetLoad {
 	t := l.byTarget[target]
 	if t == nil {
 		t = &targetLoad{failedAt: -failurePenaltyDuration, unreachableAt: -coldAfterUnreachable}
@@ -201,61 +201,61 @@
 // Reservation is the load that one request adds to a target until it is
 // released.
 type Reservation struct {
-	loads    *Loads
+	loads    *TargetLoads
 	targetID string
-	load     loadshare.Load
+	load     targetload.Load
 	// entry is the target's directory entry and candidate its load, both as of
 	// the selection.
-	entry     *directory.Seen
+	entry     *directory.ObservedTarget
 	candidate placement.Candidate
 }
 
-// Hold counts a request at a target that was chosen before.
-func (l *Loads) Hold(target string, p call.Prompt) *Reservation {
+// Reserve counts a request at a target that was chosen before.
+func (l *TargetLoads) Reserve(target string, p call.Prompt) *Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reserve(target, p)
 }
 
-func (l *Loads) reserve(target string, p call.Prompt) *Reservation {
-	return l.reserveLoad(target, loadshare.Load{Running: 1, Tokens: expectedTokens(p), Unread: p.Tokens})
+func (l *TargetLoads) reserve(target string, p call.Prompt) *Reservation {
+	return l.reserveLoad(target, targetload.Load{Running: 1, ReservedTokens: expectedTokens(p), UnreadTokens: p.Tokens})
 }
 
-func (l *Loads) reserveLoad(target string, load loadshare.Load) *Reservation {
+func (l *TargetLoads) reserveLoad(target string, load targetload.Load) *Reservation {
 	if load.Running > 0 {
-		l.loadOf(target).coldGate.Send(l.now())
-		l.rates.Send(target)
+		l.loadOf(target).coldGate.RecordSend(l.now())
+		l.rates.TakeToken(target)
 	}
-	l.setLoad(target, l.loadOf(target).Plus(load))
+	l.setLoad(target, l.loadOf(target).Add(load))
 	return &Reservation{loads: l, targetID: target, load: load}
 }
 
 // PromptRead records that the engine has read the prompt.
 func (r *Reservation) PromptRead() {
 	load := r.load
-	load.Unread = 0
+	load.UnreadTokens = 0
 	r.setLoad(load)
 }
 
 // Release removes the load. It may be called more than once, and on nil.
 func (r *Reservation) Release() {
 	if r != nil {
-		r.setLoad(loadshare.Load{})
+		r.setLoad(targetload.Load{})
 	}
 }
 
-func (r *Reservation) setLoad(to loadshare.Load) {
+func (r *Reservation) setLoad(to targetload.Load) {
 	r.loads.mu.Lock()
 	defer r.loads.mu.Unlock()
 	if r.load == to {
 		return
 	}
-	r.loads.setLoad(r.targetID, r.loads.loadOf(r.targetID).Minus(r.load).Plus(to))
+	r.loads.setLoad(r.targetID, r.loads.loadOf(r.targetID).Sub(r.load).Add(to))
 	r.load = to
 }
 
 // SetLeaving records that a target told this host that it is about to stop.
-func (l *Loads) SetLeaving(target string) {
+func (l *TargetLoads) SetLeaving(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alerts.SetLeaving(l.now(), target)
@@ -264,20 +264,22 @@
 }
 
 // Leaving reports whether a target told any host that it is about to stop.
-func (l *Loads) Leaving(target string) bool {
+func (l *TargetLoads) Leaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isLeavingLocked(target)
 }
 
 // isLeavingLocked is Leaving for callers that hold mu.
-func (l *Loads) isLeavingLocked(target string) bool { return l.alerts.Sums(l.now())[target].Leaving }
+func (l *TargetLoads) isLeavingLocked(target string) bool {
+	return l.alerts.Totals(l.now())[target].Leaving
+}
 
 // HostsUsing returns the number of hosts that have load at a target.
-func (l *Loads) HostsUsing(target string) int {
+func (l *TargetLoads) HostsUsing(target string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hostLoads.Sums(l.now())[target].Hosts
+	return l.hostLoads.Totals(l.now())[target].Hosts
 }
 
 // Parameters of the expected output.
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 	"time"
 
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 )
 
-// Owned identifies a target, for finding the host that owns its load counts.
-type Owned struct{ ID, DataCentre string }
+// TargetRef identifies a target, for finding the host that owns its load counts.
+type TargetRef struct{ ID, DataCentre string }
 
-// AskOwner sends the owner of a target's load counts this host's counts there
+// QueryOwner sends the owner of a target's load counts this host's counts there
 // and returns the counts that the owner knows; false without an answer.
 //
 // Hundreds of hosts place some fifty prompts a second, and the counts of a
@@ -27,7 +27,7 @@
 // chooses. This only improves placement and no guarantee depends on it: without
 // an answer, or when two hosts both act as owner, targets are chosen by the
 // counts that this host has.
-type AskOwner func(target Owned, own []loadshare.Count) ([]loadshare.Count, bool)
+type QueryOwner func(target TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool)
 
 const (
 	// maxOwnerQueries limits the owners queried one after the other for one
@@ -38,19 +38,19 @@
 	minDelaySaving = 100 * time.Millisecond
 )
 
-// AskOwners sets the function that queries owners. Without it no owner is
+// SetOwnerQuery sets the function that queries owners. Without it no owner is
 // queried.
-func (l *Loads) AskOwners(ask AskOwner) { l.ownerQuery = ask }
+func (l *TargetLoads) SetOwnerQuery(ask QueryOwner) { l.ownerQuery = ask }
 
-// Answer merges the counts of another host and returns all counts known here
+// AnswerOwnerQuery merges the counts of another host and returns all counts known here
 // for the same targets.
-func (l *Loads) Answer(counts []loadshare.Count) []loadshare.Count {
-	l.Take("", counts)
+func (l *TargetLoads) AnswerOwnerQuery(counts []targetload.HostLoad) []targetload.HostLoad {
+	l.MergeLoads("", counts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []loadshare.Count
+	var all []targetload.HostLoad
 	for _, c := range counts {
-		all = append(all, l.hostLoads.Of(l.now(), c.Target)...)
+		all = append(all, l.hostLoads.ForTarget(l.now(), c.Target)...)
 	}
 	return all
 }
@@ -59,7 +59,7 @@
 // generation and merges their counts; false when none answered. Requests to
 // plain services are over before their counts could arrive, so they cause no
 // queries.
-func (l *Loads) queryOwners(req PlacementRequest, sampled targetCandidates) bool {
+func (l *TargetLoads) queryOwners(req PlacementRequest, sampled targetCandidates) bool {
 	if req.Prompt.Tokens == 0 || !l.queriesOwners() {
 		return false
 	}
@@ -77,21 +77,21 @@
 }
 
 // queriesOwners reports whether owners are queried.
-func (l *Loads) queriesOwners() bool { return l.ownerQuery != nil && l.ByOwners() }
+func (l *TargetLoads) queriesOwners() bool { return l.ownerQuery != nil && l.SendsToOwnersOnly() }
 
 // queryOwner sends a target's owner this host's counts there and merges the
 // counts it returns; false without an answer.
-func (l *Loads) queryOwner(t *directory.Seen) bool {
+func (l *TargetLoads) queryOwner(t *directory.ObservedTarget) bool {
 	l.mu.Lock()
-	own := l.hostLoads.Own(t.ID)
+	own := l.hostLoads.Local(t.ID)
 	l.mu.Unlock()
-	counts, answered := l.ownerQuery(Owned{t.ID, t.DataCentre}, []loadshare.Count{own})
+	counts, answered := l.ownerQuery(TargetRef{t.ID, t.DataCentre}, []targetload.HostLoad{own})
 	if !answered {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hostLoads.TakeAll(l.now(), t.ID, counts)
+	l.hostLoads.ReplaceTarget(l.now(), t.ID, counts)
 	l.learnSpeeds(counts)
 	return true
 }
@@ -99,7 +99,7 @@
 // confirm queries the owner of the reserved target and moves the reservation to
 // another sampled target while one is better. After the last query it moves
 // only to a target whose owner was queried.
-func (l *Loads) confirm(view *directory.View, req PlacementRequest, sampled targetCandidates, reservation *Reservation) *Reservation {
+func (l *TargetLoads) confirm(view *directory.View, req PlacementRequest, sampled targetCandidates, reservation *Reservation) *Reservation {
 	var queried targetCandidates
 	for try := range maxOwnerQueries {
 		if !l.queryReservationOwner(reservation) {
@@ -125,20 +125,20 @@
 
 // queryReservationOwner reports a reservation to the target's owner and merges the
 // owner's counts; false when no owner was queried or none answered.
-func (l *Loads) queryReservationOwner(r *Reservation) bool {
+func (l *TargetLoads) queryReservationOwner(r *Reservation) bool {
 	return l.queriesOwners() && l.queryOwner(r.entry)
 }
 
 // reserveBetter reserves another of the sampled targets, where the request now
 // adds less delay than at its present target; nil when there is none.
-func (l *Loads) reserveBetter(view *directory.View, req PlacementRequest, sampled targetCandidates, r *Reservation) *Reservation {
+func (l *TargetLoads) reserveBetter(view *directory.View, req PlacementRequest, sampled targetCandidates, r *Reservation) *Reservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
-	sums, defaultStep := l.hostLoads.Sums(l.now()), l.speeds.Usual()
-	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Minus(r.load), defaultStep)
+	sums, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
+	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Sub(r.load), defaultStep)
 	best := others.choose(l.rng, req)
-	if best == nil || placement.Delay(best.Candidate, req.work())+minDelaySaving > placement.Delay(here, req.work()) {
+	if best == nil || placement.MarginalDelay(best.Candidate, req.work())+minDelaySaving > placement.MarginalDelay(here, req.work()) {
 		return nil
 	}
 	return l.reserveCandidate(best, req.Prompt)
--- a/internal/gateway/owner_query_test.go
+++ b/internal/gateway/owner_query_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/gateway"
 )
@@ -22,18 +22,18 @@
 	view := func() *directory.View {
 		cfg := testConfig()
 		cfg.Services[1].Engine.MemoryTokens = 30_000
-		targets := map[string]*directory.Seen{}
+		targets := map[string]*directory.ObservedTarget{}
 		for i := range engines {
 			id := fmt.Sprintf("i-%d", i)
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
 		return directory.NewView(1, cfg, targets, nil)
 	}
-	fleet := func(seed uint64) []*gateway.Loads {
-		all := make([]*gateway.Loads, hosts)
+	fleet := func(seed uint64) []*gateway.TargetLoads {
+		all := make([]*gateway.TargetLoads, hosts)
 		for i := range all {
-			all[i] = gateway.NewLoads(fmt.Sprintf("host-%d", i), "dc-1", func() time.Duration { return time.Second })
-			all[i].CountHosts(func() int { return hosts })
+			all[i] = gateway.NewTargetLoads(fmt.Sprintf("host-%d", i), "dc-1", func() time.Duration { return time.Second })
+			all[i].SetHostCount(func() int { return hosts })
 			all[i].SetRand(rand.New(rand.NewPCG(seed, uint64(i))))
 		}
 		return all
@@ -41,7 +41,7 @@
 	// maxOnOneEngine has each host place one generation before the loads of any
 	// reach another, and returns the largest number of generations at one
 	// engine.
-	maxOnOneEngine := func(all []*gateway.Loads) int {
+	maxOnOneEngine := func(all []*gateway.TargetLoads) int {
 		perEngine, highest := map[string]int{}, 0
 		for _, l := range all {
 			t, _, ok := l.Acquire(view(), gateway.PlacementRequest{Service: "llm", Prompt: prompt, Locality: gateway.PreferLocal})
@@ -64,7 +64,9 @@
 			all := fleet(seed)
 			owner := all[0]
 			for _, l := range all[1:] {
-				l.AskOwners(func(_ gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) { return owner.Answer(own), true })
+				l.SetOwnerQuery(func(_ gateway.TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool) {
+					return owner.AnswerOwnerQuery(own), true
+				})
 			}
 			if maxOnOneEngine(all) > maxAllowed {
 				withQueries++
@@ -83,7 +85,7 @@
 		l := fleet(1)[0]
 		var mu sync.Mutex
 		queries := map[string]int{}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.SetOwnerQuery(func(target gateway.TargetRef, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			queries[target.ID]++
@@ -103,10 +105,13 @@
 	It("cause no owner queries in a small fleet or for plain services", func() {
 		l := fleet(1)[0]
 		queries := 0
-		l.AskOwners(func(gateway.Owned, []loadshare.Count) ([]loadshare.Count, bool) { queries++; return nil, true })
+		l.SetOwnerQuery(func(gateway.TargetRef, []targetload.HostLoad) ([]targetload.HostLoad, bool) {
+			queries++
+			return nil, true
+		})
 		_, _, ok := l.Acquire(view(), gateway.PlacementRequest{Service: "llm", Locality: gateway.PreferLocal})
 		Expect(ok).To(BeTrue())
-		l.CountHosts(func() int { return 6 })
+		l.SetHostCount(func() int { return 6 })
 		_, _, ok = l.Acquire(view(), gateway.PlacementRequest{Service: "llm", Prompt: prompt, Locality: gateway.PreferLocal})
 		Expect(ok).To(BeTrue())
 		Expect(queries).To(BeZero())
@@ -118,24 +123,24 @@
 	// would bring the engine down.
 	It("avoid a cold engine once this host's share of it is used up", func() {
 		cfg := testConfig()
-		cfg.Services[1].ColdRate, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
-		targets := map[string]*directory.Seen{}
+		cfg.Services[1].ColdRequestsPerSecond, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
+		targets := map[string]*directory.ObservedTarget{}
 		for _, id := range []string{"cold", "warm-1", "warm-2"} {
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
-		targets["cold"].ColdUntil = time.Minute
+		targets["cold"].WarmAt = time.Minute
 		v := directory.NewView(1, cfg, targets, nil)
 		l := fleet(1)[0]
-		l.BoundCold(gateway.ColdBound{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
-		loaded := func(target string) loadshare.Count {
-			return loadshare.Count{Host: "host-9", Target: target, Version: 1, Load: loadshare.Load{Running: 9, Tokens: 40_000, Unread: 9000}}
+		l.SetColdRateLimit(gateway.ColdRateLimit{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
+		loaded := func(target string) targetload.HostLoad {
+			return targetload.HostLoad{Host: "host-9", Target: target, Version: 1, Load: targetload.Load{Running: 9, ReservedTokens: 40_000, UnreadTokens: 9000}}
 		}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.SetOwnerQuery(func(target gateway.TargetRef, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			if target.ID == "cold" {
 				return nil, true
 			}
-			l.Hold("cold", call.Prompt{Tokens: 10})
-			return []loadshare.Count{loaded("warm-1"), loaded("warm-2")}, true
+			l.Reserve("cold", call.Prompt{Tokens: 10})
+			return []targetload.HostLoad{loaded("warm-1"), loaded("warm-2")}, true
 		})
 		t, _, ok := l.Acquire(v, gateway.PlacementRequest{Service: "llm", Prompt: prompt, Locality: gateway.PreferLocal})
 		Expect(ok).To(BeTrue())
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
@@ -33,8 +33,8 @@
 }
 
 // work returns the work that a generation causes at an engine.
-func (req PlacementRequest) work() placement.Work {
-	return placement.Work{Prompt: req.Prompt.Tokens, Output: expectedOutputTokens(req.Prompt), Within: req.FirstEventLimit}
+func (req PlacementRequest) work() placement.Workload {
+	return placement.Workload{PromptTokens: req.Prompt.Tokens, OutputTokens: expectedOutputTokens(req.Prompt), FirstTokenObjective: req.FirstEventLimit}
 }
 
 // Acquire chooses a target for a request and reserves it until the reservation
@@ -45,7 +45,7 @@
 // When all targets are at their advertised rates, or an advertisement is so old
 // that its target may accept more, it borrows one request from a host that
 // shares the rate.
-func (l *Loads) Acquire(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) Acquire(view *directory.View, req PlacementRequest) (*directory.ObservedTarget, *Reservation, bool) {
 	l.borrowForService(view, req, l.isStale)
 	t, reservation, ok := l.acquireWithinShare(view, req)
 	if !ok && l.borrowForService(view, req, anyAge) {
@@ -56,7 +56,7 @@
 
 // acquireWithinShare is Acquire without borrowing from other hosts' shares of a
 // rate.
-func (l *Loads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.ObservedTarget, *Reservation, bool) {
 	sampled, firstCount := l.sample(view, req)
 	answered := l.queryOwners(req, sampled[:firstCount])
 	reservation, crowded := l.reserveBest(view, req, sampled[:firstCount], firstCount < len(sampled))
@@ -75,7 +75,7 @@
 
 // sample draws the targets to consider: the first ones are considered at once,
 // the rest when the best of them is crowded.
-func (l *Loads) sample(view *directory.View, req PlacementRequest) (sampled targetCandidates, firstCount int) {
+func (l *TargetLoads) sample(view *directory.View, req PlacementRequest) (sampled targetCandidates, firstCount int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	eligible := l.eligible(view, req)
@@ -92,23 +92,23 @@
 }
 
 // sampleSize returns how many of a number of targets to consider.
-func (l *Loads) sampleSize(targets int) int {
-	if l.ownerQuery != nil && !placement.Exact(l.hostCount()) {
-		return placement.Asked(targets)
+func (l *TargetLoads) sampleSize(targets int) int {
+	if l.ownerQuery != nil && !placement.KnowsRecentChoices(l.hostCount()) {
+		return placement.QueriedTargets(targets)
 	}
-	return placement.Sample(targets, l.hostCount())
+	return placement.SampleSize(targets, l.hostCount())
 }
 
 // reserveBest reserves the best of the sampled targets; nil when there is none.
 // With others left to consider it reserves nothing when the best is crowded.
-func (l *Loads) reserveBest(view *directory.View, req PlacementRequest, sampled targetCandidates, others bool) (r *Reservation, crowded bool) {
+func (l *TargetLoads) reserveBest(view *directory.View, req PlacementRequest, sampled targetCandidates, others bool) (r *Reservation, crowded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	best := l.refresh(view, req, sampled).choose(l.rng, req)
 	if best == nil {
 		return nil, others
 	}
-	if others && placement.Crowded(best.Candidate, expectedTokens(req.Prompt)) {
+	if others && placement.PreemptionLikely(best.Candidate, expectedTokens(req.Prompt)) {
 		return nil, true
 	}
 	return l.reserveCandidate(best, req.Prompt), false
@@ -116,8 +116,8 @@
 
 // refresh returns those of the sampled targets that still accept work, with
 // their current load.
-func (l *Loads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
-	sums, alerts, defaultStep := l.hostLoads.Sums(l.now()), l.alerts.Sums(l.now()), l.speeds.Usual()
+func (l *TargetLoads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
+	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
 		if !alerts[candidate.target.ID].Leaving && l.withinColdShare(view, candidate.target) && l.withinRate(candidate.target.ID) {
@@ -128,7 +128,7 @@
 }
 
 // reserveCandidate reserves the target that was chosen for a request.
-func (l *Loads) reserveCandidate(candidate *targetCandidate, p call.Prompt) *Reservation {
+func (l *TargetLoads) reserveCandidate(candidate *targetCandidate, p call.Prompt) *Reservation {
 	reservation := l.reserve(candidate.target.ID, p)
 	reservation.entry, reservation.candidate = candidate.target, candidate.Candidate
 	return reservation
@@ -136,7 +136,7 @@
 
 // ReserveBackup chooses a target that keeps a backup of a generation running at
 // another target, and reserves memory there; false when none has room.
-func (l *Loads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.Seen) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.ObservedTarget) (*directory.ObservedTarget, *Reservation, bool) {
 	req := PlacementRequest{Service: primary.Service, Locality: AvoidDataCentre(primary.DataCentre), Exclude: []string{primary.ID}}
 	sampled, firstCount := l.sample(view, req)
 	sampled = sampled[:firstCount]
@@ -144,23 +144,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	eligible := l.refresh(view, req, sampled)
-	if !placement.RoomForCopies(eligible.placementCandidates()) {
+	if !placement.HasRoomForBackups(eligible.placementCandidates()) {
 		return nil, nil, false
 	}
-	i := placement.ChooseKeeper(eligible.placementCandidates(), expectedTokens(p), l.rng.Float64())
+	i := placement.ChooseBackupEngine(eligible.placementCandidates(), expectedTokens(p), l.rng.Float64())
 	if i < 0 {
 		return nil, nil, false
 	}
 	backupTarget := eligible[i].target
-	return backupTarget, l.reserveLoad(backupTarget.ID, loadshare.Load{Copies: expectedTokens(p)}), true
+	return backupTarget, l.reserveLoad(backupTarget.ID, targetload.Load{BackupTokens: expectedTokens(p)}), true
 }
 
 // RecordStep records the time that an engine took for one token of a stream.
-func (l *Loads) RecordStep(target string, perToken time.Duration) {
+func (l *TargetLoads) RecordStep(target string, perToken time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.speeds.Sample(target, perToken) {
-		l.hostLoads.SetStep(l.now(), target, l.speeds.Step(target))
+	if l.speeds.AddSample(target, perToken) {
+		l.hostLoads.SetTimePerToken(l.now(), target, l.speeds.TimePerToken(target))
 		wake.Signal(l.loadsChanged)
 	}
 }
@@ -168,7 +168,7 @@
 // targetCandidate is a target that may be chosen, with its load.
 type targetCandidate struct {
 	placement.Candidate
-	target *directory.Seen
+	target *directory.ObservedTarget
 }
 
 // targetCandidates are the targets among which a choice is made.
@@ -186,7 +186,7 @@
 func (c targetCandidates) choose(rng *rand.Rand, req PlacementRequest) *targetCandidate {
 	i := -1
 	if req.Prompt.Tokens == 0 {
-		i = placement.Choose(c.placementCandidates(), 0, rng.Float64())
+		i = placement.ChooseLeastLoaded(c.placementCandidates(), 0, rng.Float64())
 	} else {
 		i = placement.ChooseEngine(c.placementCandidates(), req.work(), rng.Float64())
 	}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -29,7 +29,7 @@
 // it is complete: a truncated answer must not look complete, and a repeatable
 // request can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var exclude []string
 	var lastErr error
 	var answer *completeAnswer
@@ -127,7 +127,7 @@
 	if requestUnsent(err) {
 		return counts.unsent < maxUnsentAttempts
 	}
-	if counts.sent >= x.route.Attempts {
+	if counts.sent >= x.route.MaxAttempts {
 		return false
 	}
 	notRun := err != nil && failure.From(err).Executed == failure.ExecutedNo
@@ -135,7 +135,7 @@
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.Budget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.AllowRetry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.metrics.retries.Inc(1)
@@ -144,8 +144,8 @@
 
 // attempt sends a request to one target. The error says whether the request
 // ran; an answer without error is the target's own, even when it is a failure.
-func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
-	end := g.cfg.Suspects.beginRequest(target, x.fingerprint)
+func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.ObservedTarget, selection *selectionState) (*completeAnswer, error) {
+	end := g.cfg.CrashEvidence.beginRequest(target, x.fingerprint)
 	answer, err := g.fetch(ctx, x, target, selection)
 	g.recordFailure(ctx, target, err)
 	end(err == nil)
@@ -153,7 +153,7 @@
 }
 
 // fetch sends a request to one target and reads its complete answer.
-func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
+func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.ObservedTarget, selection *selectionState) (*completeAnswer, error) {
 	resp, answer, err := g.send(ctx, x.newSend(target), selection)
 	if err != nil {
 		return nil, err
@@ -228,7 +228,7 @@
 
 // recordFailure counts a failure against a target, unless the caller's
 // disconnect or deadline caused it.
-func (g *Gateway) recordFailure(ctx context.Context, target *directory.Seen, err error) {
+func (g *Gateway) recordFailure(ctx context.Context, target *directory.ObservedTarget, err error) {
 	if err == nil || ctx.Err() != nil || failure.KindOf(err) == failure.KindTargetLeft {
 		return
 	}
@@ -236,7 +236,7 @@
 		g.cfg.Loads.RecordUnreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.notStopping(target) {
-		g.cfg.Suspects.checkForCrash(target, g.dial)
+		g.cfg.CrashEvidence.checkForCrash(target, g.dial)
 	}
 	g.cfg.Loads.RecordBrokenRequest(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
@@ -244,7 +244,7 @@
 
 // notStopping reports whether no planned stop of a target is known. The end of
 // a target that stops as planned is no evidence against its requests.
-func (g *Gateway) notStopping(target *directory.Seen) bool {
+func (g *Gateway) notStopping(target *directory.ObservedTarget) bool {
 	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
 }
 
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
@@ -17,21 +17,21 @@
 // false when none of them lends.
 type BorrowRate func(target string, holders int) bool
 
-// BorrowRates sets the function that borrows requests. Without it none are
+// SetRateBorrower sets the function that borrows requests. Without it none are
 // borrowed.
-func (l *Loads) BorrowRates(borrow BorrowRate) { l.borrowRate = borrow }
+func (l *TargetLoads) SetRateBorrower(borrow BorrowRate) { l.borrowRate = borrow }
 
 // ObserveRate records the rate limit that a target advertised in an answer to
 // this host; nil when it advertised none. It reports whether the limit is new
 // to this host.
-func (l *Loads) ObserveRate(target string, perSecond *float64) (changed bool) {
+func (l *TargetLoads) ObserveRate(target string, perSecond *float64) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	advertisement := targetrate.Advertisement{At: l.now()}
 	if perSecond != nil {
 		advertisement.Limited, advertisement.PerSecond = true, *perSecond
 	}
-	before, _ := l.rates.Advertised(target)
+	before, _ := l.rates.Limit(target)
 	if l.rates.Observe(target, advertisement) {
 		l.alerts.SetRate(l.now(), target, advertisement)
 		wake.Signal(l.alertsChanged)
@@ -40,24 +40,24 @@
 }
 
 // mergeRates merges rates that targets advertised to other hosts.
-func (l *Loads) mergeRates(counts []loadshare.Count) {
+func (l *TargetLoads) mergeRates(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		if c.Rate != nil && c.Host != l.address {
-			l.rates.Merge(c.Target, *c.Rate)
+		if c.AdvertisedRate != nil && c.Host != l.address {
+			l.rates.Merge(c.Target, *c.AdvertisedRate)
 		}
 	}
 }
 
 // rateLimitedCount returns the number of targets that advertise a rate.
-func (l *Loads) rateLimitedCount() int64 {
+func (l *TargetLoads) rateLimitedCount() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(l.rates.Limited())
 }
 
-// Lend lends another host one request of a target's rate; false when this host
+// LendRate lends another host one request of a target's rate; false when this host
 // has none left.
-func (l *Loads) Lend(target string) bool {
+func (l *TargetLoads) LendRate(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rank, hosts := l.rank(target)
@@ -66,7 +66,7 @@
 
 // rank returns this host's rank for a target among the hosts, and the number of
 // hosts.
-func (l *Loads) rank(target string) (rank, hosts int) {
+func (l *TargetLoads) rank(target string) (rank, hosts int) {
 	if l.coldBound.Rank == nil {
 		return 0, 1
 	}
@@ -75,18 +75,18 @@
 
 // withinRate reports whether this host may send one more request within the
 // target's advertised rate.
-func (l *Loads) withinRate(target string) bool {
-	if _, limited := l.rates.Advertised(target); !limited {
+func (l *TargetLoads) withinRate(target string) bool {
+	if _, limited := l.rates.Limit(target); !limited {
 		return true
 	}
 	rank, hosts := l.rank(target)
-	return l.rates.Open(l.now(), target, rank, hosts)
+	return l.rates.Allows(l.now(), target, rank, hosts)
 }
 
 // ReserveWithinRate counts a request at a target that was chosen before and may
 // have advertised a rate; false when this host's share is used up and no
 // request can be borrowed.
-func (l *Loads) ReserveWithinRate(target string, p call.Prompt) (*Reservation, bool) {
+func (l *TargetLoads) ReserveWithinRate(target string, p call.Prompt) (*Reservation, bool) {
 	reservation, ok := l.reserveWithinOwnShare(target, p)
 	if !ok && l.borrow(target) {
 		return l.reserveWithinOwnShare(target, p)
@@ -95,7 +95,7 @@
 }
 
 // reserveWithinOwnShare is ReserveWithinRate without borrowing.
-func (l *Loads) reserveWithinOwnShare(target string, p call.Prompt) (*Reservation, bool) {
+func (l *TargetLoads) reserveWithinOwnShare(target string, p call.Prompt) (*Reservation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.withinRate(target) {
@@ -105,23 +105,23 @@
 }
 
 // borrow borrows one request to a target; false when no host lends one.
-func (l *Loads) borrow(target string) bool {
+func (l *TargetLoads) borrow(target string) bool {
 	l.mu.Lock()
-	advertisement, limited := l.rates.Advertised(target)
+	advertisement, limited := l.rates.Limit(target)
 	_, hosts := l.rank(target)
 	l.mu.Unlock()
-	if !limited || l.borrowRate == nil || !l.borrowRate(target, targetrate.Holders(advertisement.PerSecond, hosts)) {
+	if !limited || l.borrowRate == nil || !l.borrowRate(target, targetrate.HolderCount(advertisement.PerSecond, hosts)) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rates.Borrowed(target)
+	l.rates.AddBorrowed(target)
 	return true
 }
 
 // borrowForService borrows one request to any target of a service that would
 // accept it but for its rate; false when no host lends one.
-func (l *Loads) borrowForService(view *directory.View, req PlacementRequest, filter func(target string) bool) bool {
+func (l *TargetLoads) borrowForService(view *directory.View, req PlacementRequest, filter func(target string) bool) bool {
 	limited := l.rateLimitedTargets(view, req, filter)
 	rand.Shuffle(len(limited), func(i, j int) { limited[i], limited[j] = limited[j], limited[i] })
 	return slices.ContainsFunc(limited[:min(len(limited), maxBorrowAttempts)], l.borrow)
@@ -133,15 +133,15 @@
 
 // rateLimitedTargets returns the ids of a service's targets that would accept a
 // request but for their rate.
-func (l *Loads) rateLimitedTargets(view *directory.View, req PlacementRequest, filter func(target string) bool) []string {
+func (l *TargetLoads) rateLimitedTargets(view *directory.View, req PlacementRequest, filter func(target string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.rates.Limited() == 0 {
 		return nil
 	}
 	var out []string
-	for _, t := range view.Pool(req.Service) {
-		_, limited := l.rates.Advertised(t.ID)
+	for _, t := range view.ServiceTargets(req.Service) {
+		_, limited := l.rates.Limit(t.ID)
 		if limited && l.acceptsIgnoringRate(view, req, t) && !l.withinRate(t.ID) && filter(t.ID) {
 			out = append(out, t.ID)
 		}
@@ -154,11 +154,11 @@
 
 // isStale reports whether a target's advertisement is so old that the target
 // may accept more by now.
-func (l *Loads) isStale(target string) bool { return l.rates.Stale(l.now(), target) }
+func (l *TargetLoads) isStale(target string) bool { return l.rates.Stale(l.now(), target) }
 
 // RateWait returns the time until this host may send to one of a service's
 // targets that are at their rate; false when none of them is.
-func (l *Loads) RateWait(view *directory.View, req PlacementRequest) (time.Duration, bool) {
+func (l *TargetLoads) RateWait(view *directory.View, req PlacementRequest) (time.Duration, bool) {
 	limited := l.rateLimitedTargets(view, req, anyAge)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/rate_test.go
+++ b/internal/gateway/rate_test.go
@@ -14,7 +14,7 @@
 
 // answerWithRate is a complete answer that advertises the target's rate limit.
 func answerWithRate(perSecond string) string {
-	return strings.Replace(completeAnswer, "Content-Length", standin.ServerLimit+": "+perSecond+"\nContent-Length", 1)
+	return strings.Replace(completeAnswer, "Content-Length", standin.HeaderServerLimit+": "+perSecond+"\nContent-Length", 1)
 }
 
 var _ = Describe("a target that advertises a rate limit", func() {
@@ -23,7 +23,7 @@
 		var gateways []*fixture
 		for i := range hosts {
 			gw := startGateway()
-			gw.loads.BoundCold(gateway.ColdBound{Rank: func(string) (int, int) { return i, hosts }})
+			gw.loads.SetColdRateLimit(gateway.ColdRateLimit{Rank: func(string) (int, int) { return i, hosts }})
 			gateways = append(gateways, gw)
 			for _, t := range targets {
 				gw.add(t.directoryEntry("app", "dc-1"))
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -13,7 +13,7 @@
 // holds an old configuration while other hosts serve a new route or key. Its
 // caller may try those, and must not get a final answer that there is none.
 func (g *Gateway) denyIfCurrent(denial *failure.Error) error {
-	if g.cfg.Current() {
+	if g.cfg.ViewCurrent() {
 		return denial
 	}
 	return failure.Wrap(denial, failure.KindNotReady, "the configuration of this host may be out of date").After(notReadyRetryAfter)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -92,7 +92,7 @@
 // work.
 func acceptsNewWork(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
-	return known && now.Started == t.Started && view.TakesNew(now)
+	return known && now.StartedUnixMilli == t.StartedUnixMilli && view.AcceptsNewRequests(now)
 }
 
 // continueElsewhere finds where a generation continues whose stream ended early
@@ -189,11 +189,11 @@
 // startNewRun has another engine continue a generation, on a route that allows
 // it, after the last event that the caller has. A request that crashes engines
 // is not continued, since it would crash one after the other.
-func (gen *generation) startNewRun(from *directory.Seen, cause error) (*engineStream, error) {
-	if gen.attempts >= gen.route.Attempts || gen.g.cfg.Suspects.isPoison(gen.fingerprint) {
+func (gen *generation) startNewRun(from *directory.ObservedTarget, cause error) (*engineStream, error) {
+	if gen.attempts >= gen.route.MaxAttempts || gen.g.cfg.CrashEvidence.isPoison(gen.fingerprint) {
 		return nil, cause
 	}
-	if !gen.g.cfg.Budget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.AllowRetry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, cause
 	}
 	selection := gen.g.selectionState()
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/directory"
 )
 
@@ -17,15 +17,15 @@
 	// switching to it would start work that no caller waits for and keep its
 	// reservation counted permanently.
 	It("is cancelled and releases its reservation", func() {
-		loads := NewLoads("host-1", "dc-1", func() time.Duration { return 0 })
-		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
-		board := &published.Board{}
+		loads := NewTargetLoads("host-1", "dc-1", func() time.Duration { return 0 })
+		target := &directory.ObservedTarget{Published: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
+		board := &recordsync.Board{}
 		var views *blackboard.Writer[directory.View]
 		views, err := board.View.Claim()
 		Expect(err).NotTo(HaveOccurred())
-		views.Publish(directory.NewView(1, nil, map[string]*directory.Seen{"i-1": target}, nil))
+		views.Publish(directory.NewView(1, nil, map[string]*directory.ObservedTarget{"i-1": target}, nil))
 		gen := &generation{exchange: &exchange{Request: &call.Request{}}, g: &Gateway{cfg: Config{Loads: loads, Board: board}}}
-		reservation := loads.Hold("i-1", call.Prompt{Tokens: 10})
+		reservation := loads.Reserve("i-1", call.Prompt{Tokens: 10})
 		gen.closeNextStream()
 		Expect(gen.switchTo(&memoryCopy{target: target}, reservation)).To(MatchError(errStreamEnded))
 		Expect(loads.HostsUsing("i-1")).To(BeZero())
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -31,9 +31,9 @@
 	poisonRetryAfter = 10 * time.Second
 )
 
-// Suspects keeps the evidence, from this host and from others, against requests
+// CrashEvidence keeps the evidence, from this host and from others, against requests
 // that crash the targets that run them. It is safe for concurrent use.
-type Suspects struct {
+type CrashEvidence struct {
 	now func() time.Duration
 
 	mu       sync.Mutex
@@ -47,17 +47,17 @@
 	changed chan struct{}
 }
 
-// NewSuspects returns a Suspects without evidence.
-func NewSuspects(now func() time.Duration) *Suspects {
-	return &Suspects{
+// NewCrashEvidence returns a Suspects without evidence.
+func NewCrashEvidence(now func() time.Duration) *CrashEvidence {
+	return &CrashEvidence{
 		now: now, detector: poison.New(poison.Config{}), running: map[string][]uint64{}, checking: map[uint64]bool{},
 		changed: make(chan struct{}, 1),
 	}
 }
 
-// News returns a channel that receives when there is new evidence for other
+// Changed returns a channel that receives when there is new evidence for other
 // hosts.
-func (s *Suspects) News() <-chan struct{} { return s.changed }
+func (s *CrashEvidence) Changed() <-chan struct{} { return s.changed }
 
 // fingerprint identifies a request across attempts: a retry has the same
 // account, method, host, URI and body, but another id.
@@ -72,22 +72,22 @@
 }
 
 // isPoison reports whether a request is known to crash targets.
-func (s *Suspects) isPoison(fp uint64) bool {
+func (s *CrashEvidence) isPoison(fp uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Rule(s.now(), fp).Verdict == poison.Guilty
+	return s.detector.Assess(s.now(), fp).Verdict == poison.Blocked
 }
 
 // beginRequest records that a request runs at a target. The returned function
 // records its end and whether it finished there.
-func (s *Suspects) beginRequest(target *directory.Seen, fp uint64) (end func(finished bool)) {
+func (s *CrashEvidence) beginRequest(target *directory.ObservedTarget, fp uint64) (end func(finished bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running[target.ID] = append(s.running[target.ID], fp)
 	return func(finished bool) { s.endRequest(target.ID, fp, finished) }
 }
 
-func (s *Suspects) endRequest(target string, fp uint64, finished bool) {
+func (s *CrashEvidence) endRequest(target string, fp uint64, finished bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	running := s.running[target]
@@ -99,15 +99,15 @@
 		delete(s.running, target)
 	}
 	if finished {
-		s.detector.Finished(s.now(), fp)
+		s.detector.AddCompletion(s.now(), fp)
 	}
 }
 
 // checkForCrash checks whether a target that broke a request's connection has
 // crashed: it has if its address refuses connections. A broken answer alone
 // proves nothing.
-func (s *Suspects) checkForCrash(target *directory.Seen, dial func(ctx context.Context, address string) error) {
-	id := poison.CrashID(target.ID, uint64(target.Started))
+func (s *CrashEvidence) checkForCrash(target *directory.ObservedTarget, dial func(ctx context.Context, address string) error) {
+	id := poison.CrashID(target.ID, uint64(target.StartedUnixMilli))
 	s.mu.Lock()
 	suspects := slices.Clone(s.running[target.ID])
 	alreadyChecking := s.checking[id]
@@ -126,21 +126,21 @@
 		if failure.KindOf(err) == failure.KindTargetFailed {
 			// The detector expects the most recently started request first.
 			slices.Reverse(suspects)
-			s.detector.Crashed(s.now(), id, suspects)
+			s.detector.AddCrash(s.now(), id, suspects)
 			wake.Signal(s.changed)
 		}
 	})
 }
 
 // Export returns the evidence for other hosts.
-func (s *Suspects) Export() []poison.Crash {
+func (s *CrashEvidence) Export() []poison.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.detector.Export(s.now(), maxExportedCrashes)
 }
 
 // Merge merges the evidence of another host.
-func (s *Suspects) Merge(crashes []poison.Crash) {
+func (s *CrashEvidence) Merge(crashes []poison.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.detector.Merge(s.now(), crashes) {
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/decide/admission"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
 	"filbertdeck/internal/table"
 )
@@ -23,10 +23,10 @@
 	*proc
 	w        *world
 	doc      *rollout.Document
-	join     *rollout.Join
+	join     *rollout.Readiness
 	ready    bool
-	hosts    once.HostList
-	register *once.Register
+	hosts    idempotency.HostList
+	register *idempotency.Registry
 	allocs   map[string]*admission.Allocator
 	waiting  map[uint64]func(admission.Decision)
 	leases   map[admission.LeaseID]*lease
@@ -65,9 +65,9 @@
 	w := h.w
 	h.inc++
 	h.up, h.wake, h.stopping, h.ready, h.serving = true, 0, false, false, 0
-	h.doc, h.join = rollout.NewDocument(), rollout.NewJoin(w.now)
-	h.hosts = once.HostList{}
-	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.inc}})
+	h.doc, h.join = rollout.NewDocument(), rollout.NewReadiness(w.now)
+	h.hosts = idempotency.HostList{}
+	h.register = idempotency.New(idempotency.Config{Self: idempotency.Process{Address: h.name, Incarnation: h.inc}})
 	h.allocs, h.waiting, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
 	h.answered = map[*host]time.Duration{}
 	h.watch()
@@ -96,11 +96,11 @@
 
 func (h *host) read(s platformState, asked time.Duration) {
 	rows := []rollout.Row{{Key: "weight", Text: fmt.Sprintf("%03d", s.weight)}, {Key: "drain", Text: s.drained}, {Key: "leaving", Text: s.leaving}}
-	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
+	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows}
 	h.take(delta)
-	h.join.Service()
-	h.hosts = once.HostList{Revision: s.hostsRev, Live: s.hosts, Confirmed: asked}
-	h.register.SetHosts(h.w.now, h.hosts)
+	h.join.RecordService()
+	h.hosts = idempotency.HostList{Revision: s.hostsRev, LiveHosts: s.hosts, ConfirmedAt: asked}
+	h.register.ConfirmHosts(h.w.now, h.hosts)
 	h.checkReady()
 	if !h.ready {
 		return // it would admit by what may be an old table
@@ -111,11 +111,11 @@
 			if !slices.Contains(p.Owners, h.name) {
 				continue
 			}
-			a = admission.New(admission.Config{LeaseFor: leaseFor, Seed: h.inc<<32 | uint64(len(h.allocs)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
+			a = admission.New(admission.Config{LeaseDuration: leaseFor, Seed: h.inc<<32 | uint64(len(h.allocs)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
 			h.allocs[p.ID] = a
 		}
 		a.SetOwnership(h.w.now, s.hostsRev, len(p.Owners) > 0 && p.Owners[0] == h.name)
-		a.Confirm(asked)
+		a.ConfirmOwnership(asked)
 		a.SetTargets(h.w.now, p.TargetStates)
 	}
 }
@@ -131,7 +131,7 @@
 	if h.w.naive.lastWord { // whatever came last is in force
 		h.doc = rollout.NewDocument()
 	}
-	if verdict, changed := h.doc.Judge(d); verdict == rollout.VerdictTake {
+	if verdict, changed := h.doc.Evaluate(d); verdict == rollout.VerdictApply {
 		h.doc.Commit(d, changed)
 	}
 }
@@ -141,14 +141,14 @@
 	w := h.w
 	h.checkReady()
 	peer := w.hosts[(slices.Index(w.hosts, h)+1+int(w.now/(300*time.Millisecond))%(len(w.hosts)-1))%len(w.hosts)]
-	news := h.doc.All()
+	news := h.doc.FullDelta()
 	h.spreadCrashes(peer)
 	w.message(h.proc, peer.proc, func() {
 		peer.take(news)
-		back := peer.doc.All()
+		back := peer.doc.FullDelta()
 		w.message(peer.proc, h.proc, func() {
 			h.take(back)
-			h.join.Peer(peer.name)
+			h.join.RecordPeer(peer.name)
 			h.checkReady()
 		}, nil)
 	}, nil)
@@ -160,7 +160,7 @@
 		evidence := slices.Clone(h.allocs[id].PoisonEvidence(h.w.now, 20))
 		h.w.message(h.proc, peer.proc, func() {
 			for _, other := range sorted(peer.allocs) {
-				peer.allocs[other].MergePoison(h.w.now, evidence)
+				peer.allocs[other].MergePoisonEvidence(h.w.now, evidence)
 			}
 		}, nil)
 	}
@@ -179,7 +179,7 @@
 }
 
 // plans computes the pools from this host's own view.
-func (h *host) plans() []pools.Plan {
+func (h *host) plans() []poolmanager.Plan {
 	w := h.w
 	reports, orders := &table.Service{Name: "reports", Type: table.ServiceGeneration}, &table.Service{Name: "orders", Type: table.ServiceOnce}
 	leaving := h.row("leaving")
@@ -192,13 +192,13 @@
 		t.Drained[h.row("drain")] = true
 	}
 	var live []configservice.Host
-	for _, name := range h.hosts.Live {
+	for _, name := range h.hosts.LiveHosts {
 		if i := slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == name }); i >= 0 {
 			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
 		}
 	}
-	plans := pools.Plans(t, live)
-	slices.SortFunc(plans, func(a, b pools.Plan) int { return strings.Compare(a.ID, b.ID) })
+	plans := poolmanager.ComputePlans(t, live)
+	slices.SortFunc(plans, func(a, b poolmanager.Plan) int { return strings.Compare(a.ID, b.ID) })
 	return plans
 }
 
@@ -272,7 +272,7 @@
 func (h *host) renew() {
 	for _, id := range sorted(h.leases) {
 		l, asked := h.leases[id], h.w.now
-		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, Produced: l.produced}}
+		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, ProducedTokens: l.produced}}
 		h.w.message(h.proc, l.owner.proc, func() {
 			a := l.owner.allocs[l.pool]
 			if a == nil {
@@ -293,7 +293,7 @@
 		return
 	}
 	delete(h.leases, l.id)
-	s := admission.Settlement{Lease: l.id, Outcome: o, Produced: l.produced, Duration: h.w.now - l.asked}
+	s := admission.Settlement{Lease: l.id, Outcome: o, ProducedTokens: l.produced, Duration: h.w.now - l.asked}
 	h.w.message(h.proc, l.owner.proc, func() {
 		if a := l.owner.allocs[l.pool]; a != nil {
 			a.Settle(h.w.now, s)
@@ -398,7 +398,7 @@
 		return
 	}
 	w.ids++
-	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(w.ids << 20), Target: best.name, LeaseFor: leaseFor}
+	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(w.ids << 20), Target: best.name, LeaseDuration: leaseFor}
 	holder := w.host(ask.Holder.Entry)
 	w.message(owner.proc, holder.proc, func() {
 		if got := holder.waiting[d.Request]; got != nil {
--- a/test/faults/serve_test.go
+++ b/test/faults/serve_test.go
@@ -6,7 +6,7 @@
 
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/delivery"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
 )
@@ -28,7 +28,7 @@
 	})
 	h.w.step(s.call, stepAccepted, h.proc, func() {
 		if s.call.kind.booking() {
-			h.booking(s, once.Call{}, s.finish)
+			h.booking(s, idempotency.Call{}, s.finish)
 		} else {
 			h.generate(s)
 		}
@@ -50,7 +50,7 @@
 type run struct {
 	h        *host
 	s        *sending
-	order    delivery.Order
+	order    delivery.Sequencer
 	conn     *conn
 	lease    *lease
 	target   *engine
@@ -64,7 +64,7 @@
 func (h *host) generate(s *sending) {
 	mode := delivery.Stream
 	if s.call.kind == kindWhole {
-		mode = delivery.Whole
+		mode = delivery.Buffered
 	}
 	r := &run{h: h, s: s, order: delivery.New(mode, h.newID(s))}
 	s.conn.lost[1] = r.callerLeft
@@ -82,7 +82,7 @@
 		r.order = delivery.ResumeFinished(mode, at.Generation, at.Offset)
 	}
 	r.target, r.begun = h.w.target(at.Target), true
-	if r.order.Conclude() {
+	if r.order.MarkComplete() {
 		r.complete()
 		return
 	}
@@ -163,7 +163,7 @@
 
 func (r *run) reconnect() {
 	r.connect(func(c *conn) {
-		id, offset := r.order.Generation(), r.order.Next()
+		id, offset := r.order.Generation(), r.order.NextOffset()
 		c.send(1, func() {
 			r.target.resume(id, offset, c, func() {
 				if r.conn == c { // the target lives and knows nothing of it
@@ -181,16 +181,16 @@
 	}
 	c.close(0)
 	r.conn = nil
-	if r.order.Conclude() {
+	if r.order.MarkComplete() {
 		r.complete()
 		return
 	}
 	if r.h.w.naive.restart { // a broken connection is a failed request: run it again
 		r.h.settle(r.lease, admission.OutcomeTargetFailed)
-		r.again(r.order.Lost(nil))
+		r.again(r.order.LostError(nil))
 		return
 	}
-	if !r.order.Reopen() {
+	if !r.order.TryResume() {
 		r.generationLost(admission.OutcomeTargetCrashed)
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 	r.h.settle(r.lease, outcome)
 	r.avoid = append(r.avoid, r.target.name)
-	r.again(r.order.Lost(nil))
+	r.again(r.order.LostError(nil))
 }
 
 // again starts another generation where that is allowed.
@@ -254,7 +254,7 @@
 	switch verdict {
 	case delivery.Pass:
 		r.pass(f, text)
-	case delivery.Gap, delivery.Crossed:
+	case delivery.Gap, delivery.Mismatched:
 		r.targetLost(c)
 	case delivery.Complete:
 		c.close(0)
@@ -263,7 +263,7 @@
 }
 
 func (r *run) complete() {
-	r.order.Release()
+	r.order.MarkReleased()
 	r.h.settle(r.lease, admission.OutcomeDone)
 	if len(r.held) > 0 {
 		tokens := r.held
@@ -274,7 +274,7 @@
 
 func (r *run) pass(f delivery.Frame, text string) {
 	if r.lease != nil {
-		r.lease.produced = int(r.order.Next())
+		r.lease.produced = int(r.order.NextOffset())
 	}
 	t := token{f.Generation, f.Offset, text}
 	if r.s.call.kind == kindWhole {
@@ -282,7 +282,7 @@
 	} else {
 		id := string(ring.SealTo(nil, handle.Handle{
 			Account: r.s.call.account, Service: "reports", Target: r.target.name, Generation: r.order.Generation(),
-			Offset: r.order.Next(), Finished: r.order.Finished(), Expires: epoch.Add(r.h.w.now + time.Minute),
+			Offset: r.order.NextOffset(), Finished: r.order.Finished(), Expires: epoch.Add(r.h.w.now + time.Minute),
 		}))
 		r.s.conn.send(0, func() { r.s.call.take(r.s, id, t) })
 	}
@@ -301,30 +301,30 @@
 	r.h.serving--
 	r.conn.close(0)
 	r.h.settle(r.lease, admission.OutcomeCallerLeft)
-	if r.begun && r.order.Reached() == 0 {
+	if r.begun && r.order.DeliveredTokens() == 0 {
 		target, id := r.target, r.order.Generation()
 		r.h.w.message(r.h.proc, target.proc, func() { target.cancel(id) }, nil)
 	}
 }
 
 // booking decides who runs a call that may run once, and has it run.
-func (h *host) booking(s *sending, call once.Call, reply func(*failure.Error)) {
+func (h *host) booking(s *sending, call idempotency.Call, reply func(*failure.Error)) {
 	key, err := s.call.parsedKey()
 	if err != nil {
 		reply(failure.From(err))
 		return
 	}
-	call.Account, call.Key, call.Fingerprint, call.Wall = s.call.account, key, 1, epoch.Add(h.w.now)
+	call.Account, call.Key, call.Fingerprint, call.WallTime = s.call.account, key, 1, epoch.Add(h.w.now)
 	if h.w.naive.runAnywhere {
 		h.execute(s, key, reply)
 		return
 	}
 	switch d := h.register.Begin(h.w.now, call); d.Action {
-	case once.Run:
+	case idempotency.Run:
 		h.execute(s, key, reply)
-	case once.Replay:
+	case idempotency.Replay:
 		reply(nil)
-	case once.Forward:
+	case idempotency.Forward:
 		h.forward(s, d.Owner, reply)
 	default:
 		reply(d.Err)
@@ -333,7 +333,7 @@
 
 const forwardLimit = 8 * time.Second
 
-func (h *host) forward(s *sending, to once.Process, reply func(*failure.Error)) {
+func (h *host) forward(s *sending, to idempotency.Process, reply func(*failure.Error)) {
 	owner := h.w.host(to.Address)
 	answered := false
 	answer := func(err *failure.Error) {
@@ -342,7 +342,7 @@
 			reply(err)
 		}
 	}
-	lost := func() { answer(once.OwnerUnreachable(failure.New(failure.KindOwnerLost, "no answer"))) }
+	lost := func() { answer(idempotency.OwnerUnreachable(failure.New(failure.KindOwnerLost, "no answer"))) }
 	c := h.w.dial(h.proc, owner.proc, lost)
 	if c == nil {
 		lost()
@@ -350,18 +350,18 @@
 	}
 	revision := h.hosts.Revision
 	c.send(1, func() {
-		call := once.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
+		call := idempotency.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
 		owner.booking(s, call, func(err *failure.Error) { c.send(0, func() { answer(err) }) })
 	})
 	h.w.after(h.proc, forwardLimit, lost)
 }
 
-func (h *host) execute(s *sending, key once.Key, reply func(*failure.Error)) {
+func (h *host) execute(s *sending, key idempotency.Key, reply func(*failure.Error)) {
 	w, account := h.w, s.call.account
 	h.admit(s, "orders", nil, func(l *lease, d admission.Decision) {
 		notRun := func(err *failure.Error) {
 			h.settle(l, admission.OutcomeNotRun)
-			h.register.NotRun(account, key)
+			h.register.MarkNotRun(account, key)
 			reply(err)
 		}
 		if l == nil {
@@ -379,7 +379,7 @@
 			}
 			over = true
 			h.settle(l, admission.OutcomeTargetFailed)
-			h.register.Lost(account, key)
+			h.register.MarkLost(account, key)
 			err := failure.New(failure.KindOutcomeUnknown, "no answer").Unknown()
 			if w.naive.sayNo {
 				err.Executed = failure.ExecutedNo
@@ -407,7 +407,7 @@
 				over = true
 				c.close(0)
 				h.settle(l, admission.OutcomeDone)
-				h.register.Finish(account, key, &once.Answer{Status: 200})
+				h.register.MarkFinished(account, key, &idempotency.Answer{Status: 200})
 				w.step(s.call, stepLast, h.proc, func() { reply(nil) })
 			})
 		})
--- a/test/faults/targets_test.go
+++ b/test/faults/targets_test.go
@@ -62,7 +62,7 @@
 
 func (e *engine) report() admission.Report {
 	r := admission.Report{
-		Target: e.name, Incarnation: e.inc, Running: len(e.running), Bears: e.bears(), Stopping: e.stopping,
+		Target: e.name, Incarnation: e.inc, Running: len(e.running), Capacity: e.bears(), Stopping: e.stopping,
 	}
 	if e != e.w.app {
 		r.MemoryTokens, r.UsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenTime
