--- a/internal/fleet/authority.go
+++ b/internal/fleet/authority.go
@@ -17,59 +17,60 @@
 	"filbertdeck/internal/tlsfiles"
 )
 
-// Authority signs the certificates of a deployment on this machine. Its life
-// is an hour; real hosts get theirs from the platform.
-type Authority struct {
+// CertificateAuthority signs the certificates of a local deployment. It is
+// valid for an hour; real hosts get their certificates from the platform.
+type CertificateAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-const authorityLife = time.Hour
+const certificateLifetime = time.Hour
 
-// NewAuthority makes an authority.
-func NewAuthority() (*Authority, error) {
+// NewCertificateAuthority creates a self-signed authority with a new key.
+func NewCertificateAuthority() (*CertificateAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "no key for the authority")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot generate the CA key")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "filbertdeck local authority"},
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
-		NotBefore: time.Now().Add(-authorityLife), NotAfter: time.Now().Add(authorityLife),
+		NotBefore: time.Now().Add(-certificateLifetime), NotAfter: time.Now().Add(certificateLifetime),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "no certificate for the authority")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create the CA certificate")
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "no certificate for the authority")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot parse the CA certificate")
 	}
-	return &Authority{cert: cert, key: key}, nil
+	return &CertificateAuthority{cert: cert, key: key}, nil
 }
 
-// Issue writes a certificate for 127.0.0.1, its key and the authority to dir.
-// Called again it renews them in place.
-func (a *Authority) Issue(dir string) (tlsfiles.Files, error) {
+// WriteHostCertificate writes a certificate for 127.0.0.1, its private key and
+// the CA certificate to dir. Calling it again replaces these files with a
+// renewed certificate.
+func (a *CertificateAuthority) WriteHostCertificate(dir string) (tlsfiles.Files, error) {
 	files := tlsfiles.Files{
 		Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"),
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return files, failure.Wrap(err, failure.KindInternal, "no key for the hosts")
+		return files, failure.Wrap(err, failure.KindInternal, "cannot generate the host key")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		NotBefore: time.Now().Add(-authorityLife), NotAfter: time.Now().Add(authorityLife),
+		NotBefore: time.Now().Add(-certificateLifetime), NotAfter: time.Now().Add(certificateLifetime),
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return files, failure.Wrap(err, failure.KindInternal, "no certificate for the hosts")
+		return files, failure.Wrap(err, failure.KindInternal, "cannot create the host certificate")
 	}
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return files, failure.Wrap(err, failure.KindInternal, "no key for the hosts")
+		return files, failure.Wrap(err, failure.KindInternal, "cannot encode the host key")
 	}
 	for name, block := range map[string]*pem.Block{
 		files.Cert: {Type: "CERTIFICATE", Bytes: der},
@@ -77,7 +78,7 @@
 		files.CA:   {Type: "CERTIFICATE", Bytes: a.cert.Raw},
 	} {
 		if err := os.WriteFile(name, pem.EncodeToMemory(block), 0o600); err != nil {
-			return files, failure.Wrap(err, failure.KindInternal, "certificates cannot be written")
+			return files, failure.Wrap(err, failure.KindInternal, "cannot write the certificate files")
 		}
 	}
 	return files, nil
--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -8,17 +8,17 @@
 	"filbertdeck/internal/failure"
 )
 
-// Build compiles all programs of the module into dir, for tests that run real
-// processes.
+// Build compiles every program of the module into dir, for tests that run the
+// programs as processes.
 func Build(dir string) error {
-	mod, err := exec.Command("go", "env", "GOMOD").Output()
+	goMod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "the module cannot be found")
+		return failure.Wrap(err, failure.KindInternal, "cannot locate go.mod")
 	}
 	cmd := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "./cmd/...")
-	cmd.Dir = filepath.Dir(strings.TrimSpace(string(mod)))
+	cmd.Dir = filepath.Dir(strings.TrimSpace(string(goMod)))
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return failure.Wrap(err, failure.KindInternal, "the programs cannot be built: %s", out)
+		return failure.Wrap(err, failure.KindInternal, "cannot build the programs: %s", out)
 	}
 	return nil
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,6 +1,7 @@
-// Package fleet starts a small deployment on this machine, for the demo, the
-// load tool and the tests: stand-ins for the platform and the targets, and the
-// entry and control processes of each host, all as processes of their own on
-// free loopback ports. It ends only what it started, by process id. No process
-// of the system itself starts another one; this package is not part of them.
+// Package fleet runs a small deployment on the local machine for the demo, the
+// load tool and the tests. It starts stand-ins for the platform and the
+// targets and the entry and control processes of each host, each as a separate
+// process on a free loopback port. It terminates only processes that it
+// started, by process ID. The product's server processes start no other
+// processes and do not use this package.
 package fleet
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -9,8 +9,9 @@
 	"filbertdeck/internal/failure"
 )
 
-// Publish writes the documents of the platform that describe the deployment.
-func (f *Fleet) Publish() error {
+// Publish writes the table, the host list and the target list to the
+// platform's configuration service.
+func (f *Fleet) PublishAll() error {
 	if err := f.Put("table/0001", f.spec.Table); err != nil {
 		return err
 	}
@@ -30,37 +31,39 @@
 	Targets  []configservice.Target `json:"targets"`
 }
 
-// PublishHosts writes the host list; hosts in leaving are marked so.
+// PublishHosts writes the host list. Hosts named in leaving get the state
+// "leaving".
 func (f *Fleet) PublishHosts(leaving map[string]bool) error {
-	f.edits++
-	doc := hostsDocument{Revision: f.edits}
+	f.revision++
+	doc := hostsDocument{Revision: f.revision}
 	for _, h := range f.Hosts {
 		doc.Hosts = append(doc.Hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: stateOf(leaving[h.Name]),
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: listedState(leaving[h.Name]),
 		})
 	}
 	return f.putJSON(configservice.KeyHosts, doc)
 }
 
-// PublishTargets writes the target list; targets in leaving are marked so.
+// PublishTargets writes the target list. Targets named in leaving get the state
+// "leaving".
 func (f *Fleet) PublishTargets(leaving map[string]bool) error {
-	f.edits++
-	doc := targetsDocument{Revision: f.edits}
-	add := func(targets []*Target, services []string) {
+	f.revision++
+	doc := targetsDocument{Revision: f.revision}
+	addTargets := func(targets []*Target, services []string) {
 		for _, t := range targets {
 			for _, s := range services {
 				doc.Targets = append(doc.Targets, configservice.Target{
-					Service: s, Address: t.Address, DataCentre: t.DataCentre, State: stateOf(leaving[t.Name]),
+					Service: s, Address: t.Address, DataCentre: t.DataCentre, State: listedState(leaving[t.Name]),
 				})
 			}
 		}
 	}
-	add(f.Engines, f.spec.EngineServices)
-	add(f.Apps, f.spec.AppServices)
+	addTargets(f.Engines, f.spec.EngineServices)
+	addTargets(f.Apps, f.spec.AppServices)
 	return f.putJSON(configservice.KeyTargets, doc)
 }
 
-func stateOf(leaving bool) configservice.State {
+func listedState(leaving bool) configservice.State {
 	if leaving {
 		return configservice.StateLeaving
 	}
@@ -70,50 +73,52 @@
 func (f *Fleet) putJSON(key string, doc any) error {
 	body, err := json.Marshal(doc)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "document %s cannot be written", key)
+		return failure.Wrap(err, failure.KindInternal, "cannot encode document %s", key)
 	}
 	return f.Put(key, string(body))
 }
 
-// Put writes a value of the platform stand-in, as an operator would.
+// Put writes a value to the platform stand-in, as an operator does through the
+// configuration service.
 func (f *Fleet) Put(key, value string) error {
-	return f.send(http.MethodPut, "http://"+f.Platform.Address+"/admin/values/"+key, []byte(value))
+	return f.sendAdmin(http.MethodPut, "http://"+f.Platform.Address+"/admin/values/"+key, []byte(value))
 }
 
-// Fault sets a fault of a stand-in.
+// Fault makes a target stand-in inject the fault that the JSON body describes.
 func (f *Fleet) Fault(t *Target, body string) error {
-	return f.send(http.MethodPost, "http://"+t.Address+"/admin/fault", []byte(body))
+	return f.sendAdmin(http.MethodPost, "http://"+t.Address+"/admin/fault", []byte(body))
 }
 
-// PlatformMode sets the mode of the platform stand-in.
+// PlatformMode sets the failure mode of the platform stand-in from a JSON body.
 func (f *Fleet) PlatformMode(body string) error {
-	return f.send(http.MethodPost, "http://"+f.Platform.Address+"/admin/mode", []byte(body))
+	return f.sendAdmin(http.MethodPost, "http://"+f.Platform.Address+"/admin/mode", []byte(body))
 }
 
-func (f *Fleet) send(method, url string, body []byte) error {
+func (f *Fleet) sendAdmin(method, url string, body []byte) error {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "request to a stand-in")
+		return failure.Wrap(err, failure.KindInternal, "cannot create the request to %s", url)
 	}
-	resp, err := f.http.Do(req)
+	resp, err := f.httpClient.Do(req)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "request to a stand-in")
+		return failure.Wrap(err, failure.KindInternal, "request to a stand-in failed")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return failure.New(failure.KindInternal, "the stand-in answered %d to %s %s", resp.StatusCode, method, url)
+		return failure.New(failure.KindInternal, "stand-in returned status %d for %s %s", resp.StatusCode, method, url)
 	}
 	return nil
 }
 
-// GetJSON reads a document of one of the deployment's HTTP interfaces.
-func (f *Fleet) GetJSON(url string, into any) error {
-	resp, err := f.http.Get(url)
+// GetJSON fetches url from one of the deployment's HTTP interfaces and decodes
+// the JSON response into dst.
+func (f *Fleet) GetJSON(url string, dst any) error {
+	resp, err := f.httpClient.Get(url)
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "reading %s", url)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(dst); err != nil {
 		return failure.Wrap(err, failure.KindInternal, "reading %s", url)
 	}
 	return nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,89 +21,92 @@
 
 // Spec describes a deployment.
 type Spec struct {
-	// BinDir holds the programs.
+	// BinDir is the directory of the compiled programs.
 	BinDir string
-	// Hosts, Engines and Apps name the data centre of each.
+	// Hosts, Engines and Apps hold one entry per process: the name of its data
+	// centre.
 	Hosts   []string
 	Engines []string
 	Apps    []string
-	// EngineArgs are further options of the engine stand-ins.
+	// EngineArgs are additional command line arguments of the engine stand-ins.
 	EngineArgs []string
-	// Table is the operators' table, CSV.
+	// Table is the operators' table in CSV.
 	Table string
-	// EngineServices and AppServices name the services that all engines and
-	// all plain stand-ins serve.
+	// EngineServices and AppServices name the services that every engine and
+	// every plain service stand-in serves.
 	EngineServices, AppServices []string
-	// EntryArgs and ControlArgs are further options of entries and controls.
+	// EntryArgs and ControlArgs are additional command line arguments of the
+	// entry and control processes.
 	EntryArgs, ControlArgs []string
-	// TLS names the files of the hosts' identity; nil means plain text.
+	// TLS names the certificate files of the hosts; nil means plain text.
 	TLS *tlsfiles.Files
 }
 
-// Target is one stand-in of a target.
+// Target is a stand-in process for a target or for the platform.
 type Target struct {
 	Name, DataCentre, Address string
 	Process                   *Process
 	args                      []string
 }
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment.
 type Fleet struct {
-	spec     Spec
-	dir      string
-	ring     string
-	Platform *Target
-	Engines  []*Target
-	Apps     []*Target
-	Hosts    []*Host
-
-	mu    sync.Mutex
-	all   []*Process
-	edits uint64
-	http  *http.Client
+	spec        Spec
+	tempDir     string
+	keyRingPath string
+	Platform    *Target
+	Engines     []*Target
+	Apps        []*Target
+	Hosts       []*Host
+
+	mu         sync.Mutex
+	processes  []*Process
+	revision   uint64
+	httpClient *http.Client
 }
 
-// MonitorKey and OperatorKey open the administration interface of a
-// deployment that this package started.
+// MonitorKey and OperatorKey are the keys for the administration interface of
+// every deployment that this package starts.
 const (
 	MonitorKey  = "demo-monitor-key"
 	OperatorKey = "demo-operator-key"
 )
 
-// Digest gives the form in which the table holds a key.
+// Digest returns the hex-encoded SHA-256 digest under which the table lists an
+// API key.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Start starts the deployment and waits until every entry is ready.
+// Start starts the deployment and waits until every entry reports ready.
 func Start(ctx context.Context, spec Spec) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "filbert-fleet-")
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "no place for the key ring")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create a directory for the key ring")
 	}
-	f := &Fleet{spec: spec, dir: dir, http: &http.Client{Timeout: 5 * time.Second}}
-	if err := f.start(ctx); err != nil {
+	f := &Fleet{spec: spec, tempDir: dir, httpClient: &http.Client{Timeout: 5 * time.Second}}
+	if err := f.startAll(ctx); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) start(ctx context.Context) error {
-	if err := f.trust(); err != nil {
+func (f *Fleet) startAll(ctx context.Context) error {
+	if err := f.loadCA(); err != nil {
 		return err
 	}
-	if err := f.writeRing(); err != nil {
+	if err := f.writeKeyRing(); err != nil {
 		return err
 	}
 	if err := f.startTargets(); err != nil {
 		return err
 	}
-	if err := f.planHosts(); err != nil {
+	if err := f.allocateHosts(); err != nil {
 		return err
 	}
-	if err := f.Publish(); err != nil {
+	if err := f.PublishAll(); err != nil {
 		return err
 	}
 	for _, h := range f.Hosts {
@@ -114,39 +117,39 @@
 	return f.WaitReady(ctx)
 }
 
-// writeRing makes the key ring that the entries share.
-func (f *Fleet) writeRing() error {
+// writeKeyRing writes the key ring file that all entries share.
+func (f *Fleet) writeKeyRing() error {
 	key := make([]byte, 32)
 	_, _ = rand.Read(key)
-	f.ring = filepath.Join(f.dir, "ring")
+	f.keyRingPath = filepath.Join(f.tempDir, "ring")
 	text := "1:" + base64.StdEncoding.EncodeToString(key) + "\n"
-	if err := os.WriteFile(f.ring, []byte(text), 0o600); err != nil {
-		return failure.Wrap(err, failure.KindInternal, "the key ring cannot be written")
+	if err := os.WriteFile(f.keyRingPath, []byte(text), 0o600); err != nil {
+		return failure.Wrap(err, failure.KindInternal, "cannot write the key ring")
 	}
 	return nil
 }
 
-func (f *Fleet) keep(p *Process) {
+func (f *Fleet) track(p *Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all = append(f.all, p)
+	f.processes = append(f.processes, p)
 }
 
 func (f *Fleet) startTargets() error {
 	var err error
-	if f.Platform, err = f.target("platform", "", "platform"); err != nil {
+	if f.Platform, err = f.startTarget("platform", "", "platform"); err != nil {
 		return err
 	}
-	for i, centre := range f.spec.Engines {
+	for i, dataCentre := range f.spec.Engines {
 		args := append([]string{"engine", "--seed", strconv.Itoa(i + 1)}, f.spec.EngineArgs...)
-		t, err := f.target("engine-"+strconv.Itoa(i+1), centre, args...)
+		t, err := f.startTarget("engine-"+strconv.Itoa(i+1), dataCentre, args...)
 		if err != nil {
 			return err
 		}
 		f.Engines = append(f.Engines, t)
 	}
-	for i, centre := range f.spec.Apps {
-		t, err := f.target("app-"+strconv.Itoa(i+1), centre, "app")
+	for i, dataCentre := range f.spec.Apps {
+		t, err := f.startTarget("app-"+strconv.Itoa(i+1), dataCentre, "app")
 		if err != nil {
 			return err
 		}
@@ -155,27 +158,27 @@
 	return nil
 }
 
-func (f *Fleet) target(name, centre string, args ...string) (*Target, error) {
-	p, address, err := standin(f.spec.BinDir, name, args...)
+func (f *Fleet) startTarget(name, dataCentre string, args ...string) (*Target, error) {
+	p, address, err := startStandin(f.spec.BinDir, name, args...)
 	if err != nil {
 		return nil, err
 	}
-	f.keep(p)
-	return &Target{Name: name, DataCentre: centre, Address: address, Process: p, args: args}, nil
+	f.track(p)
+	return &Target{Name: name, DataCentre: dataCentre, Address: address, Process: p, args: args}, nil
 }
 
-// RestartTarget starts a stand-in that has ended again, at its old address.
+// RestartTarget restarts a stand-in that has exited, on its previous address.
 func (f *Fleet) RestartTarget(t *Target) error {
-	p, _, err := standin(f.spec.BinDir, t.Name, append(append([]string{}, t.args...), "--listen", t.Address)...)
+	p, _, err := startStandin(f.spec.BinDir, t.Name, append(append([]string{}, t.args...), "--listen", t.Address)...)
 	if err != nil {
 		return err
 	}
-	f.keep(p)
+	f.track(p)
 	t.Process = p
 	return nil
 }
 
-// scheme is that of callers and of the administration.
+// scheme returns the URL scheme of the caller and administration interfaces.
 func (f *Fleet) scheme() string {
 	if f.spec.TLS != nil {
 		return "https"
@@ -183,41 +186,42 @@
 	return "http"
 }
 
-// trust makes the client of this package trust the deployment's authority.
-func (f *Fleet) trust() error {
+// loadCA makes the HTTP client trust the deployment's certificate authority.
+func (f *Fleet) loadCA() error {
 	if f.spec.TLS == nil {
 		return nil
 	}
 	pem, err := os.ReadFile(f.spec.TLS.CA)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "the authority cannot be read")
+		return failure.Wrap(err, failure.KindInternal, "cannot read the CA certificate")
 	}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(pem)
-	f.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}}
+	f.httpClient.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}}
 	return nil
 }
 
-// HTTP is a client that reaches the deployment's interfaces.
-func (f *Fleet) HTTP() *http.Client { return f.http }
+// HTTPClient returns a client that trusts the deployment's certificates.
+func (f *Fleet) HTTPClient() *http.Client { return f.httpClient }
 
-// stopLimit is how long processes may take to stop in order at the end.
-const stopLimit = 10 * time.Second
+// stopTimeout bounds the graceful stop of each process in Close.
+const stopTimeout = 10 * time.Second
 
-// Close ends every process that was started, the entries in order.
+// Close stops all processes of the deployment at once, gracefully within
+// stopTimeout and with SIGKILL after that, and removes the temporary files.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	all := f.all
-	f.all = nil
+	processes := f.processes
+	f.processes = nil
 	f.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, p := range all {
+	for _, p := range processes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p.Stop(stopLimit)
+			p.Stop(stopTimeout)
 		}()
 	}
 	wg.Wait()
-	_ = os.RemoveAll(f.dir)
+	_ = os.RemoveAll(f.tempDir)
 }
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -9,57 +9,58 @@
 	"filbertdeck/internal/failure"
 )
 
-// Host is one entry host.
+// Host is one host of the deployment with its entry and its control process.
 type Host struct {
-	Name, DataCentre             string
-	Callers, Peer, EntryAdmin    string
-	Control, ControlAdmin        string
-	Entry, ControlProcess        *Process
-	entryCommand, controlCommand []string
+	Name, DataCentre          string
+	Callers, Peer, EntryAdmin string
+	Control, ControlAdmin     string
+	Entry, ControlProcess     *Process
+	entryArgs, controlArgs    []string
 }
 
-func (f *Fleet) planHosts() error {
-	for i, centre := range f.spec.Hosts {
-		h := &Host{Name: "host-" + strconv.Itoa(i+1), DataCentre: centre}
+func (f *Fleet) allocateHosts() error {
+	for i, dataCentre := range f.spec.Hosts {
+		h := &Host{Name: "host-" + strconv.Itoa(i+1), DataCentre: dataCentre}
 		for _, address := range []*string{&h.Callers, &h.Peer, &h.EntryAdmin, &h.Control, &h.ControlAdmin} {
-			free, err := FreeAddress()
+			freeAddress, err := FreeLoopbackAddress()
 			if err != nil {
 				return err
 			}
-			*address = free
+			*address = freeAddress
 		}
 		f.Hosts = append(f.Hosts, h)
 	}
 	for _, h := range f.Hosts {
-		f.planCommands(h)
+		f.buildArgs(h)
 	}
 	return nil
 }
 
-func (f *Fleet) planCommands(h *Host) {
-	common := append(f.transportArgs(), "--host", h.Name, "--data-centre", h.DataCentre, "--stop-notice", "200ms")
-	h.controlCommand = append(append(append([]string{}, common...),
+func (f *Fleet) buildArgs(h *Host) {
+	commonArgs := append(f.transportArgs(), "--host", h.Name, "--data-centre", h.DataCentre, "--stop-notice", "200ms")
+	h.controlArgs = append(append(append([]string{}, commonArgs...),
 		"--listen", h.Control, "--admin-listen", h.ControlAdmin, "--platform", f.Platform.Address,
 		"--operator-key-sha256", Digest(OperatorKey), "--monitor-key-sha256", Digest(MonitorKey)), f.spec.ControlArgs...)
-	h.entryCommand = append(append([]string{}, common...),
-		"--listen", h.Callers, "--peer-listen", h.Peer, "--admin-listen", h.EntryAdmin, "--key-ring", f.ring,
+	h.entryArgs = append(append([]string{}, commonArgs...),
+		"--listen", h.Callers, "--peer-listen", h.Peer, "--admin-listen", h.EntryAdmin, "--key-ring", f.keyRingPath,
 		"--control", h.Control)
 	for _, other := range f.Hosts {
 		if other != h && other.DataCentre == h.DataCentre {
-			h.entryCommand = append(h.entryCommand, "--control", other.Control)
+			h.entryArgs = append(h.entryArgs, "--control", other.Control)
 		}
 	}
-	h.entryCommand = append(h.entryCommand, f.spec.EntryArgs...)
+	h.entryArgs = append(h.entryArgs, f.spec.EntryArgs...)
 }
 
 func (f *Fleet) transportArgs() []string {
-	if t := f.spec.TLS; t != nil {
-		return []string{"--tls-cert", t.Cert, "--tls-key", t.Key, "--tls-ca", t.CA}
+	if files := f.spec.TLS; files != nil {
+		return []string{"--tls-cert", files.Cert, "--tls-key", files.Key, "--tls-ca", files.CA}
 	}
 	return []string{"--plain-text"}
 }
 
-// StartHost starts both processes of a host, again if they ended.
+// StartHost starts both processes of a host. It also restarts a host whose
+// processes have exited.
 func (f *Fleet) StartHost(h *Host) error {
 	if err := f.StartControl(h); err != nil {
 		return err
@@ -69,42 +70,44 @@
 
 // StartControl starts the host's control process.
 func (f *Fleet) StartControl(h *Host) error {
-	p, err := serving(f.spec.BinDir, "filbert-control", h.Name+"-control", h.controlCommand...)
+	p, err := startProcess(f.spec.BinDir, "filbert-control", h.Name+"-control", h.controlArgs...)
 	if err != nil {
 		return err
 	}
-	f.keep(p)
+	f.track(p)
 	h.ControlProcess = p
 	return nil
 }
 
 // StartEntry starts the host's entry process.
 func (f *Fleet) StartEntry(h *Host) error {
-	p, err := serving(f.spec.BinDir, "filbert-entry", h.Name+"-entry", h.entryCommand...)
+	p, err := startProcess(f.spec.BinDir, "filbert-entry", h.Name+"-entry", h.entryArgs...)
 	if err != nil {
 		return err
 	}
-	f.keep(p)
+	f.track(p)
 	h.Entry = p
 	return nil
 }
 
-// readyEvery is how often a process that starts is asked for its readiness.
-const readyEvery = 20 * time.Millisecond
+// readyPollInterval is the interval between readiness checks of a starting
+// entry.
+const readyPollInterval = 20 * time.Millisecond
 
-// WaitReady waits until every entry that runs is ready.
+// WaitReady waits until every entry reports ready. It fails when an entry exits
+// or ctx ends first.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, h := range f.Hosts {
-		if err := f.waitEntry(ctx, h); err != nil {
+		if err := f.waitEntryReady(ctx, h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) waitEntry(ctx context.Context, h *Host) error {
+func (f *Fleet) waitEntryReady(ctx context.Context, h *Host) error {
 	for {
-		resp, err := f.http.Get(f.scheme() + "://" + h.Callers + "/readyz")
+		resp, err := f.httpClient.Get(f.scheme() + "://" + h.Callers + "/readyz")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusNoContent {
@@ -113,10 +116,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.KindNotReady, "%s is not ready in time\nentry: %s\ncontrol: %s", h.Name, h.Entry.Log(), h.ControlProcess.Log())
-		case <-h.Entry.Done():
-			return failure.New(failure.KindInternal, "entry of %s ended: %s", h.Name, h.Entry.Log())
-		case <-time.After(readyEvery):
+			return failure.New(failure.KindNotReady, "%s did not become ready in time\nentry: %s\ncontrol: %s", h.Name, h.Entry.LogTail(), h.ControlProcess.LogTail())
+		case <-h.Entry.Exited():
+			return failure.New(failure.KindInternal, "entry of %s exited before it was ready: %s", h.Name, h.Entry.LogTail())
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
--- a/internal/fleet/ports.go
+++ b/internal/fleet/ports.go
@@ -9,33 +9,34 @@
 	"filbertdeck/internal/failure"
 )
 
-// The ports of hosts lie below the range from which the kernel takes the
-// ports of outgoing connections (32768 and up by default). A port that was
-// found free there may be taken by any connection of the machine before the
-// process that is to listen on it has started: one run in a few then failed
-// with "address already in use".
+// Host ports are taken from 10000 to 29999, below the kernel's default range
+// for outgoing connections (32768 and up). A port within that range can be
+// taken by an outgoing connection after it was found free and before the
+// process starts to listen on it, which made runs fail now and then with
+// "address already in use".
 const (
 	firstPort = 10_000
-	ports     = 20_000
-	// block is how far apart the searches of two processes begin, so that
-	// deployments that start at the same time do not choose the same ports.
-	block = 64
+	portCount = 20_000
+	// portStride is the distance, in ports, between the positions at which two
+	// processes with successive IDs start their search, so that deployments
+	// that start at the same time choose different ports.
+	portStride = 64
 )
 
-// nextPort counts the ports that this process has looked at.
-var nextPort atomic.Int64
+// portsTried counts the ports that this process has probed.
+var portsTried atomic.Int64
 
-// FreeAddress gives a loopback address on which nobody listens.
-func FreeAddress() (string, error) {
-	begin := os.Getpid() * block
-	for range ports {
-		port := firstPort + (begin+int(nextPort.Add(1)))%ports
+// FreeLoopbackAddress returns a loopback address on which no process listens.
+func FreeLoopbackAddress() (string, error) {
+	offset := os.Getpid() * portStride
+	for range portCount {
+		port := firstPort + (offset+int(portsTried.Add(1)))%portCount
 		address := "127.0.0.1:" + strconv.Itoa(port)
-		l, err := net.Listen("tcp", address)
+		listener, err := net.Listen("tcp", address)
 		if err == nil {
-			_ = l.Close()
+			_ = listener.Close()
 			return address, nil
 		}
 	}
-	return "", failure.New(failure.KindInternal, "no free port from %d to %d", firstPort, firstPort+ports)
+	return "", failure.New(failure.KindInternal, "no free port between %d and %d", firstPort, firstPort+portCount)
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -14,73 +14,75 @@
 	"filbertdeck/internal/failure"
 )
 
-// Process is one process that this package started.
+// Process is a child process that this package started.
 type Process struct {
-	Name string
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
-	log  *tail
+	Name    string
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	waitErr error
+	logTail *logBuffer
 }
 
-// startLimit bounds the time until a stand-in says where it listens.
-const startLimit = 10 * time.Second
+// standinStartTimeout bounds the wait for a stand-in to print its address.
+const standinStartTimeout = 10 * time.Second
 
-// launch starts a program. Its log goes to a bounded tail that Log gives.
+// launch starts a program and returns its standard output. The end of its
+// standard error is kept in a bounded buffer.
 func launch(dir, program, name string, args ...string) (*Process, io.ReadCloser, error) {
-	p := &Process{Name: name, done: make(chan struct{}), log: &tail{}}
+	p := &Process{Name: name, exited: make(chan struct{}), logTail: &logBuffer{}}
 	p.cmd = exec.Command(filepath.Join(dir, program), args...)
-	p.cmd.Stderr = p.log
+	p.cmd.Stderr = p.logTail
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
-		return nil, nil, failure.Wrap(err, failure.KindInternal, "process %s cannot be started", name)
+		return nil, nil, failure.Wrap(err, failure.KindInternal, "cannot open the standard output of process %s", name)
 	}
 	if err := p.cmd.Start(); err != nil {
-		return nil, nil, failure.Wrap(err, failure.KindInternal, "process %s cannot be started", name)
+		return nil, nil, failure.Wrap(err, failure.KindInternal, "cannot start process %s", name)
 	}
 	return p, out, nil
 }
 
 func (p *Process) reap() {
 	go func() {
-		p.err = p.cmd.Wait()
-		close(p.done)
+		p.waitErr = p.cmd.Wait()
+		close(p.exited)
 	}()
 }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Done is closed when the process has ended.
-func (p *Process) Done() <-chan struct{} { return p.done }
+// Exited returns a channel that is closed when the process has exited.
+func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode is valid after Done; -1 stands for an end by a signal.
+// ExitCode returns the exit code, or -1 if a signal ended the process. It is
+// valid once the process has exited.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Pid is the process's id.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Log gives the last lines that the process logged.
-func (p *Process) Log() string { return p.log.String() }
+// LogTail returns the end of what the process wrote to standard error.
+func (p *Process) LogTail() string { return p.logTail.String() }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.done
+	<-p.exited
 }
 
-// Stop asks the process to stop and kills it when it does not within limit.
-func (p *Process) Stop(limit time.Duration) {
+// Stop sends SIGTERM and kills the process if it has not exited within timeout.
+func (p *Process) Stop(timeout time.Duration) {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.done:
-	case <-time.After(limit):
+	case <-p.exited:
+	case <-time.After(timeout):
 		p.Kill()
 	}
 }
 
-// standin starts a stand-in and reads the address that it prints.
-func standin(dir, name string, args ...string) (*Process, string, error) {
+// startStandin starts a stand-in and returns the address that it prints.
+func startStandin(dir, name string, args ...string) (*Process, string, error) {
 	p, out, err := launch(dir, "filbert-standin", name, args...)
 	if err != nil {
 		return nil, "", err
@@ -99,14 +101,15 @@
 		if found {
 			return p, address, nil
 		}
-	case <-time.After(startLimit):
+	case <-time.After(standinStartTimeout):
 	}
 	p.Signal(syscall.SIGKILL)
-	return nil, "", failure.New(failure.KindInternal, "stand-in %s did not start: %s", name, p.Log())
+	return nil, "", failure.New(failure.KindInternal, "stand-in %s did not start: %s", name, p.LogTail())
 }
 
-// serving starts an entry or a control process.
-func serving(dir, program, name string, args ...string) (*Process, error) {
+// startProcess starts an entry or a control process and discards its standard
+// output.
+func startProcess(dir, program, name string, args ...string) (*Process, error) {
 	p, out, err := launch(dir, program, name, args...)
 	if err != nil {
 		return nil, err
@@ -118,26 +121,26 @@
 	return p, nil
 }
 
-// tailSize bounds the log that is kept of each process, in bytes.
-const tailSize = 64 << 10
+// maxLogBytes bounds the log kept for each process.
+const maxLogBytes = 64 << 10
 
-// tail keeps the end of what is written to it.
-type tail struct {
+// logBuffer is an io.Writer that keeps the last maxLogBytes written to it.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf []byte
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logBuffer) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.buf = append(t.buf, p...)
-	if over := len(t.buf) - tailSize; over > 0 {
-		t.buf = append(t.buf[:0], t.buf[over:]...)
+	if excess := len(t.buf) - maxLogBytes; excess > 0 {
+		t.buf = append(t.buf[:0], t.buf[excess:]...)
 	}
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *logBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.buf)
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -428,7 +428,7 @@
 			}
 		})).To(BeTrue(), "%+v", r.problem)
 		r.whole(400)
-		Eventually(d.Hosts[0].Entry.Done(), "10s").Should(BeClosed())
+		Eventually(d.Hosts[0].Entry.Exited(), "10s").Should(BeClosed())
 		Expect(d.Hosts[0].Entry.ExitCode()).To(BeZero())
 	})
 })
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -85,7 +85,7 @@
 	h := &host{exited: make(chan error, 1)}
 	for _, a := range []*string{&h.callers, &h.ready, &h.peers, &h.metrics} {
 		var err error
-		*a, err = fleet.FreeAddress()
+		*a, err = fleet.FreeLoopbackAddress()
 		Expect(err).NotTo(HaveOccurred())
 	}
 	dir := GinkgoT().TempDir()
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -17,15 +17,15 @@
 
 var _ = Describe("TLS", Ordered, func() {
 	var secured *fleet.Fleet
-	var authority *fleet.Authority
+	var authority *fleet.CertificateAuthority
 	var dir string
 
 	BeforeAll(func() {
 		dir = GinkgoT().TempDir()
 		var err error
-		authority, err = fleet.NewAuthority()
+		authority, err = fleet.NewCertificateAuthority()
 		Expect(err).NotTo(HaveOccurred())
-		files, err := authority.Issue(dir)
+		files, err := authority.WriteHostCertificate(dir)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
@@ -43,7 +43,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+schoolKey)
 		req.Close = true // each call shakes hands anew
-		return secured.HTTP().Do(req)
+		return secured.HTTPClient().Do(req)
 	}
 
 	It("carries the whole path, from the caller to the allocator of another host", func() {
@@ -72,7 +72,7 @@
 		before, err := call()
 		Expect(err).NotTo(HaveOccurred())
 		_ = before.Body.Close()
-		_, err = authority.Issue(dir)
+		_, err = authority.WriteHostCertificate(dir)
 		Expect(err).NotTo(HaveOccurred())
 		serial := func(s *tls.ConnectionState) string { return s.PeerCertificates[0].SerialNumber.String() }
 		Eventually(func(g Gomega) {
