--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -11,108 +11,109 @@
 	"filbertdeck/internal/fleet"
 )
 
-// inForceLimit bounds the wait for an edit; the aim is two seconds.
-const inForceLimit = 10 * time.Second
+// propagationTimeout bounds the wait for an edit to take effect on a host. The
+// objective is 2 s.
+const propagationTimeout = 10 * time.Second
 
-func (d *demo) edit(ctx context.Context) error {
-	begun := time.Now()
+func (d *demo) editTable(ctx context.Context) error {
+	start := time.Now()
 	if err := d.fleet.Put("table/0001", tableText(3)); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
-		took, err := d.waitState(ctx, h, begun, func(s entryState) bool { return s.Weights[village] == 3 })
+		took, err := d.waitState(ctx, h, start, func(s entryState) bool { return s.Weights[villageAccount] == 3 })
 		if err != nil {
 			return err
 		}
-		d.say("   in force at %s after %v", h.Name, took.Round(time.Millisecond))
+		d.printf("   in force at %s after %v", h.Name, took.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// entryState is what an entry says of its view.
+// entryState is the part of an entry's /state document that the demo reads.
 type entryState struct {
 	Weights map[string]float64 `json:"weights"`
 	Drained []string           `json:"drained"`
 	Pools   []string           `json:"pools"`
 }
 
-func (d *demo) waitState(ctx context.Context, h *fleet.Host, begun time.Time, ok func(entryState) bool) (time.Duration, error) {
-	for time.Since(begun) < inForceLimit && ctx.Err() == nil {
+func (d *demo) waitState(ctx context.Context, h *fleet.Host, start time.Time, reached func(entryState) bool) (time.Duration, error) {
+	for time.Since(start) < propagationTimeout && ctx.Err() == nil {
 		var s entryState
-		if err := d.fleet.GetJSON("http://"+h.EntryAdmin+"/state", &s); err == nil && ok(s) {
-			return time.Since(begun), nil
+		if err := d.fleet.GetJSON("http://"+h.EntryAdmin+"/state", &s); err == nil && reached(s) {
+			return time.Since(start), nil
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return 0, failure.New(failure.KindDeadline, "%s did not take it within %v", h.Name, inForceLimit)
+	return 0, failure.New(failure.KindDeadline, "%s did not apply the change within %v", h.Name, propagationTimeout)
 }
 
-func (d *demo) drain(ctx context.Context) error {
-	long := make(chan error, 1)
+func (d *demo) drainWhileServing(ctx context.Context) error {
+	streamDone := make(chan error, 1)
 	started := make(chan struct{})
 	go func() {
-		body := completion{Model: "reports", Prompt: "Survey the south. [tokens=900]", MaxTokens: 2000, Stream: true}
+		body := completionRequest{Model: "reports", Prompt: "Survey the south. [tokens=900]", MaxTokens: 2000, Stream: true}
 		first := true
-		s, err := d.clinic.stream(ctx, d.url(2, "/v1/completions"), body, func(int) {
+		s, err := d.clinic.stream(ctx, d.hostURL(2, "/v1/completions"), body, func(int) {
 			if first {
 				close(started)
 				first = false
 			}
 		})
 		if err == nil && s.tokens != 900 {
-			err = failure.New(failure.KindInternal, "%d of 900 tokens came", s.tokens)
+			err = failure.New(failure.KindInternal, "received %d of 900 tokens", s.tokens)
 		}
-		long <- err
+		streamDone <- err
 	}()
 	select {
 	case <-started:
-	case err := <-long:
+	case err := <-streamDone:
 		return err
 	}
-	if err := d.takeOut(ctx); err != nil {
+	if err := d.drainSouth(ctx); err != nil {
 		return err
 	}
-	if err := <-long; err != nil {
+	if err := <-streamDone; err != nil {
 		return err
 	}
-	d.say("   the report that ran there meanwhile arrived whole")
-	return d.bringBack(ctx)
+	d.printf("   the report that was running there was delivered in full")
+	return d.undrainSouth(ctx)
 }
 
-func (d *demo) takeOut(ctx context.Context) error {
-	begun := time.Now()
+func (d *demo) drainSouth(ctx context.Context) error {
+	start := time.Now()
 	if err := d.fleet.Put("drain", "south\n"); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
-		if _, err := d.waitState(ctx, h, begun, func(s entryState) bool { return len(s.Drained) == 1 && !anySouth(s.Pools) }); err != nil {
+		if _, err := d.waitState(ctx, h, start, func(s entryState) bool { return len(s.Drained) == 1 && !hasSouthPool(s.Pools) }); err != nil {
 			return err
 		}
 	}
-	d.say("   south takes no new work after %v", time.Since(begun).Round(time.Millisecond))
-	before, err := d.started("south")
+	d.printf("   south takes no new work after %v", time.Since(start).Round(time.Millisecond))
+	before, err := d.startedGenerations("south")
 	if err != nil {
 		return err
 	}
 	for range 6 {
-		body := completion{Model: "summaries", Prompt: "While south is out. [tokens=20]", MaxTokens: 50}
-		r, err := d.village.call(ctx, http.MethodPost, d.url(2, "/v1/completions"), nil, body)
+		body := completionRequest{Model: "summaries", Prompt: "While south is out. [tokens=20]", MaxTokens: 50}
+		r, err := d.village.call(ctx, http.MethodPost, d.hostURL(2, "/v1/completions"), nil, body)
 		if err != nil || r.status != http.StatusOK {
-			return failure.New(failure.KindInternal, "a summary failed while south was out: %s", r.body)
+			return failure.New(failure.KindInternal, "a summary failed while south was drained: %s", r.body)
 		}
 	}
-	after, err := d.started("south")
+	after, err := d.startedGenerations("south")
 	if err != nil {
 		return err
 	}
 	if after != before {
-		return failure.New(failure.KindInternal, "%d generations began in south while it was out", after-before)
+		return failure.New(failure.KindInternal, "%d generations started in south while it was drained", after-before)
 	}
-	d.say("   6 summaries were served meanwhile, none in south")
+	d.printf("   6 summaries were served meanwhile, none in south")
 	return nil
 }
 
-func anySouth(pools []string) bool {
+func hasSouthPool(pools []string) bool {
 	for _, p := range pools {
 		if strings.Contains(p, "/south/") {
 			return true
@@ -121,11 +122,12 @@
 	return false
 }
 
-// started counts the generations that the engines of a data centre began.
-func (d *demo) started(centre string) (int, error) {
+// startedGenerations counts the generations that the engines of a data centre
+// have started, from the engines' own records.
+func (d *demo) startedGenerations(dataCentre string) (int, error) {
 	total := 0
 	for _, e := range d.fleet.Engines {
-		if e.DataCentre != centre {
+		if e.DataCentre != dataCentre {
 			continue
 		}
 		var records []json.RawMessage
@@ -137,16 +139,16 @@
 	return total, nil
 }
 
-func (d *demo) bringBack(ctx context.Context) error {
-	begun := time.Now()
+func (d *demo) undrainSouth(ctx context.Context) error {
+	start := time.Now()
 	if err := d.fleet.Put("drain", ""); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
-		if _, err := d.waitState(ctx, h, begun, func(s entryState) bool { return len(s.Drained) == 0 && anySouth(s.Pools) }); err != nil {
+		if _, err := d.waitState(ctx, h, start, func(s entryState) bool { return len(s.Drained) == 0 && hasSouthPool(s.Pools) }); err != nil {
 			return err
 		}
 	}
-	d.say("   south is back after %v", time.Since(begun).Round(time.Millisecond))
+	d.printf("   south is back after %v", time.Since(start).Round(time.Millisecond))
 	return nil
 }
--- a/internal/demo/client.go
+++ b/internal/demo/client.go
@@ -1,6 +1,8 @@
-// Package demo runs the product's main job on one machine and shows it: a
-// streamed report, a whole summary, a lookup, a work order that is sent twice
-// and runs once, an edit of the table, a data centre out and back.
+// Package demo runs the main functions of the product on one machine and
+// prints their results: a streamed report, a summary in one response, a lookup,
+// a work order that is sent twice and executed once, an edit of the table, a
+// data centre that is drained and restored, the accounting and the service
+// level objectives.
 package demo
 
 import (
@@ -16,21 +18,23 @@
 	"filbertdeck/internal/sse"
 )
 
-// client is an ordinary caller.
+// client sends requests to the entries with one account's API key.
 type client struct {
 	key  string
 	http *http.Client
 }
 
-// callLimit bounds one call of the demo.
-const callLimit = 30 * time.Second
+// callTimeout bounds each call of the demo, including the time to read the
+// response.
+const callTimeout = 30 * time.Second
 
 func newClient(key string) *client {
-	return &client{key: key, http: &http.Client{Timeout: callLimit}}
+	return &client{key: key, http: &http.Client{Timeout: callTimeout}}
 }
 
-// reply is a caller's view of an answer.
-type reply struct {
+// response is a complete HTTP response, with the problem document if there is
+// one.
+type response struct {
 	status  int
 	header  http.Header
 	body    []byte
@@ -42,13 +46,13 @@
 	if body != nil {
 		encoded, err := json.Marshal(body)
 		if err != nil {
-			return nil, failure.Wrap(err, failure.KindInternal, "the demo's request")
+			return nil, failure.Wrap(err, failure.KindInternal, "cannot encode the request body")
 		}
 		payload = bytes.NewReader(encoded)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, payload)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "the demo's request")
+		return nil, failure.Wrap(err, failure.KindInternal, "cannot create the request")
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -57,20 +61,20 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "the entry does not answer")
+		return nil, failure.Wrap(err, failure.KindInternal, "request to the entry failed")
 	}
 	return resp, nil
 }
 
-func (c *client) call(ctx context.Context, method, url string, header http.Header, body any) (reply, error) {
+func (c *client) call(ctx context.Context, method, url string, header http.Header, body any) (response, error) {
 	resp, err := c.do(ctx, method, url, header, body)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r := reply{status: resp.StatusCode, header: resp.Header}
+	r := response{status: resp.StatusCode, header: resp.Header}
 	if r.body, err = io.ReadAll(resp.Body); err != nil {
-		return reply{}, failure.Wrap(err, failure.KindInternal, "the answer was cut")
+		return response{}, failure.Wrap(err, failure.KindInternal, "cannot read the response body")
 	}
 	if resp.Header.Get("Content-Type") == failure.ProblemType {
 		_ = json.Unmarshal(r.body, &r.problem)
@@ -78,15 +82,15 @@
 	return r, nil
 }
 
-// streamed is what a stream brought.
-type streamed struct {
-	tokens     int
-	text       strings.Builder
-	firstAfter time.Duration
-	generation string
+// streamResult accumulates the events of one streamed completion.
+type streamResult struct {
+	tokens           int
+	text             strings.Builder
+	timeToFirstToken time.Duration
+	generation       string
 }
 
-type streamData struct {
+type streamEvent struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -97,10 +101,11 @@
 	} `json:"filbert"`
 }
 
-// stream reads a streamed completion and checks that every token comes once,
-// in order, from one generation. onToken, if given, runs at each event.
-func (c *client) stream(ctx context.Context, url string, body any, onToken func(tokens int)) (*streamed, error) {
-	begun := time.Now()
+// stream reads a streamed completion and checks that every token arrives once,
+// in order, from one generation. If onToken is not nil it is called after each
+// event with the number of tokens received so far.
+func (c *client) stream(ctx context.Context, url string, body any, onToken func(tokens int)) (*streamResult, error) {
+	start := time.Now()
 	resp, err := c.do(ctx, http.MethodPost, url, nil, body)
 	if err != nil {
 		return nil, err
@@ -108,9 +113,9 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		return nil, failure.New(failure.KindInternal, "the stream was refused: %s", text)
+		return nil, failure.New(failure.KindInternal, "the entry refused the stream: %s", text)
 	}
-	s := &streamed{}
+	s := &streamResult{}
 	reader := sse.NewReader(resp.Body, 0)
 	for {
 		var ev sse.Event
@@ -120,7 +125,7 @@
 		if ev.Comment {
 			continue
 		}
-		done, err := s.take(ev, time.Since(begun))
+		done, err := s.addEvent(ev, time.Since(start))
 		if err != nil || done {
 			return s, err
 		}
@@ -130,22 +135,22 @@
 	}
 }
 
-func (s *streamed) take(ev sse.Event, after time.Duration) (done bool, err error) {
+func (s *streamResult) addEvent(ev sse.Event, elapsed time.Duration) (done bool, err error) {
 	if string(ev.Data) == "[DONE]" {
 		return true, nil
 	}
 	if string(ev.Name) == "error" {
 		return false, failure.New(failure.KindInternal, "the stream failed: %s", ev.Data)
 	}
-	var d streamData
+	var d streamEvent
 	if err := json.Unmarshal(ev.Data, &d); err != nil || len(d.Choices) != 1 {
-		return false, failure.New(failure.KindInternal, "an event cannot be read")
+		return false, failure.New(failure.KindInternal, "cannot parse a stream event")
 	}
 	if s.tokens == 0 {
-		s.firstAfter, s.generation = after, d.Filbert.Generation
+		s.timeToFirstToken, s.generation = elapsed, d.Filbert.Generation
 	}
 	if d.Filbert.Offset != s.tokens || d.Filbert.Generation != s.generation {
-		return false, failure.New(failure.KindFrameOutOfPlace, "token %d came where %d was due", d.Filbert.Offset, s.tokens)
+		return false, failure.New(failure.KindFrameOutOfPlace, "received token %d, expected token %d", d.Filbert.Offset, s.tokens)
 	}
 	s.tokens += d.Filbert.Tokens
 	s.text.WriteString(d.Choices[0].Text)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -10,9 +10,9 @@
 	"filbertdeck/internal/fleet"
 )
 
-// The demo's deployment: two data centres, three hosts, four engines, one
-// plain stand-in.
-var spec = fleet.Spec{
+// deploymentSpec describes the demo's deployment: two data centres, three
+// hosts, four engines and one plain service.
+var deploymentSpec = fleet.Spec{
 	Hosts:          []string{"north", "north", "south"},
 	Engines:        []string{"north", "north", "south", "south"},
 	Apps:           []string{"north"},
@@ -21,28 +21,28 @@
 	EngineArgs:     []string{"--base-step", "4ms", "--per-sequence", "50us"},
 }
 
-// The demo's client accounts and their keys.
+// The client accounts of the demo and their API keys.
 const (
-	villageKey = "demo-key-village"
-	clinicKey  = "demo-key-clinic"
-	village    = "village-school"
-	clinic     = "district-clinic"
+	villageKey     = "demo-key-village"
+	clinicKey      = "demo-key-clinic"
+	villageAccount = "village-school"
+	clinicAccount  = "district-clinic"
 )
 
-// tableText gives the operators' table; weight is the village's.
+// tableText returns the operators' table; weight is that of villageAccount.
 func tableText(weight int) string {
 	header := "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
 	account := "account,%s,%d,,,,%s,,,,,,\n"
 	return header +
-		fmt.Sprintf(account, village, weight, fleet.Digest(villageKey)) +
-		fmt.Sprintf(account, clinic, 1, fleet.Digest(clinicKey)) +
+		fmt.Sprintf(account, villageAccount, weight, fleet.Digest(villageKey)) +
+		fmt.Sprintf(account, clinicAccount, 1, fleet.Digest(clinicKey)) +
 		"service,reports,,,,,,,generation,stream,20000,30000,200\n" +
 		"service,summaries,,,,,,,generation,whole,4000,30000,200\n" +
 		"service,sites,,,,,,,lookup,,,5000,500\n" +
 		"service,orders,,,,,,,once,,,5000,500\n"
 }
 
-// demo is one run.
+// demo is the state of one run: the deployment and a client per account.
 type demo struct {
 	out     io.Writer
 	fleet   *fleet.Fleet
@@ -50,41 +50,41 @@
 	clinic  *client
 }
 
-// Run starts the deployment, shows each step and ends every process. binDir
-// holds the programs.
+// Run starts the deployment from the programs in binDir, runs and prints each
+// step, and stops every process.
 func Run(ctx context.Context, binDir string, out io.Writer) error {
-	s := spec
+	s := deploymentSpec
 	s.BinDir, s.Table = binDir, tableText(1)
-	begun := time.Now()
+	start := time.Now()
 	f, err := fleet.Start(ctx, s)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	d := &demo{out: out, fleet: f, village: newClient(villageKey), clinic: newClient(clinicKey)}
-	d.say("started %d hosts, %d engines, 1 plain service, 1 configuration service in %v",
-		len(f.Hosts), len(f.Engines), time.Since(begun).Round(time.Millisecond))
-	return d.steps(ctx)
+	d.printf("started %d hosts, %d engines, 1 plain service, 1 configuration service in %v",
+		len(f.Hosts), len(f.Engines), time.Since(start).Round(time.Millisecond))
+	return d.runSteps(ctx)
 }
 
-func (d *demo) say(format string, args ...any) { fmt.Fprintf(d.out, format+"\n", args...) }
+func (d *demo) printf(format string, args ...any) { fmt.Fprintf(d.out, format+"\n", args...) }
 
-func (d *demo) steps(ctx context.Context) error {
+func (d *demo) runSteps(ctx context.Context) error {
 	steps := []struct {
 		name string
 		run  func(context.Context) error
 	}{
-		{"a long report, streamed", d.report},
-		{"a summary, whole", d.summary},
-		{"a site lookup", d.lookup},
-		{"a work order, sent twice through two entries", d.order},
-		{"an edit of the table", d.edit},
-		{"a data centre taken out and brought back", d.drain},
-		{"what each account got", d.accounts},
-		{"what the monitor sees", d.monitor},
+		{"a long report, streamed", d.streamReport},
+		{"a summary, whole", d.fetchSummary},
+		{"a site lookup", d.lookUpSite},
+		{"a work order, sent twice through two entries", d.bookOrderTwice},
+		{"an edit of the table", d.editTable},
+		{"a data centre taken out and brought back", d.drainWhileServing},
+		{"what each account got", d.printAccounting},
+		{"what the monitor sees", d.printObjectives},
 	}
 	for i, step := range steps {
-		d.say("\n%d. %s", i+1, step.name)
+		d.printf("\n%d. %s", i+1, step.name)
 		if err := step.run(ctx); err != nil {
 			return failure.Wrap(err, failure.KindOf(err), "step %q failed", step.name)
 		}
--- a/internal/demo/monitoring.go
+++ b/internal/demo/monitoring.go
@@ -10,8 +10,8 @@
 	"filbertdeck/internal/fleet"
 )
 
-func (d *demo) accounts(context.Context) error {
-	d.say("   %-16s %-10s %8s %8s %8s %8s %8s", "account", "service", "received", "refused", "ran", "unknown", "tokens")
+func (d *demo) printAccounting(context.Context) error {
+	d.printf("   %-16s %-10s %8s %8s %8s %8s %8s", "account", "service", "received", "refused", "ran", "unknown", "tokens")
 	totals := map[string]*accounting.Line{}
 	var order []string
 	for _, h := range d.fleet.Hosts {
@@ -38,27 +38,28 @@
 	}
 	for _, key := range order {
 		t := totals[key]
-		d.say("   %-16s %-10s %8d %8d %8d %8d %8d", t.Account, t.Service, t.Received, t.Refused, t.Ran, t.Unknown, t.OutputTokens)
+		d.printf("   %-16s %-10s %8d %8d %8d %8d %8d", t.Account, t.Service, t.Received, t.Refused, t.Ran, t.Unknown, t.OutputTokens)
 	}
-	d.say("   received = refused + ran + unknown on every host")
+	d.printf("   received = refused + ran + unknown on every host")
 	return nil
 }
 
-// monitorLag is how long the counters of an entry take to its control process.
-const monitorLag = 1200 * time.Millisecond
+// counterReportDelay is the time that an entry's counters need to reach its
+// control process.
+const counterReportDelay = 1200 * time.Millisecond
 
-func (d *demo) monitor(ctx context.Context) error {
-	time.Sleep(monitorLag)
+func (d *demo) printObjectives(ctx context.Context) error {
+	time.Sleep(counterReportDelay)
 	c := &burn.Collector{Key: fleet.MonitorKey, Scheme: "http", Client: d.village.http}
 	for _, h := range d.fleet.Hosts {
 		c.Controls = append(c.Controls, h.ControlAdmin)
 	}
 	r := burn.Build([]burn.Sample{c.Collect(ctx)}, nil)
 	for _, p := range r.Promises {
-		d.say("   %-75s %s", p.Text, p.Verdict)
+		d.printf("   %-75s %s", p.Text, p.Verdict)
 	}
 	if !r.Complete() || r.Breach() {
-		return failure.New(failure.KindInternal, "the report shows a breach, or a host could not be read")
+		return failure.New(failure.KindInternal, "an objective is violated, or a host could not be read")
 	}
 	return nil
 }
