--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -9,7 +9,7 @@
 	"filbertdeck/internal/failure"
 )
 
-// Publish writes the table, the host list and the target list to the
+// PublishAll writes the table, the host list and the target list to the
 // platform's configuration service.
 func (f *Fleet) PublishAll() error {
 	if err := f.Put("table/0001", f.spec.Table); err != nil {
@@ -97,7 +97,7 @@
 func (f *Fleet) sendAdmin(method, url string, body []byte) error {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "cannot create the request to %s", url)
+		return failure.Wrap(err, failure.KindInternal, "cannot create the request")
 	}
 	resp, err := f.httpClient.Do(req)
 	if err != nil {
@@ -115,11 +115,11 @@
 func (f *Fleet) GetJSON(url string, dst any) error {
 	resp, err := f.httpClient.Get(url)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "reading %s", url)
+		return failure.Wrap(err, failure.KindInternal, "cannot read %s", url)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(resp.Body).Decode(dst); err != nil {
-		return failure.Wrap(err, failure.KindInternal, "reading %s", url)
+		return failure.Wrap(err, failure.KindInternal, "cannot decode the response of %s", url)
 	}
 	return nil
 }
