--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -51,7 +51,7 @@
 	if err := json.Unmarshal(r.body, &answer); err != nil || answer.Usage.CompletionTokens != 120 {
 		return failure.New(failure.KindInternal, "the summary is incomplete: status %d, %s", r.status, r.body)
 	}
-	d.printf("   %d tokens in one answer", answer.Usage.CompletionTokens)
+	d.printf("   %d tokens in one response", answer.Usage.CompletionTokens)
 	return nil
 }
 
@@ -110,6 +110,6 @@
 	if len(executions.ByKey) != 1 {
 		return failure.New(failure.KindInternal, "%d orders were booked, want 1", len(executions.ByKey))
 	}
-	d.printf("   the plain service ran it once")
+	d.printf("   the plain service executed it once")
 	return nil
 }
--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -149,6 +149,6 @@
 			return err
 		}
 	}
-	d.printf("   south is back after %v", time.Since(start).Round(time.Millisecond))
+	d.printf("   south is in use again after %v", time.Since(start).Round(time.Millisecond))
 	return nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -75,13 +75,13 @@
 		run  func(context.Context) error
 	}{
 		{"a long report, streamed", d.streamReport},
-		{"a summary, whole", d.fetchSummary},
+		{"a summary, in one response", d.fetchSummary},
 		{"a site lookup", d.lookUpSite},
 		{"a work order, sent twice through two entries", d.bookOrderTwice},
 		{"an edit of the table", d.editTable},
-		{"a data centre taken out and brought back", d.drainWhileServing},
-		{"what each account got", d.printAccounting},
-		{"what the monitor sees", d.printObjectives},
+		{"a data centre drained and restored", d.drainWhileServing},
+		{"the accounting per client account", d.printAccounting},
+		{"the objectives as the monitor reports them", d.printObjectives},
 	}
 	for i, step := range steps {
 		d.printf("\n%d. %s", i+1, step.name)
