--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -1,6 +1,6 @@
-// Package gateway_test runs the gateway as real processes before a stand-in of
-// the platform's store and targets, and does to them from outside what the
-// platform does: signals, refusals, changes.
+// Package gateway_test runs the gateway as real processes against stand-ins of
+// the platform's store and targets, and exercises them from outside as the
+// platform does: with signals, refusals and configuration changes.
 package gateway_test
 
 import (
@@ -27,95 +27,98 @@
 	RunSpecs(t, "the gateway as real processes")
 }
 
-var bin string
+var binDir string
 
 var _ = BeforeSuite(func() {
-	bin = GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+	binDir = GinkgoT().TempDir()
+	Expect(fleet.Build(binDir)).To(Succeed())
 })
 
-// long is more than any step needs on a busy machine; nothing waits for it.
-const long = "20s"
+// stepTimeout is longer than any step takes on a busy machine. A passing test
+// never waits for it.
+const stepTimeout = "20s"
 
-// world is a store with one plain service and one target.
-type world struct {
+// environment is a platform store that lists one plain service with one target.
+type environment struct {
 	store  *standin.Store
 	target *httptest.Server
-	// hold lets held calls end when it is closed.
-	hold chan struct{}
-	held chan struct{}
+	// release ends the calls to /held when it is closed.
+	release   chan struct{}
+	heldCalls chan struct{}
 }
 
-func newWorld() *world {
-	w := &world{store: standin.New(), hold: make(chan struct{}), held: make(chan struct{}, 16)}
-	w.target = httptest.NewServer(http.HandlerFunc(w.answer))
-	w.configure(1, "key-1")
-	w.store.PutServer("i-1", "app", address(w.target), "ready")
-	DeferCleanup(func() { w.store.Close(); w.target.CloseClientConnections(); w.target.Close() })
-	return w
+func newEnvironment() *environment {
+	env := &environment{store: standin.New(), release: make(chan struct{}), heldCalls: make(chan struct{}, 16)}
+	env.target = httptest.NewServer(http.HandlerFunc(env.serveTarget))
+	env.publishKeys(1, "key-1")
+	env.store.PutServer("i-1", "app", hostPort(env.target), "ready")
+	DeferCleanup(func() { env.store.Close(); env.target.CloseClientConnections(); env.target.Close() })
+	return env
 }
 
-func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+func hostPort(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-func (w *world) answer(rw http.ResponseWriter, r *http.Request) {
+func (env *environment) serveTarget(rw http.ResponseWriter, r *http.Request) {
 	rw.Header().Set(standin.RequestID, r.Header.Get(standin.RequestID))
 	rw.Header().Set(standin.Seal, "s-1")
 	if strings.HasSuffix(r.URL.Path, "/held") {
-		w.held <- struct{}{}
-		<-w.hold
+		env.heldCalls <- struct{}{}
+		<-env.release
 	}
 	_, _ = io.WriteString(rw, "done")
 }
 
-// configure publishes a version with the given keys.
-func (w *world) configure(version int, keys ...string) { w.store.PutConfig(version, "app", keys...) }
+// publishKeys publishes a configuration version with the given API keys.
+func (env *environment) publishKeys(version int, keys ...string) {
+	env.store.PutConfig(version, "app", keys...)
+}
 
-// host is one gateway process.
+// host is one gateway process with its listen addresses.
 type host struct {
-	callers, ready, peers, metrics string
+	clientAddress, readyAddress, peerAddress, metricsAddress string
 
-	cmd    *exec.Cmd
-	out    string
-	exited chan error
+	cmd     *exec.Cmd
+	logPath string
+	exited  chan error
 }
 
-// startHost runs a gateway that reads the store at an address and knows some
-// peers.
-func startHost(store string, seeds ...string) *host {
+// startHost runs a gateway process that reads the store at an address and
+// starts with the given peers and itself as seeds.
+func startHost(store string, peers ...string) *host {
 	h := &host{exited: make(chan error, 1)}
-	for _, a := range []*string{&h.callers, &h.ready, &h.peers, &h.metrics} {
+	for _, listenAddress := range []*string{&h.clientAddress, &h.readyAddress, &h.peerAddress, &h.metricsAddress} {
 		var err error
-		*a, err = fleet.FreeLoopbackAddress()
+		*listenAddress, err = fleet.FreeLoopbackAddress()
 		Expect(err).NotTo(HaveOccurred())
 	}
 	dir := GinkgoT().TempDir()
 	settings := filepath.Join(dir, "boot.conf")
-	text := standin.Settings(standin.Place{
-		Host: h.callers, IP: "127.0.0.1", Callers: h.callers, Ready: h.ready, Peers: h.peers, Store: store,
-		Seeds: append([]string{h.peers}, seeds...),
+	content := standin.Settings(standin.Place{
+		Host: h.clientAddress, IP: "127.0.0.1", Callers: h.clientAddress, Ready: h.readyAddress, Peers: h.peerAddress, Store: store,
+		Seeds: append([]string{h.peerAddress}, peers...),
 	})
-	Expect(os.WriteFile(settings, []byte(text), 0o600)).To(Succeed())
-	h.out = filepath.Join(dir, "log")
-	log, err := os.Create(h.out)
+	Expect(os.WriteFile(settings, []byte(content), 0o600)).To(Succeed())
+	h.logPath = filepath.Join(dir, "log")
+	logFile, err := os.Create(h.logPath)
 	Expect(err).NotTo(HaveOccurred())
-	h.cmd = exec.Command(filepath.Join(bin, "filbert-gateway"), "--metrics-listen", h.metrics, "--log-format", "json")
+	h.cmd = exec.Command(filepath.Join(binDir, "filbert-gateway"), "--metrics-listen", h.metricsAddress, "--log-format", "json")
 	h.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+settings)
-	h.cmd.Stdout, h.cmd.Stderr = log, log
+	h.cmd.Stdout, h.cmd.Stderr = logFile, logFile
 	Expect(h.cmd.Start()).To(Succeed())
 	go func() { h.exited <- h.cmd.Wait(); close(h.exited) }()
-	DeferCleanup(func() { _ = h.cmd.Process.Kill(); <-h.exited; _ = log.Close() })
+	DeferCleanup(func() { _ = h.cmd.Process.Kill(); <-h.exited; _ = logFile.Close() })
 	return h
 }
 
-// log gives what the process wrote so far.
-func (h *host) log() string {
-	text, err := os.ReadFile(h.out)
+// logText returns what the process has logged so far.
+func (h *host) logText() string {
+	text, err := os.ReadFile(h.logPath)
 	Expect(err).NotTo(HaveOccurred())
 	return string(text)
 }
 
 func (h *host) isReady() bool {
-	resp, err := http.Get("http://" + h.ready + standin.PathReady)
+	resp, err := http.Get("http://" + h.readyAddress + standin.PathReady)
 	if err != nil {
 		return false
 	}
@@ -123,9 +126,10 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// metricsText gives what the process serves of its metrics.
+// metricsText returns the body of the process's /metrics, or the error text if
+// it does not answer.
 func (h *host) metricsText() string {
-	resp, err := http.Get("http://" + h.metrics + "/metrics")
+	resp, err := http.Get("http://" + h.metricsAddress + "/metrics")
 	if err != nil {
 		return err.Error()
 	}
@@ -135,9 +139,10 @@
 	return string(text)
 }
 
-// call sends a booking and gives the status, 0 when there was no answer.
-func (h *host) call(path, key string) int {
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.callers+path, strings.NewReader("x"))
+// post sends a booking and returns the status, or 0 if there was no complete
+// response.
+func (h *host) post(path, key string) int {
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.clientAddress+path, strings.NewReader("x"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host, req.Close = "a.example", true
 	req.Header.Set("Authorization", "Bearer "+key)
@@ -155,95 +160,98 @@
 }
 
 var _ = Describe("a gateway process", func() {
-	It("serves by what the store holds, and follows its changes", func() {
-		w := newWorld()
-		h := startHost(serve(w.store))
-		Eventually(h.isReady, long).Should(BeTrue())
-		Expect(h.call("/b/x", "key-1")).To(Equal(http.StatusOK))
-		Expect(h.call("/b/x", "key-2")).To(Equal(http.StatusUnauthorized))
-		Expect(h.call("/c/x", "key-1")).To(Equal(http.StatusNotFound))
-		w.configure(4, "key-2")
-		Eventually(func() int { return h.call("/b/x", "key-2") }, long).Should(Equal(http.StatusOK))
-		Expect(h.call("/b/x", "key-1")).To(Equal(http.StatusUnauthorized))
+	It("serves according to the store's configuration, and applies its changes", func() {
+		env := newEnvironment()
+		h := startHost(serveStore(env.store))
+		Eventually(h.isReady, stepTimeout).Should(BeTrue())
+		Expect(h.post("/b/x", "key-1")).To(Equal(http.StatusOK))
+		Expect(h.post("/b/x", "key-2")).To(Equal(http.StatusUnauthorized))
+		Expect(h.post("/c/x", "key-1")).To(Equal(http.StatusNotFound))
+		env.publishKeys(4, "key-2")
+		Eventually(func() int { return h.post("/b/x", "key-2") }, stepTimeout).Should(Equal(http.StatusOK))
+		Expect(h.post("/b/x", "key-1")).To(Equal(http.StatusUnauthorized))
 	})
 
-	// The store forgets its history while a process waits for changes. A
-	// process that went on waiting would serve an old configuration for good.
-	It("reads everything anew when the store has forgotten its history", func() {
-		w := newWorld()
-		h := startHost(serve(w.store))
-		Eventually(h.isReady, long).Should(BeTrue())
-		w.store.SetMode(standin.Resetting)
-		w.configure(4, "key-2")
-		w.store.Forget()
-		w.store.SetMode(standin.Serving)
-		Eventually(func() int { return h.call("/b/x", "key-2") }, long).Should(Equal(http.StatusOK))
+	// The store discards its change history while a process waits for changes.
+	// Guards against a process that keeps waiting and serves the old
+	// configuration indefinitely.
+	It("reads the whole configuration again when the store has discarded its history", func() {
+		env := newEnvironment()
+		h := startHost(serveStore(env.store))
+		Eventually(h.isReady, stepTimeout).Should(BeTrue())
+		env.store.SetMode(standin.Resetting)
+		env.publishKeys(4, "key-2")
+		env.store.Forget()
+		env.store.SetMode(standin.Serving)
+		Eventually(func() int { return h.post("/b/x", "key-2") }, stepTimeout).Should(Equal(http.StatusOK))
 	})
 
-	// The platform says that the settings may have changed. The signal's usual
-	// effect is the process's end, with every call in progress.
-	It("reads its settings again on the hang-up signal and goes on", func() {
-		w := newWorld()
-		h := startHost(serve(w.store))
-		Eventually(h.isReady, long).Should(BeTrue())
+	// The platform sends SIGHUP when the settings may have changed. The default
+	// action of the signal would end the process and abort every call in
+	// progress.
+	It("reloads its settings on SIGHUP and keeps serving", func() {
+		env := newEnvironment()
+		h := startHost(serveStore(env.store))
+		Eventually(h.isReady, stepTimeout).Should(BeTrue())
 		status := make(chan int, 1)
-		go func() { status <- h.call("/b/held", "key-1") }()
-		Eventually(w.held, long).Should(Receive())
+		go func() { status <- h.post("/b/held", "key-1") }()
+		Eventually(env.heldCalls, stepTimeout).Should(Receive())
 		Expect(h.cmd.Process.Signal(syscall.SIGHUP)).To(Succeed())
-		Eventually(h.log, long).Should(ContainSubstring("settings reloaded"))
-		close(w.hold)
-		Eventually(status, long).Should(Receive(Equal(http.StatusOK)))
+		Eventually(h.logText, stepTimeout).Should(ContainSubstring("settings reloaded"))
+		close(env.release)
+		Eventually(status, stepTimeout).Should(Receive(Equal(http.StatusOK)))
 		Expect(h.isReady()).To(BeTrue())
 	})
 
-	// The platform replaces the process by plan. The balancer has to hear of it
-	// at once, and a booking that is being made must get its answer.
-	It("is not ready at once when told to stop, and finishes what it has", func() {
-		w := newWorld()
-		h := startHost(serve(w.store))
-		Eventually(h.isReady, long).Should(BeTrue())
+	// The platform stops the process for a planned replacement. The load balancer
+	// must see it as not ready at once, and a booking in progress must get its
+	// response.
+	It("reports not ready at once on SIGTERM, and finishes the calls in progress", func() {
+		env := newEnvironment()
+		h := startHost(serveStore(env.store))
+		Eventually(h.isReady, stepTimeout).Should(BeTrue())
 		status := make(chan int, 1)
-		go func() { status <- h.call("/b/held", "key-1") }()
-		Eventually(w.held, long).Should(Receive())
+		go func() { status <- h.post("/b/held", "key-1") }()
+		Eventually(env.heldCalls, stepTimeout).Should(Receive())
 		Expect(h.cmd.Process.Signal(syscall.SIGTERM)).To(Succeed())
-		Eventually(h.isReady, long).Should(BeFalse())
-		close(w.hold)
-		Eventually(status, long).Should(Receive(Equal(http.StatusOK)))
-		Eventually(h.exited, long).Should(Receive(BeNil()))
+		Eventually(h.isReady, stepTimeout).Should(BeFalse())
+		close(env.release)
+		Eventually(status, stepTimeout).Should(Receive(Equal(http.StatusOK)))
+		Eventually(h.exited, stepTimeout).Should(Receive(BeNil()))
 	})
 
-	// The store turns one host away and serves the others; keys change
-	// meanwhile. That host's callers would be refused, or served with a key
-	// that was taken back, until the store relents.
-	It("learns from its peers what the store doesn't tell it", func() {
-		w := newWorld()
-		first := startHost(serve(w.store))
-		Eventually(first.isReady, long).Should(BeTrue())
-		turnedAway := standin.New()
-		turnedAway.SetMode(standin.Busy)
-		second := startHost(serve(turnedAway), first.peers)
-		Eventually(second.isReady, long).Should(BeTrue())
-		Expect(second.call("/b/x", "key-1")).To(Equal(http.StatusOK))
-		w.configure(5, "key-3")
-		Eventually(func() int { return second.call("/b/x", "key-3") }, long).Should(Equal(http.StatusOK))
-		Expect(second.call("/b/x", "key-1")).To(Equal(http.StatusUnauthorized))
+	// The store refuses one host and serves the others while API keys change.
+	// Without its peers, that host would refuse valid keys and accept revoked
+	// ones until the store serves it again.
+	It("gets from its peers the configuration that the store refuses to serve", func() {
+		env := newEnvironment()
+		first := startHost(serveStore(env.store))
+		Eventually(first.isReady, stepTimeout).Should(BeTrue())
+		busyStore := standin.New()
+		busyStore.SetMode(standin.Busy)
+		second := startHost(serveStore(busyStore), first.peerAddress)
+		Eventually(second.isReady, stepTimeout).Should(BeTrue())
+		Expect(second.post("/b/x", "key-1")).To(Equal(http.StatusOK))
+		env.publishKeys(5, "key-3")
+		Eventually(func() int { return second.post("/b/x", "key-3") }, stepTimeout).Should(Equal(http.StatusOK))
+		Expect(second.post("/b/x", "key-1")).To(Equal(http.StatusUnauthorized))
 	})
 
-	// A process is replaced while nobody can tell it anything. It must not
-	// guess that there are no routes or keys.
-	It("is not ready and denies nothing while it knows no configuration", func() {
+	// A process starts while the store is silent and it has no other peers. It
+	// must answer 503 and not treat all routes and keys as unknown.
+	It("is not ready and rejects no route or key while it has no configuration", func() {
 		store := standin.New()
 		store.SetMode(standin.Silent)
 		DeferCleanup(store.Close)
-		h := startHost(serve(store))
-		Eventually(func() int { return h.call("/b/x", "key-1") }, long).Should(Equal(http.StatusServiceUnavailable))
+		h := startHost(serveStore(store))
+		Eventually(func() int { return h.post("/b/x", "key-1") }, stepTimeout).Should(Equal(http.StatusServiceUnavailable))
 		Expect(h.isReady()).To(BeFalse())
 	})
 })
 
-// serve gives the address of a store.
-func serve(store *standin.Store) string {
-	s := httptest.NewServer(store)
-	DeferCleanup(func() { s.CloseClientConnections(); s.Close() })
-	return address(s)
+// serveStore serves the store over HTTP and returns its address.
+func serveStore(store *standin.Store) string {
+	server := httptest.NewServer(store)
+	DeferCleanup(func() { server.CloseClientConnections(); server.Close() })
+	return hostPort(server)
 }
