--- a/test/limits/limits_test.go
+++ b/test/limits/limits_test.go
@@ -1,5 +1,5 @@
 // Package limits_test runs real processes and counts, from the engines' own
-// records, how many requests of one account are in progress at once.
+// records, how many requests of one account are in progress concurrently.
 package limits_test
 
 import (
@@ -29,12 +29,13 @@
 const (
 	parkKey   = "limits-test-park"
 	clinicKey = "limits-test-clinic"
-	// The engines' records don't name accounts; the length of the prompt does.
+	// The engines' records hold no accounts. The two accounts use prompts of
+	// different lengths, by which their requests are told apart.
 	parkPrompt   = "fault [tokens=40] " + "dish dish dish dish dish dish dish dish dish dish dish dish dish dish dish dish"
 	clinicPrompt = "gate [tokens=40]"
 
-	maxRunning = 3
-	requests   = 30
+	maxRunning       = 3
+	parkRequestCount = 30
 )
 
 var tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
@@ -42,24 +43,24 @@
 	"account,clinic,1,,,," + fleet.Digest(clinicKey) + ",,,,,,\n" +
 	"service,reports,,,,,,,generation,whole,2000,60000,200\n"
 
-// start starts three hosts and four engines in two data centres.
-func start() *fleet.Fleet {
-	bin := GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+// startDeployment starts three hosts and four engines in two data centres.
+func startDeployment() *fleet.Fleet {
+	binDir := GinkgoT().TempDir()
+	Expect(fleet.Build(binDir)).To(Succeed())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	deck, err := fleet.Start(ctx, fleet.Spec{
-		BinDir: bin, Table: tableText, Hosts: []string{"a", "a", "b"}, Engines: []string{"a", "a", "b", "b"},
+	deployment, err := fleet.Start(ctx, fleet.Spec{
+		BinDir: binDir, Table: tableText, Hosts: []string{"a", "a", "b"}, Engines: []string{"a", "a", "b", "b"},
 		EngineServices: []string{"reports"},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(deck.Close)
-	return deck
+	DeferCleanup(deployment.Close)
+	return deployment
 }
 
-// complete sends one request until it is served: a refusal says when to come
-// back.
-func complete(host *fleet.Host, key, prompt string) (refused int) {
+// completeWithRetries repeats a request until it is served, after the retry
+// delay of each refusal, and returns the number of refusals.
+func completeWithRetries(host *fleet.Host, key, prompt string) (refused int) {
 	defer GinkgoRecover()
 	for {
 		body := fmt.Sprintf(`{"model":"reports","prompt":%q}`, prompt)
@@ -68,53 +69,56 @@
 		req.Header.Set("Authorization", "Bearer "+key)
 		resp, err := http.DefaultClient.Do(req)
 		Expect(err).NotTo(HaveOccurred())
-		text, err := io.ReadAll(resp.Body)
+		responseBody, err := io.ReadAll(resp.Body)
 		Expect(err).NotTo(HaveOccurred())
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
 			return refused
 		}
 		var p failure.Problem
-		Expect(json.Unmarshal(text, &p)).To(Succeed())
-		Expect(p.Executed).To(Equal(failure.ExecutedNo), string(text))
-		Expect(p.RetryAfterMS).To(BeNumerically(">", 0), string(text))
+		Expect(json.Unmarshal(responseBody, &p)).To(Succeed())
+		Expect(p.Executed).To(Equal(failure.ExecutedNo), string(responseBody))
+		Expect(p.RetryAfterMS).To(BeNumerically(">", 0), string(responseBody))
 		refused++
 		time.Sleep(time.Duration(p.RetryAfterMS) * time.Millisecond)
 	}
 }
 
-// inProgress reads which of the park's generations are in progress at the engines.
-func inProgress(deck *fleet.Fleet, promptTokens int) map[string]bool {
-	now := map[string]bool{}
-	for _, e := range deck.Engines {
+// requestsInProgress returns the generations with the given prompt length that
+// run on the engines.
+func requestsInProgress(deployment *fleet.Fleet, promptTokens int) map[string]bool {
+	ids := map[string]bool{}
+	for _, e := range deployment.Engines {
 		var records []engine.Record
-		Expect(deck.GetJSON("http://"+e.Address+"/admin/records", &records)).To(Succeed())
+		Expect(deployment.GetJSON("http://"+e.Address+"/admin/records", &records)).To(Succeed())
 		for _, r := range records {
 			if r.PromptTokens == promptTokens && r.State == engine.StateRunning {
-				now[fmt.Sprint(r.Incarnation, r.Generation)] = true
+				ids[fmt.Sprint(r.Incarnation, r.Generation)] = true
 			}
 		}
 	}
-	return now
+	return ids
 }
 
-// atOnce counts those that are in progress in two readings: they all were
-// between the end of the first and the beginning of the second.
-func atOnce(deck *fleet.Fleet, promptTokens int) int {
-	first, second, both := inProgress(deck, promptTokens), inProgress(deck, promptTokens), 0
+// concurrentRequests counts the generations that are in progress in two
+// successive readings. All of them ran concurrently between the end of the
+// first reading and the start of the second.
+func concurrentRequests(deployment *fleet.Fleet, promptTokens int) int {
+	first, second, inBoth := requestsInProgress(deployment, promptTokens), requestsInProgress(deployment, promptTokens), 0
 	for id := range first {
 		if second[id] {
-			both++
+			inBoth++
 		}
 	}
-	return both
+	return inBoth
 }
 
-// promptTokens learns from the records how long the engines take a prompt to be.
-func promptTokens(deck *fleet.Fleet, known int) int {
-	for _, e := range deck.Engines {
+// unknownPromptTokens returns the first prompt length in the engines' records
+// that differs from known, in tokens, or 0.
+func unknownPromptTokens(deployment *fleet.Fleet, known int) int {
+	for _, e := range deployment.Engines {
 		var records []engine.Record
-		Expect(deck.GetJSON("http://"+e.Address+"/admin/records", &records)).To(Succeed())
+		Expect(deployment.GetJSON("http://"+e.Address+"/admin/records", &records)).To(Succeed())
 		for _, r := range records {
 			if r.PromptTokens != known {
 				return r.PromptTokens
@@ -125,41 +129,41 @@
 }
 
 var _ = Describe("an account's limit of requests in progress", func() {
-	// A park sends thirty requests at once through all entries. They reach pools
-	// in both data centres, and each pool by itself would let three of them run:
-	// the park takes twice what its row gives it, and the other members pay.
-	It("holds over entries, pools and data centres, and leaves others alone", func() {
-		deck := start()
-		complete(deck.Hosts[0], clinicKey, clinicPrompt)
-		ofClinic := promptTokens(deck, 0)
-		complete(deck.Hosts[0], parkKey, parkPrompt)
-		ofPark := promptTokens(deck, ofClinic)
-		Expect(ofPark).To(BeNumerically(">", ofClinic))
+	// One account sends 30 requests at once through all entries, which reach the
+	// pools of both data centres. If each pool applied the limit of three by
+	// itself, the account would get twice its limit at the expense of others.
+	It("holds across entries, pools and data centres, and does not limit other accounts", func() {
+		deployment := startDeployment()
+		completeWithRetries(deployment.Hosts[0], clinicKey, clinicPrompt)
+		clinicTokens := unknownPromptTokens(deployment, 0)
+		completeWithRetries(deployment.Hosts[0], parkKey, parkPrompt)
+		parkTokens := unknownPromptTokens(deployment, clinicTokens)
+		Expect(parkTokens).To(BeNumerically(">", clinicTokens))
 
-		var wg sync.WaitGroup
+		var parkRequests sync.WaitGroup
 		done := make(chan struct{})
-		for i := range requests {
-			wg.Go(func() { complete(deck.Hosts[i%len(deck.Hosts)], parkKey, parkPrompt) })
+		for i := range parkRequestCount {
+			parkRequests.Go(func() { completeWithRetries(deployment.Hosts[i%len(deployment.Hosts)], parkKey, parkPrompt) })
 		}
-		go func() { wg.Wait(); close(done) }()
-		var clinic sync.WaitGroup
-		clinic.Go(func() {
+		go func() { parkRequests.Wait(); close(done) }()
+		var clinicRequests sync.WaitGroup
+		clinicRequests.Go(func() {
 			for i := range 10 {
-				complete(deck.Hosts[i%len(deck.Hosts)], clinicKey, clinicPrompt)
+				completeWithRetries(deployment.Hosts[i%len(deployment.Hosts)], clinicKey, clinicPrompt)
 			}
 		})
-		most := 0
+		maxConcurrent := 0
 		for running := true; running; {
 			select {
 			case <-done:
 				running = false
 			default:
-				most = max(most, atOnce(deck, ofPark))
+				maxConcurrent = max(maxConcurrent, concurrentRequests(deployment, parkTokens))
 			}
 		}
-		clinic.Wait()
-		AddReportEntry("most of the park at once, limit 3", most)
-		Expect(most).To(BeNumerically("<=", maxRunning))
-		Expect(most).To(BeNumerically(">=", 2), "the limit is used")
+		clinicRequests.Wait()
+		AddReportEntry("maximum concurrent requests of the limited account, limit 3", maxConcurrent)
+		Expect(maxConcurrent).To(BeNumerically("<=", maxRunning))
+		Expect(maxConcurrent).To(BeNumerically(">=", 2), "the limit is used")
 	})
 })
