--- a/test/process/ctl_test.go
+++ b/test/process/ctl_test.go
@@ -14,72 +14,74 @@
 	"filbertdeck/internal/fleet"
 )
 
-// run runs a program of the product and gives its exit code and output.
-func run(program string, args ...string) (int, string) {
+// runProgram runs a program of the product and returns its exit code and its
+// combined output.
+func runProgram(program string, args ...string) (int, string) {
 	var out bytes.Buffer
-	cmd := exec.Command(filepath.Join(bin, program), args...)
+	cmd := exec.Command(filepath.Join(binDir, program), args...)
 	cmd.Stdout, cmd.Stderr = &out, &out
 	_ = cmd.Run()
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
 var _ = Describe("the operators' programs", func() {
-	// controls are the flags that name every control process.
-	var controls []string
+	// controlFlags are the flags that list the addresses of all control
+	// processes.
+	var controlFlags []string
 
 	BeforeEach(func() {
-		controls = nil
-		for _, h := range deck.Hosts {
-			controls = append(controls, "--control", h.ControlAdmin)
+		controlFlags = nil
+		for _, h := range deployment.Hosts {
+			controlFlags = append(controlFlags, "--control", h.ControlAdmin)
 		}
 	})
 
-	ctl := func(command ...string) (int, string) {
+	runCtl := func(command ...string) (int, string) {
 		args := append(append([]string{}, command...), "--token", fleet.OperatorKey)
-		return run("filbertctl", append(args, controls...)...)
+		return runProgram("filbertctl", append(args, controlFlags...)...)
 	}
 
 	It("show hosts, targets, accounts and the rollout of a running deployment", func() {
-		for command, part := range map[string]string{
-			"hosts": deck.Hosts[0].Control, "targets": deck.Engines[0].Address, "accounts": "school", "table rollout": "table",
+		for command, expected := range map[string]string{
+			"hosts": deployment.Hosts[0].Control, "targets": deployment.Engines[0].Address, "accounts": "school", "table rollout": "table",
 		} {
-			code, out := ctl(strings.Fields(command)...)
+			code, out := runCtl(strings.Fields(command)...)
 			Expect(code).To(Equal(0), out)
-			Expect(out).To(ContainSubstring(part), command)
+			Expect(out).To(ContainSubstring(expected), command)
 		}
 	})
 
-	// A host does not answer. A listing that leaves it out looks complete, and
-	// an operator takes an edit for being in force everywhere.
-	It("name a host that could not be asked, with an exit code of its own", func() {
-		controls = append(controls, "--control", "127.0.0.1:1")
-		code, out := ctl("hosts")
+	// One host is unreachable. A listing that omits it looks complete, and an
+	// operator would conclude that an edit is in force on every host.
+	It("name an unreachable host, and return a distinct exit code", func() {
+		controlFlags = append(controlFlags, "--control", "127.0.0.1:1")
+		code, out := runCtl("hosts")
 		Expect(code).To(Equal(3), out)
 		Expect(out).To(ContainSubstring("127.0.0.1:1"))
 	})
 
-	It("refuse an edit before it is published, and the fleet refuses it as well", func() {
-		bad := strings.Replace(tableText, "account,school,1,", "account,school,-1,", 1)
+	It("reject an invalid table before it is published, and the hosts reject it as well", func() {
+		invalidTable := strings.Replace(tableText, "account,school,1,", "account,school,-1,", 1)
 		file := filepath.Join(GinkgoT().TempDir(), "table.csv")
-		Expect(os.WriteFile(file, []byte(bad), 0o600)).To(Succeed())
-		code, out := run("filbertctl", "table", "check", file)
+		Expect(os.WriteFile(file, []byte(invalidTable), 0o600)).To(Succeed())
+		code, out := runProgram("filbertctl", "table", "check", file)
 		Expect(code).To(Equal(1), out)
 		Expect(out).To(And(ContainSubstring("weight"), ContainSubstring("-1")))
-		DeferCleanup(func() { Expect(deck.Put("table/0001", tableText)).To(Succeed()) })
-		Expect(deck.Put("table/0001", bad)).To(Succeed())
-		Eventually(func() string { _, out := ctl("table", "rollout"); return out }).
+		DeferCleanup(func() { Expect(deployment.Put("table/0001", tableText)).To(Succeed()) })
+		Expect(deployment.Put("table/0001", invalidTable)).To(Succeed())
+		Eventually(func() string { _, out := runCtl("table", "rollout"); return out }).
 			WithTimeout(10 * time.Second).Should(ContainSubstring("weight"))
-		status, _, body := send(request{method: "GET", path: "/v1/services/sites/x", key: schoolKey})
+		status, _, body := sendRequest(request{method: "GET", path: "/v1/services/sites/x", key: schoolKey})
 		Expect(status).To(Equal(200), body)
 	})
 
-	It("report burn with the monitor's key, and nothing without a key", func() {
+	It("report the error budget burn with the monitor's key, and nothing without a key", func() {
 		keyFile := filepath.Join(GinkgoT().TempDir(), "key")
 		Expect(os.WriteFile(keyFile, []byte(fleet.MonitorKey+"\n"), 0o600)).To(Succeed())
-		code, out := run("filbert-burn", append(controls, "--key-file", keyFile)...)
+		code, out := runProgram("filbert-burn", append(controlFlags, "--key-file", keyFile)...)
 		Expect(code).To(Equal(0), out)
 		Expect(out).To(ContainSubstring("at most once"))
-		code, out = run("filbert-burn", controls...)
+		code, out = runProgram("filbert-burn", controlFlags...)
 		Expect(code).To(Equal(3), out)
 		Expect(out).To(ContainSubstring("NOT READ"))
 	})
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("TLS", Ordered, func() {
-	var secured *fleet.Fleet
+	var tlsDeployment *fleet.Fleet
 	var authority *fleet.CertificateAuthority
 	var dir string
 
@@ -29,35 +29,35 @@
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		secured, err = fleet.Start(ctx, fleet.Spec{
-			BinDir: bin, Table: tableText, Hosts: []string{"a", "a"}, Engines: []string{"a"}, Apps: []string{"a"},
+		tlsDeployment, err = fleet.Start(ctx, fleet.Spec{
+			BinDir: binDir, Table: tableText, Hosts: []string{"a", "a"}, Engines: []string{"a"}, Apps: []string{"a"},
 			EngineServices: []string{"reports"}, AppServices: []string{"sites", "orders"}, TLS: &files,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(secured.Close)
+		DeferCleanup(tlsDeployment.Close)
 	})
 
-	call := func() (*http.Response, error) {
-		body := strings.NewReader(completion("reports", "x [tokens=5]", ""))
-		req, err := http.NewRequest(http.MethodPost, "https://"+secured.Hosts[1].Callers+"/v1/completions", body)
+	postCompletion := func() (*http.Response, error) {
+		body := strings.NewReader(completionBody("reports", "x [tokens=5]", ""))
+		req, err := http.NewRequest(http.MethodPost, "https://"+tlsDeployment.Hosts[1].Callers+"/v1/completions", body)
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+schoolKey)
-		req.Close = true // each call shakes hands anew
-		return secured.HTTPClient().Do(req)
+		req.Close = true // a new TLS handshake per call
+		return tlsDeployment.HTTPClient().Do(req)
 	}
 
-	It("carries the whole path, from the caller to the allocator of another host", func() {
-		resp, err := call()
+	It("secures the whole path, from the caller to the allocator of another host", func() {
+		resp, err := postCompletion()
 		Expect(err).NotTo(HaveOccurred())
 		_ = resp.Body.Close()
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 	})
 
-	// Somebody within the network speaks to a control process and asks for
-	// places on targets, or takes the table with its accounts. Without a
-	// certificate of the fleet's authority nobody gets that far.
-	It("lets no process in that shows no certificate", func() {
-		conn, err := rpc.Dial(secured.Hosts[0].Control, rpc.Credentials{})
+	// Guards against a process in the network that connects to a control process
+	// to obtain leases on targets or to read the table with its accounts. Only
+	// holders of a certificate from the deployment's authority may connect.
+	It("rejects a process without a client certificate", func() {
+		conn, err := rpc.Dial(tlsDeployment.Hosts[0].Control, rpc.Credentials{})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -66,21 +66,21 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	// The platform renews certificates in place while the process runs. One
-	// that kept the old certificate would be cut off at its expiry.
-	It("shows a renewed certificate without a restart", func() {
-		before, err := call()
+	// The platform renews certificates in place while the process runs. A process
+	// that kept the old certificate would lose its connections when it expires.
+	It("presents a renewed certificate without a restart", func() {
+		before, err := postCompletion()
 		Expect(err).NotTo(HaveOccurred())
 		_ = before.Body.Close()
 		_, err = authority.WriteHostCertificate(dir)
 		Expect(err).NotTo(HaveOccurred())
-		serial := func(s *tls.ConnectionState) string { return s.PeerCertificates[0].SerialNumber.String() }
+		serialNumber := func(s *tls.ConnectionState) string { return s.PeerCertificates[0].SerialNumber.String() }
 		Eventually(func(g Gomega) {
-			after, err := call()
+			after, err := postCompletion()
 			g.Expect(err).NotTo(HaveOccurred())
 			_ = after.Body.Close()
 			g.Expect(after.StatusCode).To(Equal(http.StatusOK))
-			g.Expect(serial(after.TLS)).NotTo(Equal(serial(before.TLS)))
+			g.Expect(serialNumber(after.TLS)).NotTo(Equal(serialNumber(before.TLS)))
 		}).WithTimeout(15 * time.Second).WithPolling(100 * time.Millisecond).Should(Succeed())
 	})
 })
