--- a/test/faults/callers_test.go
+++ b/test/faults/callers_test.go
@@ -11,21 +11,23 @@
 	"filbertdeck/internal/handle"
 )
 
-// kind is what a caller asks for.
-type kind int
+// requestKind is the service type of a call and, for a booking, the kind of its
+// idempotency key.
+type requestKind int
 
 const (
-	kindStream kind = iota // a report, token by token
-	kindWhole              // a summary, all at once
-	kindMinted             // a booking under a minted key
-	kindKeyed              // a booking under the caller's own UUIDv7
+	kindStream requestKind = iota // a generation that is streamed token by token
+	kindWhole                     // a generation that is delivered in one response
+	kindMinted                    // a run-once call under a key issued by an entry
+	kindKeyed                     // a run-once call under a UUIDv7 chosen by the caller
 )
 
-func (k kind) booking() bool { return k >= kindMinted }
+func (k requestKind) isBooking() bool { return k >= kindMinted }
 
-func (k kind) String() string { return [...]string{"stream", "whole", "minted", "keyed"}[k] }
+func (k requestKind) String() string { return [...]string{"stream", "whole", "minted", "keyed"}[k] }
 
-// step is where a request stands.
+// step is a stage in the processing of a request at which a fault can be
+// injected.
 type step int
 
 const (
@@ -36,9 +38,9 @@
 	stepFirst
 	stepMiddle
 	stepLast
-	stepAnswer // on its way to the caller
+	stepAnswer // the response is on its way to the caller
 	stepAfter
-	steps
+	stepCount
 )
 
 func (s step) String() string {
@@ -51,71 +53,71 @@
 	text       string
 }
 
-// call is one thing that a caller wants, over all its sendings.
+// call is one logical request of a caller with all its attempts.
 type call struct {
-	w           *world
+	sim         *simulation
 	name        string
-	kind        kind
+	kind        requestKind
 	account     string
 	prompt      string
 	length      int
 	fingerprint uint64
 	poison      bool
-	focus       bool
-	first       int // host that the balancer picks first
+	underTest   bool
+	firstHost   int // index of the host that the load balancer picks for the first attempt
 	key         string
 
-	received []token
-	handle   string
-	complete bool
-	ended    *failure.Error
-	tries    int
-	current  *sending
-	last     time.Duration
-	begun    time.Duration
-	finished time.Duration
-	where    struct { // where the fault finds it
+	received       []token
+	handle         string
+	completed      bool
+	finalError     *failure.Error
+	attempts       int
+	currentAttempt *attempt
+	lastActivity   time.Duration
+	startedAt      time.Duration
+	finishedAt     time.Duration
+	faultPoint     struct { // the processes and the connection that a fault acts on
 		host   *host
 		target *engine
 		conn   *conn
 	}
 }
 
-// sending is one request on the wire.
-type sending struct {
-	id     uint64
-	call   *call
-	host   *host
-	conn   *conn
-	resume string
-	over   bool
+// attempt is one request on the wire.
+type attempt struct {
+	id           uint64
+	call         *call
+	host         *host
+	conn         *conn
+	resumeHandle string
+	finished     bool
 }
 
 const (
-	maxTries     = 12
-	callerDoubts = 4 * time.Second
+	maxAttempts          = 12
+	callerSilenceTimeout = 4 * time.Second
 )
 
-func (w *world) newCall(name string, k kind, length, first int) *call {
-	w.ids++
+func (sim *simulation) newCall(name string, k requestKind, length, first int) *call {
+	sim.lastID++
 	c := &call{
-		w: w, name: name, kind: k, account: "park", prompt: "prompt of " + name, length: length,
-		fingerprint: 1000 + w.ids, first: first, begun: w.now,
+		sim: sim, name: name, kind: k, account: "park", prompt: "prompt of " + name, length: length,
+		fingerprint: 1000 + sim.lastID, firstHost: first, startedAt: sim.now,
 	}
-	w.calls = append(w.calls, c)
+	sim.calls = append(sim.calls, c)
 	if k == kindKeyed {
-		c.key = orderedKey(w.now, w.ids)
+		c.key = uuidV7Key(sim.now, sim.lastID)
 	}
 	if k == kindMinted {
-		h := w.hosts[first]
-		c.key = ring.Mint(handle.Minted{Account: c.account, Owner: h.name, Incarnation: h.inc, Age0: w.now, Sequence: w.ids})
+		h := sim.hosts[first]
+		c.key = keyRing.Mint(handle.Minted{Account: c.account, Owner: h.name, Incarnation: h.incarnation, Age0: sim.now, Sequence: sim.lastID})
 	}
 	return c
 }
 
-func orderedKey(now time.Duration, n uint64) string {
+func uuidV7Key(now time.Duration, n uint64) string {
 	var id uuid.UUID
-	ms := uint64(epoch.Add(now).UnixMilli())
+	ms := uint64(simulationEpoch.Add(now).UnixMilli())
 	for i := range 6 {
 		id[i], id[15-i] = byte(ms>>(40-8*i)), byte(n>>(8*i))
 	}
@@ -127,123 +129,126 @@
 	if !handle.IsMinted(c.key) {
 		return once.CallerKey(c.key)
 	}
-	m, err := ring.OpenMinted(c.key, c.account)
+	m, err := keyRing.OpenMinted(c.key, c.account)
 	return once.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), once.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.Age0), err
 }
 
-// try sends the call to the next entry that the balancer takes for ready.
-func (c *call) try() {
-	w := c.w
-	if c.complete || c.ended != nil {
+// sendNext sends the call to the next entry that the load balancer considers
+// ready.
+func (c *call) sendNext() {
+	sim := c.sim
+	if c.completed || c.finalError != nil {
 		return
 	}
-	if c.tries++; c.tries > maxTries {
-		c.ended = failure.New(failure.KindDeadline, "the caller gives up").Unknown()
+	if c.attempts++; c.attempts > maxAttempts {
+		c.finalError = failure.New(failure.KindDeadline, "the caller exhausted its attempts").Unknown()
 		return
 	}
-	var target *host
-	for i := range w.hosts {
-		h := w.hosts[(c.first+c.tries-1+i)%len(w.hosts)]
-		if h.up && h.ready && !h.stopping {
-			target = h
+	var entry *host
+	for i := range sim.hosts {
+		candidate := sim.hosts[(c.firstHost+c.attempts-1+i)%len(sim.hosts)]
+		if candidate.up && candidate.ready && !candidate.stopping {
+			entry = candidate
 			break
 		}
 	}
-	if target == nil {
-		w.after(w.callers, 500*time.Millisecond, c.try)
+	if entry == nil {
+		sim.runAfter(sim.callers, 500*time.Millisecond, c.sendNext)
 		return
 	}
-	c.send(target)
+	c.send(entry)
 }
 
-func (c *call) send(target *host) *sending {
-	w := c.w
-	w.ids++
-	s := &sending{id: w.ids, call: c, resume: c.handle}
-	c.current, c.last = s, w.now
-	s.conn = w.dial(w.callers, target.proc, func() { c.lost(s) })
-	if s.conn == nil {
-		w.after(w.callers, 300*time.Millisecond, c.try)
-		return s
+func (c *call) send(entry *host) *attempt {
+	sim := c.sim
+	sim.lastID++
+	att := &attempt{id: sim.lastID, call: c, resumeHandle: c.handle}
+	c.currentAttempt, c.lastActivity = att, sim.now
+	att.conn = sim.dial(sim.callers, entry.process, func() { c.connectionLost(att) })
+	if att.conn == nil {
+		sim.runAfter(sim.callers, 300*time.Millisecond, c.sendNext)
+		return att
 	}
-	s.conn.send(1, func() { target.receive(s) })
-	c.watch(s)
-	return s
+	att.conn.send(1, func() { entry.receiveRequest(att) })
+	c.watchSilence(att)
+	return att
 }
 
-// link is the connection that the caller waits on, if any.
-func (c *call) link() *conn {
-	if c.current == nil {
+// currentConn returns the connection that the caller waits on, or nil.
+func (c *call) currentConn() *conn {
+	if c.currentAttempt == nil {
 		return nil
 	}
-	return c.current.conn
+	return c.currentAttempt.conn
 }
 
-func (c *call) watch(s *sending) {
-	c.w.after(c.w.callers, callerDoubts, func() {
+func (c *call) watchSilence(att *attempt) {
+	c.sim.runAfter(c.sim.callers, callerSilenceTimeout, func() {
 		switch {
-		case c.current != s || c.complete || c.ended != nil:
-		case c.w.now-c.last >= callerDoubts:
-			c.lost(s)
+		case c.currentAttempt != att || c.completed || c.finalError != nil:
+		case c.sim.now-c.lastActivity >= callerSilenceTimeout:
+			c.connectionLost(att)
 		default:
-			c.watch(s)
+			c.watchSilence(att)
 		}
 	})
 }
 
-func (c *call) alive(s *sending) {
-	if c.current == s {
-		c.last = c.w.now
+func (c *call) noteActivity(att *attempt) {
+	if c.currentAttempt == att {
+		c.lastActivity = c.sim.now
 	}
 }
 
-// lost is a connection that broke or went silent: the caller comes back.
-func (c *call) lost(s *sending) {
-	if c.current != s || c.complete || c.ended != nil {
+// connectionLost handles a connection that broke or went silent: the caller
+// retries after 200 ms.
+func (c *call) connectionLost(att *attempt) {
+	if c.currentAttempt != att || c.completed || c.finalError != nil {
 		return
 	}
-	s.conn.close(0)
-	c.current = nil
-	c.w.after(c.w.callers, 200*time.Millisecond, c.try)
+	att.conn.close(0)
+	c.currentAttempt = nil
+	c.sim.runAfter(c.sim.callers, 200*time.Millisecond, c.sendNext)
 }
 
-func (c *call) take(s *sending, handle string, tokens ...token) {
-	if c.current != s {
+func (c *call) receiveTokens(att *attempt, handle string, tokens ...token) {
+	if c.currentAttempt != att {
 		return
 	}
-	c.last = c.w.now
+	c.lastActivity = c.sim.now
 	c.handle = handle
 	c.received = append(c.received, tokens...)
 }
 
-// end is the answer's end or a typed failure.
-func (c *call) end(s *sending, err *failure.Error) {
+// finish handles the end of the response, or a typed error if err is not nil.
+func (c *call) finish(att *attempt, err *failure.Error) {
 	if err != nil {
-		c.w.records.tell(s, err)
+		c.sim.records.recordOutcome(att, err)
 	}
-	if c.current != s {
+	if c.currentAttempt != att {
 		return
 	}
-	s.conn.close(0)
-	c.current = nil
+	att.conn.close(0)
+	c.currentAttempt = nil
 	switch {
 	case err == nil:
-		c.complete, c.finished = true, c.w.now
-		c.w.step(c, stepAfter, c.w.callers, func() {})
-	case c.mayAsk(err):
-		c.w.after(c.w.callers, max(err.RetryAfter, 300*time.Millisecond), c.try)
+		c.completed, c.finishedAt = true, c.sim.now
+		c.sim.reachStep(c, stepAfter, c.sim.callers, func() {})
+	case c.shouldRetry(err):
+		c.sim.runAfter(c.sim.callers, max(err.RetryAfter, 300*time.Millisecond), c.sendNext)
 	default:
-		c.ended, c.finished = err, c.w.now
+		c.finalError, c.finishedAt = err, c.sim.now
 	}
 }
 
-// mayAsk tells whether the caller asks again: a booking when it is told when
-// to, a generation while it has received nothing.
-func (c *call) mayAsk(err *failure.Error) bool {
+// shouldRetry reports whether the caller retries after err: a booking if the
+// error carries a retry delay, a generation if no token has been received. The
+// poison request is retried until it is refused as poison.
+func (c *call) shouldRetry(err *failure.Error) bool {
 	if c.poison {
 		return err.Kind != failure.KindPoison
 	}
-	if c.kind.booking() {
+	if c.kind.isBooking() {
 		return err.RetryAfter > 0
 	}
 	return len(c.received) == 0 && err.Kind != failure.KindPoison
--- a/test/faults/checks_test.go
+++ b/test/faults/checks_test.go
@@ -8,155 +8,157 @@
 	"filbertdeck/internal/failure"
 )
 
-// records are what targets, callers and hosts were seen to do. The checks read
-// nothing else.
+// records holds the observed actions of targets, callers and hosts. The checks
+// rely on these, on the calls and on the final state of the hosts.
 type records struct {
-	starts    []startRecord
-	told      []toldRecord
-	force     map[string][]forceRecord
-	cutByStop int
-	poisoned  int // targets that a poison request killed
-	unknown   int
+	starts          []startRecord
+	outcomes        []outcomeRecord
+	weights         map[string][]weightRecord
+	abortedByStop   int
+	poisonCrashes   int // target crashes caused by the poison request
+	unknownOutcomes int
 }
 
 type startRecord struct {
-	at             time.Duration
-	target         *engine
-	sending        uint64
-	booking        string
-	running, bears int
-	young          bool // the target started lately
+	at                time.Duration
+	target            *engine
+	attemptID         uint64
+	booking           string
+	running, capacity int
+	rampingUp         bool // the target started recently and is not warm yet
 }
 
-type toldRecord struct {
-	sending  uint64
-	call     *call
-	executed failure.Executed
+type outcomeRecord struct {
+	attemptID uint64
+	call      *call
+	executed  failure.Executed
 }
 
-// forceRecord is a weight that was in force on a host from at until until.
-type forceRecord struct {
+// weightRecord is a table weight that was in force on a host between the times
+// at and until.
+type weightRecord struct {
 	at, until time.Duration
 	weight    string
 }
 
-func (r *records) start(e *engine, sending uint64, booking string) {
-	young := !e.warm && (e.turned == 0 || e.w.now > e.turned+time.Second)
-	r.starts = append(r.starts, startRecord{e.w.now, e, sending, booking, len(e.running) + 1, e.bears(), young})
+func (r *records) recordStart(e *engine, attemptID uint64, booking string) {
+	rampingUp := !e.warm && (e.coldSince == 0 || e.sim.now > e.coldSince+time.Second)
+	r.starts = append(r.starts, startRecord{e.sim.now, e, attemptID, booking, len(e.running) + 1, e.capacity(), rampingUp})
 }
 
-func (r *records) tell(s *sending, err *failure.Error) {
-	r.told = append(r.told, toldRecord{s.id, s.call, err.Executed})
+func (r *records) recordOutcome(att *attempt, err *failure.Error) {
+	r.outcomes = append(r.outcomes, outcomeRecord{att.id, att.call, err.Executed})
 	if err.Executed == failure.ExecutedUnknown {
-		r.unknown++
+		r.unknownOutcomes++
 	}
 }
 
-func (r *records) inForce(h *host) {
+func (r *records) recordWeight(h *host) {
 	if !h.ready {
 		return
 	}
-	weight, log := h.row("weight"), r.force[h.name]
-	if n := len(log); n == 0 || log[n-1].weight != weight {
-		log = append(log, forceRecord{at: h.w.now, weight: weight})
+	weight, weights := h.rowText("weight"), r.weights[h.name]
+	if n := len(weights); n == 0 || weights[n-1].weight != weight {
+		weights = append(weights, weightRecord{at: h.sim.now, weight: weight})
 	}
-	log[len(log)-1].until = h.w.now
-	r.force[h.name] = log
+	weights[len(weights)-1].until = h.sim.now
+	r.weights[h.name] = weights
 }
 
-// aFew is "a few seconds" of the promises: 5 s also while the configuration
-// service is stale for some readers.
-const aFew = 5 * time.Second
+// propagationLimit is the "few seconds" within which a published change must
+// take effect on every host. The 5 s also hold while the configuration service
+// serves stale data to some readers.
+const propagationLimit = 5 * time.Second
 
-// check is one promise of the brief.
+// check verifies one guarantee of the requirements and returns its violations.
 type check struct {
-	promise string
-	broken  func(w *world, s script) []string
+	guarantee  string
+	violations func(sim *simulation, s scenario) []string
 }
 
-func report(out *[]string, broken bool, format string, args ...any) {
-	if broken {
+func appendIf(out *[]string, violated bool, format string, args ...any) {
+	if violated {
 		*out = append(*out, fmt.Sprintf(format, args...))
 	}
 }
 
 var checks = []check{
-	{"tokens once, in order, from one generation", func(w *world, _ script) (out []string) {
-		for _, c := range w.calls {
+	{"tokens once, in order, from one generation", func(sim *simulation, _ scenario) (out []string) {
+		for _, c := range sim.calls {
 			for i, t := range c.received {
-				report(&out, int(t.offset) != i || t.generation != c.received[0].generation, "%s: token %d is %d of %s", c.name, i, t.offset, t.generation)
+				appendIf(&out, int(t.offset) != i || t.generation != c.received[0].generation, "%s: token %d has offset %d of generation %s", c.name, i, t.offset, t.generation)
 			}
 		}
 		return out
 	}},
-	{"a started target gets no more than it bears", func(w *world, _ script) (out []string) {
-		for _, s := range w.records.starts {
-			report(&out, s.young && s.running > s.bears, "%v: %s ran %d, bears %d", s.at, s.target.name, s.running, s.bears)
+	{"a started target gets no more requests than its capacity", func(sim *simulation, _ scenario) (out []string) {
+		for _, s := range sim.records.starts {
+			appendIf(&out, s.rampingUp && s.running > s.capacity, "%v: %s ran %d requests, capacity %d", s.at, s.target.name, s.running, s.capacity)
 		}
 		return out
 	}},
-	{"a drained data centre gets no new work", func(w *world, sc script) (out []string) {
-		for _, s := range w.records.starts {
-			report(&out, s.target.centre == sc.drained && s.at > max(sc.drainAt, sc.dark)+aFew, "%v: start in %s", s.at, s.target.centre)
+	{"a drained data centre gets no new work", func(sim *simulation, scenario scenario) (out []string) {
+		for _, s := range sim.records.starts {
+			appendIf(&out, s.target.dataCentre == scenario.drainedCentre && s.at > max(scenario.drainAt, scenario.staleUntil)+propagationLimit, "%v: request started in drained data centre %s", s.at, s.target.dataCentre)
 		}
 		return out
 	}},
-	{"each gets its own whole answer or a typed end", func(w *world, _ script) (out []string) {
-		for _, c := range w.calls {
-			report(&out, !c.complete && c.ended == nil, "%s: no end", c.name)
-			report(&out, c.complete && !c.kind.booking() && len(c.received) != c.length, "%s: %d of %d tokens", c.name, len(c.received), c.length)
+	{"each caller gets its own complete response or a typed error", func(sim *simulation, _ scenario) (out []string) {
+		for _, c := range sim.calls {
+			appendIf(&out, !c.completed && c.finalError == nil, "%s: neither a response nor an error", c.name)
+			appendIf(&out, c.completed && !c.kind.isBooking() && len(c.received) != c.length, "%s: received %d of %d tokens", c.name, len(c.received), c.length)
 			for _, t := range c.received {
-				report(&out, !strings.HasPrefix(t.text, c.prompt+"/"), "%s: got %q", c.name, t.text)
+				appendIf(&out, !strings.HasPrefix(t.text, c.prompt+"/"), "%s: received a foreign token %q", c.name, t.text)
 			}
 		}
 		return out
 	}},
-	{"told that it did not run, it did not", func(w *world, _ script) (out []string) {
+	{"a request reported as not executed was not executed", func(sim *simulation, _ scenario) (out []string) {
 		ran := map[uint64]bool{}
-		for _, s := range w.records.starts {
-			ran[s.sending] = true
+		for _, s := range sim.records.starts {
+			ran[s.attemptID] = true
 		}
-		for _, t := range w.records.told {
-			report(&out, t.executed == failure.ExecutedNo && ran[t.sending], "%s: sending %d ran", t.call.name, t.sending)
+		for _, t := range sim.records.outcomes {
+			appendIf(&out, t.executed == failure.ExecutedNo && ran[t.attemptID], "%s: attempt %d was executed", t.call.name, t.attemptID)
 		}
 		return out
 	}},
-	{"a booking runs at most once", func(w *world, _ script) (out []string) {
+	{"a booking runs at most once", func(sim *simulation, _ scenario) (out []string) {
 		runs := map[string]int{}
-		for _, s := range w.records.starts {
+		for _, s := range sim.records.starts {
 			if runs[s.booking]++; s.booking != "" {
-				report(&out, runs[s.booking] > 1, "%s ran again at %v", s.booking, s.at)
+				appendIf(&out, runs[s.booking] > 1, "%s was executed again at %v", s.booking, s.at)
 			}
 		}
 		return out
 	}},
-	{"a leaving target gets no new work", func(w *world, sc script) (out []string) {
-		for _, s := range w.records.starts {
-			leaving := s.target.leaving
-			report(&out, leaving > 0 && s.at > max(leaving, sc.dark)+aFew, "%v: start on %s", s.at, s.target.name)
+	{"a leaving target gets no new work", func(sim *simulation, scenario scenario) (out []string) {
+		for _, s := range sim.records.starts {
+			leaving := s.target.leavingAt
+			appendIf(&out, leaving > 0 && s.at > max(leaving, scenario.staleUntil)+propagationLimit, "%v: request started on leaving target %s", s.at, s.target.name)
 		}
 		return out
 	}},
-	{"a planned stop cuts nothing", func(w *world, _ script) (out []string) {
-		report(&out, w.records.cutByStop > 0, "%d requests cut", w.records.cutByStop)
+	{"a planned stop aborts no request", func(sim *simulation, _ scenario) (out []string) {
+		appendIf(&out, sim.records.abortedByStop > 0, "%d requests aborted", sim.records.abortedByStop)
 		return out
 	}},
-	{"an accepted edit is in force everywhere soon and stays", func(w *world, sc script) (out []string) {
-		for name, log := range w.records.force {
+	{"an accepted edit takes effect on every host in time and is not reverted", func(sim *simulation, scenario scenario) (out []string) {
+		for name, weights := range sim.records.weights {
 			last := ""
-			for _, f := range log {
-				report(&out, f.weight < last, "%s went back from %s to %s at %v", name, last, f.weight, f.at)
-				late := f.until > max(sc.editAt, sc.dark)+aFew && f.weight < sc.weight
-				report(&out, late, "%s still has %s at %v", name, f.weight, f.until)
-				last = f.weight
+			for _, record := range weights {
+				appendIf(&out, record.weight < last, "%s reverted from weight %s to %s at %v", name, last, record.weight, record.at)
+				late := record.until > max(scenario.editAt, scenario.staleUntil)+propagationLimit && record.weight < scenario.lastWeight
+				appendIf(&out, late, "%s still has weight %s at %v", name, record.weight, record.until)
+				last = record.weight
 			}
-			h := w.host(name)
-			report(&out, h.up && h.ready && log[len(log)-1].weight != sc.weight, "%s ends with %s", name, log[len(log)-1].weight)
+			h := sim.hostByName(name)
+			appendIf(&out, h.up && h.ready && weights[len(weights)-1].weight != scenario.lastWeight, "%s has weight %s at the end", name, weights[len(weights)-1].weight)
 		}
 		return out
 	}},
-	{"a poison request alone costs three targets (not a promise of the brief)", func(w *world, _ script) (out []string) {
-		report(&out, len(w.armed) == 1 && w.records.poisoned > 3, "%d targets died", w.records.poisoned)
+	{"a poison request without other faults crashes at most three targets (not a required guarantee)", func(sim *simulation, _ scenario) (out []string) {
+		appendIf(&out, len(sim.triggers) == 1 && sim.records.poisonCrashes > 3, "%d targets crashed", sim.records.poisonCrashes)
 		return out
 	}},
 }
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -16,24 +16,25 @@
 	"filbertdeck/internal/table"
 )
 
-// host is one entry host: its entry and its control process, which share their
-// fate here. The decisions are the product's own modules; only the wires
-// between them are simulated.
+// host is one host: its entry and its control process, which start and fail
+// together in this simulation. The decisions are made by the product's own
+// packages; only the transport between them is simulated.
 type host struct {
-	*proc
-	w        *world
-	doc      *rollout.Document
-	join     *rollout.Join
-	ready    bool
-	hosts    once.HostList
-	register *once.Register
-	allocs   map[string]*admission.Allocator
-	waiting  map[uint64]func(admission.Decision)
-	leases   map[admission.LeaseID]*lease
-	// answered is when the question was sent that a host answered last.
-	answered map[*host]time.Duration
-	serving  int
-	stopping bool
+	*process
+	sim         *simulation
+	document    *rollout.Document
+	join        *rollout.Join
+	ready       bool
+	hosts       once.HostList
+	register    *once.Register
+	allocators  map[string]*admission.Allocator
+	pendingAsks map[uint64]func(admission.Decision)
+	leases      map[admission.LeaseID]*lease
+	// heartbeatAt holds, for each host, the send time of the last heartbeat
+	// that it answered.
+	heartbeatAt map[*host]time.Duration
+	inProgress  int
+	stopping    bool
 }
 
 type lease struct {
@@ -44,133 +45,134 @@
 	account  string
 	deadline time.Duration
 	produced int
-	asked    time.Duration
+	askedAt  time.Duration
 }
 
 const (
-	leaseFor  = 3 * time.Second
-	askLimit  = time.Second
-	doubtTime = 3 * time.Second // without a sign of life on a connection
+	leaseDuration  = 3 * time.Second
+	askTimeout     = time.Second
+	silenceTimeout = 3 * time.Second // a connection without traffic for this long is considered lost
 )
 
-func (w *world) addHost(name, centre string) *host {
-	h := &host{proc: &proc{name: name, centre: centre}, w: w}
-	w.hosts = append(w.hosts, h)
+func (sim *simulation) addHost(name, dataCentre string) *host {
+	h := &host{process: &process{name: name, dataCentre: dataCentre}, sim: sim}
+	sim.hosts = append(sim.hosts, h)
 	h.start()
 	return h
 }
 
-// start begins a process with an empty memory.
+// start starts a new incarnation of the process with empty state.
 func (h *host) start() {
-	w := h.w
-	h.inc++
-	h.up, h.wake, h.stopping, h.ready, h.serving = true, 0, false, false, 0
-	h.doc, h.join = rollout.NewDocument(), rollout.NewJoin(w.now)
+	sim := h.sim
+	h.incarnation++
+	h.up, h.frozenUntil, h.stopping, h.ready, h.inProgress = true, 0, false, false, 0
+	h.document, h.join = rollout.NewDocument(), rollout.NewJoin(sim.now)
 	h.hosts = once.HostList{}
-	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.inc}})
-	h.allocs, h.waiting, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
-	h.answered = map[*host]time.Duration{}
-	h.watch()
-	w.every(h.proc, 500*time.Millisecond, h.watch)
-	w.every(h.proc, 300*time.Millisecond, h.gossip)
-	w.every(h.proc, 200*time.Millisecond, h.poll)
-	w.every(h.proc, 10*time.Millisecond, h.decide)
-	w.every(h.proc, 500*time.Millisecond, h.beat)
-	w.every(h.proc, 700*time.Millisecond, h.renew)
+	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.incarnation}})
+	h.allocators, h.pendingAsks, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
+	h.heartbeatAt = map[*host]time.Duration{}
+	h.readConfiguration()
+	sim.runEvery(h.process, 500*time.Millisecond, h.readConfiguration)
+	sim.runEvery(h.process, 300*time.Millisecond, h.gossip)
+	sim.runEvery(h.process, 200*time.Millisecond, h.pollTargets)
+	sim.runEvery(h.process, 10*time.Millisecond, h.runAllocators)
+	sim.runEvery(h.process, 500*time.Millisecond, h.sendHeartbeats)
+	sim.runEvery(h.process, 700*time.Millisecond, h.renewLeases)
 }
 
-// watch reads the configuration service, which answers with a state from
-// between the question and the answer.
-func (h *host) watch() {
-	w, asked := h.w, h.w.now
-	if w.split[h.proc] && w.now < w.healed || w.now < w.service.down {
+// readConfiguration reads the configuration service. The response holds the
+// state at the time of the request.
+func (h *host) readConfiguration() {
+	sim, askedAt := h.sim, h.sim.now
+	if sim.partitioned[h.process] && sim.now < sim.partitionEnd || sim.now < sim.service.downUntil {
 		return
 	}
-	i, stale := w.service.stale[h.proc]
+	index, stale := sim.service.staleState[h.process]
 	if !stale {
-		i = len(w.service.states) - 1
+		index = len(sim.service.states) - 1
 	}
-	state := w.service.states[i]
-	w.after(h.proc, 2*hop, func() { h.read(state, asked) })
+	state := sim.service.states[index]
+	sim.runAfter(h.process, 2*messageDelay, func() { h.applyState(state, askedAt) })
 }
 
-func (h *host) read(s platformState, asked time.Duration) {
-	rows := []rollout.Row{{Key: "weight", Text: fmt.Sprintf("%03d", s.weight)}, {Key: "drain", Text: s.drained}, {Key: "leaving", Text: s.leaving}}
-	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
-	h.take(delta)
+func (h *host) applyState(state platformState, askedAt time.Duration) {
+	rows := []rollout.Row{{Key: "weight", Text: fmt.Sprintf("%03d", state.weight)}, {Key: "drain", Text: state.drainedCentre}, {Key: "leaving", Text: state.leavingTarget}}
+	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: state.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
+	h.applyDelta(delta)
 	h.join.Service()
-	h.hosts = once.HostList{Revision: s.hostsRev, Live: s.hosts, Confirmed: asked}
-	h.register.SetHosts(h.w.now, h.hosts)
+	h.hosts = once.HostList{Revision: state.hostsRevision, Live: state.hosts, Confirmed: askedAt}
+	h.register.SetHosts(h.sim.now, h.hosts)
 	h.checkReady()
 	if !h.ready {
-		return // it would admit by what may be an old table
+		return // the table may be outdated, so this host must not admit requests yet
 	}
-	for _, p := range h.plans() {
-		a := h.allocs[p.ID]
+	for _, p := range h.poolPlans() {
+		a := h.allocators[p.ID]
 		if a == nil {
 			if !slices.Contains(p.Owners, h.name) {
 				continue
 			}
-			a = admission.New(admission.Config{LeaseFor: leaseFor, Seed: h.inc<<32 | uint64(len(h.allocs)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
-			h.allocs[p.ID] = a
+			a = admission.New(admission.Config{LeaseFor: leaseDuration, Seed: h.incarnation<<32 | uint64(len(h.allocators)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
+			h.allocators[p.ID] = a
 		}
-		a.SetOwnership(h.w.now, s.hostsRev, len(p.Owners) > 0 && p.Owners[0] == h.name)
-		a.Confirm(asked)
-		a.SetTargets(h.w.now, p.TargetStates)
+		a.SetOwnership(h.sim.now, state.hostsRevision, len(p.Owners) > 0 && p.Owners[0] == h.name)
+		a.Confirm(askedAt)
+		a.SetTargets(h.sim.now, p.TargetStates)
 	}
 }
 
 func (h *host) checkReady() {
-	if !h.ready && h.join.Ready(h.w.now, len(h.w.hosts)-1, h.doc.Len() > 0, false) {
+	if !h.ready && h.join.Ready(h.sim.now, len(h.sim.hosts)-1, h.document.Len() > 0, false) {
 		h.ready = true
 	}
-	h.w.records.inForce(h)
+	h.sim.records.recordWeight(h)
 }
 
-func (h *host) take(d rollout.Delta) {
-	if h.w.naive.lastWord { // whatever came last is in force
-		h.doc = rollout.NewDocument()
+func (h *host) applyDelta(delta rollout.Delta) {
+	if h.sim.mutation.acceptAnyRevision { // accept any revision that arrives, also an older one
+		h.document = rollout.NewDocument()
 	}
-	if verdict, changed := h.doc.Judge(d); verdict == rollout.VerdictTake {
-		h.doc.Commit(d, changed)
+	if verdict, changed := h.document.Judge(delta); verdict == rollout.VerdictTake {
+		h.document.Commit(delta, changed)
 	}
 }
 
-// gossip exchanges the table with the next peer.
+// gossip exchanges table rows with the next peer, in turn.
 func (h *host) gossip() {
-	w := h.w
+	sim := h.sim
 	h.checkReady()
-	peer := w.hosts[(slices.Index(w.hosts, h)+1+int(w.now/(300*time.Millisecond))%(len(w.hosts)-1))%len(w.hosts)]
-	news := h.doc.All()
-	h.spreadCrashes(peer)
-	w.message(h.proc, peer.proc, func() {
-		peer.take(news)
-		back := peer.doc.All()
-		w.message(peer.proc, h.proc, func() {
-			h.take(back)
+	peer := sim.hosts[(slices.Index(sim.hosts, h)+1+int(sim.now/(300*time.Millisecond))%(len(sim.hosts)-1))%len(sim.hosts)]
+	rows := h.document.All()
+	h.gossipCrashes(peer)
+	sim.sendMessage(h.process, peer.process, func() {
+		peer.applyDelta(rows)
+		peerRows := peer.document.All()
+		sim.sendMessage(peer.process, h.process, func() {
+			h.applyDelta(peerRows)
 			h.join.Peer(peer.name)
 			h.checkReady()
 		}, nil)
 	}, nil)
 }
 
-// spreadCrashes tells a peer's allocators of the deaths that ours saw.
-func (h *host) spreadCrashes(peer *host) {
-	for _, id := range sorted(h.allocs) {
-		evidence := slices.Clone(h.allocs[id].PoisonEvidence(h.w.now, 20))
-		h.w.message(h.proc, peer.proc, func() {
-			for _, other := range sorted(peer.allocs) {
-				peer.allocs[other].MergePoison(h.w.now, evidence)
+// gossipCrashes sends the target crashes that this host's allocators have
+// recorded to the allocators of a peer.
+func (h *host) gossipCrashes(peer *host) {
+	for _, id := range sorted(h.allocators) {
+		evidence := slices.Clone(h.allocators[id].PoisonEvidence(h.sim.now, 20))
+		h.sim.sendMessage(h.process, peer.process, func() {
+			for _, other := range sorted(peer.allocators) {
+				peer.allocators[other].MergePoison(h.sim.now, evidence)
 			}
 		}, nil)
 	}
 }
 
-// sorted gives a map's keys in order, so that one seed gives one run.
+// sorted returns a map's keys in order, so that runs are deterministic.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func (h *host) row(key string) string {
-	for _, r := range h.doc.Rows() {
+func (h *host) rowText(key string) string {
+	for _, r := range h.document.Rows() {
 		if r.Key == key {
 			return r.Text
 		}
@@ -178,23 +180,23 @@
 	return ""
 }
 
-// plans computes the pools from this host's own view.
-func (h *host) plans() []pools.Plan {
-	w := h.w
+// poolPlans computes the pools from this host's view of the configuration.
+func (h *host) poolPlans() []pools.Plan {
+	sim := h.sim
 	reports, orders := &table.Service{Name: "reports", Type: table.ServiceGeneration}, &table.Service{Name: "orders", Type: table.ServiceOnce}
-	leaving := h.row("leaving")
-	for _, e := range w.engines {
-		reports.Targets = append(reports.Targets, table.Target{Address: e.name, DataCentre: e.centre, Leaving: e.name == leaving && !w.naive.ignoreLeaving})
+	leaving := h.rowText("leaving")
+	for _, e := range sim.engines {
+		reports.Targets = append(reports.Targets, table.Target{Address: e.name, DataCentre: e.dataCentre, Leaving: e.name == leaving && !sim.mutation.ignoreLeaving})
 	}
-	orders.Targets = []table.Target{{Address: w.app.name, DataCentre: w.app.centre}}
+	orders.Targets = []table.Target{{Address: sim.app.name, DataCentre: sim.app.dataCentre}}
 	t := &table.Table{Services: map[string]*table.Service{"reports": reports, "orders": orders}, Drained: map[string]bool{}}
-	if !w.naive.ignoreDrain {
-		t.Drained[h.row("drain")] = true
+	if !sim.mutation.ignoreDrain {
+		t.Drained[h.rowText("drain")] = true
 	}
 	var live []configservice.Host
 	for _, name := range h.hosts.Live {
-		if i := slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == name }); i >= 0 {
-			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
+		if i := slices.IndexFunc(sim.hosts, func(other *host) bool { return other.name == name }); i >= 0 {
+			live = append(live, configservice.Host{DataCentre: sim.hosts[i].dataCentre, Control: name, State: configservice.StateLive})
 		}
 	}
 	plans := pools.Plans(t, live)
@@ -202,30 +204,31 @@
 	return plans
 }
 
-// poll reads the targets' load for the pools that this host admits to.
-func (h *host) poll() {
-	for _, p := range h.plans() {
-		a := h.allocs[p.ID]
+// pollTargets reads the load reports of the targets in the pools that this host
+// allocates.
+func (h *host) pollTargets() {
+	for _, p := range h.poolPlans() {
+		a := h.allocators[p.ID]
 		if a == nil {
 			continue
 		}
 		for _, t := range p.TargetStates {
-			e := h.w.target(t.Address)
-			asked := h.w.now
-			h.w.message(h.proc, e.proc, func() {
+			e := h.sim.targetByAddress(t.Address)
+			askedAt := h.sim.now
+			h.sim.sendMessage(h.process, e.process, func() {
 				report := e.report()
-				h.w.message(e.proc, h.proc, func() {
-					// A report that waited for a sleeper to wake is old.
-					report.Age = h.w.now - asked
-					a.Report(h.w.now, report)
+				h.sim.sendMessage(e.process, h.process, func() {
+					// The report may have waited while this host was frozen.
+					report.Age = h.sim.now - askedAt
+					a.Report(h.sim.now, report)
 				}, nil)
 			}, nil)
 		}
 	}
 }
 
-func (w *world) target(address string) *engine {
-	for _, e := range append(w.engines, w.app) {
+func (sim *simulation) targetByAddress(address string) *engine {
+	for _, e := range append(sim.engines, sim.app) {
 		if e.name == address {
 			return e
 		}
@@ -233,8 +236,8 @@
 	return nil
 }
 
-func (w *world) host(name string) *host {
-	for _, h := range w.hosts {
+func (sim *simulation) hostByName(name string) *host {
+	for _, h := range sim.hosts {
 		if h.name == name {
 			return h
 		}
@@ -242,71 +245,74 @@
 	return nil
 }
 
-// decide runs the allocators and sends their decisions to who asked.
-func (h *host) decide() {
-	for _, id := range sorted(h.allocs) {
-		for _, d := range h.allocs[id].Decide(h.w.now) {
-			holder := h.w.host(d.Holder.Entry)
-			h.w.message(h.proc, holder.proc, func() {
-				if got := holder.waiting[d.Request]; got != nil && holder.inc == d.Holder.Incarnation {
-					delete(holder.waiting, d.Request)
-					got(d)
+// runAllocators runs the allocators and sends each decision to the entry that
+// requested it.
+func (h *host) runAllocators() {
+	for _, id := range sorted(h.allocators) {
+		for _, d := range h.allocators[id].Decide(h.sim.now) {
+			holder := h.sim.hostByName(d.Holder.Entry)
+			h.sim.sendMessage(h.process, holder.process, func() {
+				if onDecision := holder.pendingAsks[d.Request]; onDecision != nil && holder.incarnation == d.Holder.Incarnation {
+					delete(holder.pendingAsks, d.Request)
+					onDecision(d)
 				}
 			}, nil)
 		}
 	}
 }
 
-// beat asks the control processes for a sign of life. A grant that comes after
-// the answer was made after the question was sent, however long its ask waited.
-func (h *host) beat() {
-	asked := h.w.now
-	for _, o := range h.w.hosts {
-		h.w.message(h.proc, o.proc, func() {
-			h.w.message(o.proc, h.proc, func() { h.answered[o] = asked }, nil)
+// sendHeartbeats sends a heartbeat to every control process. A grant received
+// after the response was made after the heartbeat was sent, however long its
+// ask waited in the queue, so the lease cannot expire before that time plus
+// leaseDuration.
+func (h *host) sendHeartbeats() {
+	askedAt := h.sim.now
+	for _, other := range h.sim.hosts {
+		h.sim.sendMessage(h.process, other.process, func() {
+			h.sim.sendMessage(other.process, h.process, func() { h.heartbeatAt[other] = askedAt }, nil)
 		}, nil)
 	}
 }
 
-// renew keeps this entry's leases alive.
-func (h *host) renew() {
+// renewLeases renews the leases that this entry holds.
+func (h *host) renewLeases() {
 	for _, id := range sorted(h.leases) {
-		l, asked := h.leases[id], h.w.now
+		l, askedAt := h.leases[id], h.sim.now
 		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, Produced: l.produced}}
-		h.w.message(h.proc, l.owner.proc, func() {
-			a := l.owner.allocs[l.pool]
+		h.sim.sendMessage(h.process, l.owner.process, func() {
+			a := l.owner.allocators[l.pool]
 			if a == nil {
 				return
 			}
-			a.Renew(h.w.now, h.holder(), renewal)
-			h.w.message(l.owner.proc, h.proc, func() { l.deadline = asked + leaseFor }, nil)
+			a.Renew(h.sim.now, h.holder(), renewal)
+			h.sim.sendMessage(l.owner.process, h.process, func() { l.deadline = askedAt + leaseDuration }, nil)
 		}, nil)
 	}
 }
 
 func (h *host) holder() admission.Holder {
-	return admission.Holder{Entry: h.name, Incarnation: h.inc}
+	return admission.Holder{Entry: h.name, Incarnation: h.incarnation}
 }
 
-func (h *host) settle(l *lease, o admission.Outcome) {
-	if l == nil || h.leases[l.id] != l {
+func (h *host) settle(heldLease *lease, outcome admission.Outcome) {
+	if heldLease == nil || h.leases[heldLease.id] != heldLease {
 		return
 	}
-	delete(h.leases, l.id)
-	s := admission.Settlement{Lease: l.id, Outcome: o, Produced: l.produced, Duration: h.w.now - l.asked}
-	h.w.message(h.proc, l.owner.proc, func() {
-		if a := l.owner.allocs[l.pool]; a != nil {
-			a.Settle(h.w.now, s)
+	delete(h.leases, heldLease.id)
+	s := admission.Settlement{Lease: heldLease.id, Outcome: outcome, Produced: heldLease.produced, Duration: h.sim.now - heldLease.askedAt}
+	h.sim.sendMessage(h.process, heldLease.owner.process, func() {
+		if a := heldLease.owner.allocators[heldLease.pool]; a != nil {
+			a.Settle(h.sim.now, s)
 		}
 	}, nil)
 }
 
-// admit asks the owners of the service's pools, near ones first, until one
-// answers; got receives nil when none admits.
-func (h *host) admit(s *sending, service string, avoid []string, got func(*lease, admission.Decision)) {
+// admit asks the owners of the service's pools, those in the own data centre
+// first, until one answers. onDecision receives a nil lease if none grants one.
+func (h *host) admit(att *attempt, service string, avoid []string, onDecision func(*lease, admission.Decision)) {
 	type choice struct{ pool, owner string }
 	var choices []choice
-	for _, p := range h.plans() {
+	for _, p := range h.poolPlans() {
 		if !slices.Contains(p.Services, service) || p.Drained || !slices.ContainsFunc(p.TargetStates, func(t admission.Target) bool { return !t.Leaving && !slices.Contains(avoid, t.Address) }) {
 			continue
 		}
@@ -315,116 +321,116 @@
 		}
 	}
 	slices.SortStableFunc(choices, func(a, b choice) int {
-		near := func(c choice) int {
-			if strings.Contains(c.pool, "/"+h.centre+"/") {
+		distance := func(c choice) int {
+			if strings.Contains(c.pool, "/"+h.dataCentre+"/") {
 				return 0
 			}
 			return 1
 		}
-		return near(a) - near(b)
+		return distance(a) - distance(b)
 	})
-	var try func(i int)
-	try = func(i int) {
+	var tryChoice func(i int)
+	tryChoice = func(i int) {
 		if i == len(choices) {
-			got(nil, admission.Decision{Reason: admission.RefusedNoTarget, RetryAfter: time.Second})
+			onDecision(nil, admission.Decision{Reason: admission.RefusedNoTarget, RetryAfter: time.Second})
 			return
 		}
-		h.ask(s, choices[i].pool, h.w.host(choices[i].owner), avoid, got, func() { try(i + 1) })
+		h.askOwner(att, choices[i].pool, h.sim.hostByName(choices[i].owner), avoid, onDecision, func() { tryChoice(i + 1) })
 	}
-	try(0)
+	tryChoice(0)
 }
 
-func (h *host) ask(s *sending, pool string, owner *host, avoid []string, got func(*lease, admission.Decision), next func()) {
-	w, asked := h.w, h.w.now
-	w.ids++
-	request := w.ids
-	h.waiting[request] = func(d admission.Decision) {
+func (h *host) askOwner(att *attempt, pool string, owner *host, avoid []string, onDecision func(*lease, admission.Decision), tryNextOwner func()) {
+	sim, askedAt := h.sim, h.sim.now
+	sim.lastID++
+	request := sim.lastID
+	h.pendingAsks[request] = func(d admission.Decision) {
 		if !d.Granted() {
-			got(nil, d)
+			onDecision(nil, d)
 			return
 		}
-		l := &lease{id: d.Lease, pool: pool, owner: owner, target: w.target(d.Target), account: s.call.account, asked: asked}
-		l.deadline = max(asked, h.answered[owner]) + leaseFor
+		l := &lease{id: d.Lease, pool: pool, owner: owner, target: sim.targetByAddress(d.Target), account: att.call.account, askedAt: askedAt}
+		l.deadline = max(askedAt, h.heartbeatAt[owner]) + leaseDuration
 		h.leases[l.id] = l
-		w.step(s.call, stepGranted, h.proc, func() { got(l, d) })
+		sim.reachStep(att.call, stepGranted, h.process, func() { onDecision(l, d) })
 	}
-	skip := func() {
-		if h.waiting[request] != nil {
-			delete(h.waiting, request)
-			w.message(h.proc, owner.proc, func() {
-				if a := owner.allocs[pool]; a != nil {
-					a.Withdraw(w.now, h.holder(), request)
+	tryNext := func() {
+		if h.pendingAsks[request] != nil {
+			delete(h.pendingAsks, request)
+			sim.sendMessage(h.process, owner.process, func() {
+				if a := owner.allocators[pool]; a != nil {
+					a.Withdraw(sim.now, h.holder(), request)
 				}
 			}, nil)
-			next()
+			tryNextOwner()
 		}
 	}
 	ask := admission.Ask{
-		Holder: h.holder(), Request: request, Account: s.call.account, PromptTokens: 20, MaxTokens: 200,
-		Fingerprint: s.call.fingerprint, MaxWait: 8 * time.Second, Avoid: avoid,
+		Holder: h.holder(), Request: request, Account: att.call.account, PromptTokens: 20, MaxTokens: 200,
+		Fingerprint: att.call.fingerprint, MaxWait: 8 * time.Second, Avoid: avoid,
 	}
-	w.message(h.proc, owner.proc, func() {
-		a := owner.allocs[pool]
+	sim.sendMessage(h.process, owner.process, func() {
+		a := owner.allocators[pool]
 		if a == nil {
 			return
 		}
-		if w.naive.noSlowStart {
-			w.grantAny(owner, pool, ask)
+		if sim.mutation.skipSlowStart {
+			sim.grantLeastLoaded(owner, pool, ask)
 			return
 		}
-		a.Ask(w.now, ask)
-		w.step(s.call, stepQueued, owner.proc, func() {})
-	}, skip)
-	w.after(h.proc, askLimit+ask.MaxWait, skip)
-	w.after(h.proc, askLimit, func() {
-		if !owner.up || w.parted(h.proc, owner.proc) || owner.wake > w.now { // its heartbeat stays out
-			skip()
+		a.Ask(sim.now, ask)
+		sim.reachStep(att.call, stepQueued, owner.process, func() {})
+	}, tryNext)
+	sim.runAfter(h.process, askTimeout+ask.MaxWait, tryNext)
+	sim.runAfter(h.process, askTimeout, func() {
+		if !owner.up || sim.isPartitioned(h.process, owner.process) || owner.frozenUntil > sim.now { // stands for a missing heartbeat
+			tryNext()
 		}
 	})
 }
 
-// grantAny is the naive admission: the target with the fewest requests, however
-// young it is.
-func (w *world) grantAny(owner *host, pool string, ask admission.Ask) {
-	var best *engine
-	for _, p := range owner.plans() {
+// grantLeastLoaded is admission without slow start: it grants the target with
+// the fewest requests, however recently that target started.
+func (sim *simulation) grantLeastLoaded(owner *host, pool string, ask admission.Ask) {
+	var leastLoaded *engine
+	for _, p := range owner.poolPlans() {
 		for _, t := range p.TargetStates {
-			if e := w.target(t.Address); p.ID == pool && e.up && !t.Leaving && (best == nil || len(e.running) < len(best.running)) {
-				best = e
+			if e := sim.targetByAddress(t.Address); p.ID == pool && e.up && !t.Leaving && (leastLoaded == nil || len(e.running) < len(leastLoaded.running)) {
+				leastLoaded = e
 			}
 		}
 	}
-	if best == nil {
+	if leastLoaded == nil {
 		return
 	}
-	w.ids++
-	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(w.ids << 20), Target: best.name, LeaseFor: leaseFor}
-	holder := w.host(ask.Holder.Entry)
-	w.message(owner.proc, holder.proc, func() {
-		if got := holder.waiting[d.Request]; got != nil {
-			delete(holder.waiting, d.Request)
-			got(d)
+	sim.lastID++
+	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(sim.lastID << 20), Target: leastLoaded.name, LeaseFor: leaseDuration}
+	holder := sim.hostByName(ask.Holder.Entry)
+	sim.sendMessage(owner.process, holder.process, func() {
+		if onDecision := holder.pendingAsks[d.Request]; onDecision != nil {
+			delete(holder.pendingAsks, d.Request)
+			onDecision(d)
 		}
 	}, nil)
 }
 
-// stop ends the process in order: no new callers, then wait for what is in
-// progress.
+// stop stops the process gracefully: it accepts no new requests and exits when
+// no request is in progress.
 func (h *host) stop() {
 	h.stopping = true
-	w := h.w
-	if w.naive.cutAtStop {
-		w.records.cutByStop += h.serving
-		w.kill(h.proc)
+	sim := h.sim
+	if sim.mutation.abortAtStop {
+		sim.records.abortedByStop += h.inProgress
+		sim.killProcess(h.process)
 		return
 	}
-	var wait func()
-	wait = func() {
-		if h.serving == 0 {
-			w.kill(h.proc)
+	var waitIdle func()
+	waitIdle = func() {
+		if h.inProgress == 0 {
+			sim.killProcess(h.process)
 			return
 		}
-		w.after(h.proc, 50*time.Millisecond, wait)
+		sim.runAfter(h.process, 50*time.Millisecond, waitIdle)
 	}
-	w.after(h.proc, 200*time.Millisecond, wait)
+	sim.runAfter(h.process, 200*time.Millisecond, waitIdle)
 }
--- a/test/faults/matrix_test.go
+++ b/test/faults/matrix_test.go
@@ -16,71 +16,73 @@
 	"golang.org/x/sync/errgroup"
 )
 
-var pairs = flag.Int("pairs", 400, "random pairs of faults to try")
+var pairCount = flag.Int("pairs", 400, "number of random pairs of faults to run")
 
 func TestFaults(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "faults")
 }
 
-// naive switches single decisions back to what a first attempt would do.
-type naive struct {
-	restart, unchecked, noSlowStart, ignoreDrain, ignoreLeaving, sayNo, runAnywhere, cutAtStop, lastWord bool
+// mutation replaces single decisions of the product by naive ones, which the
+// checks must detect.
+type mutation struct {
+	restartAfterDelivery, skipFrameChecks, skipSlowStart, ignoreDrain, ignoreLeaving, alwaysReportNotRun, skipOwnership, abortAtStop, acceptAnyRevision bool
 }
 
-// script is what operators and the platform do in every run.
-type script struct {
-	drained         string
+// scenario records what operators and the platform do in a run.
+type scenario struct {
+	drainedCentre   string
 	drainAt, editAt time.Duration
-	weight          string
-	// dark is until when some hosts can't know what was published.
-	dark time.Duration
+	lastWeight      string
+	// staleUntil is the time until which some hosts cannot read published
+	// changes.
+	staleUntil time.Duration
 }
 
 const (
-	begin = 10 * time.Second // the fleet is settled
-	soon  = 45 * time.Second // all is over in most runs
-	over  = 30 * time.Minute
+	settledAt   = 10 * time.Second // the deployment has started up
+	earliestEnd = 45 * time.Second // most runs have finished by then
+	latestEnd   = 30 * time.Minute
 )
 
-// newWorld is three hosts in two data centres, four engines and a plain
-// service, under light load, with an edit of a weight, a data centre taken out,
-// a target that leaves and a planned stop, in every run.
-func newWorld(n naive) *world {
-	w := &world{naive: n, split: map[*proc]bool{}, callers: &proc{name: "callers", up: true}}
-	w.records.force = map[string][]forceRecord{}
-	w.service = &service{revision: 1, stale: map[*proc]int{}, states: []platformState{{revision: 1, weight: 1, hosts: []string{"h0", "h1", "h2"}, hostsRev: 1}}}
-	w.engines = []*engine{w.addEngine("e0", "north", true), w.addEngine("e1", "north", true), w.addEngine("e2", "south", true), w.addEngine("e3", "north", true)}
-	w.app = w.addEngine("a0", "north", true)
-	for i, centre := range []string{"north", "north", "south"} {
-		w.addHost(fmt.Sprint("h", i), centre)
+// newSimulation returns a deployment of three hosts in two data centres, four
+// engines and a plain service under light load. Every run contains edits of a
+// weight, a drained data centre, a leaving target and a planned stop.
+func newSimulation(mutation mutation) *simulation {
+	sim := &simulation{mutation: mutation, partitioned: map[*process]bool{}, callers: &process{name: "callers", up: true}}
+	sim.records.weights = map[string][]weightRecord{}
+	sim.service = &configService{revision: 1, staleState: map[*process]int{}, states: []platformState{{revision: 1, weight: 1, hosts: []string{"h0", "h1", "h2"}, hostsRevision: 1}}}
+	sim.engines = []*engine{sim.addEngine("e0", "north", true), sim.addEngine("e1", "north", true), sim.addEngine("e2", "south", true), sim.addEngine("e3", "north", true)}
+	sim.app = sim.addEngine("a0", "north", true)
+	for i, dataCentre := range []string{"north", "north", "south"} {
+		sim.addHost(fmt.Sprint("h", i), dataCentre)
 	}
-	w.script.drained = "south"
-	w.at(begin+300*time.Millisecond, w.editWeight)
-	w.at(begin+500*time.Millisecond, w.editWeight)
-	w.at(begin+time.Second, func() {
-		w.script.drainAt, w.engines[1].leaving = w.now, w.now
-		w.service.edit(func(s *platformState) { s.drained, s.leaving = "south", "e1" })
+	sim.scenario.drainedCentre = "south"
+	sim.schedule(settledAt+300*time.Millisecond, sim.editWeight)
+	sim.schedule(settledAt+500*time.Millisecond, sim.editWeight)
+	sim.schedule(settledAt+time.Second, func() {
+		sim.scenario.drainAt, sim.engines[1].leavingAt = sim.now, sim.now
+		sim.service.edit(func(s *platformState) { s.drainedCentre, s.leavingTarget = "south", "e1" })
 	})
 	for i := range 80 {
-		w.at(begin-time.Second+time.Duration(i)*200*time.Millisecond, func() { w.newCall(fmt.Sprint("light", i), kindStream, 15, i%3).try() })
+		sim.schedule(settledAt-time.Second+time.Duration(i)*200*time.Millisecond, func() { sim.newCall(fmt.Sprint("light", i), kindStream, 15, i%3).sendNext() })
 	}
-	for i := range 30 { // a burst for targets that are just back
-		w.at(begin+3*time.Second+time.Duration(i/3)*200*time.Millisecond, func() { w.newCall(fmt.Sprint("burst", i), kindStream, 15, i%3).try() })
+	for i := range 30 { // a burst that reaches targets which have just restarted
+		sim.schedule(settledAt+3*time.Second+time.Duration(i/3)*200*time.Millisecond, func() { sim.newCall(fmt.Sprint("burst", i), kindStream, 15, i%3).sendNext() })
 	}
-	w.at(begin+2800*time.Millisecond, func() { w.newCall("at the stop", kindStream, 60, 2).try() })
-	w.at(begin+3*time.Second, func() { w.hosts[2].stop() })
-	w.at(begin+9*time.Second, func() { w.hosts[2].restart() })
-	return w
+	sim.schedule(settledAt+2800*time.Millisecond, func() { sim.newCall("at the stop", kindStream, 60, 2).sendNext() })
+	sim.schedule(settledAt+3*time.Second, func() { sim.hosts[2].stop() })
+	sim.schedule(settledAt+9*time.Second, func() { sim.hosts[2].restart() })
+	return sim
 }
 
-func (w *world) editWeight() {
-	w.service.edit(func(s *platformState) { s.weight++ })
-	w.script.editAt, w.script.weight = w.now, fmt.Sprintf("%03d", w.service.now().weight)
+func (sim *simulation) editWeight() {
+	sim.service.edit(func(s *platformState) { s.weight++ })
+	sim.scenario.editAt, sim.scenario.lastWeight = sim.now, fmt.Sprintf("%03d", sim.service.current().weight)
 }
 
-func (w *world) anyHolds(key, text string) bool {
-	return slices.ContainsFunc(w.hosts, func(h *host) bool { return h.up && h.row(key) == text })
+func (sim *simulation) anyHostHasRow(key, text string) bool {
+	return slices.ContainsFunc(sim.hosts, func(h *host) bool { return h.up && h.rowText(key) == text })
 }
 
 func (h *host) restart() {
@@ -89,240 +91,245 @@
 	}
 }
 
-func (w *world) publishHosts(names ...string) {
-	w.service.edit(func(s *platformState) { s.hosts, s.hostsRev = names, w.service.revision })
+func (sim *simulation) publishHosts(names ...string) {
+	sim.service.edit(func(s *platformState) { s.hosts, s.hostsRevision = names, sim.service.revision })
 }
 
-// fault is a row of the matrix.
+// fault is one row of the matrix.
 type fault struct {
 	name   string
-	strike func(w *world, c *call)
-	// skip gives the reason why a cell makes no sense for this kind of call.
-	skip func(k kind, s step) string
+	inject func(sim *simulation, c *call)
+	// skipReason returns why the fault does not apply to this kind of request
+	// at this step, or "" if it applies.
+	skipReason func(k requestKind, s step) string
 }
 
-func always(kind, step) string { return "" }
+func appliesAlways(requestKind, step) string { return "" }
 
-func onTarget(k kind, s step) string {
+func needsTargetConn(k requestKind, s step) string {
 	if s < stepSent {
-		return "no connection to a target stands yet"
+		return "no connection to a target exists yet"
 	}
-	if s >= stepAnswer || (k.booking() && s == stepLast) {
-		return "the connection to the target is done with"
+	if s >= stepAnswer || (k.isBooking() && s == stepLast) {
+		return "the connection to the target is closed already"
 	}
 	return ""
 }
 
-func onCaller(_ kind, s step) string {
+func needsCallerConn(_ requestKind, s step) string {
 	if s == stepAfter {
-		return "the connection to the caller is done with"
+		return "the connection to the caller is closed already"
 	}
 	return ""
 }
 
-func target(w *world, c *call) *engine {
+func faultedTarget(sim *simulation, c *call) *engine {
 	switch {
-	case c.where.target != nil:
-		return c.where.target
-	case c.kind.booking():
-		return w.app
+	case c.faultPoint.target != nil:
+		return c.faultPoint.target
+	case c.kind.isBooking():
+		return sim.app
 	default:
-		return w.engines[0]
+		return sim.engines[0]
 	}
 }
 
-func (w *world) killHost(h *host) {
-	w.kill(h.proc)
-	w.at(w.now+3*time.Second, h.restart)
+func (sim *simulation) killAndRestartHost(h *host) {
+	sim.killProcess(h.process)
+	sim.schedule(sim.now+3*time.Second, h.restart)
 }
 
-func (w *world) isolate(h *host, d time.Duration) {
-	w.split, w.healed = map[*proc]bool{h.proc: true}, w.now+d
-	w.script.dark = max(w.script.dark, w.healed)
+func (sim *simulation) isolateHost(h *host, duration time.Duration) {
+	sim.partitioned, sim.partitionEnd = map[*process]bool{h.process: true}, sim.now+duration
+	sim.scenario.staleUntil = max(sim.scenario.staleUntil, sim.partitionEnd)
 }
 
 var faults = []fault{
-	{"kill the entry", func(w *world, c *call) { w.killHost(c.where.host) }, always},
-	{"kill the target", func(w *world, c *call) { w.crash(target(w, c)) }, always},
-	{"reclaim the target", func(w *world, c *call) {
-		t := target(w, c)
+	{"kill the entry", func(sim *simulation, c *call) { sim.killAndRestartHost(c.faultPoint.host) }, appliesAlways},
+	{"kill the target", func(sim *simulation, c *call) { sim.crashTarget(faultedTarget(sim, c)) }, appliesAlways},
+	{"reclaim the target", func(sim *simulation, c *call) {
+		t := faultedTarget(sim, c)
 		t.stopping = true
-		w.at(w.now+2*time.Second, func() { w.crash(t) })
-	}, always},
-	{"cut entry-target", func(_ *world, c *call) { c.where.conn.cut() }, onTarget},
-	{"cut caller-entry", func(_ *world, c *call) { c.link().cut() }, onCaller},
-	{"silent entry-target", func(_ *world, c *call) { c.where.conn.hush() }, onTarget},
-	{"silent caller-entry", func(_ *world, c *call) { c.link().hush() }, onCaller},
-	{"freeze the entry, late wake", func(w *world, c *call) {
-		w.freeze(c.where.host.proc, 8*time.Second)
-		w.script.dark = max(w.script.dark, w.now+8*time.Second)
-	}, always},
-	{"freeze the target", func(w *world, c *call) { w.freeze(target(w, c).proc, 8*time.Second) }, always},
-	{"partition", func(w *world, c *call) { w.isolate(c.where.host, 10*time.Second) }, always},
-	{"configuration service down", func(w *world, _ *call) {
-		w.service.down = w.now + 15*time.Second
-		w.script.dark = max(w.script.dark, w.service.down)
-	}, always},
-	{"configuration service stale", func(w *world, c *call) {
-		w.service.stale[c.where.host.proc] = len(w.service.states) - 1
-		w.at(w.now+20*time.Second, func() { delete(w.service.stale, c.where.host.proc) })
-	}, always},
-	{"restored to an older state", func(w *world, _ *call) {
-		w.at(begin+4*time.Second, func() {
-			old := w.service.states[0]
-			// What nobody has read by now is gone: it was never accepted.
-			if !w.anyHolds("weight", w.script.weight) {
-				w.script.weight = fmt.Sprintf("%03d", old.weight)
+		sim.schedule(sim.now+2*time.Second, func() { sim.crashTarget(t) })
+	}, appliesAlways},
+	{"cut entry-target", func(_ *simulation, c *call) { c.faultPoint.conn.cut() }, needsTargetConn},
+	{"cut caller-entry", func(_ *simulation, c *call) { c.currentConn().cut() }, needsCallerConn},
+	{"silent entry-target", func(_ *simulation, c *call) { c.faultPoint.conn.goSilent() }, needsTargetConn},
+	{"silent caller-entry", func(_ *simulation, c *call) { c.currentConn().goSilent() }, needsCallerConn},
+	{"freeze the entry, late wake", func(sim *simulation, c *call) {
+		sim.freezeProcess(c.faultPoint.host.process, 8*time.Second)
+		sim.scenario.staleUntil = max(sim.scenario.staleUntil, sim.now+8*time.Second)
+	}, appliesAlways},
+	{"freeze the target", func(sim *simulation, c *call) { sim.freezeProcess(faultedTarget(sim, c).process, 8*time.Second) }, appliesAlways},
+	{"partition", func(sim *simulation, c *call) { sim.isolateHost(c.faultPoint.host, 10*time.Second) }, appliesAlways},
+	{"configuration service down", func(sim *simulation, _ *call) {
+		sim.service.downUntil = sim.now + 15*time.Second
+		sim.scenario.staleUntil = max(sim.scenario.staleUntil, sim.service.downUntil)
+	}, appliesAlways},
+	{"configuration service stale", func(sim *simulation, c *call) {
+		sim.service.staleState[c.faultPoint.host.process] = len(sim.service.states) - 1
+		sim.schedule(sim.now+20*time.Second, func() { delete(sim.service.staleState, c.faultPoint.host.process) })
+	}, appliesAlways},
+	{"restored to an older state", func(sim *simulation, _ *call) {
+		sim.schedule(settledAt+4*time.Second, func() {
+			oldState := sim.service.states[0]
+			// An edit that no host has read is lost in the restore and does not
+			// count as accepted.
+			if !sim.anyHostHasRow("weight", sim.scenario.lastWeight) {
+				sim.scenario.lastWeight = fmt.Sprintf("%03d", oldState.weight)
 			}
-			if !w.anyHolds("drain", w.script.drained) {
-				w.script.drained, w.engines[1].leaving = "", 0
+			if !sim.anyHostHasRow("drain", sim.scenario.drainedCentre) {
+				sim.scenario.drainedCentre, sim.engines[1].leavingAt = "", 0
 			}
-			w.service.states = append(w.service.states, old)
-			w.service.revision = old.revision
+			sim.service.states = append(sim.service.states, oldState)
+			sim.service.revision = oldState.revision
 		})
-	}, always},
-	{"edits racing", func(w *world, c *call) {
-		w.service.stale[c.where.host.proc] = len(w.service.states) - 1
+	}, appliesAlways},
+	{"edits racing", func(sim *simulation, c *call) {
+		sim.service.staleState[c.faultPoint.host.process] = len(sim.service.states) - 1
 		for i := range 5 {
-			w.at(w.now+time.Duration(i)*100*time.Millisecond, w.editWeight)
+			sim.schedule(sim.now+time.Duration(i)*100*time.Millisecond, sim.editWeight)
 		}
-		w.at(w.now+time.Second, func() { delete(w.service.stale, c.where.host.proc) })
-	}, always},
-	{"target cold again", func(w *world, c *call) {
-		t := target(w, c)
-		t.warm, t.since, t.turned = false, w.now, w.now
-	}, always},
-	{"poison request", func(w *world, _ *call) {
-		p := w.newCall("poison", kindStream, 50, 1)
+		sim.schedule(sim.now+time.Second, func() { delete(sim.service.staleState, c.faultPoint.host.process) })
+	}, appliesAlways},
+	{"target cold again", func(sim *simulation, c *call) {
+		t := faultedTarget(sim, c)
+		t.warm, t.rampStart, t.coldSince = false, sim.now, sim.now
+	}, appliesAlways},
+	{"poison request", func(sim *simulation, _ *call) {
+		p := sim.newCall("poison", kindStream, 50, 1)
 		p.poison = true
-		p.try()
-	}, always},
-	{"crossed frames", func(w *world, c *call) { target(w, c).crossing = 2 }, func(k kind, s step) string {
-		if k.booking() {
-			return "a booking has a connection of its own"
+		p.sendNext()
+	}, appliesAlways},
+	{"crossed frames", func(sim *simulation, c *call) { faultedTarget(sim, c).crossedFrames = 2 }, func(k requestKind, s step) string {
+		if k.isBooking() {
+			return "each booking uses its own connection"
 		}
-		return onTarget(k, s)
+		return needsTargetConn(k, s)
 	}},
-	{"run, then no answer", func(w *world, c *call) { target(w, c).dropping = true }, func(k kind, s step) string {
-		if !k.booking() {
-			return "for generations this is a cut"
+	{"run, then no answer", func(sim *simulation, c *call) { faultedTarget(sim, c).dropNextAnswer = true }, func(k requestKind, s step) string {
+		if !k.isBooking() {
+			return "for generations this equals a cut connection"
 		}
 		if s >= stepFirst {
-			return "it ran and answered already"
+			return "the booking has run and been answered already"
 		}
 		return ""
 	}},
-	{"sent twice through two entries", func(w *world, c *call) {
+	{"sent twice through two entries", func(sim *simulation, c *call) {
 		for i := 1; i <= 2; i++ {
-			again := w.newCall(c.name, c.kind, c.length, i)
-			again.key, again.handle, again.prompt = c.key, "", c.prompt
-			again.try()
+			duplicate := sim.newCall(c.name, c.kind, c.length, i)
+			duplicate.key, duplicate.handle, duplicate.prompt = c.key, "", c.prompt
+			duplicate.sendNext()
 		}
-	}, always},
-	{"replaced host", func(w *world, c *call) {
-		h := c.where.host
-		var rest []string
-		for _, o := range w.hosts {
-			if o != h {
-				rest = append(rest, o.name)
+	}, appliesAlways},
+	{"replaced host", func(sim *simulation, c *call) {
+		h := c.faultPoint.host
+		var remaining []string
+		for _, other := range sim.hosts {
+			if other != h {
+				remaining = append(remaining, other.name)
 			}
 		}
-		w.publishHosts(rest...)
+		sim.publishHosts(remaining...)
 		h.stop()
-		w.at(w.now+6*time.Second, func() {
+		sim.schedule(sim.now+6*time.Second, func() {
 			h.restart()
-			w.publishHosts("h0", "h1", "h2")
+			sim.publishHosts("h0", "h1", "h2")
 		})
-	}, always},
+	}, appliesAlways},
 }
 
-// result is what one run showed.
+// result is the outcome of one run.
 type result struct {
-	broken  []string // per check, "" when it holds
-	again   time.Duration
-	unknown int
-	missed  bool
+	violations      []string // one element per check, "" if the guarantee holds
+	recoveryTime    time.Duration
+	unknownOutcomes int
+	stepMissed      bool
 }
 
-// play runs a call of one kind through the faults.
-func play(n naive, k kind, armed ...*trigger) (*world, result) {
-	w := newWorld(n)
-	w.armed = armed
+// runScenario runs the simulation with one call of the given kind under test
+// and injects the faults of the triggers.
+func runScenario(mutation mutation, kind requestKind, triggers ...*trigger) (*simulation, result) {
+	sim := newSimulation(mutation)
+	sim.triggers = triggers
 	var c *call
-	w.at(begin, func() {
-		c = w.newCall("under test", k, 100, 0)
-		c.focus = true
-		c.try()
+	sim.schedule(settledAt, func() {
+		c = sim.newCall("under test", kind, 100, 0)
+		c.underTest = true
+		c.sendNext()
 	})
-	for end := soon; end <= over && (end == soon || w.waits()); end += time.Second {
-		w.runUntil(end)
+	for end := earliestEnd; end <= latestEnd && (end == earliestEnd || sim.hasWaitingCaller()); end += time.Second {
+		sim.runUntil(end)
 	}
-	r := result{unknown: w.records.unknown}
-	for _, t := range armed {
-		r.missed = r.missed || !t.fired
-		r.again = max(r.again, c.finished-t.at)
+	r := result{unknownOutcomes: sim.records.unknownOutcomes}
+	for _, t := range triggers {
+		r.stepMissed = r.stepMissed || !t.fired
+		r.recoveryTime = max(r.recoveryTime, c.finishedAt-t.at)
 	}
 	for _, check := range checks {
-		r.broken = append(r.broken, strings.Join(check.broken(w, w.script), "; "))
+		r.violations = append(r.violations, strings.Join(check.violations(sim, sim.scenario), "; "))
 	}
-	return w, r
+	return sim, r
 }
 
-// waits tells whether a caller still waits.
-func (w *world) waits() bool {
-	return slices.ContainsFunc(w.calls, func(c *call) bool { return !c.complete && c.ended == nil })
+// hasWaitingCaller reports whether a call has neither a response nor an error.
+func (sim *simulation) hasWaitingCaller() bool {
+	return slices.ContainsFunc(sim.calls, func(c *call) bool { return !c.completed && c.finalError == nil })
 }
 
-func skipped(f fault, k kind, s step) string {
-	if k.booking() && s == stepMiddle {
-		return "a booking has one answer, without a middle"
+func skipReason(f fault, k requestKind, s step) string {
+	if k.isBooking() && s == stepMiddle {
+		return "a booking has a single response without a middle"
 	}
-	return f.skip(k, s)
+	return f.skipReason(k, s)
 }
 
-var kinds = []kind{kindStream, kindWhole, kindMinted, kindKeyed}
+var kinds = []requestKind{kindStream, kindWhole, kindMinted, kindKeyed}
 
-// cell is what one fault at one step showed over all kinds of calls.
-type cell struct {
-	verdict string
-	found   []string
-	reasons map[string]bool
-	again   time.Duration
-	unknown int
+// matrixCell is the outcome of one fault at one step over all kinds of
+// requests.
+type matrixCell struct {
+	verdict         string
+	failures        []string
+	skipReasons     map[string]bool
+	recoveryTime    time.Duration
+	unknownOutcomes int
 }
 
-func newCell(f fault, s step) cell {
-	x := cell{verdict: "n/a", reasons: map[string]bool{}}
+func runCell(f fault, s step) matrixCell {
+	result := matrixCell{verdict: "n/a", skipReasons: map[string]bool{}}
 	for _, k := range kinds {
-		if reason := skipped(f, k, s); reason != "" {
-			x.reasons[reason] = true
+		if reason := skipReason(f, k, s); reason != "" {
+			result.skipReasons[reason] = true
 			continue
 		}
-		_, r := play(naive{}, k, &trigger{step: s, strike: f.strike})
-		x.verdict = "ok"
-		if r.missed {
-			x.found = append(x.found, fmt.Sprintf("%s/%s/%s: the step was not reached", f.name, s, k))
+		_, r := runScenario(mutation{}, k, &trigger{step: s, inject: f.inject})
+		result.verdict = "ok"
+		if r.stepMissed {
+			result.failures = append(result.failures, fmt.Sprintf("%s/%s/%s: the step was not reached", f.name, s, k))
 		}
-		for i, b := range r.broken {
-			if b != "" {
-				x.found = append(x.found, fmt.Sprintf("%s/%s/%s: %s: %s", f.name, s, k, checks[i].promise, b))
+		for i, violation := range r.violations {
+			if violation != "" {
+				result.failures = append(result.failures, fmt.Sprintf("%s/%s/%s: %s: %s", f.name, s, k, checks[i].guarantee, violation))
 			}
 		}
-		x.again, x.unknown = max(x.again, r.again), x.unknown+r.unknown
+		result.recoveryTime, result.unknownOutcomes = max(result.recoveryTime, r.recoveryTime), result.unknownOutcomes+r.unknownOutcomes
 	}
-	if len(x.found) > 0 {
-		x.verdict = "FAIL"
+	if len(result.failures) > 0 {
+		result.verdict = "FAIL"
 	}
-	return x
+	return result
 }
 
-// workers bounds the runs at one time: the machine has other work.
-const workers = 4
+// maxParallelRuns bounds the concurrent runs, to leave processors to other work
+// on the machine.
+const maxParallelRuns = 4
 
-// spread calls run for 0 to n-1, a few at a time.
-func spread(n int, run func(i int)) {
+// runParallel calls run for 0 to n-1, at most maxParallelRuns at a time.
+func runParallel(n int, run func(i int)) {
 	var group errgroup.Group
-	group.SetLimit(workers)
+	group.SetLimit(maxParallelRuns)
 	for i := range n {
 		group.Go(func() error {
 			defer GinkgoRecover()
@@ -334,92 +341,93 @@
 }
 
 var _ = Describe("the fault matrix", func() {
-	// Each fault of the brief strikes at each step of a request, for each kind
-	// of request. A caller would notice a token twice or missing, a booking
-	// made twice, an answer that is another's, or none at all.
-	It("keeps every promise under every fault at every step", func() {
-		cells := make([]cell, len(faults)*int(steps))
-		spread(len(cells), func(i int) { cells[i] = newCell(faults[i/int(steps)], step(i%int(steps))) })
+	// Injects each fault at each step of a request, for each kind of request.
+	// Guards against duplicate or missing tokens, bookings that run twice,
+	// responses that reach the wrong caller and requests without a response.
+	It("keeps every guarantee under every fault at every step", func() {
+		cells := make([]matrixCell, len(faults)*int(stepCount))
+		runParallel(len(cells), func(i int) { cells[i] = runCell(faults[i/int(stepCount)], step(i%int(stepCount))) })
 		var table strings.Builder
-		var found []string
+		var failures []string
 		passed := map[string]int{}
-		left := map[string][]string{}
+		notApplicable := map[string][]string{}
 		fmt.Fprintf(&table, "%-32s", "fault \\ step")
-		for s := range steps {
+		for s := range stepCount {
 			fmt.Fprintf(&table, "%9s", s)
 		}
 		fmt.Fprintf(&table, "%14s%9s\n", "served after", "unknown")
 		for i, f := range faults {
 			fmt.Fprintf(&table, "%-32s", f.name)
-			var again time.Duration
+			var recoveryTime time.Duration
 			unknown := 0
-			for s, x := range cells[i*int(steps) : (i+1)*int(steps)] {
-				fmt.Fprintf(&table, "%9s", x.verdict)
-				passed[x.verdict]++
-				found = append(found, x.found...)
-				again, unknown = max(again, x.again), unknown+x.unknown
-				for reason := range x.reasons {
-					left[f.name+": "+reason] = append(left[f.name+": "+reason], step(s).String())
+			for s, cell := range cells[i*int(stepCount) : (i+1)*int(stepCount)] {
+				fmt.Fprintf(&table, "%9s", cell.verdict)
+				passed[cell.verdict]++
+				failures = append(failures, cell.failures...)
+				recoveryTime, unknown = max(recoveryTime, cell.recoveryTime), unknown+cell.unknownOutcomes
+				for reason := range cell.skipReasons {
+					notApplicable[f.name+": "+reason] = append(notApplicable[f.name+": "+reason], step(s).String())
 				}
 			}
-			fmt.Fprintf(&table, "%14v%9d\n", again.Round(time.Millisecond), unknown)
+			fmt.Fprintf(&table, "%14v%9d\n", recoveryTime.Round(time.Millisecond), unknown)
 		}
-		fmt.Print("\n", table.String(), "\nnot applicable, wholly or for some kinds of calls:\n")
+		fmt.Print("\n", table.String(), "\nnot applicable, for some or all kinds of requests:\n")
 		var lines []string
-		for reason, at := range left {
-			lines = append(lines, "  "+reason+" ("+strings.Join(at, ", ")+")")
+		for reason, steps := range notApplicable {
+			lines = append(lines, "  "+reason+" ("+strings.Join(steps, ", ")+")")
 		}
 		slices.Sort(lines)
 		fmt.Printf("%s\n%d passed, %d failed\n", strings.Join(lines, "\n"), passed["ok"], passed["FAIL"])
-		Expect(found).To(BeEmpty())
+		Expect(failures).To(BeEmpty())
 	})
 
-	// Two things go wrong at once, as they do. Pairs, steps and kinds are drawn
-	// from a seed.
-	It("keeps every promise under random pairs of faults", func() {
-		var ran atomic.Int64
+	// Injects two faults into one run. The faults, steps and request kinds are
+	// drawn from a fixed seed.
+	It("keeps every guarantee under random pairs of faults", func() {
+		var pairsRun atomic.Int64
 		var mu sync.Mutex
-		var found []string
-		spread(*pairs, func(n int) {
+		var failures []string
+		runParallel(*pairCount, func(n int) {
 			r := rand.New(rand.NewPCG(4, uint64(n)))
-			a, b := faults[r.IntN(len(faults))], faults[r.IntN(len(faults))]
-			k, s, t := kinds[r.IntN(len(kinds))], step(r.IntN(int(steps))), step(r.IntN(int(steps)))
-			if skipped(a, k, s) != "" || skipped(b, k, t) != "" {
+			firstFault, secondFault := faults[r.IntN(len(faults))], faults[r.IntN(len(faults))]
+			k, s, t := kinds[r.IntN(len(kinds))], step(r.IntN(int(stepCount))), step(r.IntN(int(stepCount)))
+			if skipReason(firstFault, k, s) != "" || skipReason(secondFault, k, t) != "" {
 				return
 			}
-			// The first fault may keep the call from the second one's step.
-			_, res := play(naive{}, k, &trigger{step: s, strike: a.strike}, &trigger{step: t, strike: b.strike})
-			ran.Add(1)
-			for i, broken := range res.broken {
-				if broken != "" {
+			// The first fault may prevent the call from reaching the step of the
+			// second one, so a missed step is no failure here.
+			_, result := runScenario(mutation{}, k, &trigger{step: s, inject: firstFault.inject}, &trigger{step: t, inject: secondFault.inject})
+			pairsRun.Add(1)
+			for i, violation := range result.violations {
+				if violation != "" {
 					mu.Lock()
-					found = append(found, fmt.Sprintf("pair %d: %s at %s, %s at %s, %s: %s: %s", n, a.name, s, b.name, t, k, checks[i].promise, broken))
+					failures = append(failures, fmt.Sprintf("pair %d: %s at %s, %s at %s, %s: %s: %s", n, firstFault.name, s, secondFault.name, t, k, checks[i].guarantee, violation))
 					mu.Unlock()
 				}
 			}
 		})
-		Expect(found).To(BeEmpty())
-		fmt.Printf("%d random pairs of faults kept every promise\n", ran.Load())
+		Expect(failures).To(BeEmpty())
+		fmt.Printf("every guarantee held under %d random pairs of faults\n", pairsRun.Load())
 	})
 
-	// A check that can't fail proves nothing. Each line puts one decision back
-	// to what a first attempt would do.
-	DescribeTable("sees the naive version break each promise",
-		func(promise int, n naive, name string, k kind, s step) {
+	// Verifies that each check can fail: each entry replaces one decision by a
+	// naive one, and the check must detect the violation.
+	DescribeTable("detects that a naive decision violates a guarantee",
+		func(guarantee int, n mutation, name string, k requestKind, s step) {
 			f := faults[slices.IndexFunc(faults, func(f fault) bool { return f.name == name })]
-			_, good := play(naive{}, k, &trigger{step: s, strike: f.strike})
-			Expect(good.broken[promise]).To(BeEmpty())
-			_, bad := play(n, k, &trigger{step: s, strike: f.strike})
-			Expect(bad.broken[promise]).NotTo(BeEmpty(), checks[promise].promise)
+			_, unmutated := runScenario(mutation{}, k, &trigger{step: s, inject: f.inject})
+			Expect(unmutated.violations[guarantee]).To(BeEmpty())
+			_, mutated := runScenario(n, k, &trigger{step: s, inject: f.inject})
+			Expect(mutated.violations[guarantee]).NotTo(BeEmpty(), checks[guarantee].guarantee)
 		},
-		Entry("starts over after delivered tokens", 0, naive{restart: true}, "cut entry-target", kindStream, stepMiddle),
-		Entry("fills a cold target", 1, naive{noSlowStart: true}, "kill the target", kindStream, stepAccepted),
-		Entry("goes on in a drained data centre", 2, naive{ignoreDrain: true}, "kill the entry", kindStream, stepAccepted),
-		Entry("passes crossed frames", 3, naive{unchecked: true}, "crossed frames", kindStream, stepMiddle),
-		Entry("says no when it does not know", 4, naive{sayNo: true}, "run, then no answer", kindMinted, stepSent),
-		Entry("runs a booking wherever it comes in", 5, naive{runAnywhere: true}, "sent twice through two entries", kindKeyed, stepSent),
-		Entry("uses a leaving target", 6, naive{ignoreLeaving: true}, "kill the entry", kindStream, stepAccepted),
-		Entry("stops at once", 7, naive{cutAtStop: true}, "kill the target", kindStream, stepAccepted),
-		Entry("takes the service's last word", 8, naive{lastWord: true}, "restored to an older state", kindStream, stepAccepted),
+		Entry("restarts a generation after tokens were delivered", 0, mutation{restartAfterDelivery: true}, "cut entry-target", kindStream, stepMiddle),
+		Entry("sends a cold target its full load", 1, mutation{skipSlowStart: true}, "kill the target", kindStream, stepAccepted),
+		Entry("keeps using a drained data centre", 2, mutation{ignoreDrain: true}, "kill the entry", kindStream, stepAccepted),
+		Entry("forwards frames of another generation", 3, mutation{skipFrameChecks: true}, "crossed frames", kindStream, stepMiddle),
+		Entry("reports not executed when the outcome is unknown", 4, mutation{alwaysReportNotRun: true}, "run, then no answer", kindMinted, stepSent),
+		Entry("runs a booking at the entry that received it", 5, mutation{skipOwnership: true}, "sent twice through two entries", kindKeyed, stepSent),
+		Entry("keeps using a leaving target", 6, mutation{ignoreLeaving: true}, "kill the entry", kindStream, stepAccepted),
+		Entry("stops without waiting for requests in progress", 7, mutation{abortAtStop: true}, "kill the target", kindStream, stepAccepted),
+		Entry("accepts an older revision from the configuration service", 8, mutation{acceptAnyRevision: true}, "restored to an older state", kindStream, stepAccepted),
 	)
 })
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -21,29 +21,29 @@
 
 const parkKey = "fault-test-park"
 
-var deckTable = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
+var tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
 	"account,park,1,,,," + fleet.Digest(parkKey) + ",,,,,,\n" +
 	"service,reports,,,,,,,generation,stream,20000,30000,200\n" +
 	"service,summaries,,,,,,,generation,whole,20000,30000,200\n" +
 	"service,orders,,,,,,,once,,,5000,500\n"
 
-// deck is a small deployment of real processes: two data centres, three hosts,
-// three engines, one plain service.
-type deck struct{ *fleet.Fleet }
+// deployment is a small deployment of real processes: two data centres, three
+// hosts, three engines and one plain service.
+type deployment struct{ *fleet.Fleet }
 
-func newDeck() deck {
+func startDeployment() deployment {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	f, err := fleet.Start(ctx, fleet.Spec{
-		BinDir: binaries, Table: deckTable, Hosts: []string{"a", "a", "b"}, Engines: []string{"a", "a", "b"}, Apps: []string{"a"},
+		BinDir: binDir, Table: tableText, Hosts: []string{"a", "a", "b"}, Engines: []string{"a", "a", "b"}, Apps: []string{"a"},
 		EngineServices: []string{"reports", "summaries"}, AppServices: []string{"orders"},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(f.Close)
-	return deck{f}
+	return deployment{f}
 }
 
-func (d deck) request(ctx context.Context, host int, path, body string, header ...string) *http.Request {
+func (d deployment) request(ctx context.Context, host int, path, body string, header ...string) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Hosts[host].Callers+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+parkKey)
@@ -53,9 +53,9 @@
 	return req
 }
 
-// post sends a request once and gives status, problem and body; status 0
-// stands for no answer.
-func (d deck) post(host int, path, body string, header ...string) (int, failure.Problem, string) {
+// post sends a request without retries and returns the status, the problem
+// document and the body. Status 0 means that there was no response.
+func (d deployment) post(host int, path, body string, header ...string) (int, failure.Problem, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var p failure.Problem
@@ -69,25 +69,27 @@
 	return resp.StatusCode, p, string(text)
 }
 
-// reading is a streamed answer as its caller holds it, over all connections.
-type reading struct {
+// streamCaller accumulates a streamed response over all connections of its
+// caller.
+type streamCaller struct {
 	words      []string
 	generation string
 	handle     string
 	problem    failure.Problem
 }
 
-// callerPatience is how long a caller bears a silent connection. Entries send
-// comments on quiet streams, so silence means a dead connection.
-const callerPatience = 4 * time.Second
+// streamSilenceTimeout is the time without traffic after which a caller drops a
+// connection. Entries send comments on idle streams, so silence means that the
+// connection is dead.
+const streamSilenceTimeout = 4 * time.Second
 
-// read takes the report, or its rest, from a host; on runs after each event.
-// It checks that every token comes once, in order, from one generation, and
-// tells whether the report is whole.
-func (r *reading) read(d deck, host, length int, on func(tokens int)) bool {
+// readStream reads the report, or what is left of it, from a host. It checks
+// that every token arrives once, in order, from one generation, calls onEvent
+// after each event, and reports whether the stream is complete.
+func (r *streamCaller) readStream(d deployment, host, length int, onEvent func(tokens int)) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	silence := time.AfterFunc(callerPatience, cancel)
+	silenceTimer := time.AfterFunc(streamSilenceTimeout, cancel)
 	body := fmt.Sprintf(`{"model":"reports","prompt":"Diagnose dish 7. [tokens=%d]","max_tokens":20000,"stream":true}`, length)
 	var header []string
 	if r.handle != "" {
@@ -102,13 +104,13 @@
 		_ = json.NewDecoder(resp.Body).Decode(&r.problem)
 		return false
 	}
-	in := sse.NewReader(resp.Body, 0)
+	events := sse.NewReader(resp.Body, 0)
 	for {
 		var ev sse.Event
-		if in.Next(&ev) != nil {
+		if events.Next(&ev) != nil {
 			return false
 		}
-		silence.Reset(callerPatience)
+		silenceTimer.Reset(streamSilenceTimeout)
 		switch {
 		case ev.Comment:
 		case string(ev.Data) == "[DONE]":
@@ -117,15 +119,15 @@
 			Expect(json.Unmarshal(ev.Data, &r.problem)).To(Succeed())
 			return false
 		default:
-			r.take(ev)
-			if on != nil {
-				on(len(r.words))
+			r.addEvent(ev)
+			if onEvent != nil {
+				onEvent(len(r.words))
 			}
 		}
 	}
 }
 
-func (r *reading) take(ev sse.Event) {
+func (r *streamCaller) addEvent(ev sse.Event) {
 	var d struct {
 		Choices []struct {
 			Text string `json:"text"`
@@ -145,21 +147,22 @@
 	r.handle = string(ev.ID)
 }
 
-// whole checks the words, which the engine makes from their number and the
-// generation.
-func (r *reading) whole(length int) {
+// expectTokens checks the text of the tokens, which the engine derives from the
+// token's number and the generation.
+func (r *streamCaller) expectTokens(length int) {
 	GinkgoHelper()
 	Expect(r.words).To(HaveLen(length))
-	tail := r.generation[len(r.generation)-6:]
-	for k, word := range r.words {
-		Expect(word).To(Equal(fmt.Sprintf("w%d-%s", k, tail)))
+	suffix := r.generation[len(r.generation)-6:]
+	for index, word := range r.words {
+		Expect(word).To(Equal(fmt.Sprintf("w%d-%s", index, suffix)))
 	}
 }
 
-// started counts the generations that engines began, from their own records.
-func (d deck) started(keep func(*fleet.Target) bool) (n int) {
+// startedGenerations counts the generations that the engines have started, from
+// their own records.
+func (d deployment) startedGenerations(include func(*fleet.Target) bool) (n int) {
 	for _, e := range d.Engines {
-		if !keep(e) {
+		if !include(e) {
 			continue
 		}
 		var records []json.RawMessage
@@ -169,10 +172,10 @@
 	return n
 }
 
-func all(*fleet.Target) bool { return true }
+func anyEngine(*fleet.Target) bool { return true }
 
-// engineOf finds the engine that began a generation.
-func (d deck) engineOf(generation string) *fleet.Target {
+// engineOf returns the engine that started a generation, or nil.
+func (d deployment) engineOf(generation string) *fleet.Target {
 	for _, e := range d.Engines {
 		var records []struct {
 			Generation string `json:"generation"`
@@ -187,18 +190,18 @@
 	return nil
 }
 
-// booked counts how often the plain service ran a body's booking.
-func (d deck) booked() (total int) {
-	var e struct {
+// bookingCount returns how many bookings the plain service has executed.
+func (d deployment) bookingCount() (total int) {
+	var executions struct {
 		Total int `json:"total"`
 	}
-	Expect(d.GetJSON("http://"+d.Apps[0].Address+"/admin/executions", &e)).To(Succeed())
-	return e.Total
+	Expect(d.GetJSON("http://"+d.Apps[0].Address+"/admin/executions", &executions)).To(Succeed())
+	return executions.Total
 }
 
-const orders = "/v1/services/orders/book"
+const ordersPath = "/v1/services/orders/book"
 
-func (d deck) mint(host int) string {
+func (d deployment) mintKey(host int) string {
 	status, _, text := d.post(host, "/v1/idempotency-keys", "")
 	Expect(status).To(BeNumerically("<", 300), text)
 	var key struct{ Key string }
@@ -208,12 +211,12 @@
 
 func newUUID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// settle waits until every entry vouches for callers' own keys: each key has
-// another owner.
-func (d deck) settle() {
+// waitForCallerKeys waits until all entries accept keys chosen by callers. It
+// posts several keys because each may have another owner.
+func (d deployment) waitForCallerKeys() {
 	Eventually(func() bool {
 		for i := range 12 {
-			if status, _, _ := d.post(i%3, orders, "warm up", "Idempotency-Key", newUUID()); status != http.StatusOK {
+			if status, _, _ := d.post(i%3, ordersPath, "warm up", "Idempotency-Key", newUUID()); status != http.StatusOK {
 				return false
 			}
 		}
@@ -221,56 +224,57 @@
 	}, "30s", "500ms").Should(BeTrue())
 }
 
-var binaries string
+var binDir string
 
 var _ = BeforeSuite(func() {
-	binaries = GinkgoT().TempDir()
-	Expect(fleet.Build(binaries)).To(Succeed())
+	binDir = GinkgoT().TempDir()
+	Expect(fleet.Build(binDir)).To(Succeed())
 })
 
 var _ = Describe("real processes", func() {
-	// A host dies in the middle of a long report. The technician's client comes
-	// back to another host with the last event's id and reads on.
+	// A host is killed in the middle of a long report. The client reconnects to
+	// another host with the last event ID and must receive the remaining tokens.
 	It("resume a report at another entry after kill -9", func() {
-		d, r := newDeck(), &reading{}
-		Expect(r.read(d, 0, 300, func(n int) {
+		d, r := startDeployment(), &streamCaller{}
+		Expect(r.readStream(d, 0, 300, func(n int) {
 			if n == 60 {
 				d.Hosts[0].Entry.Signal(syscall.SIGKILL)
 			}
 		})).To(BeFalse())
 		Expect(len(r.words)).To(BeNumerically(">=", 60))
-		Expect(r.read(d, 2, 300, nil)).To(BeTrue(), "%+v", r.problem)
-		r.whole(300)
-		Expect(d.started(all)).To(Equal(1))
+		Expect(r.readStream(d, 2, 300, nil)).To(BeTrue(), "%+v", r.problem)
+		r.expectTokens(300)
+		Expect(d.startedGenerations(anyEngine)).To(Equal(1))
 	})
 
-	// A process sleeps in the middle of a report and wakes up late. The client
-	// notices the silence and reads on elsewhere; what the sleeper does when it
-	// wakes must not reach anybody.
-	It("resume a report elsewhere while an entry is stopped", func() {
-		d, r := newDeck(), &reading{}
-		Expect(r.read(d, 0, 900, func(n int) {
+	// An entry is suspended in the middle of a report. The client times out and
+	// resumes at another entry; what the suspended entry does after it continues
+	// must not affect any client.
+	It("resume a report at another entry while an entry is suspended", func() {
+		d, r := startDeployment(), &streamCaller{}
+		Expect(r.readStream(d, 0, 900, func(n int) {
 			if n == 60 {
 				d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
 			}
 		})).To(BeFalse())
-		Expect(r.read(d, 1, 900, func(n int) {
+		Expect(r.readStream(d, 1, 900, func(n int) {
 			if n == 600 {
 				d.Hosts[0].Entry.Signal(syscall.SIGCONT)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
-		r.whole(900)
-		Expect(d.started(all)).To(Equal(1))
-		status, _, text := d.post(0, orders, "after the sleep", "Idempotency-Key", d.mint(0))
+		r.expectTokens(900)
+		Expect(d.startedGenerations(anyEngine)).To(Equal(1))
+		status, _, text := d.post(0, ordersPath, "after the suspension", "Idempotency-Key", d.mintKey(0))
 		Expect(status).To(Equal(200), text)
 	})
 
-	// An engine dies under a report and a summary. The report can't go on with
-	// other words; its caller must hear how much it has. The summary has shown
-	// nothing yet and starts over unseen.
-	It("end a report with its count, and start a summary over, when the engine crashes", func() {
-		d, r := newDeck(), &reading{}
-		Expect(r.read(d, 0, 600, func(n int) {
+	// An engine crashes during a report and during a summary. The report cannot
+	// continue with different text, so its caller must be told the number of
+	// delivered tokens. No token of the summary was delivered, so it is restarted
+	// and its caller must get a complete response.
+	It("end a report with its token count, and restart a summary, when the engine crashes", func() {
+		d, r := startDeployment(), &streamCaller{}
+		Expect(r.readStream(d, 0, 600, func(n int) {
 			if n == 60 {
 				Expect(d.Fault(d.engineOf(r.generation), `{"kind":"crash"}`)).To(Or(Succeed(), HaveOccurred()))
 			}
@@ -278,13 +282,13 @@
 		Expect(r.problem.Title).To(Equal(string(failure.KindTargetLost)))
 		Expect(r.problem.Executed).To(Equal(failure.ExecutedYes))
 		Expect(r.problem.Delivered).To(Equal(len(r.words)))
-		r.whole(len(r.words))
+		r.expectTokens(len(r.words))
 
-		d = newDeck()
+		d = startDeployment()
 		go func() {
 			defer GinkgoRecover()
 			var busy *fleet.Target
-			Eventually(func() *fleet.Target { busy = d.running(); return busy }, "10s", "20ms").ShouldNot(BeNil())
+			Eventually(func() *fleet.Target { busy = d.busyEngine(); return busy }, "10s", "20ms").ShouldNot(BeNil())
 			_ = d.Fault(busy, `{"kind":"crash"}`)
 		}()
 		status, problem, text := d.post(0, "/v1/completions", `{"model":"summaries","prompt":"Lease. [tokens=200]","max_tokens":400}`)
@@ -292,50 +296,51 @@
 		Expect(text).To(ContainSubstring(`"completion_tokens":200`))
 	})
 
-	// A phone on a poor link sends its booking through two entries at once.
+	// Guards against duplicate execution when a client on a poor link sends the
+	// same booking through several entries at once.
 	It("run a booking once that is sent through every entry, under either kind of key", func() {
-		d := newDeck()
-		d.settle()
-		for _, key := range []string{d.mint(0), newUUID(), newUUID(), newUUID()} {
-			before := d.booked()
+		d := startDeployment()
+		d.waitForCallerKeys()
+		for _, key := range []string{d.mintKey(0), newUUID(), newUUID(), newUUID()} {
+			before := d.bookingCount()
 			answers := make(chan string, 6)
 			for i := range cap(answers) {
 				go func() {
 					defer GinkgoRecover()
-					status, _, text := d.post(i%3, orders, "order "+key, "Idempotency-Key", key)
+					status, _, text := d.post(i%3, ordersPath, "order "+key, "Idempotency-Key", key)
 					answers <- fmt.Sprint(status, " ", text)
 				}()
 			}
 			for range cap(answers) {
 				Expect(<-answers).To(Or(HavePrefix("200"), HavePrefix("409")))
 			}
-			status, _, _ := d.post(1, orders, "order "+key, "Idempotency-Key", key)
-			Expect(status).To(Equal(200), "the answer is on record")
-			Expect(d.booked() - before).To(Equal(1))
+			status, _, _ := d.post(1, ordersPath, "order "+key, "Idempotency-Key", key)
+			Expect(status).To(Equal(200), "the stored answer is replayed")
+			Expect(d.bookingCount() - before).To(Equal(1))
 		}
 	})
 
-	// The service books the order and its connection breaks before the answer.
-	// Nobody can know; the client must be told so, and asking again must not
-	// book again.
-	It("say unknown after a booking whose answer was lost, and never run it again", func() {
-		d := newDeck()
-		key := d.mint(0)
+	// The service executes a booking and its connection breaks before the
+	// response. The client must be told that the outcome is unknown, and a retry
+	// must not execute the booking again.
+	It("report unknown after a booking whose answer was lost, and never run it again", func() {
+		d := startDeployment()
+		key := d.mintKey(0)
 		Expect(d.Fault(d.Apps[0], `{"kind":"drop_after_run","count":1}`)).To(Succeed())
 		for _, host := range []int{0, 1, 2} {
-			_, problem, _ := d.post(host, orders, "order", "Idempotency-Key", key)
+			_, problem, _ := d.post(host, ordersPath, "order", "Idempotency-Key", key)
 			Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
-			Expect(d.booked()).To(Equal(1))
+			Expect(d.bookingCount()).To(Equal(1))
 		}
 	})
 
-	// The owner of a minted key dies. Whether the booking ran is not known any
-	// more; no other process may run it, not even the one that takes its place.
+	// The owner of a minted key dies, and with it the knowledge whether the
+	// booking ran. No other process may run it, including the owner's successor.
 	It("never run a minted key's booking once its owner is gone", func() {
-		d := newDeck()
-		key := d.mint(0)
+		d := startDeployment()
+		key := d.mintKey(0)
 		d.Hosts[0].Entry.Kill()
-		status, problem, _ := d.post(1, orders, "order", "Idempotency-Key", key)
+		status, problem, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 		Expect(status).To(Equal(502))
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
 		Expect(d.StartEntry(d.Hosts[0])).To(Succeed())
@@ -343,98 +348,99 @@
 		defer cancel()
 		Expect(d.WaitReady(ctx)).To(Succeed())
 		for host := range d.Hosts {
-			_, problem, _ = d.post(host, orders, "order", "Idempotency-Key", key)
+			_, problem, _ = d.post(host, ordersPath, "order", "Idempotency-Key", key)
 			Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
 		}
-		Expect(d.booked()).To(BeZero())
+		Expect(d.bookingCount()).To(BeZero())
 	})
 
-	// The owner of a minted key is asleep. Its caller must not wait for it, nor
-	// may another process run the booking; when the owner is awake it knows.
-	It("answer unknown while a minted key's owner sleeps, and run it once afterwards", func() {
-		d := newDeck()
-		key := d.mint(0)
+	// The owner of a minted key is suspended. The caller must not wait for it and
+	// no other process may run the booking; once resumed, the owner knows whether
+	// it ran.
+	It("report unknown while a minted key's owner is suspended, and run it once afterwards", func() {
+		d := startDeployment()
+		key := d.mintKey(0)
 		d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
-		_, problem, _ := d.post(1, orders, "order", "Idempotency-Key", key)
+		_, problem, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
 		Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
 		Expect(problem.RetryAfterMS).To(BeNumerically(">", 0))
-		Expect(d.booked()).To(BeZero())
+		Expect(d.bookingCount()).To(BeZero())
 		d.Hosts[0].Entry.Signal(syscall.SIGCONT)
 		Eventually(func() int {
-			status, _, _ := d.post(1, orders, "order", "Idempotency-Key", key)
+			status, _, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 			return status
 		}, "20s", "500ms").Should(Equal(200))
-		Expect(d.booked()).To(Equal(1))
+		Expect(d.bookingCount()).To(Equal(1))
 	})
 
-	// The configuration service is down for longer than the list of hosts may
-	// go without confirmation. Reports and minted keys go on; a caller's own
-	// key can't be vouched for and is refused rather than guessed.
-	It("go on without the configuration service, and refuse what can't be vouched for", func() {
-		d, r := newDeck(), &reading{}
-		d.settle()
-		before := d.booked()
+	// The configuration service is down for longer than the host list may remain
+	// unconfirmed. Reports and minted keys keep working. The owner of a key that
+	// the caller chose cannot be confirmed, so such bookings are refused.
+	It("keep serving without the configuration service, and refuse keys whose owner is unconfirmed", func() {
+		d, r := startDeployment(), &streamCaller{}
+		d.waitForCallerKeys()
+		before := d.bookingCount()
 		Expect(d.PlatformMode(`{"mode":"down"}`)).To(Succeed())
 		Eventually(func() string {
-			_, problem, _ := d.post(0, orders, "order", "Idempotency-Key", newUUID())
+			_, problem, _ := d.post(0, ordersPath, "order", "Idempotency-Key", newUUID())
 			return problem.Title
 		}, "15s", "500ms").Should(Equal(string(failure.KindKeyUnvouched)))
-		ran := d.booked()
-		status, _, text := d.post(1, orders, "minted", "Idempotency-Key", d.mint(1))
+		bookedWhileDown := d.bookingCount()
+		status, _, text := d.post(1, ordersPath, "minted", "Idempotency-Key", d.mintKey(1))
 		Expect(status).To(Equal(200), text)
-		Expect(d.booked()).To(Equal(ran + 1))
-		Expect(ran).To(BeNumerically(">=", before))
-		Expect(r.read(d, 2, 50, nil)).To(BeTrue())
-		r.whole(50)
+		Expect(d.bookingCount()).To(Equal(bookedWhileDown + 1))
+		Expect(bookedWhileDown).To(BeNumerically(">=", before))
+		Expect(r.readStream(d, 2, 50, nil)).To(BeTrue())
+		r.expectTokens(50)
 		Expect(d.PlatformMode(`{"mode":"normal"}`)).To(Succeed())
-		d.settle()
+		d.waitForCallerKeys()
 	})
 
-	// Operators take a data centre out while a long report runs there.
-	It("start nothing in a drained data centre and cut nothing there", func() {
-		d, r := newDeck(), &reading{}
-		var drained, last time.Time
-		inA := func(e *fleet.Target) bool { return e.DataCentre == "a" }
-		whole := r.read(d, 0, 900, func(n int) {
+	// Operators drain a data centre while a long report runs there.
+	It("start nothing in a drained data centre and abort nothing there", func() {
+		d, r := startDeployment(), &streamCaller{}
+		var drainedAt, lastStart time.Time
+		inDrainedCentre := func(e *fleet.Target) bool { return e.DataCentre == "a" }
+		completed := r.readStream(d, 0, 900, func(n int) {
 			switch {
 			case n == 60:
 				Expect(d.Put("drain", "a\n")).To(Succeed())
-				drained = time.Now()
+				drainedAt = time.Now()
 			case n > 60 && n%20 == 0:
-				before := d.started(inA)
+				before := d.startedGenerations(inDrainedCentre)
 				status, problem, _ := d.post(n/20%3, "/v1/completions", `{"model":"summaries","prompt":"x [tokens=2]","max_tokens":9}`)
 				Expect(status).To(Equal(200), "%+v", problem)
-				if d.started(inA) > before {
-					last = time.Now()
+				if d.startedGenerations(inDrainedCentre) > before {
+					lastStart = time.Now()
 				}
 			}
 		})
-		Expect(whole).To(BeTrue(), "%+v", r.problem)
-		r.whole(900)
-		if !last.IsZero() {
-			Expect(last.Sub(drained)).To(BeNumerically("<", aFew))
+		Expect(completed).To(BeTrue(), "%+v", r.problem)
+		r.expectTokens(900)
+		if !lastStart.IsZero() {
+			Expect(lastStart.Sub(drainedAt)).To(BeNumerically("<", propagationLimit))
 		}
-		AddReportEntry("last start in the drained data centre after", max(last.Sub(drained), 0).String())
+		AddReportEntry("last start in the drained data centre, after the drain", max(lastStart.Sub(drainedAt), 0).String())
 	})
 
-	// A host is taken away in order while a report runs through it.
-	It("finish what is in progress at a planned stop", func() {
-		d, r := newDeck(), &reading{}
-		Expect(r.read(d, 0, 400, func(n int) {
+	// Both processes of a host get SIGTERM while a report runs through its entry.
+	It("finish requests in progress at a planned stop", func() {
+		d, r := startDeployment(), &streamCaller{}
+		Expect(r.readStream(d, 0, 400, func(n int) {
 			if n == 60 {
 				d.Hosts[0].Entry.Signal(syscall.SIGTERM)
 				d.Hosts[0].ControlProcess.Signal(syscall.SIGTERM)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
-		r.whole(400)
+		r.expectTokens(400)
 		Eventually(d.Hosts[0].Entry.Exited(), "10s").Should(BeClosed())
 		Expect(d.Hosts[0].Entry.ExitCode()).To(BeZero())
 	})
 })
 
-// running finds an engine that runs something.
-func (d deck) running() *fleet.Target {
+// busyEngine returns an engine with running requests, or nil.
+func (d deployment) busyEngine() *fleet.Target {
 	for _, e := range d.Engines {
 		var load struct{ Running int }
 		if d.GetJSON("http://"+e.Address+"/v1/load", &load) == nil && load.Running > 0 {
--- a/test/faults/targets_test.go
+++ b/test/faults/targets_test.go
@@ -8,188 +8,190 @@
 	"filbertdeck/internal/decide/delivery"
 )
 
-// engine is a target: a model engine or, as w.app, the plain service. It keeps
-// its own records; the checks believe these and nobody else.
+// engine is a target: a model engine or, as simulation.app, the plain service.
+// The checks take the number of executions from the records of the targets
+// only.
 type engine struct {
-	*proc
-	w        *world
-	since    time.Duration // start or last turn to cold
-	restarts int
-	turned   time.Duration // when it turned cold in place
-	warm     bool
-	running  map[string]*generation
-	done     map[string]*generation
-	crossing int // frames still to be sent from another generation
-	dropping bool
-	stopping bool
-	leaving  time.Duration // when the platform said so
+	*process
+	sim            *simulation
+	rampStart      time.Duration // when the target last started or turned cold
+	restarts       int
+	coldSince      time.Duration // when the target turned cold without a restart
+	warm           bool
+	running        map[string]*generation
+	finished       map[string]*generation
+	crossedFrames  int // number of frames still to be sent under a wrong generation
+	dropNextAnswer bool
+	stopping       bool
+	leavingAt      time.Duration // when the platform listed the target as leaving
 }
 
 type generation struct {
 	id, prompt string
-	length     int
+	tokens     int
 	produced   int
 	poison     bool
 	conns      []*conn
 }
 
 const (
-	tokenTime  = 20 * time.Millisecond
-	fullBears  = 16
-	rampPerOne = 500 * time.Millisecond // one request more each half second
+	tokenInterval = 20 * time.Millisecond
+	fullCapacity  = 16
+	rampInterval  = 500 * time.Millisecond // time per additional concurrent request while warming up
 )
 
-func (w *world) addEngine(name, centre string, warm bool) *engine {
+func (sim *simulation) addEngine(name, dataCentre string, warm bool) *engine {
 	return &engine{
-		proc: &proc{name: name, centre: centre, up: true, inc: 1}, w: w, warm: warm,
-		running: map[string]*generation{}, done: map[string]*generation{},
+		process: &process{name: name, dataCentre: dataCentre, up: true, incarnation: 1}, sim: sim, warm: warm,
+		running: map[string]*generation{}, finished: map[string]*generation{},
 	}
 }
 
-func (e *engine) bears() int {
+func (e *engine) capacity() int {
 	if e.warm {
-		return fullBears
+		return fullCapacity
 	}
-	return min(1+int((e.w.now-e.since)/rampPerOne), fullBears)
+	return min(1+int((e.sim.now-e.rampStart)/rampInterval), fullCapacity)
 }
 
 func (e *engine) restart() {
-	e.inc++
-	e.up, e.wake, e.warm, e.stopping, e.since = true, 0, false, false, e.w.now
+	e.incarnation++
+	e.up, e.frozenUntil, e.warm, e.stopping, e.rampStart = true, 0, false, false, e.sim.now
 	e.restarts++
-	e.running, e.done = map[string]*generation{}, map[string]*generation{}
+	e.running, e.finished = map[string]*generation{}, map[string]*generation{}
 }
 
 func (e *engine) report() admission.Report {
 	r := admission.Report{
-		Target: e.name, Incarnation: e.inc, Running: len(e.running), Bears: e.bears(), Stopping: e.stopping,
+		Target: e.name, Incarnation: e.incarnation, Running: len(e.running), Bears: e.capacity(), Stopping: e.stopping,
 	}
-	if e != e.w.app {
-		r.MemoryTokens, r.UsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenTime
+	if e != e.sim.app {
+		r.MemoryTokens, r.UsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenInterval
 	}
 	return r
 }
 
-// start begins a generation; refuse is called when it does not.
-func (e *engine) start(s *sending, id string, c *conn, refuse func()) {
-	w := e.w
-	if e.running[id] != nil || e.done[id] != nil {
-		c.send(0, refuse)
+// startGeneration starts a generation; onRefused is called if one with this ID
+// exists already.
+func (e *engine) startGeneration(att *attempt, id string, c *conn, onRefused func()) {
+	sim := e.sim
+	if e.running[id] != nil || e.finished[id] != nil {
+		c.send(0, onRefused)
 		return
 	}
-	w.records.start(e, s.id, "")
-	g := &generation{id: id, prompt: s.call.prompt, length: s.call.length, poison: s.call.poison, conns: []*conn{c}}
+	sim.records.recordStart(e, att.id, "")
+	g := &generation{id: id, prompt: att.call.prompt, tokens: att.call.length, poison: att.call.poison, conns: []*conn{c}}
 	e.running[id] = g
 	if g.poison {
-		w.after(e.proc, tokenTime, func() {
-			w.records.poisoned++
-			w.crash(e)
+		sim.runAfter(e.process, tokenInterval, func() {
+			sim.records.poisonCrashes++
+			sim.crashTarget(e)
 		})
 		return
 	}
-	e.produce(g)
+	e.produceTokens(g)
 }
 
-func (e *engine) produce(g *generation) {
-	e.w.after(e.proc, tokenTime, func() {
+func (e *engine) produceTokens(g *generation) {
+	e.sim.runAfter(e.process, tokenInterval, func() {
 		if e.running[g.id] != g {
 			return
 		}
 		g.produced++
 		for _, c := range g.conns {
-			e.frame(c, g, g.produced-1)
+			e.sendFrame(c, g, g.produced-1)
 		}
-		if g.produced < g.length {
-			e.produce(g)
+		if g.produced < g.tokens {
+			e.produceTokens(g)
 			return
 		}
 		delete(e.running, g.id)
-		e.done[g.id] = g
+		e.finished[g.id] = g
 	})
 }
 
-// frame sends one token, and the end after the last one.
-func (e *engine) frame(c *conn, g *generation, k int) {
-	f := delivery.Frame{Generation: g.id, Offset: uint64(k), Tokens: 1, Finish: k == g.length-1}
-	text := fmt.Sprint(g.prompt, "/", k)
-	if e.crossing > 0 {
-		e.crossing--
-		f.Generation, text = "crossed", fmt.Sprint("another's/", k)
+// sendFrame sends one token, and the end of the stream after the last one.
+func (e *engine) sendFrame(c *conn, g *generation, index int) {
+	f := delivery.Frame{Generation: g.id, Offset: uint64(index), Tokens: 1, Finish: index == g.tokens-1}
+	text := fmt.Sprint(g.prompt, "/", index)
+	if e.crossedFrames > 0 {
+		e.crossedFrames--
+		f.Generation, text = "crossed", fmt.Sprint("another's/", index)
 	}
-	c.send(0, func() { c.frame(f, text) })
+	c.send(0, func() { c.onFrame(f, text) })
 	if f.Finish {
-		c.send(0, func() { c.frame(delivery.Frame{Done: true}, "") })
+		c.send(0, func() { c.onFrame(delivery.Frame{Done: true}, "") })
 	}
 }
 
-func (e *engine) resume(id string, offset uint64, c *conn, gone func()) {
+func (e *engine) resume(id string, offset uint64, c *conn, onGone func()) {
 	g := e.running[id]
 	if g == nil {
-		g = e.done[id]
+		g = e.finished[id]
 	}
 	if g == nil {
-		c.send(0, gone)
+		c.send(0, onGone)
 		return
 	}
 	for k := int(offset); k < g.produced; k++ {
-		e.frame(c, g, k)
+		e.sendFrame(c, g, k)
 	}
-	if int(offset) == g.length {
-		c.send(0, func() { c.frame(delivery.Frame{Generation: id, Offset: offset, Finish: true}, "") })
-		c.send(0, func() { c.frame(delivery.Frame{Done: true}, "") })
+	if int(offset) == g.tokens {
+		c.send(0, func() { c.onFrame(delivery.Frame{Generation: id, Offset: offset, Finish: true}, "") })
+		c.send(0, func() { c.onFrame(delivery.Frame{Done: true}, "") })
 	}
 	g.conns = append(g.conns, c)
 }
 
 func (e *engine) cancel(id string) { delete(e.running, id) }
 
-// book runs a booking of the plain service.
-func (e *engine) book(s *sending, c *conn, answer func()) {
-	w := e.w
-	w.records.start(e, s.id, s.call.name)
-	g := &generation{id: fmt.Sprint(s.id, w.now)}
+// runBooking executes a booking on the plain service.
+func (e *engine) runBooking(att *attempt, c *conn, onAnswer func()) {
+	sim := e.sim
+	sim.records.recordStart(e, att.id, att.call.name)
+	g := &generation{id: fmt.Sprint(att.id, sim.now)}
 	e.running[g.id] = g
-	w.after(e.proc, 30*time.Millisecond, func() {
+	sim.runAfter(e.process, 30*time.Millisecond, func() {
 		delete(e.running, g.id)
-		if e.dropping {
-			e.dropping = false
+		if e.dropNextAnswer {
+			e.dropNextAnswer = false
 			c.cut()
 			return
 		}
-		w.step(s.call, stepFirst, e.proc, func() { c.send(0, answer) })
+		sim.reachStep(att.call, stepFirst, e.process, func() { c.send(0, onAnswer) })
 	})
 }
 
-// crash kills a target; the platform starts it again, cold.
-func (w *world) crash(e *engine) {
+// crashTarget kills a target; the platform restarts it cold after 2 s.
+func (sim *simulation) crashTarget(e *engine) {
 	if !e.up {
 		return
 	}
-	w.kill(e.proc)
-	w.at(w.now+2*time.Second, e.restart)
+	sim.killProcess(e.process)
+	sim.schedule(sim.now+2*time.Second, e.restart)
 }
 
-// service is the platform's configuration service.
-type service struct {
-	revision uint64
-	states   []platformState
-	down     time.Duration
-	stale    map[*proc]int // who is served which old state
+// configService is the platform's configuration service.
+type configService struct {
+	revision   uint64
+	states     []platformState
+	downUntil  time.Duration
+	staleState map[*process]int // index of the state that a reader is served instead of the current one
 }
 
 type platformState struct {
-	revision uint64
-	weight   int
-	drained  string
-	hosts    []string
-	hostsRev uint64
-	leaving  string
+	revision      uint64
+	weight        int
+	drainedCentre string
+	hosts         []string
+	hostsRevision uint64
+	leavingTarget string
 }
 
-func (s *service) now() platformState { return s.states[len(s.states)-1] }
+func (s *configService) current() platformState { return s.states[len(s.states)-1] }
 
-func (s *service) edit(change func(*platformState)) {
-	next := s.now()
+func (s *configService) edit(change func(*platformState)) {
+	next := s.current()
 	s.revision++
 	next.revision = s.revision
 	change(&next)
