--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -71,8 +71,8 @@
 		Members: fixed[membership.View]{&membership.View{Members: []membership.Member{
 			{Address: "10.0.0.1:81", Incarnation: 4}, {Address: "10.0.0.3:81", Incarnation: 9, State: membership.Dead}}}},
 		Rollout: fixed[configwatch.State]{&configwatch.State{Ready: true, Documents: []configwatch.DocumentState{{
-			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, Since: time.Now(),
-			Refused: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
+			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, InForceSince: time.Now(),
+			LatestRefusal: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
 		TargetFigures: figures{}, AccountFigures: figures{}, Accounting: figures{},
 	}
 }
--- a/internal/adminapi/answers.go
+++ b/internal/adminapi/answers.go
@@ -121,10 +121,10 @@
 		return nil, notReady("the rollout")
 	}
 	doc := RolloutDocument{
-		Self: h.Self, Ready: state.Ready, PeersAsked: state.PeersAsked, Documents: []DocumentStatus{},
+		Self: h.Self, Ready: state.Ready, PeersAsked: state.PeersConfirmed, Documents: []DocumentStatus{},
 		Service: ServiceStatus{
-			Reader: state.Service.Reader, Revision: state.Service.Revision, Behind: state.Service.Behind,
-			LastFailure: state.Service.Failure, AnsweredAt: moment(state.Service.AnsweredAt),
+			Reader: state.Service.IsReader, Revision: state.Service.Revision, Behind: state.Service.Behind,
+			LastFailure: state.Service.LastFailure, AnsweredAt: moment(state.Service.AnsweredAt),
 		},
 	}
 	for _, d := range state.Documents {
@@ -136,10 +136,10 @@
 func documentStatus(d configwatch.DocumentState) DocumentStatus {
 	s := DocumentStatus{
 		Document: string(d.Section), Version: d.Head.Version.String(),
-		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: moment(d.Since),
+		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: moment(d.InForceSince),
 	}
-	if d.Refused.Reason != "" {
-		s.Refused, s.RefusedReason = d.Refused.Version.String(), d.Refused.Reason
+	if d.LatestRefusal.Reason != "" {
+		s.Refused, s.RefusedReason = d.LatestRefusal.Version.String(), d.LatestRefusal.Reason
 	}
 	return s
 }
--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -10,8 +10,8 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/adminapi"
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/failure"
@@ -54,7 +54,7 @@
 type Source struct {
 	Self  string
 	State *state.Service
-	Pools *pools.Manager
+	Pools *poolmanager.Manager
 }
 
 // TargetStatus implements adminapi.TargetSource.
@@ -76,7 +76,7 @@
 
 func statusOf(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
-		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Bears,
+		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Capacity,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
@@ -97,15 +97,15 @@
 }
 
 type ownedPool struct {
-	plan     pools.Plan
+	plan     poolmanager.Plan
 	snapshot admission.Snapshot
 }
 
 // owned asks the allocators that run here for their state.
 func (s *Source) owned() []ownedPool {
-	var runners []*pool.Runner
+	var runners []*poolrunner.Runner
 	var out []ownedPool
-	s.Pools.Each(func(p pools.Plan, r *pool.Runner) {
+	s.Pools.Each(func(p poolmanager.Plan, r *poolrunner.Runner) {
 		runners = append(runners, r)
 		out = append(out, ownedPool{plan: p})
 	})
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -16,8 +16,8 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/admin"
-	"filbertdeck/internal/control/news"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolgossip"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/quota"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
@@ -72,7 +72,7 @@
 // address is another member.
 func newGossip(
 	s *Settings, store *configwatch.Store, b *configwatch.Board, members *gossip.Board, w *configwatch.Watcher,
-	n *news.Board, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
+	n *poolgossip.Board, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
 ) (*gossip.Controller, error) {
 	transport := creds.Client
 	if transport == nil {
@@ -87,20 +87,20 @@
 		},
 		Store: store, Hosts: &b.Hosts, Credentials: transport, SetReader: w.SetReader, Log: log, Metrics: reg,
 		Hooks: gossip.Hooks{
-			SupplyPools: n.SupplyPools, TakePools: n.TakePools, SupplyPoison: n.SupplyPoison, TakePoison: n.TakePoison,
-			Urgent: n.Urgent(),
+			SupplyPools: n.SupplyPools, ReceivePools: n.TakePools, SupplyPoison: n.SupplyPoison, ReceivePoison: n.TakePoison,
+			PushRequests: n.Urgent(),
 		},
 	}, members)
 }
 
-func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *pools.Manager {
-	return pools.NewManager(s.Listen, b, store.Ready, targetclient.New(targetclient.Settings{}), log)
+func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *poolmanager.Manager {
+	return poolmanager.NewManager(s.Listen, b, store.IsReady, targetclient.New(targetclient.Settings{}), log)
 }
 
 func newQuotaPeers(creds rpc.Credentials) *quota.Peers { return quota.NewPeers(creds) }
 
 func newQuota(
-	s *Settings, b *configwatch.Board, m *pools.Manager, peers *quota.Peers, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, m *poolmanager.Manager, peers *quota.Peers, reg gometrics.Registry,
 ) *quota.Controller {
 	return quota.New(quota.Config{
 		Self: s.Listen, Incarnation: uint64(time.Now().UnixMilli()), Table: &b.Table, Hosts: &b.Hosts,
@@ -108,17 +108,19 @@
 	})
 }
 
-func newNews(s *Settings, m *pools.Manager) *news.Board { return news.New(s.Listen, m) }
+func newNews(s *Settings, m *poolmanager.Manager) *poolgossip.Board {
+	return poolgossip.New(s.Listen, m)
+}
 
-func newSessions(m *pools.Manager) *sessions.Server {
+func newSessions(m *poolmanager.Manager) *sessions.Server {
 	server := sessions.New(m)
 	m.SetDeliver(server.Deliver)
 	return server
 }
 
-func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, n *news.Board, members *gossip.Board, store *configwatch.Store) *state.Service {
+func newState(b *configwatch.Board, m *poolmanager.Manager, server *sessions.Server, n *poolgossip.Board, members *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
-		Board: b, Pools: m, Sessions: server, Backlog: n.Backlog, Ready: store.Ready,
+		Board: b, Pools: m, Sessions: server, Backlog: n.Backlog, Ready: store.IsReady,
 		Gone: func() []string { return gone(members.Members.Get()) },
 	}
 }
@@ -138,7 +140,7 @@
 }
 
 func newAdmin(
-	s *Settings, b *configwatch.Board, members *gossip.Board, service *state.Service, m *pools.Manager, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, members *gossip.Board, service *state.Service, m *poolmanager.Manager, reg gometrics.Registry,
 ) (http.Handler, error) {
 	tokens, err := admin.Tokens(s.OperatorKeys, s.MonitorKeys)
 	if err != nil {
@@ -166,9 +168,9 @@
 	})
 }
 
-func runManager(lc fx.Lifecycle, m *pools.Manager) { process.Background(lc, m.Run) }
+func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.Background(lc, m.Run) }
 
-func runNews(lc fx.Lifecycle, n *news.Board) { process.Background(lc, n.Run) }
+func runNews(lc fx.Lifecycle, n *poolgossip.Board) { process.Background(lc, n.Run) }
 
 // leaveLimit bounds telling the neighbours of a planned stop.
 const leaveLimit = time.Second
@@ -178,7 +180,7 @@
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveLimit)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
 
@@ -191,7 +193,7 @@
 }
 
 func serveAdmin(lc fx.Lifecycle, s *Settings, id *secure.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
-	r := admin.Router(api, store.Ready)
+	r := admin.Router(api, store.IsReady)
 	metrics.Mount(r, reg)
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
 }
--- a/internal/control/pool/runner.go
+++ b/internal/control/poolrunner/runner.go
@@ -1,7 +1,7 @@
-// Package pool runs one admission allocator on a goroutine of its own and
+// Package poolrunner runs one admission allocator on a goroutine of its own and
 // gives it its clock: everything that reaches the allocator is an event with
 // the time of this process.
-package pool
+package poolrunner
 
 import (
 	"sync"
@@ -101,7 +101,7 @@
 
 // Confirm says that the host list was the newest one at the moment at.
 func (r *Runner) Confirm(at time.Time) {
-	r.Do(func(a *admission.Allocator, _ time.Duration) { a.Confirm(at.Sub(r.start)) })
+	r.Do(func(a *admission.Allocator, _ time.Duration) { a.ConfirmOwnership(at.Sub(r.start)) })
 }
 
 // Snapshot copies the allocator's state for counters.
@@ -117,9 +117,9 @@
 }
 
 // QuotaUses tells what the accounts with leased limits do.
-func (r *Runner) QuotaUses() []admission.QuotaUse {
-	out := make(chan []admission.QuotaUse, 1)
-	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.QuotaUses(now) })
+func (r *Runner) QuotaUses() []admission.QuotaUsage {
+	out := make(chan []admission.QuotaUsage, 1)
+	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.TakeQuotaUsage(now) })
 	select {
 	case uses := <-out:
 		return uses
@@ -162,7 +162,7 @@
 	for _, d := range r.alloc.Decide(r.now()) {
 		r.deliver(r.name, d)
 	}
-	r.backlog.Store(r.alloc.Backlog().Microseconds())
+	r.backlog.Store(r.alloc.EstimatedWait().Microseconds())
 	r.busy.Store(r.alloc.Waiting() > 0 || r.alloc.Running() > 0)
 }
 
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -20,16 +20,16 @@
 	leases *quota.Holder
 	taken  time.Duration
 	seen   time.Duration
-	uses   []quota.Use
+	uses   []quota.Usage
 	rates  map[string]float64
 	// inForce is what the allocator was told last.
-	inForce map[string]admission.Part
+	inForce map[string]admission.QuotaGrant
 }
 
 func newHolder(now time.Duration, p Pool) *holder {
 	return &holder{
 		pool: p, leases: quota.NewHolder(quota.Config{}), taken: now, seen: now,
-		rates: map[string]float64{}, inForce: map[string]admission.Part{},
+		rates: map[string]float64{}, inForce: map[string]admission.QuotaGrant{},
 	}
 }
 
@@ -59,7 +59,7 @@
 // pool moves with the host list.
 func (c *Controller) retire(now time.Duration, name string, h *holder) {
 	delete(c.holders, name)
-	for _, r := range h.leases.Drop(math.MaxInt64, name, nil) {
+	for _, r := range h.leases.DropIdle(math.MaxInt64, name, nil) {
 		c.retired = append(c.retired, retired{r, now + releaseAfter})
 	}
 }
@@ -86,9 +86,9 @@
 		if !limited {
 			continue
 		}
-		h.leases.Charge(now, u.Account, u.Produced)
-		rates[u.Account] = smooth(h.rates[u.Account], u.Produced, elapsed)
-		use := quota.Use{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
+		h.leases.ChargeTokens(now, u.Account, u.ProducedTokens)
+		rates[u.Account] = smooth(h.rates[u.Account], u.ProducedTokens, elapsed)
+		use := quota.Usage{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
 		if use.Waiting > 0 {
 			// How much the waiting requests will produce isn't known: the owner
 			// shares the row's rate evenly among the pools that want it all.
@@ -109,19 +109,19 @@
 
 // urgent tells whether requests wait that a demand could let start.
 func (h *holder) urgent(now time.Duration, limits map[string]quota.Limits) bool {
-	return slices.ContainsFunc(h.uses, func(u quota.Use) bool {
+	return slices.ContainsFunc(h.uses, func(u quota.Usage) bool {
 		if u.Waiting == 0 {
 			return false
 		}
-		full := limits[u.Account].Running > 0 && u.Running >= h.leases.Running(now, u.Account)
-		return full || h.leases.RenewAt(u.Account) <= now
+		full := limits[u.Account].Running > 0 && u.Running >= h.leases.RunningLimit(now, u.Account)
+		return full || h.leases.NextRenewal(u.Account) <= now
 	})
 }
 
 // parts gives what changed since the allocator was told last.
-func (h *holder) parts(now time.Duration, limits map[string]quota.Limits) []admission.Part {
-	next := make(map[string]admission.Part, len(h.uses))
-	var changed []admission.Part
+func (h *holder) parts(now time.Duration, limits map[string]quota.Limits) []admission.QuotaGrant {
+	next := make(map[string]admission.QuotaGrant, len(h.uses))
+	var changed []admission.QuotaGrant
 	for _, u := range h.uses {
 		p := h.part(now, u.Account, limits[u.Account])
 		next[u.Account] = p
@@ -132,7 +132,7 @@
 	// An account that does nothing here just now keeps what is in force, until
 	// the lease is over.
 	for account, p := range h.inForce {
-		if _, used := next[account]; !used && now < p.Until {
+		if _, used := next[account]; !used && now < p.ExpiresAt {
 			next[account] = p
 		}
 	}
@@ -140,13 +140,13 @@
 	return changed
 }
 
-func (h *holder) part(now time.Duration, account string, limits quota.Limits) admission.Part {
+func (h *holder) part(now time.Duration, account string, limits quota.Limits) admission.QuotaGrant {
 	rate := quota.Limits{TokensPerSecond: limits.TokensPerSecond}
-	p := admission.Part{Account: account, Until: h.leases.Expires(account)}
-	p.MayStart = now < p.Until && h.leases.MayStart(now, account, rate, 0)
+	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.ExpiresAt(account)}
+	p.MayStart = now < p.ExpiresAt && h.leases.MayStart(now, account, rate, 0)
 	if limits.Running > 0 {
-		p.Running = h.leases.Running(now, account)
-		p.MayStart = p.MayStart && p.Running > 0
+		p.MaxRunning = h.leases.RunningLimit(now, account)
+		p.MayStart = p.MayStart && p.MaxRunning > 0
 	}
 	return p
 }
--- a/internal/control/quota/measure_test.go
+++ b/internal/control/quota/measure_test.go
@@ -61,10 +61,10 @@
 func (c counted) Addr() net.Addr { return c.LocalAddr() }
 
 // steadyPool has the same requests in progress all the time.
-type steadyPool struct{ uses []admission.QuotaUse }
+type steadyPool struct{ uses []admission.QuotaUsage }
 
-func (p *steadyPool) Uses() []admission.QuotaUse           { return p.uses }
-func (p *steadyPool) SetParts(time.Time, []admission.Part) {}
+func (p *steadyPool) Uses() []admission.QuotaUsage               { return p.uses }
+func (p *steadyPool) SetParts(time.Time, []admission.QuotaGrant) {}
 
 const (
 	measuredNodes = 33
@@ -88,7 +88,7 @@
 		for range poolsPerAccount {
 			if i%10 == 0 {
 				p := steady[rnd.IntN(measuredNodes)]
-				p.uses = append(p.uses, admission.QuotaUse{Account: name, Running: 5})
+				p.uses = append(p.uses, admission.QuotaUsage{Account: name, Running: 5})
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 		name := fmt.Sprintf("account-%05d", i)
 		t.Accounts[name] = &table.Account{Name: name, MaxRunning: 100}
 		if i%172 == 0 {
-			p.uses = append(p.uses, admission.QuotaUse{Account: name, Running: 5})
+			p.uses = append(p.uses, admission.QuotaUsage{Account: name, Running: 5})
 		}
 	}
 	p.uses = slices.Clip(p.uses)
--- a/internal/control/quota/runner.go
+++ b/internal/control/quota/runner.go
@@ -3,34 +3,34 @@
 import (
 	"time"
 
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/decide/admission"
 )
 
 // Running lists the pools that a manager runs.
-func Running(m *pools.Manager) func() map[string]Pool {
+func Running(m *poolmanager.Manager) func() map[string]Pool {
 	return func() map[string]Pool {
 		out := map[string]Pool{}
-		m.Each(func(p pools.Plan, r *pool.Runner) { out[p.ID] = runner{r} })
+		m.Each(func(p poolmanager.Plan, r *poolrunner.Runner) { out[p.ID] = runner{r} })
 		return out
 	}
 }
 
 // runner is a Pool on its own goroutine.
-type runner struct{ *pool.Runner }
+type runner struct{ *poolrunner.Runner }
 
 // Uses implements Pool.
-func (r runner) Uses() []admission.QuotaUse { return r.QuotaUses() }
+func (r runner) Uses() []admission.QuotaUsage { return r.QuotaUses() }
 
 // SetParts implements Pool.
-func (r runner) SetParts(start time.Time, parts []admission.Part) {
+func (r runner) SetParts(start time.Time, parts []admission.QuotaGrant) {
 	r.Do(func(a *admission.Allocator, now time.Duration) {
 		for _, p := range parts {
 			// The end is a point in time on the controller's clock; an event that
 			// waited must not make the lease longer.
-			p.Until = now + time.Until(start.Add(p.Until))
-			a.SetPart(now, p)
+			p.ExpiresAt = now + time.Until(start.Add(p.ExpiresAt))
+			a.SetQuotaGrant(now, p)
 		}
 	})
 }
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -60,12 +60,12 @@
 	w := &world{Rand: rand.New(rand.NewPCG(seed, 9)), row: row, now: time.Hour}
 	var hosts []pools.Host
 	for i := range nodes {
-		hosts = append(hosts, pools.Host{Control: fmt.Sprint("127.0.0.1:", i+1)})
+		hosts = append(hosts, pools.Host{ControlAddress: fmt.Sprint("127.0.0.1:", i+1)})
 	}
 	for i := range nodes {
 		key := w.row.Name
 		first := slices.IndexFunc(hosts, func(h pools.Host) bool { o, _ := pools.AccountOwner(key, hosts); return o == h })
-		w.add(hosts[first].Control, i > 0)
+		w.add(hosts[first].ControlAddress, i > 0)
 		hosts = slices.Delete(hosts, first, first+1)
 	}
 	w.publishRow(row)
@@ -106,7 +106,7 @@
 		n.tables.Publish(t)
 		if n.pool != nil {
 			n.pool.alloc.SetShares(w.now, []admission.Share{
-				{Account: row.Name, MaxRunning: row.MaxRunning, Leased: row.Limited()}, {Account: "free"},
+				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.Limited()}, {Account: "free"},
 			})
 		}
 	}
@@ -217,17 +217,17 @@
 
 func newMemoryPool(w *world, seed uint64) *memoryPool {
 	p := &memoryPool{w: w, alloc: admission.New(admission.Config{Seed: seed}), starts: map[string]int{}, waits: map[string]int{}, want: 20}
-	p.alloc.SetOwner(0, true)
+	p.alloc.SetConfirmedOwner(0, true)
 	p.alloc.SetTargets(w.now, []admission.Target{{Address: "t"}})
 	return p
 }
 
-func (p *memoryPool) Uses() []admission.QuotaUse { return p.alloc.QuotaUses(p.w.now) }
+func (p *memoryPool) Uses() []admission.QuotaUsage { return p.alloc.TakeQuotaUsage(p.w.now) }
 
-func (p *memoryPool) SetParts(start time.Time, parts []admission.Part) {
+func (p *memoryPool) SetParts(start time.Time, parts []admission.QuotaGrant) {
 	for _, part := range parts {
-		part.Until += start.Sub(base)
-		p.alloc.SetPart(p.w.now, part)
+		part.ExpiresAt += start.Sub(base)
+		p.alloc.SetQuotaGrant(p.w.now, part)
 	}
 }
 
@@ -246,7 +246,7 @@
 // step lets the pool's world go on: jobs end, requests arrive, some start.
 func (p *memoryPool) step() {
 	now := p.w.now
-	p.alloc.Report(now, admission.Report{Target: "t", Incarnation: 1, Bears: 1000})
+	p.alloc.Report(now, admission.Report{Target: "t", Incarnation: 1, Capacity: 1000})
 	p.renew(now)
 	for account, want := range map[string]int{p.w.row.Name: p.want, "free": 2} {
 		for range max(0, want-p.running(account)-p.waits[account]) {
@@ -282,7 +282,7 @@
 	for _, j := range p.jobs {
 		made := int(tokensPerSecond * (min(now, j.ends) - j.begun).Seconds())
 		if now >= j.ends {
-			p.alloc.Settle(now, admission.Settlement{Lease: j.lease, Outcome: admission.OutcomeDone, Produced: made})
+			p.alloc.Settle(now, admission.Settlement{Lease: j.lease, Outcome: admission.OutcomeDone, ProducedTokens: made})
 			if j.account == p.w.row.Name {
 				p.w.produced += made
 			}
@@ -291,7 +291,7 @@
 		if now < p.renewsFrom {
 			continue
 		}
-		p.alloc.Renew(now, admission.Holder{}, []admission.Renewal{{Lease: j.lease, Target: "t", Account: j.account, Produced: made}})
+		p.alloc.Renew(now, admission.Holder{}, []admission.Renewal{{Lease: j.lease, Target: "t", Account: j.account, ProducedTokens: made}})
 	}
 	p.jobs = slices.DeleteFunc(p.jobs, func(j *job) bool { return now >= j.ends })
 }
--- a/internal/control/sessions/handle.go
+++ b/internal/control/sessions/handle.go
@@ -48,7 +48,7 @@
 		for i, one := range of.Renewals {
 			renewals[i] = admission.Renewal{
 				Lease: admission.LeaseID(one.Lease), Target: one.Target, Account: one.Account, Service: one.Service,
-				PromptTokens: int(one.PromptTokens), Produced: int(one.Produced),
+				PromptTokens: int(one.PromptTokens), ProducedTokens: int(one.Produced),
 			}
 		}
 		r.Renew(ss.holder, renewals)
@@ -69,7 +69,7 @@
 		return
 	}
 	r.Settle(admission.Settlement{
-		Lease: admission.LeaseID(m.Lease), Outcome: outcomes[m.Outcome], Produced: int(m.Produced),
+		Lease: admission.LeaseID(m.Lease), Outcome: outcomes[m.Outcome], ProducedTokens: int(m.Produced),
 		FirstToken: time.Duration(m.FirstTokenUs) * time.Microsecond,
 		Duration:   time.Duration(m.DurationUs) * time.Microsecond,
 	})
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -12,7 +12,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/failure"
@@ -23,7 +23,7 @@
 type Service struct {
 	filbertv1.UnimplementedAdmissionServer
 	Board    *configwatch.Board
-	Pools    *pools.Manager
+	Pools    *poolmanager.Manager
 	Sessions *sessions.Server
 	// Backlog gives the wait in any pool, own or heard of; false when unknown.
 	Backlog func(pool string) (time.Duration, bool)
@@ -119,7 +119,7 @@
 type sentState struct {
 	table    *table.Table
 	hosts    uint64
-	plans    *[]pools.Plan
+	plans    *[]poolmanager.Plan
 	gone     []string
 	backlogs map[string]uint32
 }
--- a/internal/control/targets/poller.go
+++ b/internal/control/targetpoll/poller.go
@@ -1,5 +1,5 @@
-// Package targets reads the load that targets report.
-package targets
+// Package targetpoll reads the load that targets report.
+package targetpoll
 
 import (
 	"context"
@@ -98,7 +98,7 @@
 	}
 	report := admission.Report{
 		Target: p.Target, Incarnation: l.Incarnation, MemoryTokens: l.MemoryTokens, UsedTokens: l.UsedTokens,
-		Running: l.Running, Waiting: l.Waiting, Preemptions: l.Preemptions, Bears: l.Bears,
+		Running: l.Running, Waiting: l.Waiting, Preemptions: l.Preemptions, Capacity: l.Bears,
 		StepTime: time.Duration(l.StepUS) * time.Microsecond, Stopping: l.Stopping,
 	}
 	if withCache {
--- a/internal/controller/configwatch/board.go
+++ b/internal/controller/configwatch/board.go
@@ -73,9 +73,9 @@
 	Service   ServiceState
 	// Ready is set once the newest state of peers was taken over.
 	Ready bool
-	// PeersAsked tells whether enough peers vouched for it; otherwise this
+	// PeersConfirmed tells whether enough peers vouched for it; otherwise this
 	// process became ready with the configuration service's word alone.
-	PeersAsked bool
+	PeersConfirmed bool
 }
 
 // DocumentState is one document's state.
@@ -83,16 +83,16 @@
 	Section Section
 	Head    rollout.Head
 	Rows    int
-	// Since is when this version was put in force here.
-	Since time.Time
-	// Refused is a newer version that failed validation; zero without one.
-	Refused rollout.Refusal
+	// InForceSince is when this version was put in force here.
+	InForceSince time.Time
+	// LatestRefusal is a newer version that failed validation; zero without one.
+	LatestRefusal rollout.Refusal
 }
 
 // ServiceState is what this process last saw of the configuration service.
 type ServiceState struct {
-	// Reader tells whether this process watches the service.
-	Reader bool
+	// IsReader tells whether this process watches the service.
+	IsReader bool
 	// AnsweredAt is when it last answered; zero when never.
 	AnsweredAt time.Time
 	// Revision is the store's in that answer.
@@ -100,6 +100,6 @@
 	// Behind is set while it answers with a state older than what is in force
 	// (stale or restored); edits made to it now are not taken.
 	Behind bool
-	// Failure is the kind of the last failure, empty after an answer.
-	Failure string
+	// LastFailure is the kind of the last failure, empty after an answer.
+	LastFailure string
 }
--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -149,14 +149,14 @@
 		Expect(board.Table.Get().Services["reports"].Targets[0].Leaving).To(BeTrue())
 		Expect(board.Hosts.Get().List).To(HaveLen(2))
 		Expect(board.Targets.Get().ByService["reports"]).To(HaveLen(1))
-		Expect(store.Ready()).To(BeTrue())
+		Expect(store.IsReady()).To(BeTrue())
 		svc.remove("drain")
 		Eventually(func() bool { return board.Table.Get().Drained["south"] }, "5s", "5ms").Should(BeFalse())
 	})
 
 	It("keeps the table in force when an edit has faults, and tells why", func() {
 		svc.put("table/0001", weight(-1))
-		refused := func() string { return tableState().Refused.Reason }
+		refused := func() string { return tableState().LatestRefusal.Reason }
 		Eventually(refused, "5s", "5ms").Should(ContainSubstring("weight"))
 		Expect(inForce()).To(Equal(1.0))
 		svc.put("table/0001", weight(3))
@@ -166,7 +166,7 @@
 
 	It("does not take every table away when its pages vanish", func() {
 		svc.remove("table/0001")
-		Eventually(func() uint64 { return tableState().Refused.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
+		Eventually(func() uint64 { return tableState().LatestRefusal.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
 		Expect(inForce()).To(Equal(1.0))
 	})
 
@@ -193,7 +193,7 @@
 	It("keeps serving while the service is down, and reads it whole afterwards", func() {
 		confirmed := store.ConfirmedAt()
 		svc.fail(failure.New(failure.KindConfigUnreadable, "down"))
-		Eventually(func() string { return board.Rollout.Get().Service.Failure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
+		Eventually(func() string { return board.Rollout.Get().Service.LastFailure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
 		Expect(inForce()).To(Equal(1.0))
 		svc.put("table/0001", weight(2))
 		svc.fail(nil)
@@ -217,9 +217,9 @@
 		other, err := configwatch.NewStore(otherBoard, configwatch.StoreConfig{})
 		Expect(err).NotTo(HaveOccurred())
 		for _, s := range configwatch.Sections {
-			want := rollout.VerdictTake
+			want := rollout.VerdictApply
 			if s == configwatch.SectionDrain || s == configwatch.SectionKept {
-				want = rollout.VerdictKnown
+				want = rollout.VerdictCurrent
 			}
 			Expect(other.Offer(s, store.Since(s, rollout.Version{}))).To(Equal(want), string(s))
 		}
@@ -228,7 +228,7 @@
 		Eventually(inForce, "5s", "5ms").Should(Equal(4.0))
 		delta := store.Since(configwatch.SectionTable, other.Head(configwatch.SectionTable).Version)
 		Expect(delta.Rows).To(HaveLen(1))
-		Expect(other.Offer(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictTake))
+		Expect(other.Offer(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictApply))
 		Expect(otherBoard.Table.Get().Accounts["clinic"].Weight).To(Equal(4.0))
 	})
 })
@@ -264,7 +264,7 @@
 		for i := range all {
 			all[i] = rows[name](i)
 		}
-		store.Offer(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.DigestOf(all)}})
+		store.Offer(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.ComputeDigest(all)}})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -283,9 +283,9 @@
 				}
 				delta := rollout.Delta{From: head.Version, Rows: []rollout.Row{next}, Head: rollout.Head{
 					Version: rollout.Version{Revision: head.Version.Revision + 1},
-					Digest:  head.Digest - rollout.DigestOf([]rollout.Row{old}) + rollout.DigestOf([]rollout.Row{next}),
+					Digest:  head.Digest - rollout.ComputeDigest([]rollout.Row{old}) + rollout.ComputeDigest([]rollout.Row{next}),
 				}}
-				if v := store.Offer(name, delta); v != rollout.VerdictTake {
+				if v := store.Offer(name, delta); v != rollout.VerdictApply {
 					b.Fatal(v)
 				}
 			}
--- a/internal/controller/configwatch/lineage.go
+++ b/internal/controller/configwatch/lineage.go
@@ -27,7 +27,7 @@
 	}
 	raw := obs.delta.Head
 	lineage, known := s.history.Lineage(string(obs.section), raw)
-	restated := slices.Contains(protected, obs.section) && rollout.Version{Epoch: lineage}.Operators() < operators
+	restated := slices.Contains(protected, obs.section) && rollout.Version{Epoch: lineage}.OperatorEpoch() < operators
 	if known && lineage < epoch && !restated {
 		// A replica that still shows the lineage from before a restore. What
 		// operators keep is stated anew by raising the epoch; the platform's
@@ -61,10 +61,10 @@
 			newest = v
 		}
 	}
-	if newest.Operators() == operators {
+	if newest.OperatorEpoch() == operators {
 		return newest.Epoch
 	}
-	return rollout.EpochOf(operators, 0)
+	return rollout.CombineEpoch(operators, 0)
 }
 
 // newestIn gives the newest revision in force within an epoch.
@@ -83,13 +83,13 @@
 // what changed under an uninterrupted watch counts, against the state in which
 // the service was first seen after its revision fell.
 func (s *Store) recognise(seen *reading, obs observation, raw rollout.Head) bool {
-	if obs.whole || obs.removal || seen.base == nil || !s.history.Foreign(string(obs.section), raw) {
+	if obs.whole || obs.removal || seen.base == nil || !s.history.ProvesRestore(string(obs.section), raw) {
 		return false
 	}
 	s.overlays = map[string]rollout.Overlay{}
 	kept := 0
 	for _, p := range protected {
-		o := rollout.Lost(s.docs[p].Rows(), seen.base[p])
+		o := rollout.LostEdits(s.docs[p].Rows(), seen.base[p])
 		s.overlays[string(p)] = o
 		kept += len(o)
 	}
@@ -107,7 +107,7 @@
 	if len(overlays) == 0 {
 		return append(s.dropKept(v), placed{obs.section, delta})
 	}
-	rows, left := o.Resolve(obs.delta.Rows)
+	rows, left := o.Apply(obs.delta.Rows)
 	out := []placed{}
 	if len(left) != len(o) || s.docs[SectionKept].Head().Version.Epoch < v.Epoch {
 		next := map[string]rollout.Overlay{}
@@ -115,7 +115,7 @@
 			next[name] = other
 		}
 		next[string(obs.section)] = left
-		out = append(out, placed{SectionKept, whole(v, rollout.OverlayRows(next))})
+		out = append(out, placed{SectionKept, whole(v, rollout.EncodeOverlays(next))})
 	}
 	return append(out, placed{obs.section, whole(v, rows)})
 }
@@ -125,7 +125,7 @@
 func (s *Store) overlaysIn(epoch uint64) map[string]rollout.Overlay {
 	kept := s.docs[SectionKept]
 	if kept.Head().Version.Epoch == epoch {
-		return rollout.OverlaysOf(kept.Rows())
+		return rollout.DecodeOverlays(kept.Rows())
 	}
 	if s.overlayEpoch == epoch {
 		return s.overlays
--- a/internal/controller/configwatch/publish.go
+++ b/internal/controller/configwatch/publish.go
@@ -69,11 +69,11 @@
 }
 
 func (s *Store) publishState() {
-	state := &State{Service: s.service, Ready: s.ready, PeersAsked: s.join.Confirmed()}
+	state := &State{Service: s.service, Ready: s.ready, PeersConfirmed: s.join.Confirmed()}
 	for _, name := range Sections {
 		d := s.docs[name]
 		state.Documents = append(state.Documents, DocumentState{
-			Section: name, Head: d.Head(), Rows: d.Len(), Since: d.since, Refused: d.Refused(),
+			Section: name, Head: d.Head(), Rows: d.Len(), InForceSince: d.since, LatestRefusal: d.Refused(),
 		})
 	}
 	s.out.rollout.Publish(state)
--- a/internal/controller/configwatch/reading.go
+++ b/internal/controller/configwatch/reading.go
@@ -186,7 +186,7 @@
 
 func whole(version rollout.Version, rows []rollout.Row) rollout.Delta {
 	return rollout.Delta{
-		Head: rollout.Head{Version: version, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows,
+		Head: rollout.Head{Version: version, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows,
 	}
 }
 
--- a/internal/controller/configwatch/standing.go
+++ b/internal/controller/configwatch/standing.go
@@ -49,7 +49,7 @@
 func (s *Store) PeerTaken(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.join.Peer(address); s.join.Confirmed() && !s.asked {
+	if s.join.RecordPeer(address); s.join.Confirmed() && !s.asked {
 		s.asked = true
 		s.publishState()
 	}
@@ -60,11 +60,11 @@
 func (s *Store) Unasked(peers []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join.Unasked(peers)
+	return s.join.RemainingPeers(peers)
 }
 
-// Ready tells whether this process may serve with the table in force.
-func (s *Store) Ready() bool {
+// IsReady tells whether this process may serve with the table in force.
+func (s *Store) IsReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready && s.join.Ready(s.now().Sub(s.start), s.peers, s.table != nil, s.lacks()) {
@@ -81,11 +81,11 @@
 	behind := s.behind(seen)
 	s.mu.Lock()
 	if !behind {
-		s.join.Service()
+		s.join.RecordService()
 	}
 	s.mu.Unlock()
 	s.setService(func(st *ServiceState) {
-		st.AnsweredAt, st.Revision, st.Behind, st.Failure = s.now(), seen.revision, behind, ""
+		st.AnsweredAt, st.Revision, st.Behind, st.LastFailure = s.now(), seen.revision, behind, ""
 	})
 	if behind {
 		s.metrics.GetOrRegister("configwatch.answers_behind", metrics.NewCounter).(metrics.Counter).Inc(1)
--- a/internal/controller/configwatch/store.go
+++ b/internal/controller/configwatch/store.go
@@ -33,14 +33,14 @@
 	tableTargets map[string][]table.Target
 	confirmed    time.Time
 	service      ServiceState
-	join         *rollout.Join
+	join         *rollout.Readiness
 	ready        bool
 	asked        bool
 	peers        int
 	changed      chan struct{}
 	out          writers
 
-	history *rollout.History
+	history *rollout.RevisionHistory
 	// overlays were worked out here at a recognised restore; they count for
 	// overlayEpoch until the document of kept rows is in force in it.
 	overlays     map[string]rollout.Overlay
@@ -87,8 +87,8 @@
 	s := &Store{
 		log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, start: cfg.Now(),
 		docs: map[Section]*document{}, hosts: map[string]configservice.Host{},
-		targets: map[string]configservice.Target{}, join: rollout.NewJoin(0), out: out,
-		history: rollout.NewHistory(),
+		targets: map[string]configservice.Target{}, join: rollout.NewReadiness(0), out: out,
+		history: rollout.NewRevisionHistory(),
 	}
 	for _, name := range Sections {
 		s.docs[name] = &document{Document: rollout.NewDocument()}
@@ -118,10 +118,10 @@
 	defer s.mu.Unlock()
 	doc, ok := s.docs[name]
 	if !ok {
-		return rollout.VerdictOld
+		return rollout.VerdictStale
 	}
-	verdict, changed := doc.Judge(delta)
-	if verdict != rollout.VerdictTake {
+	verdict, changed := doc.Evaluate(delta)
+	if verdict != rollout.VerdictApply {
 		s.count(name, verdict)
 		return verdict
 	}
@@ -168,11 +168,11 @@
 	for i, r := range changed {
 		changes[i] = table.Change(r)
 	}
-	next, faults := base.Apply(delta.Version.Operators(), delta.Version.Revision, changes)
+	next, faults := base.Apply(delta.Version.OperatorEpoch(), delta.Version.Revision, changes)
 	if err := faults.Err(); err != nil {
 		return err
 	}
-	next.Restores = delta.Version.Restores()
+	next.Restores = delta.Version.RestoreCount()
 	s.table = next
 	return nil
 }
@@ -248,7 +248,7 @@
 	if !ok {
 		return rollout.Delta{}
 	}
-	return doc.Since(from)
+	return doc.DeltaSince(from)
 }
 
 // All gives a whole document.
@@ -296,6 +296,6 @@
 // verdictNames are the counters of deltas that were not taken; known ones are
 // too ordinary to count.
 var verdictNames = map[rollout.Verdict]string{
-	rollout.VerdictOld: "older", rollout.VerdictGap: "gap",
+	rollout.VerdictStale: "older", rollout.VerdictGap: "gap",
 	rollout.VerdictConflict: "conflict", rollout.VerdictRefused: "refused_again",
 }
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -65,7 +65,7 @@
 		return
 	}
 	w.reader = on
-	w.store.setService(func(s *ServiceState) { s.Reader = on })
+	w.store.setService(func(s *ServiceState) { s.IsReader = on })
 	w.store.log.Info("role of reader changed", "reader", on)
 	if !on && w.cancel != nil {
 		w.cancel()
@@ -119,7 +119,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.store.setService(func(s *ServiceState) { s.Failure = string(failure.KindOf(err)) })
+		w.store.setService(func(s *ServiceState) { s.LastFailure = string(failure.KindOf(err)) })
 		wait := max(pause/2+rand.N(pause/2), failure.From(err).RetryAfter)
 		wake.Sleep(ctx, wait)
 		pause = min(2*pause, lastPause)
--- a/internal/controller/gossip/calls.go
+++ b/internal/controller/gossip/calls.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		c.metrics.probesFailed.Inc(1)
 		c.mu.Lock()
-		c.core.Failed(c.now(), a.Probe)
+		c.core.HandleProbeFailure(c.now(), a.ProbeID)
 		c.mu.Unlock()
 		return
 	}
 	c.metrics.received.Inc(int64(proto.Size(reply)))
 	c.mu.Lock()
-	c.core.Acked(c.now(), a.Probe, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
+	c.core.HandleProbeAck(c.now(), a.ProbeID, fromMember(reply.GetFrom()), fromMembers(reply.GetMembers()), reply.GetMemberDigest())
 	c.mu.Unlock()
 	heads, behind := c.take(reply, asked)
 	if behind {
@@ -79,14 +79,14 @@
 		return
 	}
 	c.mu.Lock()
-	c.core.ViaReached(a.Probe)
+	c.core.HandleIndirectProbeAck(a.ProbeID)
 	c.mu.Unlock()
 }
 
 func (c *Controller) sync(ctx context.Context, a membership.Action) {
 	c.metrics.syncs.Inc(1)
 	c.mu.Lock()
-	msg := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.All())}
+	msg := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.FullList())}
 	c.mu.Unlock()
 	_ = c.peers.call(ctx, a.To, syncTimeout, func(ctx context.Context, peer filbertv1.GossipClient) error {
 		c.metrics.sent.Inc(int64(proto.Size(msg)))
@@ -97,7 +97,7 @@
 		c.metrics.received.Inc(int64(proto.Size(reply)))
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.core.Sync(c.now(), fromMembers(reply.GetMembers()))
+		c.core.MergeFullList(c.now(), fromMembers(reply.GetMembers()))
 		return nil
 	})
 }
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -54,28 +54,28 @@
 // package knowing what it means. Nil functions carry nothing. Supply is asked
 // for each message and must return quickly; Take gets what a peer supplied.
 type Hooks struct {
-	SupplyPools  func() []*filbertv1.PoolNews
-	TakePools    func([]*filbertv1.PoolNews)
-	SupplyPoison func() []*filbertv1.PoisonNews
-	TakePoison   func([]*filbertv1.PoisonNews)
+	SupplyPools   func() []*filbertv1.PoolNews
+	ReceivePools  func([]*filbertv1.PoolNews)
+	SupplyPoison  func() []*filbertv1.PoisonNews
+	ReceivePoison func([]*filbertv1.PoisonNews)
 	// SupplyLoads is asked for each message to a neighbour: counts change
 	// hundreds of times a second in a large fleet, and those that only ask a
 	// reader of the store get them from their own neighbours already.
 	// SupplyPublished is asked for each message to a peer.
-	SupplyLoads func(peer string) []*filbertv1.TargetLoad
-	TakeLoads   func(peer string, loads []*filbertv1.TargetLoad)
+	SupplyLoads  func(peer string) []*filbertv1.TargetLoad
+	ReceiveLoads func(peer string, loads []*filbertv1.TargetLoad)
 	// SupplyAlerts, like SupplyLoads, is asked for each message to a neighbour.
 	SupplyAlerts    func(peer string) []*filbertv1.TargetLoad
-	TakeAlerts      func(peer string, alerts []*filbertv1.TargetLoad)
+	ReceiveAlerts   func(peer string, alerts []*filbertv1.TargetLoad)
 	SupplyPublished func(peer string) *filbertv1.PublishedNews
-	// TakePublished gets the time at which the question was asked that the news
+	// ReceivePublished gets the time at which the question was asked that the news
 	// answer; zero when they came unasked.
-	TakePublished func(peer string, news *filbertv1.PublishedNews, asked time.Time)
-	// GiveBulk answers a peer's Fetch.
-	GiveBulk func(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply
-	// Urgent is received from when there is news to supply that shouldn't wait
+	ReceivePublished func(peer string, news *filbertv1.PublishedNews, asked time.Time)
+	// ServeFetch answers a peer's Fetch.
+	ServeFetch func(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply
+	// PushRequests is received from when there is news to supply that shouldn't wait
 	// for the next probes.
-	Urgent <-chan struct{}
+	PushRequests <-chan struct{}
 }
 
 // Board is this controller's part of the blackboard.
@@ -120,7 +120,7 @@
 	seeds chan struct{}
 
 	mu       sync.Mutex
-	core     *membership.Core
+	core     *membership.Node
 	heads    map[string]peerHeads
 	pulling  map[string]bool
 	version  uint64
@@ -207,15 +207,15 @@
 		case <-news:
 			news = c.cfg.Store.Changed()
 			c.push(ctx)
-		case <-c.cfg.Hooks.Urgent:
+		case <-c.cfg.Hooks.PushRequests:
 			c.pushNews(ctx)
 		}
 	}
 }
 
-// Leave tells the neighbours that this process stops by plan, so that nobody
+// AnnounceLeave tells the neighbours that this process stops by plan, so that nobody
 // waits for it to be found dead.
-func (c *Controller) Leave(ctx context.Context) {
+func (c *Controller) AnnounceLeave(ctx context.Context) {
 	c.mu.Lock()
 	actions := c.core.Leave()
 	c.mu.Unlock()
@@ -239,9 +239,9 @@
 		c.peers.keep(view.Neighbours)
 		c.forgetHeads(view.Neighbours)
 		c.cfg.SetReader(view.IsReader())
-		c.cfg.Store.Peers(max(known, len(view.Live(""))-1))
+		c.cfg.Store.Peers(max(known, len(view.LiveAddresses(""))-1))
 	}
-	c.cfg.Store.Ready()
+	c.cfg.Store.IsReady()
 	c.askMore(ctx, view)
 	for _, a := range actions {
 		c.spawn(func() { c.perform(ctx, a) })
@@ -266,7 +266,7 @@
 	switch a.Kind {
 	case membership.ActionProbe:
 		c.probe(ctx, a)
-	case membership.ActionProbeVia:
+	case membership.ActionIndirectProbe:
 		c.probeVia(ctx, a)
 	case membership.ActionSync:
 		c.sync(ctx, a)
@@ -308,7 +308,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.core.Published(c.now(), list)
+	c.core.SetPublishedPeers(c.now(), list)
 	c.known = others
 	c.mu.Unlock()
 	c.cfg.Store.Peers(others)
--- a/internal/controller/gossip/fleet_test.go
+++ b/internal/controller/gossip/fleet_test.go
@@ -30,7 +30,7 @@
 // startSite starts n nodes in two data centres whose readers watch the
 // service; everyone else learns by gossip.
 func startSite(n int, every time.Duration) *site {
-	s := &site{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultRate})}
+	s := &site{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultCallsPerSecond})}
 	s.http = httptest.NewServer(s.service.Handler())
 	listeners, addresses := make([]net.Listener, n), make([]string, n)
 	var list []string
@@ -137,7 +137,7 @@
 		l, a := listen()
 		fresh := s.startNode(l, a, []string{s.nodes[0].address, s.nodes[1].address, s.nodes[2].address}, "dc0", probeEvery)
 		s.nodes = append(s.nodes, fresh)
-		Eventually(fresh.store.Ready, soon, often).Should(BeTrue())
+		Eventually(fresh.store.IsReady, soon, often).Should(BeTrue())
 		Expect(weights(3, 1)(fresh)).To(BeTrue(), "a new host while the service is down")
 
 		s.service.SetMode(standin.ModeNormal, 0)
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -88,8 +88,8 @@
 	}
 	n.ctl, err = gossip.New(gossip.Config{
 		Membership: membership.Config{
-			Self:       membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
-			ProbeEvery: cmp.Or(cfg.every, probeEvery), Rings: cfg.rings,
+			Self:          membership.Member{Address: address, Incarnation: uint64(time.Now().UnixMilli()), DataCentre: cmp.Or(cfg.dataCentre, "north")},
+			ProbeInterval: cmp.Or(cfg.every, probeEvery), RingCount: cfg.rings,
 		},
 		Seeds: list, Store: n.store, Hosts: &n.docs.Hosts, Credentials: cfg.creds,
 		SetReader: func(on bool) {
@@ -151,7 +151,7 @@
 		rows = append(rows, rollout.Row{Key: "account/" + name, Text: fmt.Sprintf("account,%s,%d,20,500,0,%064x,,,,,,", name, w, i+1)})
 	}
 	n.store.Offer(configwatch.SectionTable, rollout.Delta{Full: true, Rows: rows,
-		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}})
+		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.ComputeDigest(rows)}})
 }
 
 func (n *node) revision() uint64 { return n.store.Head(configwatch.SectionTable).Version.Revision }
@@ -161,7 +161,7 @@
 }
 
 func live(count int) func(*node) bool {
-	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.Live("")) == count }
+	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.LiveAddresses("")) == count }
 }
 
 // soon bounds only a spec that hangs: 32 copies of this package at once, with
@@ -188,7 +188,7 @@
 			}
 			return count
 		}
-		Eventually(readers, soon, often).Should(Equal(membership.Readers))
+		Eventually(readers, soon, often).Should(Equal(membership.ReadersPerDataCentre))
 	})
 
 	// An edit comes just while a process works out its probes. A change that is
@@ -228,7 +228,7 @@
 	It("lets a new process take the newest table from peers before it is ready", func() {
 		nodes := fleet(4)
 		nodes[0].edit(9, 11_000, 7)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), soon, often).Should(BeTrue())
+		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), soon, often).Should(BeTrue())
 		l, a := listen()
 		// With a clock that stands still the grace of a start never ends: only
 		// peers can make the process ready, however busy the machine is.
@@ -237,9 +237,9 @@
 		fresh := startNode(l, a, []string{nodes[0].address, nodes[1].address, nodes[2].address}, still)
 		DeferCleanup(fresh.stop)
 		fresh.edit(3, 10, 1)
-		Eventually(fresh.store.Ready, soon, "1ms").Should(BeTrue())
+		Eventually(fresh.store.IsReady, soon, "1ms").Should(BeTrue())
 		Expect(fresh.revision()).To(Equal(uint64(9)))
-		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersAsked }, soon, often).Should(BeTrue())
+		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersConfirmed }, soon, often).Should(BeTrue())
 	})
 
 	// Probes go to neighbours. In a small fleet a process that has just started
@@ -249,11 +249,11 @@
 		nodes := fleet(4)
 		Eventually(everyone(nodes, live(4)), soon, often).Should(BeTrue())
 		nodes[0].edit(9, 10, 7)
-		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), soon, often).Should(BeTrue())
+		Eventually(everyone(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), soon, often).Should(BeTrue())
 		l, a := listen()
 		fresh := startNode(l, a, []string{nodes[0].address}, nodeConfig{rings: 1})
 		DeferCleanup(fresh.stop)
-		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersAsked }, "1m", often).Should(BeTrue())
+		Eventually(func() bool { return fresh.docs.Rollout.Get().PeersConfirmed }, "1m", often).Should(BeTrue())
 	})
 
 	It("passes on when the host list was confirmed, never as later than it was", func() {
@@ -281,8 +281,8 @@
 			}
 		}
 		two := startNode(m, b, []string{a}, nodeConfig{hooks: gossip.Hooks{
-			TakePools:  func(p []*filbertv1.PoolNews) { offer(p[0].GetPool()) },
-			TakePoison: func(p []*filbertv1.PoisonNews) { offer(fmt.Sprint(p[0].GetId())) },
+			ReceivePools:  func(p []*filbertv1.PoolNews) { offer(p[0].GetPool()) },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { offer(fmt.Sprint(p[0].GetId())) },
 		}})
 		DeferCleanup(two.stop)
 		Eventually(taken, soon).Should(Receive(Equal("reports/0")))
@@ -296,11 +296,11 @@
 		m, b := listen()
 		urgent, taken := make(chan struct{}), make(chan uint64, 100)
 		one := startNode(l, a, []string{b}, nodeConfig{every: time.Hour, hooks: gossip.Hooks{
-			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, Urgent: urgent,
+			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, PushRequests: urgent,
 		}})
 		DeferCleanup(one.stop)
 		two := startNode(m, b, []string{a}, nodeConfig{every: time.Hour, hooks: gossip.Hooks{
-			TakePoison: func(p []*filbertv1.PoisonNews) { taken <- p[0].GetId() },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { taken <- p[0].GetId() },
 		}})
 		DeferCleanup(two.stop)
 		Eventually(urgent, soon).Should(BeSent(struct{}{}))
@@ -310,7 +310,7 @@
 	It("tells a planned stop, and finds a crash out", func() {
 		nodes := fleet(5)
 		Eventually(everyone(nodes, live(5)), soon, often).Should(BeTrue())
-		nodes[4].ctl.Leave(context.Background())
+		nodes[4].ctl.AnnounceLeave(context.Background())
 		nodes[4].stop()
 		Eventually(everyone(nodes[:4], live(4)), soon, often).Should(BeTrue())
 		nodes[3].stop()
--- a/internal/controller/gossip/server.go
+++ b/internal/controller/gossip/server.go
@@ -44,7 +44,7 @@
 func (c *Controller) Exchange(_ context.Context, msg *filbertv1.GossipMessage) (*filbertv1.GossipMessage, error) {
 	c.metrics.received.Inc(int64(proto.Size(msg)))
 	c.mu.Lock()
-	updates := c.core.Receive(c.now(), fromMember(msg.GetFrom()), fromMembers(msg.GetMembers()))
+	updates := c.core.HandleProbe(c.now(), fromMember(msg.GetFrom()), fromMembers(msg.GetMembers()))
 	c.mu.Unlock()
 	if _, behind := c.take(msg, time.Time{}); behind {
 		c.spawn(func() { c.pull(context.Background(), msg.GetFrom().GetAddress()) })
@@ -83,10 +83,10 @@
 
 // Fetch answers with the configuration that news announced.
 func (c *Controller) Fetch(_ context.Context, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
-	if c.cfg.Hooks.GiveBulk == nil {
+	if c.cfg.Hooks.ServeFetch == nil {
 		return nil, status.Error(codes.Unimplemented, "no configuration is given here")
 	}
-	reply := c.cfg.Hooks.GiveBulk(req.GetFrom(), req)
+	reply := c.cfg.Hooks.ServeFetch(req.GetFrom(), req)
 	c.metrics.fetchSent.Inc(int64(proto.Size(reply)))
 	return reply, nil
 }
@@ -96,8 +96,8 @@
 	c.metrics.received.Inc(int64(proto.Size(msg)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	reply := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.All())}
-	c.core.Sync(c.now(), fromMembers(msg.GetMembers()))
+	reply := &filbertv1.SyncMessage{From: toMember(c.core.Self()), Members: toMembers(c.core.FullList())}
+	c.core.MergeFullList(c.now(), fromMembers(msg.GetMembers()))
 	c.metrics.sent.Inc(int64(proto.Size(reply)))
 	return reply, nil
 }
--- a/internal/controller/gossip/spread.go
+++ b/internal/controller/gossip/spread.go
@@ -23,13 +23,13 @@
 	if time.Since(c.asked) < askPause {
 		return
 	}
-	others := slices.DeleteFunc(view.Live(""), func(a string) bool { return a == view.Self.Address })
+	others := slices.DeleteFunc(view.LiveAddresses(""), func(a string) bool { return a == view.Self.Address })
 	unasked := c.cfg.Store.Unasked(others)
 	if len(unasked) == 0 {
 		return
 	}
 	c.asked = time.Now()
-	c.Ask(ctx, unasked[rand.IntN(len(unasked))])
+	c.ProbeNow(ctx, unasked[rand.IntN(len(unasked))])
 }
 
 // push tells the neighbours at once what has changed in the documents.
@@ -63,13 +63,13 @@
 	}
 }
 
-// Ask exchanges news with one process out of turn.
-func (c *Controller) Ask(ctx context.Context, address string) {
+// ProbeNow exchanges news with one process out of turn.
+func (c *Controller) ProbeNow(ctx context.Context, address string) {
 	c.spawn(func() { c.probe(ctx, membership.Action{To: address, Timeout: c.probeTimeout()}) })
 }
 
-// FetchFrom gets from a process the configuration that its news announced.
-func (c *Controller) FetchFrom(ctx context.Context, address string, timeout time.Duration, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
+// FetchConfig gets from a process the configuration that its news announced.
+func (c *Controller) FetchConfig(ctx context.Context, address string, timeout time.Duration, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
 	req.From = c.cfg.Membership.Self.Address
 	var reply *filbertv1.FetchReply
 	err := c.peers.call(ctx, address, timeout, func(ctx context.Context, peer filbertv1.GossipClient) (err error) {
--- a/internal/controller/published/controller.go
+++ b/internal/controller/recordsync/controller.go
@@ -1,7 +1,7 @@
-// Package published keeps the picture of what operators and targets publish
+// Package recordsync keeps the picture of what operators and targets publish
 // up to date: it reads the store and puts the newest records on the
 // blackboard. What to believe is decided in internal/decide/mirror.
-package published
+package recordsync
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/decide/mirror"
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/wake"
@@ -60,8 +60,8 @@
 	Metrics metrics.Registry
 	// Now is the steady clock of the process.
 	Now func() time.Duration
-	// Reads tells whether this host is to read the store; nil means always.
-	Reads func() bool
+	// ShouldRead tells whether this host is to read the store; nil means always.
+	ShouldRead func() bool
 }
 
 // Controller reads the store into the mirror.
@@ -89,7 +89,7 @@
 	peers    map[string]*peer
 	// packed are the records that were given away last.
 	packed  packedDelta
-	silence silence.Detector
+	silence storeoutage.Detector
 	// announced is the newest revision of the configuration that a peer holds.
 	announced uint64
 }
@@ -172,7 +172,7 @@
 
 // role tells whether this host is to read now.
 func (c *Controller) role() bool {
-	reads := c.cfg.Reads == nil || c.cfg.Reads()
+	reads := c.cfg.ShouldRead == nil || c.cfg.ShouldRead()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reads != c.reading {
@@ -190,14 +190,14 @@
 		if err != nil {
 			return err
 		}
-		c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Whole(now, records, at) })
+		c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplySnapshot(now, records, at) })
 		return nil
 	}
 	records, at, err := c.watch(ctx, begun)
 	if err != nil {
 		return err
 	}
-	c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.Changes(now, records, at) })
+	c.take(begun, records, func(m *mirror.Mirror, now time.Duration) bool { return m.ApplyChanges(now, records, at) })
 	return nil
 }
 
@@ -205,7 +205,7 @@
 // before the call is given up.
 func (c *Controller) watch(ctx context.Context, begun time.Duration) ([]directory.Record, uint64, error) {
 	c.mu.Lock()
-	patience := c.silence.Patience()
+	patience := c.silence.AnswerTimeout()
 	c.mu.Unlock()
 	late := time.AfterFunc(watchWait+patience, func() {
 		c.mu.Lock()
@@ -216,7 +216,7 @@
 	records, at, err := c.cfg.Source.Watch(ctx, c.watchFrom(), watchWait)
 	if err == nil && len(records) == 0 {
 		c.mu.Lock()
-		c.silence.Answered(c.cfg.Now() - begun - watchWait)
+		c.silence.RecordAnswer(c.cfg.Now() - begun - watchWait)
 		c.mu.Unlock()
 	}
 	return records, at, err
@@ -263,9 +263,9 @@
 	wake.Signal(c.news)
 }
 
-// News is received from when other hosts should hear at once: something was
+// NewsReady is received from when other hosts should hear at once: something was
 // published, or the store was lost or is back.
-func (c *Controller) News() <-chan struct{} { return c.news }
+func (c *Controller) NewsReady() <-chan struct{} { return c.news }
 
 // fromStore is the source of what this host read from the store itself.
 const fromStore = "store"
@@ -279,8 +279,8 @@
 		c.cfg.Log.Info("configuration in force", "version", view.Config.Version, "revision", view.Revision, "routes", len(view.Config.Routes))
 	}
 	c.out.Publish(view)
-	c.publishAgainAt(now, c.mirror.NextChange(now))
-	if left := c.mirror.Left(); len(left) > 0 {
+	c.publishAgainAt(now, c.mirror.NextViewChange(now))
+	if left := c.mirror.TakeDeparted(); len(left) > 0 {
 		c.cfg.Log.Info("targets leave", "targets", left, "revision", view.Revision, "source", source, "age", c.ageAt(now))
 	}
 }
@@ -309,7 +309,7 @@
 	defer c.mu.Unlock()
 	gone := err != nil && failure.KindOf(err) != failure.KindHistoryGone
 	if gone {
-		c.mirror.StoreLost()
+		c.mirror.StoreFailed()
 		c.failedAt = c.cfg.Now()
 	}
 	if gone == c.lost {
--- a/internal/controller/published/document.go
+++ b/internal/controller/recordsync/document.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"bytes"
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	head := rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}
+	head := rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.ComputeDigest(rows)}
 	taken, _, err := d.take(rollout.Delta{Head: head, Full: true, Rows: rows})
 	return taken, err
 }
@@ -81,8 +81,8 @@
 // take works a delta in. It gives the configuration when that changed it; gap
 // tells that the delta doesn't fit, and the whole has to be fetched.
 func (d *document) take(delta rollout.Delta) (c *directory.Config, gap bool, err error) {
-	verdict, changed := d.rows.Judge(delta)
-	if verdict != rollout.VerdictTake {
+	verdict, changed := d.rows.Evaluate(delta)
+	if verdict != rollout.VerdictApply {
 		return nil, verdict == rollout.VerdictGap, nil
 	}
 	parsed, err := parseRows(changed)
@@ -105,7 +105,7 @@
 	if revision >= d.revision() || revision == 0 {
 		return nil
 	}
-	delta := d.rows.Since(rollout.Version{Revision: revision})
+	delta := d.rows.DeltaSince(rollout.Version{Revision: revision})
 	size := 0
 	for _, r := range delta.Rows {
 		size += len(r.Key) + len(r.Text)
@@ -123,7 +123,7 @@
 			return p.bytes, nil
 		}
 	}
-	plain, err := proto.Marshal(rolloutwire.ToDelta("", d.rows.Since(rollout.Version{Revision: revision})))
+	plain, err := proto.Marshal(rolloutwire.ToDelta("", d.rows.DeltaSince(rollout.Version{Revision: revision})))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindInternal, "configuration can't be encoded")
 	}
--- a/internal/controller/published/news.go
+++ b/internal/controller/recordsync/news.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"encoding/json"
@@ -32,22 +32,22 @@
 
 // News is what one process tells another of what is published.
 type News struct {
-	// Records changed after the revision From, up to Revision; from 0 they are
+	// Records changed after the revision BaseRevision, up to Revision; from 0 they are
 	// all that exist. The configuration is not among them.
-	From, Revision uint64
-	// Withheld says that they are too many and have to be fetched.
-	Withheld bool
+	BaseRevision, Revision uint64
+	// RecordsWithheld says that they are too many and have to be fetched.
+	RecordsWithheld bool
 	// Age is how long before the telling it was known that nothing newer was
 	// published; negative when it never was.
 	Age time.Duration
-	// Reading says that the process reads the store, and the store answers.
-	Reading bool
-	// StoreRejects says that the store rejected a call of the process lately.
-	StoreRejects bool
-	// Overdue is how long before the telling an answer of the store was due that
+	// IsReader says that the process reads the store, and the store answers.
+	IsReader bool
+	// StoreRejectedRecently says that the store rejected a call of the process lately.
+	StoreRejectedRecently bool
+	// AnswerOverdue is how long before the telling an answer of the store was due that
 	// did not come; 0 when all came in time.
-	Overdue time.Duration
-	Records []json.RawMessage
+	AnswerOverdue time.Duration
+	Records       []json.RawMessage
 	// Config is the head of the configuration in force there; Delta leads to it
 	// where that is short, nil else.
 	Config rollout.Head
@@ -80,11 +80,11 @@
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
 	n := News{
-		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
-		Reading: c.reading && !c.lost && c.confirmed, StoreRejects: c.rejectedAt(now), Config: c.doc.rows.Head(),
+		BaseRevision: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
+		IsReader: c.reading && !c.lost && c.confirmed, StoreRejectedRecently: c.rejectedAt(now), Config: c.doc.rows.Head(),
 	}
-	if due, ever := c.silence.Due(); ever && c.silence.Suspect(c.currentAt) {
-		n.Overdue = max(now-due, time.Millisecond)
+	if due, ever := c.silence.LastOverdue(); ever && c.silence.IsSuspect(c.currentAt) {
+		n.AnswerOverdue = max(now-due, time.Millisecond)
 	}
 	p := c.peers[address]
 	if p == nil || now-p.statedAt >= statedFor {
@@ -94,14 +94,14 @@
 	}
 	lacks := p.holds(now)
 	if records := c.mirror.Delta(lacks.records); len(records) > mostRecords {
-		n.Withheld = true
+		n.RecordsWithheld = true
 	} else {
-		n.From, n.Records = c.mirror.Base(lacks.records), c.encode(records)
+		n.BaseRevision, n.Records = c.mirror.DeltaBase(lacks.records), c.encode(records)
 	}
 	n.Delta = c.doc.deltaFrom(lacks.config, shortDelta)
 	if len(n.Records) > 0 || n.Delta != nil {
 		p.told, p.toldAt = lacks, now
-		if !n.Withheld {
+		if !n.RecordsWithheld {
 			p.told.records = n.Revision
 		}
 		if n.Delta != nil {
@@ -124,11 +124,11 @@
 	return out
 }
 
-// TakeNews takes what a peer told. asked is when the question was asked that
+// ApplyNews takes what a peer told. asked is when the question was asked that
 // the news answer, on the steady clock, negative when they came unasked: then
 // their age proves nothing, they may have lain in a paused process. behind
 // tells that the peer still holds less than is held here after it was told.
-func (c *Controller) TakeNews(address string, n News, asked time.Duration) (behind bool) {
+func (c *Controller) ApplyNews(address string, n News, asked time.Duration) (behind bool) {
 	records, err := parse(n.Records)
 	if err != nil {
 		c.cfg.Log.Warn("news of a peer can't be read", "peer", address, "error", err)
@@ -139,11 +139,11 @@
 	now := c.cfg.Now()
 	c.peers[address] = &peer{stated: held{n.Revision, n.Config.Version.Revision}, statedAt: now}
 	c.announced = max(c.announced, n.Config.Version.Revision)
-	if n.Overdue > 0 {
-		c.overdue(now-n.Overdue, address)
+	if n.AnswerOverdue > 0 {
+		c.overdue(now-n.AnswerOverdue, address)
 	}
 	before := c.mirror.Revision()
-	changed := c.takeChanges(now, n.From, n.Revision, records)
+	changed := c.takeChanges(now, n.BaseRevision, n.Revision, records)
 	if n.Delta != nil {
 		changed = c.takeDelta(now, address, *n.Delta) || changed
 	}
@@ -162,12 +162,12 @@
 func (c *Controller) takeChanges(now time.Duration, from, to uint64, records []directory.Record) bool {
 	switch {
 	case from == 0 && to > 0:
-		return c.mirror.Whole(now, records, to)
+		return c.mirror.ApplySnapshot(now, records, to)
 	case from <= c.mirror.Revision():
-		return c.mirror.Merge(now, records, to)
+		return c.mirror.MergeFromPeer(now, records, to)
 	}
 	// What was published between is missing here.
-	return c.mirror.Merge(now, records, 0)
+	return c.mirror.MergeFromPeer(now, records, 0)
 }
 
 // takeDelta takes a short change of the configuration. One that doesn't fit is
@@ -189,32 +189,32 @@
 		return false
 	}
 	record := directory.Record{Key: directory.ConfigKey, Revision: c.doc.revision(), Config: cfg}
-	return c.mirror.Changes(now, []directory.Record{record}, 0)
+	return c.mirror.ApplyChanges(now, []directory.Record{record}, 0)
 }
 
-// Holds gives the store's revision at the configuration in force, 0 for none,
+// HeldRevisions gives the store's revision at the configuration in force, 0 for none,
 // that up to which all other records are known, and that up to which both are.
-func (c *Controller) Holds() (config, records, both uint64) {
+func (c *Controller) HeldRevisions() (config, records, both uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.doc.revision(), c.mirror.Revision(), c.complete()
 }
 
-// Bulk is what a process lacks that holds less, compressed once for all that
+// DeltaBundle is what a process lacks that holds less, compressed once for all that
 // lack the same. Parts that it has are empty.
-type Bulk struct{ Config, Records []byte }
+type DeltaBundle struct{ Config, Records []byte }
 
 // Size is the number of bytes in it.
-func (b Bulk) Size() int { return len(b.Config) + len(b.Records) }
+func (b DeltaBundle) Size() int { return len(b.Config) + len(b.Records) }
 
-// Pack gives what leads from the configuration and the records of some revisions
+// BuildBundle gives what leads from the configuration and the records of some revisions
 // to those held here.
-func (c *Controller) Pack(config, records uint64) (b Bulk, err error) {
+func (c *Controller) BuildBundle(config, records uint64) (b DeltaBundle, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.doc.revision() > config {
 		if b.Config, err = c.doc.pack(config); err != nil {
-			return Bulk{}, err
+			return DeltaBundle{}, err
 		}
 	}
 	if c.mirror.Revision() > records {
@@ -225,7 +225,7 @@
 
 // packRecords compresses what leads from a revision to what is held here.
 func (c *Controller) packRecords(after uint64) ([]byte, error) {
-	from, to := c.mirror.Base(after), c.mirror.Revision()
+	from, to := c.mirror.DeltaBase(after), c.mirror.Revision()
 	if c.packed.from == from && c.packed.to == to {
 		return c.packed.bytes, nil
 	}
@@ -245,9 +245,9 @@
 	return packed, nil
 }
 
-// TakeBulk takes what a peer's Pack gave. gap tells that the configuration
+// ApplyBundle takes what a peer's Pack gave. gap tells that the configuration
 // doesn't fit to what is held here and the whole has to be fetched.
-func (c *Controller) TakeBulk(address string, b Bulk) (gap bool, err error) {
+func (c *Controller) ApplyBundle(address string, b DeltaBundle) (gap bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, before := c.cfg.Now(), c.mirror.Revision()
@@ -312,22 +312,22 @@
 		c.currentAt = at
 	}
 	c.confirmed = true
-	c.mirror.Confirm(c.currentAt)
+	c.mirror.ConfirmUpToDate(c.currentAt)
 }
 
-// RejectedFor is how long a call that the store rejected counts against a host
+// RejectionTTL is how long a call that the store rejected counts against a host
 // as a source of news. It tries again after that.
-const RejectedFor = 3 * time.Second
+const RejectionTTL = 3 * time.Second
 
-// StoreRejects tells whether the store rejected a call of this host lately.
-func (c *Controller) StoreRejects() bool {
+// StoreRejectedRecently tells whether the store rejected a call of this host lately.
+func (c *Controller) StoreRejectedRecently() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rejectedAt(c.cfg.Now())
 }
 
 func (c *Controller) rejectedAt(now time.Duration) bool {
-	return c.lost && now-c.failedAt < RejectedFor
+	return c.lost && now-c.failedAt < RejectionTTL
 }
 
 // ageAt is Age at a time, negative when nothing was ever known; with the lock held.
@@ -346,19 +346,19 @@
 	return c.cfg.Now() - c.currentAt, c.confirmed
 }
 
-// Suspects tells whether the store may have fallen silent: an answer of its is
+// SuspectsStoreOutage tells whether the store may have fallen silent: an answer of its is
 // overdue here or at another host, and no later call was answered.
-func (c *Controller) Suspects() bool {
+func (c *Controller) SuspectsStoreOutage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Suspect(c.currentAt)
+	return c.silence.IsSuspect(c.currentAt)
 }
 
 // overdue notes an answer of the store that was due at a time and has not come,
 // as a peer said or, with an empty name, this host saw. It is called with the
 // lock held.
 func (c *Controller) overdue(due time.Duration, peer string) {
-	if !c.silence.Overdue(due) || !c.silence.Suspect(c.currentAt) {
+	if !c.silence.RecordOverdue(due) || !c.silence.IsSuspect(c.currentAt) {
 		return
 	}
 	c.cfg.Log.Info("store suspected to be silent", "overdue_for", c.cfg.Now()-due, "peer", peer, "age", c.cfg.Now()-c.currentAt)
@@ -367,9 +367,9 @@
 	}
 }
 
-// Asks tells whether this host needs others to tell it what is published: it
+// NeedsPeerNews tells whether this host needs others to tell it what is published: it
 // does not read the store, or the store does not answer it.
-func (c *Controller) Asks() bool {
+func (c *Controller) NeedsPeerNews() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost || !c.reading
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/recordsync/recordsync_test.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 }
 
 func (s *source) ReadAll(context.Context) ([]directory.Record, uint64, error) {
-	live := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Gone })
+	live := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Deleted })
 	return live, s.at, nil
 }
 
@@ -99,8 +99,8 @@
 	}
 	for i := range routes {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.Once,
-			Timeout: time.Second, Attempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
+			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.AtMostOnce,
+			Timeout: time.Second, MaxAttempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 	}
 	return c
@@ -124,13 +124,13 @@
 // remove takes a record away, as the store does: a watch from before hears of it,
 // a whole reading lacks it.
 func (s *source) remove(key string) {
-	s.put(directory.Record{Key: key, Revision: s.at + 1, Gone: true})
+	s.put(directory.Record{Key: key, Revision: s.at + 1, Deleted: true})
 }
 
 // tellAll tells a host what another one knows, until it lacks nothing.
 func tellAll(from, to *host) {
-	from.TakeNews("to", to.NewsFor("from"), -1)
-	to.TakeNews("from", from.NewsFor("to"), -1)
+	from.ApplyNews("to", to.NewsFor("from"), -1)
+	to.ApplyNews("from", from.NewsFor("to"), -1)
 	fetchFrom(from, to)
 }
 
@@ -155,7 +155,7 @@
 		reader, other := newHost(&source{}), newHost(&source{})
 		reader.source.configure(3, 1, 4)
 		reader.read()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.configure(4, 2, 884)
 		reader.read()
 		total := 0
@@ -171,13 +171,13 @@
 		reader.source.configure(3, 1, 4)
 		reader.read()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.configure(4, 2, 5)
 		reader.read()
 		news := reader.NewsFor("other")
 		Expect(size(news)).To(BeNumerically(">", 0))
 		Expect(size(reader.NewsFor("other"))).To(BeZero())
-		other.TakeNews("reader", news, -1)
+		other.ApplyNews("reader", news, -1)
 		Expect(other.routes()).To(Equal(5))
 	})
 
@@ -191,17 +191,17 @@
 			reader.source.put(directory.Record{Key: directory.TargetKey(id), Revision: uint64(i + 1), Target: &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", Slots: 4}})
 		}
 		reader.read()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		news := reader.NewsFor("other")
-		Expect(news.Withheld).To(BeTrue())
+		Expect(news.RecordsWithheld).To(BeTrue())
 		Expect(size(news)).To(BeZero())
-		other.TakeNews("reader", news, 0)
+		other.ApplyNews("reader", news, 0)
 		Expect(other.Revision()).To(BeZero())
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
 		Expect(other.Revision()).To(Equal(reader.Revision()))
-		Expect(other.board.View.Get().Pool("llm")).To(HaveLen(3000))
+		Expect(other.board.View.Get().ServiceTargets("llm")).To(HaveLen(3000))
 	})
 
 	// The message with the news was lost. A neighbour that counted as told for
@@ -211,12 +211,12 @@
 		reader.source.configure(3, 1, 4)
 		reader.read()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.configure(4, 2, 5)
 		reader.read()
 		reader.NewsFor("other")
 		reader.now += toldFor
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routes()).To(Equal(5))
 	})
 
@@ -227,12 +227,12 @@
 		reader, other := newHost(&source{}), newHost(&source{})
 		reader.source.configure(3, 1, 880)
 		reader.read()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known = other.Age()
 		Expect(known).To(BeTrue())
 	})
@@ -247,9 +247,9 @@
 		reader.read()
 		other.read()
 		store.configure(5, 2, 900)
-		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Gone: true})
+		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Deleted: true})
 		reader.read()
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routes()).To(Equal(4))
 		other.read()
 		Expect(other.routes()).To(Equal(900))
@@ -258,24 +258,24 @@
 
 // fetchFrom has one host fetch another's configuration.
 func fetchFrom(from, to *host) {
-	config, records, _ := to.Holds()
-	bulk, err := from.Pack(config, records)
+	config, records, _ := to.HeldRevisions()
+	bulk, err := from.BuildBundle(config, records)
 	Expect(err).NotTo(HaveOccurred())
-	gap, err := to.TakeBulk("peer", bulk)
+	gap, err := to.ApplyBundle("peer", bulk)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(gap).To(BeFalse())
 }
 
 var _ = Describe("news of a process that has just started", func() {
 	targetRecord := func(id string, revision uint64) directory.Record {
-		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
+		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, StartedUnixMilli: 1}
 		return directory.Record{Key: directory.TargetKey(id), Revision: revision, Target: t}
 	}
 	// listed gives the targets that a host takes for ready.
 	listed := func(h *host) []string {
 		var out []string
-		for _, t := range h.board.View.Get().Pool("app") {
-			if h.board.View.Get().TakesNew(t) {
+		for _, t := range h.board.View.Get().ServiceTargets("app") {
+			if h.board.View.Get().AcceptsNewRequests(t) {
 				out = append(out, t.ID)
 			}
 		}
@@ -340,8 +340,8 @@
 						continue
 					}
 					for _, r := range store.records {
-						if r.Gone {
-							Expect(listed(h)).NotTo(ContainElement(directory.TargetOf(r.Key)), "seed %d", seed)
+						if r.Deleted {
+							Expect(listed(h)).NotTo(ContainElement(directory.TargetID(r.Key)), "seed %d", seed)
 						}
 					}
 				}
@@ -389,12 +389,12 @@
 		reader.read()
 		reader.source.configure(4, 2, 881)
 		reader.read()
-		whole, err := reader.Pack(0, reader.Revision())
+		whole, err := reader.BuildBundle(0, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		change, err := reader.Pack(3, reader.Revision())
+		change, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change.Size()).To(BeNumerically("<", whole.Size()/10))
-		again, err := reader.Pack(3, reader.Revision())
+		again, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(&again.Config[0]).To(BeIdenticalTo(&change.Config[0]))
 	})
@@ -403,9 +403,9 @@
 		h := newHost(&source{})
 		h.source.configure(3, 1, 4)
 		h.read()
-		_, err := h.TakeBulk("peer", Bulk{Config: packed})
+		_, err := h.ApplyBundle("peer", DeltaBundle{Config: packed})
 		Expect(err).To(HaveOccurred())
-		_, err = h.TakeBulk("peer", Bulk{Records: packed})
+		_, err = h.ApplyBundle("peer", DeltaBundle{Records: packed})
 		Expect(err).To(HaveOccurred())
 		Expect(h.routes()).To(Equal(4))
 	},
@@ -424,7 +424,7 @@
 	lookAt := func(h *host) bool {
 		view := h.board.View.Get()
 		t, known := view.Target("i-0")
-		return known && view.TakesNew(t)
+		return known && view.AcceptsNewRequests(t)
 	}
 	lose := func(h *host) { h.note(failure.New(failure.KindConfigUnreadable, "the store answered 503")) }
 	var h *host
@@ -456,7 +456,7 @@
 		for range 100 {
 			h.now, other.now = h.now+100*time.Millisecond, other.now+100*time.Millisecond
 			other.read()
-			h.TakeNews("other", other.NewsFor("h"), h.now)
+			h.ApplyNews("other", other.NewsFor("h"), h.now)
 		}
 		h.read()
 		h.source.remove(directory.TargetKey("i-0"))
@@ -472,7 +472,7 @@
 		h.source.remove(directory.TargetKey("i-0"))
 		h.read()
 		Expect(lookAt(h)).To(BeTrue())
-		h.now += mirror.DefaultReturnGrace
+		h.now += mirror.DefaultRecoveryGrace
 		h.read()
 		Expect(lookAt(h)).To(BeFalse())
 	})
@@ -487,26 +487,26 @@
 		reader, other := newHost(store), newHost(store)
 		reader.read()
 		fetchFrom(reader, other)
-		Expect(reader.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
 
 		reader.cfg.Source = &silentSource{store}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- reader.step(ctx, false) }()
-		Eventually(reader.Suspects, "5s").Should(BeTrue())
-		Eventually(reader.News()).Should(Receive())
+		Eventually(reader.SuspectsStoreOutage, "5s").Should(BeTrue())
+		Eventually(reader.NewsReady()).Should(Receive())
 		reader.now, other.now = time.Second, time.Second
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
-		Expect(other.Suspects()).To(BeTrue())
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
+		Expect(other.SuspectsStoreOutage()).To(BeTrue())
 		cancel()
 		Expect(<-done).To(HaveOccurred())
 
 		reader.cfg.Source = store
 		reader.now, other.now = 2*time.Second, 2*time.Second
 		reader.read()
-		Expect(reader.Suspects()).To(BeFalse())
-		Expect(reader.NewsFor("other").Overdue).To(BeZero())
-		other.TakeNews("reader", reader.NewsFor("other"), other.now)
-		Expect(other.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
+		Expect(reader.NewsFor("other").AnswerOverdue).To(BeZero())
+		other.ApplyNews("reader", reader.NewsFor("other"), other.now)
+		Expect(other.SuspectsStoreOutage()).To(BeFalse())
 	})
 })
--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/decide/fairqueue"
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 	"filbertdeck/internal/decide/slowstart"
 )
 
@@ -18,8 +18,8 @@
 	// Owner tells whether this allocator is the pool's published owner. Only
 	// the published owner admits to cold targets.
 	Owner bool
-	// LeaseFor is the life of a lease without renewal. Default 3 s.
-	LeaseFor time.Duration
+	// LeaseDuration is the life of a lease without renewal. Default 3 s.
+	LeaseDuration time.Duration
 	// QueueLimit bounds the asks that wait. Default 1024.
 	QueueLimit int
 	// Seed seeds the choices that are random and the first lease's id. Draw it
@@ -27,7 +27,7 @@
 	// lease of the process before.
 	Seed uint64
 	// Memory is the memory rule; the zero value is the default rule.
-	Memory memory.Rule
+	Memory memoryforecast.AdmissionRule
 	// SlowStart holds the figures for targets that have just started.
 	SlowStart slowstart.Config
 }
@@ -100,16 +100,16 @@
 
 // New returns an allocator without targets.
 func New(cfg Config) *Allocator {
-	if cfg.LeaseFor == 0 {
-		cfg.LeaseFor = defaultLease
+	if cfg.LeaseDuration == 0 {
+		cfg.LeaseDuration = defaultLease
 	}
 	if cfg.QueueLimit == 0 {
 		cfg.QueueLimit = defaultQueueLimit
 	}
-	if cfg.Memory == (memory.Rule{}) {
-		cfg.Memory = memory.DefaultRule()
+	if cfg.Memory == (memoryforecast.AdmissionRule{}) {
+		cfg.Memory = memoryforecast.DefaultRule()
 	}
-	cfg.SlowStart.LeaseFor = cfg.LeaseFor
+	cfg.SlowStart.LeaseDuration = cfg.LeaseDuration
 	return &Allocator{
 		cfg:      cfg,
 		random:   rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
@@ -282,10 +282,10 @@
 	l := a.leases.draw()
 	l.service = ask.Service
 	l.fingerprint, l.alone, l.suspect = ask.Fingerprint, ruling.alone, ruling.constrained()
-	a.book(now, l, ask.Holder, r.Account, t, memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	a.book(now, l, ask.Holder, r.Account, t, memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	l.charged = cost
 	t.cache.expect(ask.Prefix)
-	if a.health.Standing(now, t.address) == health.Trial {
+	if a.health.Status(now, t.address) == health.Trial {
 		a.health.BeginTrial(now, t.address)
 	}
 	a.queue.Release(r)
@@ -295,7 +295,7 @@
 func (a *Allocator) grant(l *lease, request uint64, attained int) {
 	a.out = append(a.out, Decision{
 		Holder: l.holder, Request: request, Lease: l.id, Target: l.target.address,
-		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseFor: a.cfg.LeaseFor,
+		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseDuration: a.cfg.LeaseDuration,
 	})
 }
 
@@ -337,7 +337,7 @@
 	for _, t := range a.order {
 		s.Targets = append(s.Targets, TargetSnapshot{
 			Address: t.address, State: t.gate.State(now), Running: len(t.leases),
-			PredictedTokens: int(t.load.Now()), Report: t.report,
+			PredictedTokens: int(t.load.InUse()), Report: t.report,
 		})
 	}
 	return s
--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -47,14 +47,14 @@
 // newRig has engines of 10,000 tokens that bear 64 requests: e0, e1, ...
 func newRig(engines int, cfg Config) *rig {
 	r := &rig{Allocator: New(cfg), now: 10 * sec, granted: map[uint64]Decision{}, refused: map[uint64]Decision{}}
-	r.SetOwner(0, true)
+	r.SetConfirmedOwner(0, true)
 	targets := make([]Target, engines)
 	for i := range targets {
 		targets[i].Address = fmt.Sprint("e", i)
 	}
 	r.SetTargets(r.now, targets)
 	for _, t := range targets {
-		r.report(t.Address, Report{Bears: 64, MemoryTokens: 10_000})
+		r.report(t.Address, Report{Capacity: 64, MemoryTokens: 10_000})
 	}
 	return r
 }
@@ -102,7 +102,7 @@
 }
 
 func (r *rig) settle(id uint64, o Outcome, produced int) {
-	r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: o, Produced: produced})
+	r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: o, ProducedTokens: produced})
 }
 
 var _ = Describe("the allocator", func() {
@@ -129,7 +129,7 @@
 		}
 		Expect(on["e0"]).To(Equal(5))
 		prefix := []uint64{1, 2, 3, 4}
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, CachedPrefixes: prefix})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, CachedPrefixes: prefix})
 		for _, id := range r.asks(3, "a", func(a *Ask) { a.PromptTokens, a.Prefix = 500, prefix }) {
 			r.decide()
 			Expect(r.granted[id].Target).To(Equal("e1"))
@@ -172,8 +172,8 @@
 			return 2
 		}),
 		Entry("a wait that is over", RefusedDeadline, func(r *rig) uint64 {
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
-			r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
+			r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
 			id := r.ask("a", func(a *Ask) { a.MaxWait = sec })
 			r.after(sec)
 			return id
@@ -200,7 +200,7 @@
 		for range 100 {
 			active = append(active, r.asks(2, "a", func(a *Ask) { a.MaxWait = 5 * sec })...)
 			r.after(100 * ms)
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 			for _, id := range active[:1] {
 				r.settle(id, OutcomeDone, 100)
 			}
@@ -228,7 +228,7 @@
 
 	It("passes over a head whose own constraints block it", func() {
 		r := newRig(2, Config{})
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
 		r.ask("a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		other := r.ask("b", nil)
 		r.decide()
@@ -240,7 +240,7 @@
 	// of one account must not use up the turn in which others could start.
 	It("lets other accounts pass several constrained heads", func() {
 		r := newRig(2, Config{})
-		r.report("e1", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
 		r.asks(3, "a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		r.asks(3, "b", func(a *Ask) { a.Avoid = []string{"e0"} })
 		others := r.asks(3, "c", nil)
@@ -301,12 +301,12 @@
 		old, heir := newRig(1, Config{Seed: 1}), newRig(1, Config{Seed: 2})
 		old.asks(64, "a", nil)
 		old.decide()
-		heir.report("e0", Report{Bears: 64, MemoryTokens: 10_000, UsedTokens: 9_000, Running: len(old.granted)})
+		heir.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_000, Running: len(old.granted)})
 		heir.asks(10, "b", nil)
 		heir.decide()
 		Expect(heir.granted).To(BeEmpty())
 		for _, d := range old.granted {
-			heir.Renew(heir.now, home, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a", PromptTokens: 100, Produced: 50}})
+			heir.Renew(heir.now, home, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a", PromptTokens: 100, ProducedTokens: 50}})
 		}
 		heir.after(100 * ms)
 		Expect(heir.granted).To(BeEmpty())
@@ -333,17 +333,17 @@
 	It("get work from the published owner alone, never above what they bear", func() {
 		for _, owner := range []bool{true, false} {
 			r := newRig(0, Config{})
-			r.SetOwner(0, owner)
+			r.SetConfirmedOwner(0, owner)
 			r.SetTargets(r.now, []Target{{Address: "cold"}})
 			running := 0
 			r.asks(20, "a", nil)
 			for range 20 {
-				r.Confirm(r.now)
-				r.report("cold", Report{Bears: 3, MemoryTokens: 10_000, Running: running})
+				r.ConfirmOwnership(r.now)
+				r.report("cold", Report{Capacity: 3, MemoryTokens: 10_000, Running: running})
 				r.after(500 * ms)
 				running = len(r.granted)
 				for _, d := range r.granted {
-					r.Renew(r.now, home, []Renewal{{Lease: d.Lease, Target: "cold", Produced: 1}})
+					r.Renew(r.now, home, []Renewal{{Lease: d.Lease, Target: "cold", ProducedTokens: 1}})
 				}
 				Expect(running).To(BeNumerically("<=", 3))
 			}
@@ -373,7 +373,7 @@
 	}
 	r.targets[target].report.Incarnation++
 	r.now += 500 * ms
-	r.report(target, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: r.targets[target].report.Incarnation})
+	r.report(target, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[target].report.Incarnation})
 }
 
 var _ = Describe("a request that kills its targets", func() {
@@ -392,7 +392,7 @@
 				r.renewAll()
 				for i := range 3 {
 					address := fmt.Sprint("e", i)
-					r.report(address, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
+					r.report(address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
 				}
 			}
 			if d, ran := r.granted[id]; ran {
@@ -407,7 +407,7 @@
 		Expect(r.refused[r.next-1].Reason).To(Equal(RefusedPoison))
 		Expect(r.granted).To(HaveKey(last))
 		heir := newRig(1, Config{})
-		Expect(heir.MergePoison(heir.now, r.PoisonEvidence(r.now, 10))).To(BeTrue())
+		Expect(heir.MergePoisonEvidence(heir.now, r.PoisonEvidence(r.now, 10))).To(BeTrue())
 		id := heir.ask("a", func(a *Ask) { a.Fingerprint = 666 })
 		heir.decide()
 		Expect(heir.refused[id].Reason).To(Equal(RefusedPoison))
@@ -424,13 +424,13 @@
 		for i := range 80 {
 			r.now += 500 * ms
 			full, idle := []string{"e0", "e1"}[i/40%2], []string{"e1", "e0"}[i/40%2]
-			r.report(full, Report{Bears: 64, MemoryTokens: 10_000, Running: 100, StepTime: 40 * ms})
-			r.report(idle, Report{Bears: 64, MemoryTokens: 10_000, Running: 4, StepTime: 11 * ms})
+			r.report(full, Report{Capacity: 64, MemoryTokens: 10_000, Running: 100, StepTime: 40 * ms})
+			r.report(idle, Report{Capacity: 64, MemoryTokens: 10_000, Running: 4, StepTime: 11 * ms})
 			id := r.ask("a", nil)
 			r.decide()
-			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, Produced: 9, FirstToken: time.Duration(i) * 50 * ms})
+			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, ProducedTokens: 9, FirstToken: time.Duration(i) * 50 * ms})
 			for _, t := range r.order {
-				Expect(r.health.Standing(r.now, t.address)).To(Equal(health.Good))
+				Expect(r.health.Status(r.now, t.address)).To(Equal(health.Healthy))
 				Expect(t.gate.State(r.now)).To(Equal(slowstart.Warm))
 			}
 		}
@@ -476,7 +476,7 @@
 		for range 30 {
 			r.now += 500 * ms
 			for _, t := range r.order {
-				r.report(t.address, Report{Bears: 64, MemoryTokens: 10_000, Incarnation: t.report.Incarnation})
+				r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: t.report.Incarnation})
 			}
 			r.renewAll()
 			r.decide()
@@ -520,7 +520,7 @@
 		served := 0
 		for i := range 1000 {
 			if i%50 == 0 {
-				r.report("app", Report{Bears: 20, Running: min(20, i), Age: 400 * ms})
+				r.report("app", Report{Capacity: 20, Running: min(20, i), Age: 400 * ms})
 			}
 			for len(r.waiting) < 40 {
 				r.ask("a", func(a *Ask) { a.PromptTokens, a.MaxTokens = 0, 0 })
@@ -542,7 +542,7 @@
 		r.SetShares(r.now, []Share{{Account: "b", Weight: 1, MaxRunning: 2}})
 		plain := func(a *Ask) { a.PromptTokens, a.MaxTokens = 0, 0 }
 		for i := range 30 {
-			r.report("app", Report{Bears: 20})
+			r.report("app", Report{Capacity: 20})
 			r.asks(1, []string{"a", "b"}[i%2], plain)
 			r.after(50 * ms)
 		}
@@ -550,7 +550,7 @@
 		for range 10 {
 			r.asks(3, "a", plain)
 			r.after(50 * ms)
-			r.report("app", Report{Bears: 20, Running: len(r.granted)})
+			r.report("app", Report{Capacity: 20, Running: len(r.granted)})
 		}
 		Expect(r.granted).To(HaveLen(20))
 	})
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"filbertdeck/internal/decide/fairqueue"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 const (
@@ -234,13 +234,13 @@
 	l.fingerprint, l.service = ask.Fingerprint, ask.Service
 	account := a.account(ask.Account)
 	a.queue.Resume(account, 0)
-	gen := memory.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
+	gen := memoryforecast.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
 	a.book(now, l, ask.Holder, account, t, gen)
 	a.grant(l, ask.Request, ask.AdoptTokens)
 }
 
-// Backlog estimates the wait of a request that would ask now.
-func (a *Allocator) Backlog() time.Duration {
+// EstimatedWait estimates the wait of a request that would ask now.
+func (a *Allocator) EstimatedWait() time.Duration {
 	n := a.queue.Len()
 	if n == 0 {
 		return 0
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 const (
@@ -29,13 +29,13 @@
 	if r.held {
 		return nil
 	}
-	var growth memory.Growth
-	growth.Predict(a.outputs.of(ask.Service), memory.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	var growth memoryforecast.Forecast
+	growth.Predict(a.outputs.of(ask.Service), memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	avoid := a.avoided(ask)
 	var best *target
 	bestScore := 0.0
 	for _, t := range a.order {
-		standing := a.health.Standing(now, t.address)
+		standing := a.health.Status(now, t.address)
 		if standing == health.Ejected || t.leaving || slices.Contains(avoid, t.address) {
 			continue
 		}
@@ -57,11 +57,11 @@
 // preference puts a target's standing before its score, which lies within -2
 // and 2: one trial request goes ahead, so that a target which recovered comes
 // back, and a doubtful target is taken when no good one has room.
-func preference(s health.Standing) float64 {
+func preference(s health.Status) float64 {
 	switch s {
 	case health.Trial:
 		return standingStep
-	case health.Doubtful:
+	case health.Degraded:
 		return -standingStep
 	default:
 		return 0
@@ -85,7 +85,7 @@
 }
 
 // headroom is the part of the target that stays free with the ask on it.
-func (a *Allocator) headroom(t *target, ask *Ask, growth *memory.Growth) (room float64, fits bool) {
+func (a *Allocator) headroom(t *target, ask *Ask, growth *memoryforecast.Forecast) (room float64, fits bool) {
 	if t.report.MemoryTokens == 0 {
 		used := len(t.leases) + t.strangers
 		return 1 - float64(used+1)/float64(t.bears()), true
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -41,11 +41,11 @@
 }
 
 func (s *schedule) report() {
-	s.a.SetOwner(s.now, s.r.IntN(8) > 0)
+	s.a.SetConfirmedOwner(s.now, s.r.IntN(8) > 0)
 	for i := range 4 {
 		s.a.Report(s.now, Report{
 			Target: fmt.Sprint("t", i), Age: time.Duration(s.r.IntN(600)) * ms,
-			Incarnation: uint64(1 + s.now/(40*sec)), Bears: []int{0, 1, 3, 20, 64}[s.r.IntN(5)],
+			Incarnation: uint64(1 + s.now/(40*sec)), Capacity: []int{0, 1, 3, 20, 64}[s.r.IntN(5)],
 			MemoryTokens: 4000 * s.r.IntN(2), UsedTokens: s.r.IntN(4000), Running: s.r.IntN(10),
 			StepTime: time.Duration(s.r.IntN(50)) * ms,
 		})
@@ -86,12 +86,12 @@
 		s.ask()
 	case 4, 5:
 		if id, ok := s.any(); ok {
-			s.a.Settle(s.now, Settlement{Lease: id, Outcome: Outcome(1 + s.r.IntN(5)), Produced: s.r.IntN(3000)})
+			s.a.Settle(s.now, Settlement{Lease: id, Outcome: Outcome(1 + s.r.IntN(5)), ProducedTokens: s.r.IntN(3000)})
 			delete(s.running, id)
 		}
 	case 6:
 		if id, ok := s.any(); ok {
-			s.a.Renew(s.now, home, []Renewal{{Lease: id, Target: s.running[id], Account: "a1", Produced: s.r.IntN(2000)}})
+			s.a.Renew(s.now, home, []Renewal{{Lease: id, Target: s.running[id], Account: "a1", ProducedTokens: s.r.IntN(2000)}})
 		}
 	case 7:
 		s.report()
@@ -186,7 +186,7 @@
 		total += len(t.leases)
 		sum, suspects, unconfirmed := 0.0, 0, 0
 		for _, l := range t.leases {
-			sum += l.growth.Now()
+			sum += l.growth.InUse()
 			if l.suspect {
 				suspects++
 			}
@@ -194,9 +194,9 @@
 				unconfirmed++
 			}
 		}
-		if sum > t.load.Now()+1e-3 || suspects != t.suspects || unconfirmed != t.unconfirmed {
+		if sum > t.load.InUse()+1e-3 || suspects != t.suspects || unconfirmed != t.unconfirmed {
 			s.t.Fatalf("%s: memory %g of %g, suspects %d/%d, unconfirmed %d/%d",
-				t.address, sum, t.load.Now(), suspects, t.suspects, unconfirmed, t.unconfirmed)
+				t.address, sum, t.load.InUse(), suspects, t.suspects, unconfirmed, t.unconfirmed)
 		}
 	}
 	if total != listed || total != len(s.a.leases.byID) {
@@ -221,7 +221,7 @@
 // reports gives the allocator what the engines say every half second.
 func reports(r *rig) {
 	for _, t := range r.order {
-		r.report(t.address, Report{Bears: 64, MemoryTokens: 10_000})
+		r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000})
 	}
 }
 
@@ -254,7 +254,7 @@
 					b.StartTimer()
 				}
 				if i > 40 {
-					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, Produced: 20})
+					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, ProducedTokens: 20})
 				}
 				r.Ask(r.now, Ask{Holder: home, Request: r.next + uint64(i) + 1, Account: names[i%accounts],
 					PromptTokens: 100, MaxTokens: 100, MaxWait: time.Hour})
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -5,7 +5,7 @@
 
 	"filbertdeck/internal/decide/fairqueue"
 	"filbertdeck/internal/decide/health"
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 )
 
 // lease is one admission that counts.
@@ -15,8 +15,8 @@
 	account *fairqueue.Account[Ask]
 	target  *target
 	service string
-	gen     memory.Generation
-	growth  memory.Growth
+	gen     memoryforecast.Generation
+	growth  memoryforecast.Forecast
 	granted time.Duration
 	// heard is when gen.Produced was told.
 	heard   time.Duration
@@ -115,9 +115,9 @@
 }
 
 // book counts a lease in at its target.
-func (a *Allocator) book(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memory.Generation) {
+func (a *Allocator) book(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memoryforecast.Generation) {
 	l.holder, l.account, l.target, l.gen = holder, account, t, gen
-	l.granted, l.heard, l.expires = now, now, now+a.cfg.LeaseFor
+	l.granted, l.heard, l.expires = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
 	l.growth.Predict(a.outputs.of(l.service), gen)
 	t.add(now, l)
@@ -139,8 +139,8 @@
 		}
 		a.leases.unlink(l)
 		a.leases.append(l)
-		l.expires = now + a.cfg.LeaseFor
-		a.progress(now, l, r.Produced, false)
+		l.expires = now + a.cfg.LeaseDuration
+		a.progress(now, l, r.ProducedTokens, false)
 	}
 }
 
@@ -153,8 +153,8 @@
 	l.service = r.Service
 	account := a.account(r.Account)
 	a.queue.Resume(account, 0)
-	a.book(now, l, holder, account, t, memory.Generation{Prompt: r.PromptTokens, Produced: r.Produced})
-	if r.Produced > 0 {
+	a.book(now, l, holder, account, t, memoryforecast.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
+	if r.ProducedTokens > 0 {
 		t.started(now, l)
 	}
 }
@@ -168,7 +168,7 @@
 	if l.gen.Produced == 0 {
 		l.target.started(now, l)
 	}
-	l.target.gate.Progress(now, uint64(l.id))
+	l.target.gate.RecordProgress(now, uint64(l.id))
 	survived := produced
 	if ended {
 		survived--
@@ -193,10 +193,10 @@
 	}
 	finished := s.Outcome == OutcomeDone
 	// An output that was cut by its bound says only that it is not shorter.
-	ended := finished && s.Produced > 0 && (l.gen.Max == 0 || s.Produced < l.gen.Max)
-	a.progress(now, l, s.Produced, ended)
+	ended := finished && s.ProducedTokens > 0 && (l.gen.Max == 0 || s.ProducedTokens < l.gen.Max)
+	a.progress(now, l, s.ProducedTokens, ended)
 	if ended {
-		a.outputs.finished(l.service, s.Produced)
+		a.outputs.finished(l.service, s.ProducedTokens)
 	}
 	if finished {
 		a.leases.settled(now-l.granted, l.charged)
@@ -217,13 +217,13 @@
 		a.suspects.finished(now, l.fingerprint)
 	case OutcomeTargetCrashed:
 		a.suspects.crashed(now, t)
-		t.gate.Suspect(now)
+		t.gate.MarkSuspect(now)
 	case OutcomeNotRun:
 		// Nothing reached the target, so that it says nothing of it.
 		return
 	}
 	ok := s.Outcome == OutcomeDone || s.Outcome == OutcomeCallerLeft
-	a.health.Result(now, t.address, ok, t.sample(s), a.random.Float64())
+	a.health.RecordResult(now, t.address, ok, t.sample(s), a.random.Float64())
 }
 
 // sample is what a request showed of its target's speed. Of an engine that is
@@ -245,7 +245,7 @@
 	// No time to the first token is handed to slow start: it takes a late one
 	// for a cold start, and every long prompt or slow call would make a warm
 	// target cold for seconds.
-	l.target.gate.Ended(now, uint64(l.id), finished, 0)
+	l.target.gate.RecordEnd(now, uint64(l.id), finished, 0)
 	l.target.remove(now, l, finished)
 	a.suspects.ended(l.fingerprint)
 	a.leases.remove(l)
--- a/internal/decide/admission/outputs.go
+++ b/internal/decide/admission/outputs.go
@@ -1,6 +1,6 @@
 package admission
 
-import "filbertdeck/internal/decide/lengths"
+import "filbertdeck/internal/decide/outputlength"
 
 // outputs learns how long outputs get, for each service by itself and for all
 // together.
@@ -10,23 +10,23 @@
 // tokens, and a report as if it would soon end: engines stand half empty, or
 // fill up in mid-decode.
 type outputs struct {
-	all       *lengths.Distribution
-	byService map[string]*lengths.Distribution
+	all       *outputlength.Distribution
+	byService map[string]*outputlength.Distribution
 }
 
 func newOutputs() outputs {
-	return outputs{all: lengths.New(0), byService: map[string]*lengths.Distribution{}}
+	return outputs{all: outputlength.New(0), byService: map[string]*outputlength.Distribution{}}
 }
 
 // of gives a service's distribution; that of all stands for requests whose
 // service is not known, such as those that a predecessor granted.
-func (o *outputs) of(service string) *lengths.Distribution {
+func (o *outputs) of(service string) *outputlength.Distribution {
 	if service == "" {
 		return o.all
 	}
 	d := o.byService[service]
 	if d == nil {
-		d = lengths.New(0)
+		d = outputlength.New(0)
 		o.byService[service] = d
 	}
 	return d
@@ -41,16 +41,16 @@
 
 // progress notes that an output outlived a part of its growth.
 func (o *outputs) progress(service string, from, to int) {
-	o.all.Progress(from, to)
+	o.all.RecordProgress(from, to)
 	if service != "" {
-		o.of(service).Progress(from, to)
+		o.of(service).RecordProgress(from, to)
 	}
 }
 
 // finished notes the length of an output that ended by itself.
 func (o *outputs) finished(service string, produced int) {
-	o.all.Finished(produced)
+	o.all.RecordFinished(produced)
 	if service != "" {
-		o.of(service).Finished(produced)
+		o.of(service).RecordFinished(produced)
 	}
 }
--- a/internal/decide/admission/outputs_test.go
+++ b/internal/decide/admission/outputs_test.go
@@ -24,8 +24,8 @@
 	for range 120 {
 		for _, s := range lengths {
 			r.now += sec
-			r.SetOwner(r.now, true)
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+			r.SetConfirmedOwner(r.now, true)
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 			id := r.ask("a", service(s.name))
 			r.decide()
 			Expect(r.granted).To(HaveKey(id))
@@ -33,9 +33,9 @@
 		}
 	}
 	r.now += sec
-	r.SetOwner(r.now, true)
+	r.SetConfirmedOwner(r.now, true)
 	before := len(r.granted)
-	r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+	r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 	r.asks(64, "a", service("summaries"))
 	r.decide()
 	return len(r.granted) - before
--- a/internal/decide/admission/owner.go
+++ b/internal/decide/admission/owner.go
@@ -15,7 +15,7 @@
 	known     bool
 }
 
-func (o *ownership) tell(g *slowstart.Gate) {
+func (o *ownership) tell(g *slowstart.Limiter) {
 	if !o.known {
 		return
 	}
@@ -33,20 +33,20 @@
 	}
 }
 
-// Confirm says that the host list in force here was the newest one at the
+// ConfirmOwnership says that the host list in force here was the newest one at the
 // moment at. Without a confirmation every two seconds cold targets get work
 // only while that leaves room for other allocators which may believe they own
 // the pool; see slowstart.
-func (a *Allocator) Confirm(at time.Duration) {
+func (a *Allocator) ConfirmOwnership(at time.Duration) {
 	a.owner.confirmed = max(a.owner.confirmed, at)
 	for _, t := range a.order {
 		t.gate.Confirm(at)
 	}
 }
 
-// SetOwner is SetOwnership and Confirm in one, for a list that was read just
+// SetConfirmedOwner is SetOwnership and Confirm in one, for a list that was read just
 // now and carries no revision.
-func (a *Allocator) SetOwner(now time.Duration, owner bool) {
+func (a *Allocator) SetConfirmedOwner(now time.Duration, owner bool) {
 	a.SetOwnership(now, a.owner.revision, owner)
-	a.Confirm(now)
+	a.ConfirmOwnership(now)
 }
--- a/internal/decide/admission/parts.go
+++ b/internal/decide/admission/parts.go
@@ -6,30 +6,30 @@
 	"filbertdeck/internal/decide/fairqueue"
 )
 
-// Part is what this pool may use of an account's leased limits (package
+// QuotaGrant is what this pool may use of an account's leased limits (package
 // quota).
-type Part struct {
+type QuotaGrant struct {
 	Account string
 	// MayStart is false while nothing of the account may start.
 	MayStart bool
-	// Running bounds its leases here; 0 means that the row has no such bound.
-	Running int
-	// Until is the end of the lease. A process that was paused over it must not
+	// MaxRunning bounds its leases here; 0 means that the row has no such bound.
+	MaxRunning int
+	// ExpiresAt is the end of the lease. A process that was paused over it must not
 	// go on by it: others have the account's limit by then.
-	Until time.Duration
+	ExpiresAt time.Duration
 }
 
-// QuotaUse is what an account with leased limits does in this pool.
-type QuotaUse struct {
+// QuotaUsage is what an account with leased limits does in this pool.
+type QuotaUsage struct {
 	Account          string
 	Running, Waiting int
-	// Produced counts the output tokens since the last QuotaUses.
-	Produced int
+	// ProducedTokens counts the output tokens since the last QuotaUses.
+	ProducedTokens int
 }
 
 // part is the part in force of one account, and what it produced.
 type part struct {
-	Part
+	QuotaGrant
 	made int
 }
 
@@ -55,13 +55,13 @@
 	}
 }
 
-// SetPart puts a part in force. Until the first one, and after its end, the
+// SetQuotaGrant puts a part in force. Until the first one, and after its end, the
 // account's requests wait.
-func (a *Allocator) SetPart(now time.Duration, p Part) {
-	p.MayStart = p.MayStart && now < p.Until
-	a.parts.of(p.Account).Part = p
-	if p.MayStart && (a.parts.lapse == 0 || p.Until < a.parts.lapse) {
-		a.parts.lapse = p.Until
+func (a *Allocator) SetQuotaGrant(now time.Duration, p QuotaGrant) {
+	p.MayStart = p.MayStart && now < p.ExpiresAt
+	a.parts.of(p.Account).QuotaGrant = p
+	if p.MayStart && (a.parts.lapse == 0 || p.ExpiresAt < a.parts.lapse) {
+		a.parts.lapse = p.ExpiresAt
 	}
 	a.applyLimit(p.Account)
 }
@@ -75,17 +75,17 @@
 
 // limit is the bound on an account's running requests as the queue takes it.
 func (a *Allocator) limit(account string, s Share) int {
-	if !s.Leased {
+	if !s.SharedLimits {
 		return s.MaxRunning
 	}
 	p := a.parts.of(account)
 	switch {
-	case !p.MayStart || s.MaxRunning > 0 && p.Running == 0:
+	case !p.MayStart || s.MaxRunning > 0 && p.MaxRunning == 0:
 		return fairqueue.NoneMayRun
 	case s.MaxRunning == 0:
 		return 0
 	default:
-		return min(p.Running, s.MaxRunning)
+		return min(p.MaxRunning, s.MaxRunning)
 	}
 }
 
@@ -99,29 +99,29 @@
 		if !p.MayStart {
 			continue
 		}
-		if now >= p.Until {
+		if now >= p.ExpiresAt {
 			p.MayStart = false
 			a.applyLimit(account)
 			continue
 		}
-		if a.parts.lapse == 0 || p.Until < a.parts.lapse {
-			a.parts.lapse = p.Until
+		if a.parts.lapse == 0 || p.ExpiresAt < a.parts.lapse {
+			a.parts.lapse = p.ExpiresAt
 		}
 	}
 }
 
-// QuotaUses tells what the accounts with leased limits do here, and forgets
+// TakeQuotaUsage tells what the accounts with leased limits do here, and forgets
 // those that do nothing and hold nothing.
-func (a *Allocator) QuotaUses(now time.Duration) []QuotaUse {
+func (a *Allocator) TakeQuotaUsage(now time.Duration) []QuotaUsage {
 	a.lapseParts(now)
-	var uses []QuotaUse
+	var uses []QuotaUsage
 	for account, p := range a.parts.byAccount {
-		u := QuotaUse{Account: account, Produced: p.made}
+		u := QuotaUsage{Account: account, ProducedTokens: p.made}
 		p.made = 0
 		if q := a.queue.Known(account); q != nil {
 			u.Running, u.Waiting = q.Running(), q.Waiting()
 		}
-		if u != (QuotaUse{Account: account}) {
+		if u != (QuotaUsage{Account: account}) {
 			uses = append(uses, u)
 		} else if !p.MayStart {
 			delete(a.parts.byAccount, account)
--- a/internal/decide/admission/parts_test.go
+++ b/internal/decide/admission/parts_test.go
@@ -9,11 +9,11 @@
 var _ = Describe("a part of leased limits", func() {
 	start := func(running, maxRunning int) *rig {
 		r := newRig(1, Config{})
-		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: maxRunning, Leased: true}})
+		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: maxRunning, SharedLimits: true}})
 		r.asks(5, "park", nil)
 		r.decide()
 		Expect(r.decisions).To(BeZero(), "no part, no start, no refusal")
-		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: running, Until: r.now + 3*sec})
+		r.SetQuotaGrant(r.now, QuotaGrant{Account: "park", MayStart: true, MaxRunning: running, ExpiresAt: r.now + 3*sec})
 		r.decide()
 		return r
 	}
@@ -34,13 +34,13 @@
 	It("ends by the allocator's clock, before anything is decided", func() {
 		r := start(2, 3)
 		for _, d := range r.granted {
-			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, Produced: 10})
+			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, ProducedTokens: 10})
 		}
 		r.now += 3 * sec
-		r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
+		r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
 		r.decide()
 		Expect(r.granted).To(HaveLen(2))
-		r.SetPart(r.now, Part{Account: "park", MayStart: true, Running: 1, Until: r.now})
+		r.SetQuotaGrant(r.now, QuotaGrant{Account: "park", MayStart: true, MaxRunning: 1, ExpiresAt: r.now})
 		r.decide()
 		Expect(r.granted).To(HaveLen(2), "an answer that was late itself")
 		r.SetShares(r.now, []Share{{Account: "park"}})
@@ -51,12 +51,12 @@
 	It("tells what each account does, once a token", func() {
 		r := start(2, 3)
 		for _, d := range r.granted {
-			r.Renew(r.now, home, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", Produced: 20}})
+			r.Renew(r.now, home, []Renewal{{Lease: d.Lease, Target: "e0", Account: "park", ProducedTokens: 20}})
 		}
-		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3, Produced: 40}}))
-		Expect(r.QuotaUses(r.now)).To(Equal([]QuotaUse{{Account: "park", Running: 2, Waiting: 3}}))
+		Expect(r.TakeQuotaUsage(r.now)).To(Equal([]QuotaUsage{{Account: "park", Running: 2, Waiting: 3, ProducedTokens: 40}}))
+		Expect(r.TakeQuotaUsage(r.now)).To(Equal([]QuotaUsage{{Account: "park", Running: 2, Waiting: 3}}))
 		r.DropHolder(r.now, home)
-		Expect(r.QuotaUses(r.now + 3*sec)).To(BeEmpty())
+		Expect(r.TakeQuotaUsage(r.now + 3*sec)).To(BeEmpty())
 		Expect(r.parts.byAccount).To(BeEmpty())
 	})
 
@@ -65,14 +65,14 @@
 	// would be told to come back in a minute.
 	It("doesn't make an idle pool look slow", func() {
 		r := newRig(1, Config{})
-		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: 3, Leased: true}})
+		r.SetShares(r.now, []Share{{Account: "park", MaxRunning: 3, SharedLimits: true}})
 		r.asks(5, "park", nil)
 		first := r.ask("clinic", nil)
 		r.decide()
 		for i := range 50 {
 			r.now += 100 * ms
-			r.report("e0", Report{Bears: 64, MemoryTokens: 10_000})
-			r.Renew(r.now, home, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", Produced: i}})
+			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+			r.Renew(r.now, home, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", ProducedTokens: i}})
 			r.decide()
 		}
 		next := r.ask("clinic", func(a *Ask) { a.MaxWait = time.Second })
--- a/internal/decide/admission/suspects.go
+++ b/internal/decide/admission/suspects.go
@@ -59,14 +59,14 @@
 	if fingerprint == 0 {
 		return ruling{}
 	}
-	r := s.detector.Rule(now, fingerprint)
-	suspected := r.Verdict == poison.Apart || r.Verdict == poison.Alone
+	r := s.detector.Assess(now, fingerprint)
+	suspected := r.Verdict == poison.Isolated || r.Verdict == poison.Exclusive
 	// Of equal suspects one runs at a time: two on two targets would cost both
 	// before the first crash is known.
 	twin := suspected && s.running[fingerprint] > 0
 	return ruling{
-		guilty: r.Verdict == poison.Guilty, wait: r.Wait, held: r.Wait > 0 || twin,
-		alone: r.Verdict == poison.Alone, apart: r.Verdict == poison.Apart,
+		guilty: r.Verdict == poison.Blocked, wait: r.Wait, held: r.Wait > 0 || twin,
+		alone: r.Verdict == poison.Exclusive, apart: r.Verdict == poison.Isolated,
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func (s *suspects) finished(now time.Duration, fingerprint uint64) {
 	if fingerprint != 0 {
-		s.detector.Finished(now, fingerprint)
+		s.detector.AddCompletion(now, fingerprint)
 	}
 }
 
@@ -104,7 +104,7 @@
 			fingerprints = append(fingerprints, l.fingerprint)
 		}
 	}
-	s.detector.Crashed(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
+	s.detector.AddCrash(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
 }
 
 // PoisonEvidence gives the latest crashes for gossip, at most limit of them.
@@ -112,9 +112,9 @@
 	return a.suspects.detector.Export(now, limit)
 }
 
-// MergePoison takes evidence of other allocators. It tells whether any was
+// MergePoisonEvidence takes evidence of other allocators. It tells whether any was
 // new: then pass it on at once.
-func (a *Allocator) MergePoison(now time.Duration, crashes []poison.Crash) bool {
+func (a *Allocator) MergePoisonEvidence(now time.Duration, crashes []poison.Crash) bool {
 	return a.suspects.detector.Merge(now, crashes)
 }
 
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"filbertdeck/internal/decide/memory"
+	"filbertdeck/internal/decide/memoryforecast"
 	"filbertdeck/internal/decide/slowstart"
 )
 
@@ -31,7 +31,7 @@
 type target struct {
 	address string
 	leaving bool
-	gate    *slowstart.Gate
+	gate    *slowstart.Limiter
 	report  Report
 	// taken is when the report was taken, by our clock.
 	taken time.Duration
@@ -39,7 +39,7 @@
 	// pace is the reported step time without the effect of the batch's size.
 	pace   time.Duration
 	leases []*lease
-	load   memory.Load
+	load   memoryforecast.Load
 	// unexplained is memory in use, and strangers are requests, that the last
 	// report showed beyond our own leases at that time.
 	unexplained float64
@@ -112,7 +112,7 @@
 	}
 	step := a.pace.normal(r.StepTime, r.Running)
 	t.gate.Observe(now, slowstart.Report{
-		Age: r.Age, Incarnation: r.Incarnation, Bears: r.Bears,
+		Age: r.Age, Incarnation: r.Incarnation, Capacity: r.Capacity,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
 	taken := now - r.Age
@@ -121,10 +121,10 @@
 	}
 	if t.known && r.Incarnation != t.report.Incarnation {
 		t.cache.clear()
-		a.health.Restarted(t.address)
+		a.health.Reset(t.address)
 	}
 	t.pace = step
-	a.health.Observe(now, t.address, step, a.random.Float64())
+	a.health.RecordStepTime(now, t.address, step, a.random.Float64())
 	t.cache.update(r.CachedPrefixes, r.EvictedPrefixes)
 	r.CachedPrefixes, r.EvictedPrefixes = nil, nil
 	if taken > t.taken {
@@ -147,7 +147,7 @@
 	if l.gen.Produced == 0 {
 		t.unconfirmed++
 	}
-	t.gate.Granted(now, uint64(l.id))
+	t.gate.RecordGrant(now, uint64(l.id))
 }
 
 func (t *target) remove(now time.Duration, l *lease, finished bool) {
@@ -174,7 +174,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(true)
 	}
-	t.gate.Started(now, uint64(l.id))
+	t.gate.RecordStart(now, uint64(l.id))
 }
 
 // confirm takes a lease off the unconfirmed ones; well says that the target
@@ -234,15 +234,15 @@
 	if t.strangers == 0 {
 		return
 	}
-	var g memory.Growth
-	g.Predict(o.all, memory.Generation{Prompt: int(t.unexplained) / t.strangers})
-	t.load.AddAlike(&g, t.strangers)
+	var g memoryforecast.Forecast
+	g.Predict(o.all, memoryforecast.Generation{Prompt: int(t.unexplained) / t.strangers})
+	t.load.AddN(&g, t.strangers)
 	t.unexplained = 0
 }
 
 // extrapolate says how far a generation should be at a time: a token a step
 // since it was last heard of.
-func (t *target) extrapolate(l *lease, at time.Duration) memory.Generation {
+func (t *target) extrapolate(l *lease, at time.Duration) memoryforecast.Generation {
 	gen := l.gen
 	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
 		gen.Produced += int((at - l.heard) / step)
@@ -256,8 +256,8 @@
 
 // bears is the number of requests that may run at the target.
 func (t *target) bears() int {
-	if t.report.Bears > 0 {
-		return t.report.Bears
+	if t.report.Capacity > 0 {
+		return t.report.Capacity
 	}
 	if t.report.MemoryTokens > 0 {
 		return maxBatch
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -43,12 +43,12 @@
 // Renewal keeps a lease alive and says how far its generation is. It carries
 // enough to rebuild the lease at an allocator that has just taken over.
 type Renewal struct {
-	Lease        LeaseID
-	Target       string
-	Account      string
-	Service      string
-	PromptTokens int
-	Produced     int
+	Lease          LeaseID
+	Target         string
+	Account        string
+	Service        string
+	PromptTokens   int
+	ProducedTokens int
 }
 
 // Outcome says how an admitted request ended.
@@ -66,11 +66,11 @@
 
 // Settlement ends a lease.
 type Settlement struct {
-	Lease      LeaseID
-	Outcome    Outcome
-	Produced   int
-	FirstToken time.Duration
-	Duration   time.Duration
+	Lease          LeaseID
+	Outcome        Outcome
+	ProducedTokens int
+	FirstToken     time.Duration
+	Duration       time.Duration
 }
 
 // Report is a target's own statement of its load, taken Age ago.
@@ -84,9 +84,9 @@
 	MemoryTokens, UsedTokens int
 	Running, Waiting         int
 	Preemptions              uint64
-	// Bears is the number of requests that the target bears now; 0 means that
+	// Capacity is the number of requests that the target bears now; 0 means that
 	// the target does not say.
-	Bears int
+	Capacity int
 	// Stopping is set once the target has announced that it will stop.
 	Stopping bool
 	// StepTime is the mean time of a batch step.
@@ -109,9 +109,9 @@
 	Weight  float64
 	// MaxRunning bounds the account's leases in this pool; 0 means no bound.
 	MaxRunning int
-	// Leased accounts share their limits with other pools: only what SetPart
+	// SharedLimits accounts share their limits with other pools: only what SetPart
 	// gave may start here, never more than MaxRunning.
-	Leased bool
+	SharedLimits bool
 	// Priority is handed to engines; higher goes first.
 	Priority int
 }
@@ -132,12 +132,12 @@
 
 // Decision answers one ask: Target is set for a grant, Reason for a refusal.
 type Decision struct {
-	Holder   Holder
-	Request  uint64
-	Lease    LeaseID
-	Target   string
-	Priority int
-	LeaseFor time.Duration
+	Holder        Holder
+	Request       uint64
+	Lease         LeaseID
+	Target        string
+	Priority      int
+	LeaseDuration time.Duration
 
 	Reason     RefusalReason
 	RetryAfter time.Duration
--- a/internal/decide/coldshare/coldshare.go
+++ b/internal/decide/coldlimit/coldlimit.go
@@ -1,4 +1,4 @@
-// Package coldshare bounds what all hosts together send to a target that has
+// Package coldlimit bounds what all hosts together send to a target that has
 // just started, without a message between them.
 //
 // Load pattern: an engine joins, or a data centre comes back, cold and empty
@@ -16,16 +16,16 @@
 // count, and a process that has just started takes one send a second at most.
 //
 // It is not safe for concurrent use; times are on the steady clock.
-package coldshare
+package coldlimit
 
 import "time"
 
 // window is the span in which a target's sends are counted.
 const window = time.Second
 
-// Part is the number of sends a second of the host with a rank, of those that
+// SendQuota is the number of sends a second of the host with a rank, of those that
 // a target bears in all.
-func Part(bears float64, rank, hosts int) int {
+func SendQuota(bears float64, rank, hosts int) int {
 	if hosts <= 0 || rank < 0 || bears < 1 {
 		return 0
 	}
@@ -37,22 +37,22 @@
 	return part
 }
 
-// Gate counts one host's sends to one target in any second.
-type Gate struct{ sent []time.Duration }
+// Limiter counts one host's sends to one target in any second.
+type Limiter struct{ sent []time.Duration }
 
-// Open tells whether another send keeps within part.
-func (g *Gate) Open(now time.Duration, part int) bool {
+// Allows tells whether another send keeps within part.
+func (g *Limiter) Allows(now time.Duration, part int) bool {
 	g.forget(now)
 	return len(g.sent) < part
 }
 
-// Send counts a send.
-func (g *Gate) Send(now time.Duration) {
+// RecordSend counts a send.
+func (g *Limiter) RecordSend(now time.Duration) {
 	g.forget(now)
 	g.sent = append(g.sent, now)
 }
 
-func (g *Gate) forget(now time.Duration) {
+func (g *Limiter) forget(now time.Duration) {
 	kept := 0
 	for kept < len(g.sent) && now-g.sent[kept] >= window {
 		kept++
--- a/internal/decide/coldshare/coldshare_test.go
+++ b/internal/decide/coldlimit/coldlimit_test.go
@@ -1,4 +1,4 @@
-package coldshare_test
+package coldlimit_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 )
 
 func TestColdshare(t *testing.T) {
@@ -22,13 +22,13 @@
 		func(bears float64, hosts int) {
 			most := 0
 			for rank := range hosts {
-				var g coldshare.Gate
-				part := coldshare.Part(bears, rank, hosts)
+				var g coldlimit.Limiter
+				part := coldlimit.SendQuota(bears, rank, hosts)
 				sent := 0
 				for ms := 0; ms < 1000; ms++ {
 					now := time.Duration(ms) * time.Millisecond
-					if g.Open(now, part) {
-						g.Send(now)
+					if g.Allows(now, part) {
+						g.RecordSend(now)
 						sent++
 					}
 				}
@@ -43,9 +43,9 @@
 	)
 
 	It("gets the next send a second after the one before", func() {
-		var g coldshare.Gate
-		g.Send(0)
-		Expect(g.Open(999*time.Millisecond, 1)).To(BeFalse())
-		Expect(g.Open(time.Second, 1)).To(BeTrue())
+		var g coldlimit.Limiter
+		g.RecordSend(0)
+		Expect(g.Allows(999*time.Millisecond, 1)).To(BeFalse())
+		Expect(g.Allows(time.Second, 1)).To(BeTrue())
 	})
 })
--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -52,9 +52,9 @@
 	// Gap: tokens are missing, or the frame holds old and new tokens together,
 	// which can't be parted. Close the connection and resume at Next.
 	Gap
-	// Crossed: the frame belongs to another generation. Close that connection,
+	// Mismatched: the frame belongs to another generation. Close that connection,
 	// count it, and resume at Next.
-	Crossed
+	Mismatched
 	// Complete: the generation has ended and all its tokens were delivered.
 	Complete
 )
@@ -75,12 +75,12 @@
 const (
 	// Stream passes tokens on at once.
 	Stream Mode = iota
-	// Whole holds them until the generation is complete.
-	Whole
+	// Buffered holds them until the generation is complete.
+	Buffered
 )
 
-// Order checks the frames of one request. It is used by one goroutine.
-type Order struct {
+// Sequencer checks the frames of one request. It is used by one goroutine.
+type Sequencer struct {
 	mode       Mode
 	generation string
 	next       uint64
@@ -94,16 +94,16 @@
 }
 
 // New returns the order of a generation that starts now.
-func New(mode Mode, generation string) Order {
-	return Order{mode: mode, generation: generation, limit: DefaultResumes}
+func New(mode Mode, generation string) Sequencer {
+	return Sequencer{mode: mode, generation: generation, limit: DefaultResumes}
 }
 
 // Resume returns the order of a generation that another connection of the
 // caller began: everything before offset has reached the caller. It never
 // changes to another generation, not even at offset 0, because the entry that
 // began it may have delivered more than the caller's handle says.
-func Resume(mode Mode, generation string, offset uint64) Order {
-	return Order{
+func Resume(mode Mode, generation string, offset uint64) Sequencer {
+	return Sequencer{
 		mode: mode, generation: generation, next: offset, reached: offset,
 		resumed: true, limit: DefaultResumes,
 	}
@@ -111,31 +111,31 @@
 
 // ResumeFinished is Resume for a caller that has the frame which finished the
 // generation and lacks only the closing event.
-func ResumeFinished(mode Mode, generation string, offset uint64) Order {
+func ResumeFinished(mode Mode, generation string, offset uint64) Sequencer {
 	o := Resume(mode, generation, offset)
 	o.finished = true
 	return o
 }
 
-// Next is the index of the next token to ask the target for.
-func (o *Order) Next() uint64 { return o.next }
+// NextOffset is the index of the next token to ask the target for.
+func (o *Sequencer) NextOffset() uint64 { return o.next }
 
-// Reached counts the tokens that may have reached the caller.
-func (o *Order) Reached() uint64 { return o.reached }
+// DeliveredTokens counts the tokens that may have reached the caller.
+func (o *Sequencer) DeliveredTokens() uint64 { return o.reached }
 
 // Generation is the generation in progress.
-func (o *Order) Generation() string { return o.generation }
+func (o *Sequencer) Generation() string { return o.generation }
 
 // Completed tells whether the whole answer has been checked.
-func (o *Order) Completed() bool { return o.complete }
+func (o *Sequencer) Completed() bool { return o.complete }
 
 // Finished tells whether all tokens and the generation's finish have passed.
 // A connection that is lost from then on has lost nothing but the closing
 // event: the answer is whole, and Conclude makes it complete.
-func (o *Order) Finished() bool { return o.finished }
+func (o *Sequencer) Finished() bool { return o.finished }
 
-// Conclude completes a finished answer without its closing event.
-func (o *Order) Conclude() bool {
+// MarkComplete completes a finished answer without its closing event.
+func (o *Sequencer) MarkComplete() bool {
 	o.complete = o.complete || o.finished
 	return o.complete
 }
@@ -143,29 +143,29 @@
 // Check judges a frame. Tokens of a passed frame count as having reached the
 // caller in mode Stream, whether or not the write that follows succeeds: a
 // write that failed may still have left the host.
-func (o *Order) Check(f Frame) Verdict {
+func (o *Sequencer) Check(f Frame) Verdict {
 	switch {
 	case f.Done:
 		return o.checkDone()
 	case f.Generation != o.generation:
-		return Crossed
+		return Mismatched
 	case f.Offset > o.next:
 		return Gap
 	case f.Offset+f.Tokens < f.Offset:
-		return Crossed // the numbers overflow: not a frame of ours
+		return Mismatched // the numbers overflow: not a frame of ours
 	case f.Offset < o.next && f.Offset+f.Tokens <= o.next:
 		o.finish(f)
 		return Duplicate
 	case f.Offset < o.next:
 		return Gap
 	case o.finished && f.Tokens > 0:
-		return Crossed // a generation does not go on after its end
+		return Mismatched // a generation does not go on after its end
 	}
 	o.accept(f)
 	return Pass
 }
 
-func (o *Order) accept(f Frame) {
+func (o *Sequencer) accept(f Frame) {
 	o.next += f.Tokens
 	if f.Tokens > 0 {
 		o.resumes = 0
@@ -178,7 +178,7 @@
 
 // finish notes the end only when the finishing frame's end is the end of what
 // was delivered: an older frame can't end a longer stream.
-func (o *Order) finish(f Frame) {
+func (o *Sequencer) finish(f Frame) {
 	if f.Finish && f.Offset+f.Tokens == o.next {
 		o.finished = true
 	}
@@ -186,7 +186,7 @@
 
 // checkDone accepts the closing event only after a frame that finished. A
 // target that closes early would otherwise pass a cut report off as whole.
-func (o *Order) checkDone() Verdict {
+func (o *Sequencer) checkDone() Verdict {
 	if !o.finished {
 		return Gap
 	}
@@ -194,15 +194,15 @@
 	return Complete
 }
 
-// Release is called right before a whole answer is written to the caller.
-func (o *Order) Release() {
+// MarkReleased is called right before a whole answer is written to the caller.
+func (o *Sequencer) MarkReleased() {
 	o.released = true
 	o.reached = o.next
 }
 
-// Reopen asks for another connection for the same generation, at Next. It is
+// TryResume asks for another connection for the same generation, at Next. It is
 // false when too many in a row brought no token.
-func (o *Order) Reopen() bool {
+func (o *Sequencer) TryResume() bool {
 	limit := o.limit
 	if o.MayRestart() {
 		limit = min(limit, resumesBeforeRestart)
@@ -217,23 +217,23 @@
 // MayRestart tells whether another generation may answer this request: only
 // while no token can have reached the caller. Tokens of two generations in one
 // answer read well and are wrong.
-func (o *Order) MayRestart() bool {
+func (o *Sequencer) MayRestart() bool {
 	return o.reached == 0 && !o.released && !o.resumed && !o.complete
 }
 
 // Restart begins another generation. It reports false, and changes nothing,
 // where that is not allowed.
-func (o *Order) Restart(generation string) bool {
+func (o *Sequencer) Restart(generation string) bool {
 	if !o.MayRestart() {
 		return false
 	}
-	*o = Order{mode: o.mode, generation: generation, limit: o.limit}
+	*o = Sequencer{mode: o.mode, generation: generation, limit: o.limit}
 	return true
 }
 
-// Lost is the typed end of a request whose generation is gone: it says how
+// LostError is the typed end of a request whose generation is gone: it says how
 // many tokens reached the caller and that no more will follow.
-func (o *Order) Lost(cause error) *failure.Error {
+func (o *Sequencer) LostError(cause error) *failure.Error {
 	const text = "the generation was lost after %d delivered tokens"
 	e := failure.New(failure.KindTargetLost, text, o.reached)
 	if cause != nil {
--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -18,7 +18,7 @@
 
 const (
 	pass, dup, gap = delivery.Pass, delivery.Duplicate, delivery.Gap
-	crossed, whole = delivery.Crossed, delivery.Complete
+	crossed, whole = delivery.Mismatched, delivery.Complete
 )
 
 func f(generation string, offset, tokens uint64, finish ...bool) delivery.Frame {
@@ -43,7 +43,7 @@
 			for i, s := range steps {
 				Expect(o.Check(s.frame)).To(Equal(s.want), "frame %d", i)
 			}
-			Expect(o.Reached()).To(Equal(reached))
+			Expect(o.DeliveredTokens()).To(Equal(reached))
 		},
 		Entry("a plain stream", uint64(3), step{f("g", 0, 1), pass}, step{f("g", 1, 2), pass}, step{f("g", 3, 0, true), pass}, step{done, whole}),
 		Entry("the end with the last token", uint64(2), step{f("g", 0, 2, true), pass}, step{done, whole}),
@@ -79,25 +79,25 @@
 				Expect(o.Check(f("g", uint64(i), 1))).To(Equal(pass))
 			}
 			if release {
-				o.Release()
+				o.MarkReleased()
 			}
 			Expect(o.Restart("h")).To(Equal(want))
 			if want {
 				Expect(o.Generation()).To(Equal("h"))
-				Expect(o.Next()).To(BeZero())
+				Expect(o.NextOffset()).To(BeZero())
 				Expect(o.Check(f("g", 0, 1))).To(Equal(crossed), "the dead generation's frames cross")
 				return
 			}
-			end := o.Lost(errors.New("reset"))
+			end := o.LostError(errors.New("reset"))
 			Expect(end.Kind).To(Equal(failure.KindTargetLost))
 			Expect(end.Executed).To(Equal(failure.ExecutedYes))
 			Expect(end.Delivered).To(Equal(frames))
 		},
 		Entry("streamed, nothing sent", delivery.Stream, 0, false, true),
 		Entry("streamed, one token sent", delivery.Stream, 1, false, false),
-		Entry("held, nothing released", delivery.Whole, 3, false, true),
-		Entry("held and released", delivery.Whole, 3, true, false),
-		Entry("an empty answer released", delivery.Whole, 0, true, false),
+		Entry("held, nothing released", delivery.Buffered, 3, false, true),
+		Entry("held and released", delivery.Buffered, 3, true, false),
+		Entry("an empty answer released", delivery.Buffered, 0, true, false),
 	)
 
 	// An engine that numbers from the wrong token sends the same wrong frame
@@ -107,12 +107,12 @@
 		o := delivery.Resume(delivery.Stream, "g", 0)
 		for range 3 {
 			for range delivery.DefaultResumes {
-				Expect(o.Reopen()).To(BeTrue())
+				Expect(o.TryResume()).To(BeTrue())
 			}
-			Expect(o.Reopen()).To(BeFalse())
-			Expect(o.Check(f("g", o.Next(), 1))).To(Equal(pass), "progress allows more")
+			Expect(o.TryResume()).To(BeFalse())
+			Expect(o.Check(f("g", o.NextOffset(), 1))).To(Equal(pass), "progress allows more")
 		}
-		Expect(o.Lost(nil).Delivered).To(Equal(3))
+		Expect(o.LostError(nil).Delivered).To(Equal(3))
 	})
 
 	// The target's connection breaks after the last token, or the caller comes
@@ -121,23 +121,23 @@
 	It("takes a finished answer for whole without its closing event", func() {
 		o := delivery.New(delivery.Stream, "g")
 		Expect(o.Check(f("g", 0, 1))).To(Equal(pass))
-		Expect(o.Conclude()).To(BeFalse())
+		Expect(o.MarkComplete()).To(BeFalse())
 		Expect(o.Check(f("g", 1, 1, true))).To(Equal(pass))
 		Expect(o.Finished()).To(BeTrue())
-		Expect(o.Conclude()).To(BeTrue())
+		Expect(o.MarkComplete()).To(BeTrue())
 		Expect(o.MayRestart()).To(BeFalse())
 		back := delivery.ResumeFinished(delivery.Stream, "g", 2)
-		Expect(back.Conclude()).To(BeTrue())
+		Expect(back.MarkComplete()).To(BeTrue())
 	})
 
 	// The target hangs before its first token. A second connection that stays
 	// silent shows that it is stuck; another target can start over unseen.
 	It("reconnects only once while it may start over", func() {
-		o := delivery.New(delivery.Whole, "g")
-		Expect(o.Reopen()).To(BeTrue())
-		Expect(o.Reopen()).To(BeFalse())
+		o := delivery.New(delivery.Buffered, "g")
+		Expect(o.TryResume()).To(BeTrue())
+		Expect(o.TryResume()).To(BeFalse())
 		Expect(o.Restart("h")).To(BeTrue())
-		Expect(o.Reopen()).To(BeTrue())
+		Expect(o.TryResume()).To(BeTrue())
 	})
 
 	It("names its verdicts", func() {
@@ -171,8 +171,8 @@
 					t.Fatalf("complete after %d tokens", next)
 				}
 			}
-			if o.Reached() != next {
-				t.Fatalf("reached %d, passed %d", o.Reached(), next)
+			if o.DeliveredTokens() != next {
+				t.Fatalf("reached %d, passed %d", o.DeliveredTokens(), next)
 			}
 		}
 	})
--- a/internal/decide/drain/centre.go
+++ b/internal/decide/drain/centre.go
@@ -22,9 +22,9 @@
 	"time"
 )
 
-// Config holds the figures of a data centre's return; the zero value of a field
+// RampConfig holds the figures of a data centre's return; the zero value of a field
 // means its default.
-type Config struct {
+type RampConfig struct {
 	// RampFor is how long a data centre takes to come back to its full share.
 	// Default 30 s: engines report a cold ramp of some ten seconds and fill
 	// their prefix caches while they serve.
@@ -39,27 +39,27 @@
 	defaultFirstShare = 0.05
 )
 
-// Centres follows the operators' list of data centres that are taken out. It
+// DataCentres follows the operators' list of data centres that are taken out. It
 // is not safe for concurrent use; publish Shares in a snapshot.
-type Centres struct {
-	cfg Config
+type DataCentres struct {
+	cfg RampConfig
 	out map[string]bool
 	// returned is when a data centre was seen to be back.
 	returned map[string]time.Duration
 	known    bool
 }
 
-// NewCentres returns a follower that has seen no list: it takes no data centre
+// NewDataCentres returns a follower that has seen no list: it takes no data centre
 // for being out, but is not Ready.
-func NewCentres(cfg Config) *Centres {
+func NewDataCentres(cfg RampConfig) *DataCentres {
 	cfg.RampFor = cmp.Or(cfg.RampFor, defaultRampFor)
 	cfg.FirstShare = cmp.Or(cfg.FirstShare, defaultFirstShare)
-	return &Centres{cfg: cfg, out: map[string]bool{}, returned: map[string]time.Duration{}}
+	return &DataCentres{cfg: cfg, out: map[string]bool{}, returned: map[string]time.Duration{}}
 }
 
-// Set takes the list in force. A data centre that is no longer on it starts
+// SetDrained takes the list in force. A data centre that is no longer on it starts
 // its ramp, one that is on it again is out at once.
-func (c *Centres) Set(now time.Duration, out []string) {
+func (c *DataCentres) SetDrained(now time.Duration, out []string) {
 	for dc := range c.out {
 		if !slices.Contains(out, dc) {
 			delete(c.out, dc)
@@ -75,12 +75,12 @@
 // Ready tells whether a list was seen. A process that has just started and
 // knows none could send work to a data centre that is out; it must not serve
 // before it has a list, from the configuration service or from a peer.
-func (c *Centres) Ready() bool { return c.known }
+func (c *DataCentres) Ready() bool { return c.known }
 
-// Share is the part of its usual new work that a data centre takes: 0 while it
+// WorkShare is the part of its usual new work that a data centre takes: 0 while it
 // is out, 1 in full service. While it returns the share grows evenly. Work in
 // progress is not concerned.
-func (c *Centres) Share(now time.Duration, dc string) float64 {
+func (c *DataCentres) WorkShare(now time.Duration, dc string) float64 {
 	if c.out[dc] {
 		return 0
 	}
@@ -95,4 +95,4 @@
 // MayStart tells whether new work may go to a target: neither it nor its data
 // centre leaves. Ask it again after a wait in a queue, just before the grant:
 // the answer from before the wait is too old.
-func (c *Centres) MayStart(dc string, leaving bool) bool { return !leaving && !c.out[dc] }
+func (c *DataCentres) MayStart(dc string, leaving bool) bool { return !leaving && !c.out[dc] }
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -22,30 +22,30 @@
 	// balancer goes on sending to them. A caller who is refused there has one
 	// try left, although the host serves its last report for seconds yet.
 	It("takes new work until the last request ends or the limit is near", func() {
-		cfg := drain.StopConfig{
-			AnnounceFor: 2 * time.Second, QuietFor: time.Second, AnnounceLimit: 6 * time.Second, LingerFor: time.Second,
-			FinishLimit: 8 * time.Second, OpenWhileBusy: true,
+		cfg := drain.ShutdownConfig{
+			MinAnnounce: 2 * time.Second, QuietPeriod: time.Second, MaxAnnounce: 6 * time.Second, LingerDuration: time.Second,
+			DrainTimeout: 8 * time.Second, AcceptWhileBusy: true,
 		}
-		busy, idle := drain.NewStop(cfg), drain.NewStop(cfg)
-		cfg.OpenWhileBusy = false
-		plain := drain.NewStop(cfg)
-		for _, s := range []*drain.Stop{busy, idle, plain} {
+		busy, idle := drain.NewShutdown(cfg), drain.NewShutdown(cfg)
+		cfg.AcceptWhileBusy = false
+		plain := drain.NewShutdown(cfg)
+		for _, s := range []*drain.Shutdown{busy, idle, plain} {
 			s.Begin(0)
 		}
 		busy.Step(4*time.Second, 1)
 		idle.Step(4*time.Second, 0)
 		plain.Step(4*time.Second, 1)
-		Expect(busy.TakesNew()).To(BeTrue())
-		Expect(idle.TakesNew()).To(BeFalse())
-		Expect(plain.TakesNew()).To(BeFalse())
+		Expect(busy.AcceptsNew()).To(BeTrue())
+		Expect(idle.AcceptsNew()).To(BeFalse())
+		Expect(plain.AcceptsNew()).To(BeFalse())
 		busy.Step(6*time.Second, 1)
-		Expect(busy.TakesNew()).To(BeFalse())
+		Expect(busy.AcceptsNew()).To(BeFalse())
 	})
 })
 
 var _ = Describe("data centres", func() {
 	It("leave at once, return by a ramp, and leave again in the middle of it", func() {
-		c := drain.NewCentres(drain.Config{})
+		c := drain.NewDataCentres(drain.RampConfig{})
 		Expect(c.Ready()).To(BeFalse())
 		for _, step := range []struct {
 			at    time.Duration
@@ -56,8 +56,8 @@
 			{17 * time.Second, nil, 0.5}, {18 * time.Second, []string{"west", "east"}, 0},
 			{20 * time.Second, []string{"west"}, 0.05}, {60 * time.Second, []string{"west"}, 1},
 		} {
-			c.Set(step.at, step.out)
-			Expect(c.Share(step.at, "east")).To(Equal(step.share), step.at.String())
+			c.SetDrained(step.at, step.out)
+			Expect(c.WorkShare(step.at, "east")).To(Equal(step.share), step.at.String())
 		}
 		Expect(c.Ready()).To(BeTrue())
 		Expect(c.MayStart("west", false)).To(BeFalse())
@@ -81,13 +81,13 @@
 // it gets everything until backlogs are even again.
 func comeback(ramped bool) (over int) {
 	rnd := rand.New(rand.NewPCG(1, 6))
-	c := drain.NewCentres(drain.Config{})
-	c.Set(0, []string{"back"})
-	c.Set(0, nil)
+	c := drain.NewDataCentres(drain.RampConfig{})
+	c.SetDrained(0, []string{"back"})
+	c.SetDrained(0, nil)
 	for second := range 30 {
 		share, got := 1.0/3, 0
 		if ramped {
-			share *= c.Share(time.Duration(second)*time.Second, "back")
+			share *= c.WorkShare(time.Duration(second)*time.Second, "back")
 		} else if second < 10 {
 			share = 1
 		}
@@ -103,7 +103,7 @@
 
 var _ = Describe("a planned stop", func() {
 	It("announces, waits for quiet, refuses, finishes, lingers and ends", func() {
-		s := drain.NewStop(drain.StopConfig{})
+		s := drain.NewShutdown(drain.ShutdownConfig{})
 		Expect(s.Step(0, 3)).To(Equal(drain.Serving))
 		s.Begin(time.Second)
 		for _, step := range []struct {
@@ -114,29 +114,29 @@
 			{7, 5, 4, drain.Refusing}, {3000, 5, 1, drain.Refusing}, {3001, 5, 0, drain.Lingering},
 			{3001, 5, 1, drain.Refusing}, {3002, 5, 0, drain.Lingering}, {3003, 5, 0, drain.Done},
 		} {
-			s.Arrived(time.Duration(step.arrived) * time.Second)
+			s.NoteArrival(time.Duration(step.arrived) * time.Second)
 			Expect(s.Step(time.Duration(step.second)*time.Second, step.running)).To(Equal(step.want), fmt.Sprint(step))
 			Expect(s.Ready()).To(BeFalse())
-			Expect(s.TakesNew()).To(Equal(step.want == drain.Announced))
+			Expect(s.AcceptsNew()).To(Equal(step.want == drain.Announced))
 		}
-		Expect(s.Cut()).To(BeFalse())
+		Expect(s.CutWork()).To(BeFalse())
 	})
 
 	It("refuses in the end what a deaf balancer sends, and cuts only by the limit that was set", func() {
-		s := drain.NewStop(drain.StopConfig{FinishLimit: time.Minute})
+		s := drain.NewShutdown(drain.ShutdownConfig{DrainTimeout: time.Minute})
 		s.Begin(0)
-		s.Arrived(14 * time.Second)
+		s.NoteArrival(14 * time.Second)
 		Expect(s.Step(14*time.Second, 1)).To(Equal(drain.Announced))
-		s.Arrived(15 * time.Second)
+		s.NoteArrival(15 * time.Second)
 		Expect(s.Step(15*time.Second, 1)).To(Equal(drain.Refusing))
 		Expect(s.Step(time.Minute, 1)).To(Equal(drain.Done))
-		Expect(s.Cut()).To(BeTrue())
+		Expect(s.CutWork()).To(BeTrue())
 	})
 
 	// A process that stops listening at once refuses what the balancer still
 	// sends; callers see their connections fail during each rolling upgrade.
 	It("refuses nothing that a working balancer sends", func() {
-		refused, naive := upgrade(drain.StopConfig{}), upgrade(drain.StopConfig{AnnounceLimit: 1})
+		refused, naive := upgrade(drain.ShutdownConfig{}), upgrade(drain.ShutdownConfig{MaxAnnounce: 1})
 		Expect(refused).To(BeZero())
 		Expect(naive).To(BeNumerically(">", 100))
 		AddReportEntry("refused or cut", fmt.Sprint("announced first ", refused, ", refused at once ", naive))
@@ -146,17 +146,17 @@
 // upgrade stops a process under 100 requests a second, of which each takes up
 // to 3 s; the balancer leaves it out 4 s after the announcement. It gives the
 // requests that were refused or cut.
-func upgrade(cfg drain.StopConfig) (lost int) {
+func upgrade(cfg drain.ShutdownConfig) (lost int) {
 	rnd := rand.New(rand.NewPCG(1, 7))
-	s := drain.NewStop(cfg)
+	s := drain.NewShutdown(cfg)
 	s.Begin(0)
 	running, ends := 0, map[int]int{}
 	for step := 0; s.Phase() != drain.Done; step++ { // of 10 ms
 		now := time.Duration(step) * 10 * time.Millisecond
 		running -= ends[step]
 		if step < 400 {
-			s.Arrived(now)
-			if s.TakesNew() {
+			s.NoteArrival(now)
+			if s.AcceptsNew() {
 				running++
 				ends[step+1+rnd.IntN(300)]++
 			} else {
--- a/internal/decide/drain/stop.go
+++ b/internal/decide/drain/stop.go
@@ -30,33 +30,33 @@
 // String names the phase as logs show it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// StopConfig holds the figures of a planned stop; the zero value of a field
+// ShutdownConfig holds the figures of a planned stop; the zero value of a field
 // means its default.
-type StopConfig struct {
-	// AnnounceFor is the least time between not ready and the first refusal.
+type ShutdownConfig struct {
+	// MinAnnounce is the least time between not ready and the first refusal.
 	// Default 5 s: balancers probe every 1 to 2 s and take a host out after two
 	// failed probes; the published list lags as much.
-	AnnounceFor time.Duration
-	// QuietFor is how long no new work has to have come before it is refused.
+	MinAnnounce time.Duration
+	// QuietPeriod is how long no new work has to have come before it is refused.
 	// Default 2 s, a probe's period.
-	QuietFor time.Duration
-	// AnnounceLimit ends the wait for quiet. Default 15 s: a balancer that
+	QuietPeriod time.Duration
+	// MaxAnnounce ends the wait for quiet. Default 15 s: a balancer that
 	// ignores readiness sends for ever; its requests are refused then, which
 	// cuts nothing.
-	AnnounceLimit time.Duration
-	// OpenWhileBusy keeps taking new work, up to AnnounceLimit, while work is in
+	MaxAnnounce time.Duration
+	// AcceptWhileBusy keeps taking new work, up to AnnounceLimit, while work is in
 	// progress: the process can't end before that work does. A balancer that
 	// has lost half of a data centre's hosts sends to those that are not ready
 	// too, so refusing there costs callers a try for nothing (21 refusals on a
 	// day on which three of eight hosts were stopped in turn).
-	OpenWhileBusy bool
-	// LingerFor follows the end of the last request. Default 1 s.
-	LingerFor time.Duration
-	// FinishLimit bounds the wait for running work; 0, the default, means none:
+	AcceptWhileBusy bool
+	// LingerDuration follows the end of the last request. Default 1 s.
+	LingerDuration time.Duration
+	// DrainTimeout bounds the wait for running work; 0, the default, means none:
 	// a report of 40,000 tokens at 61 ms runs for 41 minutes, and no planned
 	// stop cuts it. Set it below the platform's own limit, if it has one, so
 	// that callers get a typed end instead of a broken connection.
-	FinishLimit time.Duration
+	DrainTimeout time.Duration
 }
 
 const (
@@ -66,9 +66,9 @@
 	defaultStopLinger    = time.Second
 )
 
-// Stop is the planned stop of one process. It is not safe for concurrent use.
-type Stop struct {
-	cfg     StopConfig
+// Shutdown is the planned stop of one process. It is not safe for concurrent use.
+type Shutdown struct {
+	cfg     ShutdownConfig
 	phase   Phase
 	since   time.Duration
 	asked   time.Duration
@@ -76,29 +76,29 @@
 	cut     bool
 }
 
-// NewStop returns a process that serves.
-func NewStop(cfg StopConfig) *Stop {
-	cfg.AnnounceFor = cmp.Or(cfg.AnnounceFor, defaultAnnounceFor)
-	cfg.QuietFor = cmp.Or(cfg.QuietFor, defaultQuietFor)
-	cfg.AnnounceLimit = cmp.Or(cfg.AnnounceLimit, defaultAnnounceLimit)
-	cfg.LingerFor = cmp.Or(cfg.LingerFor, defaultStopLinger)
-	return &Stop{cfg: cfg}
+// NewShutdown returns a process that serves.
+func NewShutdown(cfg ShutdownConfig) *Shutdown {
+	cfg.MinAnnounce = cmp.Or(cfg.MinAnnounce, defaultAnnounceFor)
+	cfg.QuietPeriod = cmp.Or(cfg.QuietPeriod, defaultQuietFor)
+	cfg.MaxAnnounce = cmp.Or(cfg.MaxAnnounce, defaultAnnounceLimit)
+	cfg.LingerDuration = cmp.Or(cfg.LingerDuration, defaultStopLinger)
+	return &Shutdown{cfg: cfg}
 }
 
 // Begin starts the stop; a second call changes nothing.
-func (s *Stop) Begin(now time.Duration) {
+func (s *Shutdown) Begin(now time.Duration) {
 	if s.phase == Serving {
 		s.asked = now
 		s.enter(now, Announced)
 	}
 }
 
-// Arrived notes that new work came, whether it was taken or refused.
-func (s *Stop) Arrived(now time.Duration) { s.lastNew = now }
+// NoteArrival notes that new work came, whether it was taken or refused.
+func (s *Shutdown) NoteArrival(now time.Duration) { s.lastNew = now }
 
 // Step moves on. running counts the requests, streams and leases in progress.
 // Call it on each change of running and a few times a second.
-func (s *Stop) Step(now time.Duration, running int) Phase {
+func (s *Shutdown) Step(now time.Duration, running int) Phase {
 	switch s.phase {
 	case Announced:
 		if s.heard(now) && !s.busy(now, running) {
@@ -109,7 +109,7 @@
 	case Lingering:
 		if running > 0 { // a caller resumed
 			s.enter(now, Refusing)
-		} else if now-s.since >= s.cfg.LingerFor {
+		} else if now-s.since >= s.cfg.LingerDuration {
 			s.enter(now, Done)
 		}
 	}
@@ -117,38 +117,38 @@
 }
 
 // heard tells whether the balancer has taken the process out.
-func (s *Stop) heard(now time.Duration) bool {
+func (s *Shutdown) heard(now time.Duration) bool {
 	waited := now - s.since
-	quiet := now-s.lastNew >= s.cfg.QuietFor
-	return (waited >= s.cfg.AnnounceFor && quiet) || waited >= s.cfg.AnnounceLimit
+	quiet := now-s.lastNew >= s.cfg.QuietPeriod
+	return (waited >= s.cfg.MinAnnounce && quiet) || waited >= s.cfg.MaxAnnounce
 }
 
 // busy tells whether running work keeps the process open.
-func (s *Stop) busy(now time.Duration, running int) bool {
-	return s.cfg.OpenWhileBusy && running > 0 && now-s.since < s.cfg.AnnounceLimit
+func (s *Shutdown) busy(now time.Duration, running int) bool {
+	return s.cfg.AcceptWhileBusy && running > 0 && now-s.since < s.cfg.MaxAnnounce
 }
 
-func (s *Stop) finish(now time.Duration, running int) {
+func (s *Shutdown) finish(now time.Duration, running int) {
 	if running == 0 {
 		s.enter(now, Lingering)
 		return
 	}
-	if s.cfg.FinishLimit > 0 && now-s.asked >= s.cfg.FinishLimit {
+	if s.cfg.DrainTimeout > 0 && now-s.asked >= s.cfg.DrainTimeout {
 		s.cut = true
 		s.enter(now, Done)
 	}
 }
 
-func (s *Stop) enter(now time.Duration, p Phase) { s.phase, s.since = p, now }
+func (s *Shutdown) enter(now time.Duration, p Phase) { s.phase, s.since = p, now }
 
 // Phase is the step that the stop is in.
-func (s *Stop) Phase() Phase { return s.phase }
+func (s *Shutdown) Phase() Phase { return s.phase }
 
 // Ready is what the readiness probe answers.
-func (s *Stop) Ready() bool { return s.phase == Serving }
+func (s *Shutdown) Ready() bool { return s.phase == Serving }
 
-// TakesNew tells whether new work is taken.
-func (s *Stop) TakesNew() bool { return s.phase <= Announced }
+// AcceptsNew tells whether new work is taken.
+func (s *Shutdown) AcceptsNew() bool { return s.phase <= Announced }
 
-// Cut tells whether the stop ended with work in progress, by FinishLimit.
-func (s *Stop) Cut() bool { return s.cut }
+// CutWork tells whether the stop ended with work in progress, by FinishLimit.
+func (s *Shutdown) CutWork() bool { return s.cut }
--- a/internal/decide/enginespeed/enginespeed.go
+++ b/internal/decide/enginespeed/enginespeed.go
@@ -38,16 +38,16 @@
 	tellPart = 0.1
 )
 
-// Board holds the estimates known to one host.
-type Board struct{ of map[string]*estimate }
+// Estimator holds the estimates known to one host.
+type Estimator struct{ of map[string]*estimate }
 
 // estimate is what is known of one engine; times are for one token.
 type estimate struct{ own, heard, told time.Duration }
 
 // New returns a board without estimates.
-func New() *Board { return &Board{of: map[string]*estimate{}} }
+func New() *Estimator { return &Estimator{of: map[string]*estimate{}} }
 
-func (b *Board) get(target string) *estimate {
+func (b *Estimator) get(target string) *estimate {
 	e := b.of[target]
 	if e == nil {
 		e = &estimate{}
@@ -56,9 +56,9 @@
 	return e
 }
 
-// Sample takes the time for one token, measured over a window. It tells whether
+// AddSample takes the time for one token, measured over a window. It tells whether
 // other hosts should be told the estimate, which Step gives.
-func (b *Board) Sample(target string, perToken time.Duration) bool {
+func (b *Estimator) AddSample(target string, perToken time.Duration) bool {
 	e := b.get(target)
 	known := e.step()
 	switch {
@@ -79,8 +79,8 @@
 	return true
 }
 
-// Heard takes another host's estimate.
-func (b *Board) Heard(target string, perToken time.Duration) {
+// SetRemote takes another host's estimate.
+func (b *Estimator) SetRemote(target string, perToken time.Duration) {
 	if perToken > 0 {
 		b.get(target).heard = perToken
 	}
@@ -95,18 +95,18 @@
 	return min(e.own, e.heard)
 }
 
-// Step gives the time that an engine alone takes for one token; 0 when nothing
+// TimePerToken gives the time that an engine alone takes for one token; 0 when nothing
 // is known of it.
-func (b *Board) Step(target string) time.Duration {
+func (b *Estimator) TimePerToken(target string) time.Duration {
 	if e := b.of[target]; e != nil {
 		return e.step()
 	}
 	return 0
 }
 
-// Usual is the median of all engines that are known; 0 when none is. It stands
+// Median is the median of all engines that are known; 0 when none is. It stands
 // in for those that just joined.
-func (b *Board) Usual() time.Duration {
+func (b *Estimator) Median() time.Duration {
 	var all []time.Duration
 	for _, e := range b.of {
 		if step := e.step(); step > 0 {
@@ -121,7 +121,7 @@
 }
 
 // Retain drops the engines that are not known any more.
-func (b *Board) Retain(known func(target string) bool) {
+func (b *Estimator) Retain(known func(target string) bool) {
 	for target := range b.of {
 		if !known(target) {
 			delete(b.of, target)
@@ -135,9 +135,9 @@
 	began  time.Duration
 }
 
-// Event takes an event's time on any steady clock. Once a window is full it
+// Add takes an event's time on any steady clock. Once a window is full it
 // gives the time that an event took on the mean.
-func (w *Window) Event(at time.Duration) (time.Duration, bool) {
+func (w *Window) Add(at time.Duration) (time.Duration, bool) {
 	w.events++
 	if w.events == 1 {
 		w.began = at
--- a/internal/decide/enginespeed/enginespeed_test.go
+++ b/internal/decide/enginespeed/enginespeed_test.go
@@ -36,10 +36,10 @@
 			draw := rand.New(rand.NewPCG(seed, 1))
 			b := enginespeed.New()
 			for range 6 {
-				b.Sample("quick", sample(draw, quick))
-				b.Sample("slow", sample(draw, slow))
+				b.AddSample("quick", sample(draw, quick))
+				b.AddSample("slow", sample(draw, slow))
 			}
-			if b.Step("quick") >= b.Step("slow") {
+			if b.TimePerToken("quick") >= b.TimePerToken("slow") {
 				wrong++
 			}
 		}
@@ -49,12 +49,12 @@
 	It("follows an engine that turns slower", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", quick)
+			b.AddSample("i-1", quick)
 		}
 		for range 60 {
-			b.Sample("i-1", slow)
+			b.AddSample("i-1", slow)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically(">", quick+(slow-quick)/2))
+		Expect(b.TimePerToken("i-1")).To(BeNumerically(">", quick+(slow-quick)/2))
 	})
 
 	// A host is paused for seconds and then gets all events of that time at
@@ -62,39 +62,39 @@
 	It("is not taken from events that come all at once", func() {
 		b := enginespeed.New()
 		for range 20 {
-			b.Sample("i-1", quick)
+			b.AddSample("i-1", quick)
 		}
 		for range 20 {
-			b.Sample("i-1", time.Microsecond)
+			b.AddSample("i-1", time.Microsecond)
 		}
-		Expect(b.Step("i-1")).To(BeNumerically("~", quick, time.Microsecond))
+		Expect(b.TimePerToken("i-1")).To(BeNumerically("~", quick, time.Microsecond))
 	})
 
 	It("is known from other hosts before the first own event", func() {
 		b := enginespeed.New()
-		Expect(b.Step("i-1")).To(BeZero())
-		Expect(b.Usual()).To(BeZero())
-		b.Heard("i-1", slow)
-		b.Heard("i-2", quick)
-		b.Heard("i-3", quick)
-		Expect(b.Step("i-1")).To(Equal(slow))
-		Expect(b.Usual()).To(Equal(quick))
+		Expect(b.TimePerToken("i-1")).To(BeZero())
+		Expect(b.Median()).To(BeZero())
+		b.SetRemote("i-1", slow)
+		b.SetRemote("i-2", quick)
+		b.SetRemote("i-3", quick)
+		Expect(b.TimePerToken("i-1")).To(Equal(slow))
+		Expect(b.Median()).To(Equal(quick))
 		b.Retain(func(target string) bool { return target != "i-1" })
-		Expect(b.Step("i-1")).To(BeZero())
+		Expect(b.TimePerToken("i-1")).To(BeZero())
 	})
 
 	It("is told when it is new or has changed", func() {
 		b := enginespeed.New()
-		Expect(b.Sample("i-1", slow)).To(BeTrue())
-		Expect(b.Sample("i-1", slow)).To(BeFalse())
-		Expect(b.Sample("i-1", quick/2)).To(BeTrue())
+		Expect(b.AddSample("i-1", slow)).To(BeTrue())
+		Expect(b.AddSample("i-1", slow)).To(BeFalse())
+		Expect(b.AddSample("i-1", quick/2)).To(BeTrue())
 	})
 
 	It("is measured over a window of events", func() {
 		var w enginespeed.Window
 		full := 0
 		for n := range 1 + 3*enginespeed.WindowEvents {
-			if mean, ok := w.Event(time.Duration(n) * 30 * time.Millisecond); ok {
+			if mean, ok := w.Add(time.Duration(n) * 30 * time.Millisecond); ok {
 				full++
 				Expect(mean).To(Equal(30 * time.Millisecond))
 			}
--- a/internal/decide/accusers/accusers.go
+++ b/internal/decide/failurereports/failurereports.go
@@ -1,4 +1,4 @@
-// Package accusers evaluates other hosts' reports of failing targets.
+// Package failurereports evaluates other hosts' reports of failing targets.
 //
 // One target of a plain service breaks each connection while its health answers
 // say that it is well, and many hosts send it a few requests a second between
@@ -11,7 +11,7 @@
 // hosts report within a few seconds is avoided while there are better ones.
 //
 // The package is not safe for concurrent use; times are on the monotonic clock.
-package accusers
+package failurereports
 
 import "time"
 
@@ -28,8 +28,8 @@
 	penaltyPerHost, maxPenalty = 0.25, 0.75
 )
 
-// Board holds the failure reports known to one host.
-type Board struct {
+// Tracker holds the failure reports known to one host.
+type Tracker struct {
 	byTarget map[string]map[string]failureReport
 }
 
@@ -39,11 +39,11 @@
 }
 
 // New returns an empty set of reports.
-func New() *Board { return &Board{byTarget: map[string]map[string]failureReport{}} }
+func New() *Tracker { return &Tracker{byTarget: map[string]map[string]failureReport{}} }
 
-// Heard records a host's report of its failures at a target: a number that
+// RecordFailures records a host's report of its failures at a target: a number that
 // changes with each failure, or 0 for none.
-func (b *Board) Heard(now time.Duration, host, target string, failures uint32) {
+func (b *Tracker) RecordFailures(now time.Duration, host, target string, failures uint32) {
 	if failures == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Penalty returns what the reports add to a target's load fraction.
-func (b *Board) Penalty(now time.Duration, target string) float64 {
+func (b *Tracker) Penalty(now time.Duration, target string) float64 {
 	hosts := 0
 	for _, report := range b.byTarget[target] {
 		if now-report.receivedAt < reportTTL {
@@ -72,7 +72,7 @@
 }
 
 // Retain removes the targets that are no longer known.
-func (b *Board) Retain(known func(target string) bool) {
+func (b *Tracker) Retain(known func(target string) bool) {
 	for target := range b.byTarget {
 		if !known(target) {
 			delete(b.byTarget, target)
--- a/internal/decide/accusers/accusers_test.go
+++ b/internal/decide/failurereports/failurereports_test.go
@@ -1,4 +1,4 @@
-package accusers_test
+package failurereports_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/accusers"
+	"filbertdeck/internal/decide/failurereports"
 )
 
 func TestAccusers(t *testing.T) {
@@ -22,29 +22,29 @@
 	// all others. If its report alone were believed, all would overload the
 	// other targets.
 	It("count only when two hosts send them", func() {
-		b := accusers.New()
+		b := failurereports.New()
 		for n := range uint32(9) {
-			b.Heard(0, "host-1", "app-1", n+1)
+			b.RecordFailures(0, "host-1", "app-1", n+1)
 		}
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
-		b.Heard(0, "host-2", "app-1", 1)
+		b.RecordFailures(0, "host-2", "app-1", 1)
 		Expect(b.Penalty(0, "app-1")).To(BeNumerically(">", 0.4))
 	})
 
 	It("expire some seconds after the last failure, even if the same count is reported again", func() {
-		b := accusers.New()
+		b := failurereports.New()
 		for now := time.Duration(0); now < 5*time.Second; now += time.Second {
-			b.Heard(now, "host-1", "app-1", 3)
-			b.Heard(now, "host-2", "app-1", 2)
+			b.RecordFailures(now, "host-1", "app-1", 3)
+			b.RecordFailures(now, "host-2", "app-1", 2)
 		}
 		Expect(b.Penalty(3*time.Second, "app-1")).NotTo(BeZero())
 		Expect(b.Penalty(5*time.Second, "app-1")).To(BeZero())
 	})
 
 	It("are removed with the target", func() {
-		b := accusers.New()
-		b.Heard(0, "host-1", "app-1", 1)
-		b.Heard(0, "host-2", "app-1", 1)
+		b := failurereports.New()
+		b.RecordFailures(0, "host-1", "app-1", 1)
+		b.RecordFailures(0, "host-2", "app-1", 1)
 		b.Retain(func(string) bool { return false })
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
 	})
@@ -57,10 +57,10 @@
 		const hosts, targets, requestsPerSecond, reportDelay = 84, 4, 150, 200 * time.Millisecond
 		countLost := func(shareReports bool) int {
 			rng := rand.New(rand.NewPCG(3, 4))
-			trackers := make([]*accusers.Board, hosts)
+			trackers := make([]*failurereports.Tracker, hosts)
 			ownFailureAt := make([]time.Duration, hosts)
 			for i := range trackers {
-				trackers[i], ownFailureAt[i] = accusers.New(), -time.Hour
+				trackers[i], ownFailureAt[i] = failurereports.New(), -time.Hour
 			}
 			type report struct {
 				deliverAt time.Duration
@@ -73,7 +73,7 @@
 				now := time.Duration(n) * time.Second / requestsPerSecond
 				for shareReports && len(undelivered) > 0 && undelivered[0].deliverAt <= now {
 					for _, b := range trackers {
-						b.Heard(now, undelivered[0].host, "bad", undelivered[0].failures)
+						b.RecordFailures(now, undelivered[0].host, "bad", undelivered[0].failures)
 					}
 					undelivered = undelivered[1:]
 				}
--- a/internal/decide/fencing/fencing_test.go
+++ b/internal/decide/fencing/fencing_test.go
@@ -61,7 +61,7 @@
 // sole is the tenure of an owner that began at 0 and was confirmed at 10 s.
 func sole() *ownership.Tenure {
 	t := &ownership.Tenure{}
-	t.Set(0, 1, true)
+	t.SetOwner(0, 1, true)
 	t.Confirm(10 * time.Second)
 	return t
 }
@@ -70,7 +70,7 @@
 	It("goes out at once to an engine that checks, and ends by its answer", func() {
 		o, t := fencing.NewOrder(fencing.Config{}, true), &ownership.Tenure{}
 		Expect(o.Step(0, t)).To(Equal(fencing.Wait))
-		t.Set(0, 1, true)
+		t.SetOwner(0, 1, true)
 		Expect(o.Step(0, t)).To(Equal(fencing.Send))
 		o.Answered(0, fencing.Lost)
 		Expect(o.Step(time.Second, t)).To(Equal(fencing.Read))
@@ -175,7 +175,7 @@
 	for i := range orders {
 		orders[i] = fencing.NewOrder(fencing.Config{}, how != ignoring)
 	}
-	tenures[0].Set(0, 1, true)
+	tenures[0].SetOwner(0, 1, true)
 	var guard fencing.Guard
 	events := map[time.Duration][]func(){}
 	for now := time.Duration(0); now < 60*time.Second; now += tick {
@@ -185,7 +185,7 @@
 		for i := range tenures {
 			t, o := &tenures[i], orders[i]
 			if now == reads[i] {
-				t.Set(now, 2, i == 1)
+				t.SetOwner(now, 2, i == 1)
 			}
 			if now < change || now >= reads[i] {
 				t.Confirm(now)
--- a/internal/decide/fencing/order.go
+++ b/internal/decide/fencing/order.go
@@ -115,9 +115,9 @@
 
 func (o *Order) mayAct(now time.Duration, t *ownership.Tenure) bool {
 	if o.checks {
-		return t.Owner()
+		return t.IsOwner()
 	}
-	return t.Sole(now, ownership.Config{ConfirmFor: o.cfg.ConfirmFor, ActFor: o.cfg.ActFor})
+	return t.IsExclusive(now, ownership.Config{ConfirmationTTL: o.cfg.ConfirmFor, ActionTTL: o.cfg.ActFor})
 }
 
 // Answered takes the answer to a sent order.
--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -47,10 +47,10 @@
 	StaleAfter time.Duration
 }
 
-// Default returns the settings in use. A host asks for updates every 200 ms, so
+// DefaultConfig returns the settings in use. A host asks for updates every 200 ms, so
 // it hears of a peer of its own part that has the document before it may ask
 // another part.
-func Default() Config {
+func DefaultConfig() Config {
 	return Config{
 		RemoteDelay: 250 * time.Millisecond, RemoteRankDelay: 500 * time.Millisecond, MaxRemoteRank: 3,
 		BusyBackoff: 60 * time.Millisecond, FailureBackoff: 2 * time.Second,
@@ -63,9 +63,9 @@
 
 // The outcomes of a transfer.
 const (
-	// Taken means that the peer's document was applied, or was already known by
+	// Succeeded means that the peer's document was applied, or was already known by
 	// then.
-	Taken Outcome = iota + 1
+	Succeeded Outcome = iota + 1
 	// Busy means that the peer uploads to as many others as it can.
 	Busy
 	// Failed means that the peer did not answer, or that what it sent can't be
@@ -73,8 +73,8 @@
 	Failed
 )
 
-// Plan decides from which peer one host fetches.
-type Plan struct {
+// PeerSelector decides from which peer one host fetches.
+type PeerSelector struct {
 	cfg     Config
 	rng     *rand.Rand
 	sources map[string]*source
@@ -98,14 +98,14 @@
 	retryAt time.Duration
 }
 
-// NewPlan returns the state of a host that has received no announcements.
-func NewPlan(cfg Config, rng *rand.Rand) *Plan {
-	return &Plan{cfg: cfg, rng: rng, sources: map[string]*source{}, timeout: cfg.InitialTimeout}
+// NewPeerSelector returns the state of a host that has received no announcements.
+func NewPeerSelector(cfg Config, rng *rand.Rand) *PeerSelector {
+	return &PeerSelector{cfg: cfg, rng: rng, sources: map[string]*source{}, timeout: cfg.InitialTimeout}
 }
 
-// Announced records that a peer holds a revision; local is set if the peer
+// RecordAnnouncement records that a peer holds a revision; local is set if the peer
 // belongs to this host's part of the fleet.
-func (p *Plan) Announced(now time.Duration, peer string, local bool, revision uint64) {
+func (p *PeerSelector) RecordAnnouncement(now time.Duration, peer string, local bool, revision uint64) {
 	if len(p.sources) == 0 {
 		p.behindSince = now
 	}
@@ -117,11 +117,11 @@
 	s.revision, s.local, s.lastAnnouncedAt = max(s.revision, revision), local, now
 }
 
-// Next returns the peer to fetch from and the timeout of the transfer, given
+// StartTransfer returns the peer to fetch from and the timeout of the transfer, given
 // the revision that this host holds and its rank in its part of the fleet, 0
 // for the first. It returns false if there is no peer to ask now. The transfer
 // counts as in progress until it is reported as done.
-func (p *Plan) Next(now time.Duration, held uint64, rank int) (peer string, timeout time.Duration, ok bool) {
+func (p *PeerSelector) StartTransfer(now time.Duration, held uint64, rank int) (peer string, timeout time.Duration, ok bool) {
 	p.dropOutdated(held)
 	if p.heldRevision > 0 && held > p.heldRevision {
 		p.behindSince = now
@@ -155,7 +155,7 @@
 
 // recentlyAnnounced returns those of the peers that sent an announcement
 // recently, or all of them if none did.
-func (p *Plan) recentlyAnnounced(now time.Duration, peers []string) []string {
+func (p *PeerSelector) recentlyAnnounced(now time.Duration, peers []string) []string {
 	var out []string
 	for _, name := range peers {
 		if now-p.sources[name].lastAnnouncedAt < p.cfg.StaleAfter {
@@ -168,12 +168,12 @@
 	return out
 }
 
-// Wants reports whether some peer holds a revision that this host lacked when
+// IsBehind reports whether some peer holds a revision that this host lacked when
 // it last chose a peer.
-func (p *Plan) Wants() bool { return len(p.sources) > 0 }
+func (p *PeerSelector) IsBehind() bool { return len(p.sources) > 0 }
 
 // dropOutdated removes peers that hold nothing newer than a revision.
-func (p *Plan) dropOutdated(held uint64) {
+func (p *PeerSelector) dropOutdated(held uint64) {
 	for name, s := range p.sources {
 		if s.revision <= held {
 			delete(p.sources, name)
@@ -181,12 +181,12 @@
 	}
 }
 
-// Done ends the transfer in progress.
-func (p *Plan) Done(now time.Duration, peer string, outcome Outcome) {
+// FinishTransfer ends the transfer in progress.
+func (p *PeerSelector) FinishTransfer(now time.Duration, peer string, outcome Outcome) {
 	p.inProgress = false
 	s := p.sources[peer]
 	switch outcome {
-	case Taken:
+	case Succeeded:
 		p.timeout = p.cfg.InitialTimeout
 	case Busy:
 		if s != nil {
--- a/internal/decide/fetch/fetch_test.go
+++ b/internal/decide/fetch/fetch_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "fetch")
 }
 
-func newSelector(seed uint64) *fetch.Plan {
-	return fetch.NewPlan(fetch.Default(), rand.New(rand.NewPCG(seed, 1)))
+func newSelector(seed uint64) *fetch.PeerSelector {
+	return fetch.NewPeerSelector(fetch.DefaultConfig(), rand.New(rand.NewPCG(seed, 1)))
 }
 
 const second = time.Second
@@ -26,29 +26,29 @@
 var _ = Describe("the choice of a peer to fetch from", func() {
 	It("fetches a newer revision from one peer at a time", func() {
 		p := newSelector(1)
-		p.Announced(0, "a", true, 5)
-		p.Announced(0, "b", true, 5)
-		_, _, ok := p.Next(0, 4, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		p.RecordAnnouncement(0, "b", true, 5)
+		_, _, ok := p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeTrue())
-		_, _, ok = p.Next(0, 4, 0)
+		_, _, ok = p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeFalse())
 	})
 
 	It("asks no peer for a revision that the host holds", func() {
 		p := newSelector(1)
-		p.Announced(0, "a", true, 5)
-		_, _, ok := p.Next(0, 5, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		_, _, ok := p.StartTransfer(0, 5, 0)
 		Expect(ok).To(BeFalse())
-		Expect(p.Wants()).To(BeFalse())
+		Expect(p.IsBehind()).To(BeFalse())
 	})
 
 	It("does not ask other parts of the fleet while its own may have the document", func() {
 		p := newSelector(1)
-		p.Announced(0, "far", false, 5)
-		_, _, ok := p.Next(0, 4, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		_, _, ok := p.StartTransfer(0, 4, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(0, "near", true, 5)
-		peer, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "near", true, 5)
+		peer, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(peer).To(Equal("near"))
 	})
@@ -58,8 +58,8 @@
 	// as that lasts.
 	It("asks another part if no host of its own has the document", func() {
 		p := newSelector(1)
-		p.Announced(0, "far", false, 5)
-		peer, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		peer, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(peer).To(Equal("far"))
 	})
@@ -69,12 +69,12 @@
 	It("asks another part in time, however often newer revisions are announced", func() {
 		p := newSelector(1)
 		for now := time.Duration(0); now < second; now += second / 10 {
-			p.Announced(now, "far", false, uint64(5+now/second))
-			if _, _, ok := p.Next(now, 4, 0); ok {
-				Expect(now).To(BeNumerically(">=", fetch.Default().RemoteDelay))
+			p.RecordAnnouncement(now, "far", false, uint64(5+now/second))
+			if _, _, ok := p.StartTransfer(now, 4, 0); ok {
+				Expect(now).To(BeNumerically(">=", fetch.DefaultConfig().RemoteDelay))
 				return
 			}
-			p.Announced(now, "far", false, uint64(5+10*now/second))
+			p.RecordAnnouncement(now, "far", false, uint64(5+10*now/second))
 		}
 		Fail("no peer was asked within a second")
 	})
@@ -84,9 +84,9 @@
 	It("prefers peers with recent announcements to one that has stopped sending them", func() {
 		for seed := range uint64(50) {
 			p := newSelector(seed)
-			p.Announced(0, "silent", true, 5)
-			p.Announced(second, "a", true, 5)
-			peer, _, ok := p.Next(second, 4, 0)
+			p.RecordAnnouncement(0, "silent", true, 5)
+			p.RecordAnnouncement(second, "a", true, 5)
+			peer, _, ok := p.StartTransfer(second, 4, 0)
 			Expect(ok).To(BeTrue())
 			Expect(peer).To(Equal("a"))
 		}
@@ -94,11 +94,11 @@
 
 	It("waits for its own part again once the host was up to date", func() {
 		p := newSelector(1)
-		p.Announced(0, "far", false, 5)
-		_, _, ok := p.Next(second, 5, 0)
+		p.RecordAnnouncement(0, "far", false, 5)
+		_, _, ok := p.StartTransfer(second, 5, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(second, "far", false, 6)
-		_, _, ok = p.Next(second, 5, 0)
+		p.RecordAnnouncement(second, "far", false, 6)
+		_, _, ok = p.StartTransfer(second, 5, 0)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -106,13 +106,13 @@
 	// with it would continue to serve from an old configuration.
 	It("asks another peer after one that did not answer", func() {
 		p := newSelector(1)
-		p.Announced(0, "a", true, 5)
-		first, _, _ := p.Next(0, 4, 0)
-		p.Done(second, first, fetch.Failed)
-		_, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(0, "a", true, 5)
+		first, _, _ := p.StartTransfer(0, 4, 0)
+		p.FinishTransfer(second, first, fetch.Failed)
+		_, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeFalse())
-		p.Announced(second, "b", true, 5)
-		next, _, ok := p.Next(second, 4, 0)
+		p.RecordAnnouncement(second, "b", true, 5)
+		next, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeTrue())
 		Expect(next).To(Equal("b"))
 	})
@@ -121,17 +121,17 @@
 	// one second would restart the transfer without end.
 	It("doubles the timeout after each failed transfer", func() {
 		p := newSelector(1)
-		p.Announced(0, "a", true, 5)
+		p.RecordAnnouncement(0, "a", true, 5)
 		now, last := time.Duration(0), time.Duration(0)
 		for range 6 {
-			peer, timeout, ok := p.Next(now, 4, 0)
+			peer, timeout, ok := p.StartTransfer(now, 4, 0)
 			Expect(ok).To(BeTrue())
 			Expect(timeout).To(BeNumerically(">=", last))
 			last = timeout
-			p.Done(now, peer, fetch.Failed)
+			p.FinishTransfer(now, peer, fetch.Failed)
 			now += 10 * second
 		}
-		Expect(last).To(Equal(fetch.Default().MaxTimeout))
+		Expect(last).To(Equal(fetch.DefaultConfig().MaxTimeout))
 	})
 })
 
@@ -148,8 +148,8 @@
 	name        string
 	dataCentre  int
 	rank        int
-	selector    *fetch.Plan
-	uploads     fetch.Giver
+	selector    *fetch.PeerSelector
+	uploads     fetch.UploadLimiter
 	hasDocument bool
 	arrivesAt   time.Duration
 	source      string
@@ -184,7 +184,7 @@
 		for i, h := range s.hosts {
 			if h.arrivesAt >= 0 && now >= h.arrivesAt {
 				h.hasDocument, h.arrivesAt = true, -1
-				h.selector.Done(now, h.source, fetch.Taken)
+				h.selector.FinishTransfer(now, h.source, fetch.Succeeded)
 			}
 			if h.hasDocument {
 				continue
@@ -208,27 +208,27 @@
 	for _, other := range s.hosts {
 		reader := other.dataCentre == h.dataCentre && other == s.hosts[h.dataCentre]
 		if other.hasDocument && (reader || s.rng.IntN(len(s.hosts)) < 2) {
-			h.selector.Announced(now, other.name, other.dataCentre == h.dataCentre, 1)
+			h.selector.RecordAnnouncement(now, other.name, other.dataCentre == h.dataCentre, 1)
 		}
 	}
 }
 
 func (s *simulation) startTransfer(now time.Duration, h *simulatedHost, byName map[string]*simulatedHost) {
-	peer, _, ok := h.selector.Next(now, 0, h.rank)
+	peer, _, ok := h.selector.StartTransfer(now, 0, h.rank)
 	if !ok {
 		return
 	}
 	source := byName[peer]
 	if !source.hasDocument {
-		h.selector.Done(now, peer, fetch.Busy)
+		h.selector.FinishTransfer(now, peer, fetch.Busy)
 		return
 	}
-	others, admitted := source.uploads.Give(now, h.name, s.documentBytes)
+	others, admitted := source.uploads.Admit(now, h.name, s.documentBytes)
 	if !admitted {
 		for _, o := range others {
-			h.selector.Announced(now, o, byName[o].dataCentre == h.dataCentre, 1)
+			h.selector.RecordAnnouncement(now, o, byName[o].dataCentre == h.dataCentre, 1)
 		}
-		h.selector.Done(now, peer, fetch.Busy)
+		h.selector.FinishTransfer(now, peer, fetch.Busy)
 		return
 	}
 	source.linkFreeAt = max(source.linkFreeAt, now) + time.Duration(s.documentBytes)*second/linkBytesPerSecond
--- a/internal/decide/fetch/upload.go
+++ b/internal/decide/fetch/upload.go
@@ -17,8 +17,8 @@
 	maxSuggestedHolders, maxKnownHolders = 3, 12
 )
 
-// Giver decides to which peers one host uploads a document.
-type Giver struct {
+// UploadLimiter decides to which peers one host uploads a document.
+type UploadLimiter struct {
 	// linkFreeAt is when all accepted uploads are expected to have left the
 	// link.
 	linkFreeAt time.Duration
@@ -28,9 +28,9 @@
 	rotation int
 }
 
-// Give reports whether a peer may have that many bytes now. If not, it returns
+// Admit reports whether a peer may have that many bytes now. If not, it returns
 // some of the peers to which the document was uploaded recently.
-func (g *Giver) Give(now time.Duration, peer string, bytes int) (others []string, ok bool) {
+func (g *UploadLimiter) Admit(now time.Duration, peer string, bytes int) (others []string, ok bool) {
 	burst := time.Duration(uploadBurstBytes) * time.Second / uploadBytesPerSecond
 	if g.linkFreeAt > now+burst {
 		return g.suggestHolders(peer), false
@@ -43,7 +43,7 @@
 
 // suggestHolders returns holders that a peer may ask. The most recent ones may
 // not have the document yet, and answer that they are busy.
-func (g *Giver) suggestHolders(peer string) []string {
+func (g *UploadLimiter) suggestHolders(peer string) []string {
 	others := slices.DeleteFunc(slices.Clone(g.holders), func(h string) bool { return h == peer })
 	start := 0
 	if surplus := len(others) - maxSuggestedHolders; surplus > 0 {
--- a/internal/decide/health/doc.go
+++ b/internal/decide/health/doc.go
@@ -86,27 +86,27 @@
 	return c
 }
 
-// Standing says what a target may be given.
-type Standing int
+// Status says what a target may be given.
+type Status int
 
 // The standings. A picker gives a Trial target the next request that may be
-// repeated or moved (BeginTrial books it), else takes Good targets, Doubtful
+// repeated or moved (BeginTrial books it), else takes Healthy targets, Degraded
 // ones only when no good one has room, and never Ejected ones.
 const (
-	// Good targets take work.
-	Good Standing = iota
+	// Healthy targets take work.
+	Healthy Status = iota
 	// Trial targets are open, and one request may show whether they recovered.
 	Trial
-	// Doubtful targets are as bad as ejected ones, but too many are.
-	Doubtful
+	// Degraded targets are as bad as ejected ones, but too many are.
+	Degraded
 	// Ejected targets take no work.
 	Ejected
 )
 
-var standingNames = [...]string{Good: "good", Trial: "trial", Doubtful: "doubtful", Ejected: "ejected"}
+var standingNames = [...]string{Healthy: "good", Trial: "trial", Degraded: "doubtful", Ejected: "ejected"}
 
 // String names the standing as counters and logs show it.
-func (s Standing) String() string { return standingNames[s] }
+func (s Status) String() string { return standingNames[s] }
 
 // Sample is what one request, or one report, showed of a target's speed; a
 // zero field is unknown.
--- a/internal/decide/health/pool.go
+++ b/internal/decide/health/pool.go
@@ -62,17 +62,17 @@
 	p.eject()
 }
 
-// Restarted forgets a target's past: another incarnation answers.
-func (p *Pool) Restarted(address string) {
+// Reset forgets a target's past: another incarnation answers.
+func (p *Pool) Reset(address string) {
 	if t := p.targets[address]; t != nil {
 		*t = target{address: address}
 		p.eject()
 	}
 }
 
-// Result takes the outcome of a request: ok says that the target did its part,
+// RecordResult takes the outcome of a request: ok says that the target did its part,
 // also when the caller left. It ends a trial.
-func (p *Pool) Result(now time.Duration, address string, ok bool, s Sample, jitter float64) {
+func (p *Pool) RecordResult(now time.Duration, address string, ok bool, s Sample, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
@@ -95,8 +95,8 @@
 	p.eject()
 }
 
-// Observe takes the step time of a target's report.
-func (p *Pool) Observe(now time.Duration, address string, step time.Duration, jitter float64) {
+// RecordStepTime takes the step time of a target's report.
+func (p *Pool) RecordStepTime(now time.Duration, address string, step time.Duration, jitter float64) {
 	t := p.targets[address]
 	if t == nil {
 		return
@@ -108,20 +108,20 @@
 	}
 }
 
-// Standing says what the target may be given now.
-func (p *Pool) Standing(now time.Duration, address string) Standing {
+// Status says what the target may be given now.
+func (p *Pool) Status(now time.Duration, address string) Status {
 	t := p.targets[address]
 	switch {
 	case t == nil:
 		return Ejected
 	case !t.breaker.open:
-		return Good
+		return Healthy
 	case t.breaker.mayTry(now, p.cfg):
 		return Trial
 	case t.ejected:
 		return Ejected
 	default:
-		return Doubtful
+		return Degraded
 	}
 }
 
--- a/internal/decide/health/pool_test.go
+++ b/internal/decide/health/pool_test.go
@@ -29,7 +29,7 @@
 	p.SetTargets(four)
 	for range 12 {
 		for i, took := range times {
-			p.Result(0, four[i], took >= 0, health.Sample{FirstToken: max(0, took)}, 0)
+			p.RecordResult(0, four[i], took >= 0, health.Sample{FirstToken: max(0, took)}, 0)
 		}
 	}
 	return p
@@ -38,51 +38,51 @@
 var _ = Describe("a pool", func() {
 	// One target runs at a fifth of its speed. Every fourth caller waits five
 	// times as long, while the mean of the pool looks well.
-	DescribeTable("judges a target by the others", func(a, b, c, d time.Duration, want ...health.Standing) {
+	DescribeTable("judges a target by the others", func(a, b, c, d time.Duration, want ...health.Status) {
 		p := fed(a, b, c, d)
 		for i, t := range four {
-			Expect(p.Standing(0, t)).To(Equal(want[i]), t)
+			Expect(p.Status(0, t)).To(Equal(want[i]), t)
 		}
 	},
-		Entry("equal", 100*ms, 110*ms, 90*ms, 100*ms, health.Good, health.Good, health.Good, health.Good),
-		Entry("all slow alike", 5000*ms, 6000*ms, 4000*ms, 5000*ms, health.Good, health.Good, health.Good, health.Good),
-		Entry("one slow", 100*ms, 500*ms, 90*ms, 100*ms, health.Good, health.Ejected, health.Good, health.Good),
-		Entry("too little to matter", 1*ms, 10*ms, 1*ms, 1*ms, health.Good, health.Good, health.Good, health.Good),
-		Entry("one slow, one fails", 500*ms, -ms, 90*ms, 100*ms, health.Doubtful, health.Ejected, health.Good, health.Good),
-		Entry("all fail", -ms, -ms, -ms, -ms, health.Ejected, health.Doubtful, health.Doubtful, health.Doubtful),
+		Entry("equal", 100*ms, 110*ms, 90*ms, 100*ms, health.Healthy, health.Healthy, health.Healthy, health.Healthy),
+		Entry("all slow alike", 5000*ms, 6000*ms, 4000*ms, 5000*ms, health.Healthy, health.Healthy, health.Healthy, health.Healthy),
+		Entry("one slow", 100*ms, 500*ms, 90*ms, 100*ms, health.Healthy, health.Ejected, health.Healthy, health.Healthy),
+		Entry("too little to matter", 1*ms, 10*ms, 1*ms, 1*ms, health.Healthy, health.Healthy, health.Healthy, health.Healthy),
+		Entry("one slow, one fails", 500*ms, -ms, 90*ms, 100*ms, health.Degraded, health.Ejected, health.Healthy, health.Healthy),
+		Entry("all fail", -ms, -ms, -ms, -ms, health.Ejected, health.Degraded, health.Degraded, health.Degraded),
 	)
 
 	It("tries again after a back-off, one request at a time, and closes after three", func() {
 		p := fed(-ms, 90*ms, 90*ms, 90*ms)
-		Expect(p.Standing(999*ms, "a")).To(Equal(health.Ejected))
+		Expect(p.Status(999*ms, "a")).To(Equal(health.Ejected))
 		now := time.Second
-		Expect(p.Standing(now, "a")).To(Equal(health.Trial))
+		Expect(p.Status(now, "a")).To(Equal(health.Trial))
 		p.BeginTrial(now, "a")
-		Expect(p.Standing(now, "a")).To(Equal(health.Ejected), "one at a time")
-		p.Result(now, "a", false, health.Sample{}, 0)
-		Expect(p.Standing(now+1999*ms, "a")).To(Equal(health.Ejected), "the back-off doubles")
+		Expect(p.Status(now, "a")).To(Equal(health.Ejected), "one at a time")
+		p.RecordResult(now, "a", false, health.Sample{}, 0)
+		Expect(p.Status(now+1999*ms, "a")).To(Equal(health.Ejected), "the back-off doubles")
 		now += 2 * time.Second
 		p.BeginTrial(now, "a")
-		Expect(p.Standing(now+10*time.Second, "a")).To(Equal(health.Trial), "a lost trial blocks for ten seconds")
+		Expect(p.Status(now+10*time.Second, "a")).To(Equal(health.Trial), "a lost trial blocks for ten seconds")
 		for range 3 {
-			Expect(p.Standing(now, "a")).NotTo(Equal(health.Good))
+			Expect(p.Status(now, "a")).NotTo(Equal(health.Healthy))
 			p.BeginTrial(now, "a")
-			p.Result(now, "a", true, health.Sample{FirstToken: 100 * ms}, 0)
+			p.RecordResult(now, "a", true, health.Sample{FirstToken: 100 * ms}, 0)
 		}
-		Expect(p.Standing(now, "a")).To(Equal(health.Good))
+		Expect(p.Status(now, "a")).To(Equal(health.Healthy))
 	})
 
 	It("does not hold a slow past against a target that recovered", func() {
 		p := fed(100*ms, 500*ms, 90*ms, 100*ms)
 		for i := range 20 {
 			p.BeginTrial(time.Second, "b")
-			p.Result(time.Second, "b", true, health.Sample{FirstToken: 100 * ms}, 0)
-			Expect(p.Standing(time.Second, "b") == health.Good).To(Equal(i >= 2))
+			p.RecordResult(time.Second, "b", true, health.Sample{FirstToken: 100 * ms}, 0)
+			Expect(p.Status(time.Second, "b") == health.Healthy).To(Equal(i >= 2))
 		}
 		for i := range 16 {
-			p.Result(time.Second, "b", i%2 == 0, health.Sample{}, 0)
+			p.RecordResult(time.Second, "b", i%2 == 0, health.Sample{}, 0)
 		}
-		Expect(p.Standing(time.Second, "b")).To(Equal(health.Ejected), "every second request failed")
+		Expect(p.Status(time.Second, "b")).To(Equal(health.Ejected), "every second request failed")
 	})
 
 	It("finds a slow target by its reports, and forgets it when it restarts", func() {
@@ -92,14 +92,14 @@
 			if i%4 == 2 {
 				step = 200 * ms
 			}
-			p.Observe(0, four[i%4], step, 0)
+			p.RecordStepTime(0, four[i%4], step, 0)
 		}
-		Expect(p.Standing(0, "c")).To(Equal(health.Ejected))
+		Expect(p.Status(0, "c")).To(Equal(health.Ejected))
 		p.SetTargets(four[1:])
-		Expect(p.Standing(0, "c")).To(Equal(health.Ejected))
-		Expect(p.Standing(0, "a")).To(Equal(health.Ejected), "no target of the pool")
-		p.Restarted("c")
-		Expect(p.Standing(0, "c")).To(Equal(health.Good))
+		Expect(p.Status(0, "c")).To(Equal(health.Ejected))
+		Expect(p.Status(0, "a")).To(Equal(health.Ejected), "no target of the pool")
+		p.Reset("c")
+		Expect(p.Status(0, "c")).To(Equal(health.Healthy))
 	})
 
 	It("keeps the tail short where the naive way doesn't", func() {
@@ -117,17 +117,17 @@
 	times := make([]time.Duration, 4000)
 	for i := range times {
 		now, to := time.Duration(i)*10*ms, four[rnd.IntN(4)]
-		for judged && p.Standing(now, to) == health.Ejected {
+		for judged && p.Status(now, to) == health.Ejected {
 			to = four[rnd.IntN(4)]
 		}
-		if p.Standing(now, to) == health.Trial {
+		if p.Status(now, to) == health.Trial {
 			p.BeginTrial(now, to)
 		}
 		times[i] = time.Duration(float64(100*ms) * (0.5 + rnd.ExpFloat64()/2))
 		if to == "b" && i > 1000 && i < 3000 {
 			times[i] *= 5
 		}
-		p.Result(now, to, true, health.Sample{FirstToken: times[i]}, rnd.Float64())
+		p.RecordResult(now, to, true, health.Sample{FirstToken: times[i]}, rnd.Float64())
 	}
 	slices.Sort(times)
 	return times[len(times)*99/100]
@@ -140,12 +140,12 @@
 		p := fed()
 		for i, op := range ops {
 			now, to, ejected := time.Duration(i)*100*ms, four[op%4], 0
-			if p.Standing(now, to) == health.Trial {
+			if p.Status(now, to) == health.Trial {
 				p.BeginTrial(now, to)
 			}
-			p.Result(now, to, op&4 > 0, health.Sample{FirstToken: time.Duration(op) * 10 * ms}, float64(op)/256)
+			p.RecordResult(now, to, op&4 > 0, health.Sample{FirstToken: time.Duration(op) * 10 * ms}, float64(op)/256)
 			for _, a := range four {
-				if p.Standing(now, a) == health.Ejected {
+				if p.Status(now, a) == health.Ejected {
 					ejected++
 				}
 			}
@@ -160,6 +160,6 @@
 	p := fed()
 	b.ReportAllocs()
 	for range b.N {
-		p.Standing(0, "c")
+		p.Status(0, "c")
 	}
 }
--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -98,8 +98,8 @@
 // String names the reason as counters show it.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// Situation is what is known when a second call could go out.
-type Situation struct {
+// Conditions is what is known when a second call could go out.
+type Conditions struct {
 	// Repeatable says that the service's row allows a call to run twice.
 	Repeatable bool
 	// Backlog is the wait in the pool's queue.
@@ -131,9 +131,9 @@
 	}
 }
 
-// Begin books a first call and gives the delay after which Second should be
+// StartCall books a first call and gives the delay after which Second should be
 // asked; ok is false when the call is not to be hedged.
-func (h *Hedger) Begin(repeatable bool) (delay time.Duration, ok bool) {
+func (h *Hedger) StartCall(repeatable bool) (delay time.Duration, ok bool) {
 	if !repeatable {
 		return 0, false
 	}
@@ -142,9 +142,9 @@
 	return delay, delay > 0
 }
 
-// Second tells whether the second call may go out now, and books it. The
+// AllowSecond tells whether the second call may go out now, and books it. The
 // caller takes the first whole answer and cancels the other call.
-func (h *Hedger) Second(now time.Duration, s Situation) Refusal {
+func (h *Hedger) AllowSecond(now time.Duration, s Conditions) Refusal {
 	switch {
 	case !s.Repeatable:
 		return NotRepeatable
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -32,37 +32,37 @@
 
 var _ = Describe("a hedger", func() {
 	It("waits for the p95 and knows it only after enough times", func() {
-		_, ok := hedge.New(0, hedge.Config{}).Begin(true)
+		_, ok := hedge.New(0, hedge.Config{}).StartCall(true)
 		Expect(ok).To(BeFalse())
 		h := warm()
-		delay, ok := h.Begin(true)
+		delay, ok := h.StartCall(true)
 		Expect(ok).To(BeTrue())
 		Expect(delay).To(BeNumerically("~", 95*ms, 2*ms))
-		_, ok = h.Begin(false)
+		_, ok = h.StartCall(false)
 		Expect(ok).To(BeFalse())
 		for i := range 400 { // the old times leave the window
 			h.Observe(time.Duration(i)*100*ms, 4*ms)
 		}
-		delay, _ = h.Begin(true)
+		delay, _ = h.StartCall(true)
 		Expect(delay).To(BeNumerically("~", 4*ms, ms))
 	})
 
 	It("is kept per service, while the table has it", func() {
 		s := hedge.NewSet(hedge.Config{})
-		lookup := s.Of(0, "lookup")
-		Expect(s.Of(0, "lookup")).To(BeIdenticalTo(lookup))
-		Expect(s.Of(0, "gate")).NotTo(BeIdenticalTo(lookup))
+		lookup := s.ForService(0, "lookup")
+		Expect(s.ForService(0, "lookup")).To(BeIdenticalTo(lookup))
+		Expect(s.ForService(0, "gate")).NotTo(BeIdenticalTo(lookup))
 		s.Keep(func(service string) bool { return service == "gate" })
-		Expect(s.Of(0, "lookup")).NotTo(BeIdenticalTo(lookup))
+		Expect(s.ForService(0, "lookup")).NotTo(BeIdenticalTo(lookup))
 	})
 
-	DescribeTable("refuses", func(s hedge.Situation, want hedge.Refusal) {
-		Expect(warm().Second(0, s)).To(Equal(want))
+	DescribeTable("refuses", func(s hedge.Conditions, want hedge.Refusal) {
+		Expect(warm().AllowSecond(0, s)).To(Equal(want))
 	},
-		Entry(nil, hedge.Situation{OtherTargets: 1}, hedge.NotRepeatable),
-		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
-		Entry(nil, hedge.Situation{Repeatable: true}, hedge.NoOtherTarget),
-		Entry(nil, hedge.Situation{Repeatable: true, OtherTargets: 1}, hedge.None),
+		Entry(nil, hedge.Conditions{OtherTargets: 1}, hedge.NotRepeatable),
+		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
+		Entry(nil, hedge.Conditions{Repeatable: true}, hedge.NoOtherTarget),
+		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1}, hedge.None),
 	)
 
 	// All targets become slow together. Every lookup is late now, and sending
@@ -107,12 +107,12 @@
 		}
 		first := call()
 		times[i] = first
-		delay, ok := h.Begin(true)
+		delay, ok := h.StartCall(true)
 		if how == fixed {
 			delay, ok = 10*ms, true
 		}
 		late := how != none && ok && first > delay
-		if late && (how == fixed || h.Second(now, hedge.Situation{Repeatable: true, OtherTargets: 3}) == hedge.None) {
+		if late && (how == fixed || h.AllowSecond(now, hedge.Conditions{Repeatable: true, OtherTargets: 3}) == hedge.None) {
 			second++
 			times[i] = min(first, delay+call())
 		}
@@ -126,7 +126,7 @@
 	h := warm()
 	b.ReportAllocs()
 	for range b.N {
-		h.Begin(true)
+		h.StartCall(true)
 		h.Observe(0, ms)
 	}
 }
--- a/internal/decide/hedge/set.go
+++ b/internal/decide/hedge/set.go
@@ -21,9 +21,9 @@
 	return s
 }
 
-// Of gives the service's hedger. Ask only for services that the table has:
+// ForService gives the service's hedger. Ask only for services that the table has:
 // each name that is asked for is kept until Keep.
-func (s *Set) Of(now time.Duration, service string) *Hedger {
+func (s *Set) ForService(now time.Duration, service string) *Hedger {
 	if h := (*s.services.Load())[service]; h != nil {
 		return h
 	}
--- a/internal/decide/once/call.go
+++ b/internal/decide/idempotency/call.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -30,8 +30,8 @@
 	Key     Key
 	// Fingerprint is equal for equal method, path and body.
 	Fingerprint uint64
-	// Wall is the wall clock's time at arrival; only UUIDv7 keys need it.
-	Wall time.Time
+	// WallTime is the wall clock's time at arrival; only UUIDv7 keys need it.
+	WallTime time.Time
 	// Forwarded is set when another entry sent the call on, with the
 	// incarnation and list revision that it believes in (0: does not know).
 	Forwarded     bool
--- a/internal/decide/once/expiry.go
+++ b/internal/decide/idempotency/expiry.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"container/heap"
@@ -61,7 +61,7 @@
 // be read off the key itself is forgotten; an opaque one is remembered as
 // expired until its room is needed. A call that is still on its way keeps its
 // record: its end is not known yet.
-func (r *Register) expire(now time.Duration) {
+func (r *Registry) expire(now time.Duration) {
 	q := &r.expiry
 	for len(q.live) > 0 && q.live[0].expires <= now {
 		rec := heap.Pop(&q.live).(*record)
@@ -80,7 +80,7 @@
 }
 
 // dropExpired forgets the oldest expired key.
-func (r *Register) dropExpired() bool {
+func (r *Registry) dropExpired() bool {
 	q := &r.expiry
 	if len(q.expired) == 0 {
 		return false
--- a/internal/decide/once/hosts.go
+++ b/internal/decide/idempotency/hosts.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -10,19 +10,19 @@
 type HostList struct {
 	// Revision is the configuration service's revision of the list.
 	Revision uint64
-	// Live holds the forward addresses of the entries that may own keys.
-	Live []string
-	// Confirmed is when the request that confirmed this list was SENT to the
+	// LiveHosts holds the forward addresses of the entries that may own keys.
+	LiveHosts []string
+	// ConfirmedAt is when the request that confirmed this list was SENT to the
 	// configuration service, on the scale of `now`. The time of receipt would
 	// not do: a message that waited in a socket while this process was paused
 	// would make an old list look fresh.
-	Confirmed time.Duration
+	ConfirmedAt time.Duration
 }
 
 // digest is equal for lists of the same hosts, in any order.
 func (l HostList) digest() uint64 {
 	var sum uint64
-	for _, name := range l.Live {
+	for _, name := range l.LiveHosts {
 		sum += xxhash.Sum64String(name)
 	}
 	return sum
@@ -85,7 +85,7 @@
 // set takes a list. unbroken is the longest time between two confirmations
 // that counts as continuous.
 func (o *ownership) set(now time.Duration, list HostList, unbroken, forget time.Duration) {
-	if o.known && list.Confirmed < o.confirmed && list.Revision <= o.revision {
+	if o.known && list.ConfirmedAt < o.confirmed && list.Revision <= o.revision {
 		return // an older confirmation that came late says nothing new
 	}
 	digest := list.digest()
@@ -94,8 +94,8 @@
 		o.replace(now, list, broken)
 		o.forget(now - forget)
 	}
-	o.known, o.revision, o.digest, o.confirmed = true, list.Revision, digest, list.Confirmed
-	if o.news <= o.revision || o.newsAt < list.Confirmed {
+	o.known, o.revision, o.digest, o.confirmed = true, list.Revision, digest, list.ConfirmedAt
+	if o.news <= o.revision || o.newsAt < list.ConfirmedAt {
 		o.news = 0
 	}
 }
@@ -108,12 +108,12 @@
 // anew.
 func (o *ownership) breaks(list HostList, digest uint64, unbroken time.Duration) bool {
 	switch {
-	case !o.known, list.Confirmed-o.confirmed > unbroken, list.Revision < o.revision:
+	case !o.known, list.ConfirmedAt-o.confirmed > unbroken, list.Revision < o.revision:
 		return true
 	case list.Revision == o.revision && digest != o.digest:
 		return true
 	default:
-		return o.news > list.Revision && o.newsAt < list.Confirmed
+		return o.news > list.Revision && o.newsAt < list.ConfirmedAt
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	wasLive := o.selfLive
 	o.selfLive = false
-	for _, name := range list.Live {
+	for _, name := range list.LiveHosts {
 		if name == o.selfName {
 			o.selfLive = true
 			continue
