--- a/internal/decide/once/once.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -1,4 +1,4 @@
-// Package once decides which entry may run a call that must run at most once,
+// Package idempotency decides which entry may run a call that must run at most once,
 // and what a repeated call is told. It is pure: no network, no clock, no
 // goroutine; time is an argument.
 //
@@ -37,7 +37,7 @@
 // configuration service that confirms an old list as current to some readers,
 // and a process that pauses between the last check and the write for longer
 // than Margin. Both concern callers' own keys only.
-package once
+package idempotency
 
 import (
 	"time"
@@ -73,9 +73,9 @@
 	expires time.Duration
 }
 
-// Register is an entry's record of the calls that it may run. It is not safe
+// Registry is an entry's record of the calls that it may run. It is not safe
 // for concurrent use; the entry holds one lock around it.
-type Register struct {
+type Registry struct {
 	cfg     Config
 	owners  ownership
 	records map[string]*record
@@ -86,46 +86,46 @@
 
 // New returns an empty register: a process that has just started vouches for
 // nothing that is older than itself.
-func New(cfg Config) *Register {
+func New(cfg Config) *Registry {
 	cfg = cfg.withDefaults()
-	return &Register{cfg: cfg, owners: newOwnership(cfg.Self.Address), records: map[string]*record{}}
+	return &Registry{cfg: cfg, owners: newOwnership(cfg.Self.Address), records: map[string]*record{}}
 }
 
-// SetHosts takes a confirmed state of the published host list. Call it at
+// ConfirmHosts takes a confirmed state of the published host list. Call it at
 // every confirmation, also when nothing changed.
-func (r *Register) SetHosts(now time.Duration, list HostList) {
+func (r *Registry) ConfirmHosts(now time.Duration, list HostList) {
 	forget := max(r.cfg.OrderedLife, r.cfg.OpaqueWindow) + r.cfg.holdOff() + r.cfg.AheadLimit + r.cfg.ClockError
 	r.owners.set(now, list, r.cfg.Freshness, forget)
 }
 
-// Heard notes a list revision that a peer has. While a peer knows a newer list
+// ObservePeerRevision notes a list revision that a peer has. While a peer knows a newer list
 // this process's own confirmation is worth nothing.
 // It may be called at each gossip message and is called for forwarded calls.
-func (r *Register) Heard(now time.Duration, revision uint64) {
+func (r *Registry) ObservePeerRevision(now time.Duration, revision uint64) {
 	r.owners.heard(now, revision)
 }
 
 // NextSequence numbers the keys that this process mints.
-func (r *Register) NextSequence() uint64 {
+func (r *Registry) NextSequence() uint64 {
 	r.minted++
 	return r.minted
 }
 
 // Owner names the entry that owns a caller's key by the list in force.
-func (r *Register) Owner(account string, key Key) string {
+func (r *Registry) Owner(account string, key Key) string {
 	return r.owners.owner(hashOf(recordID(account, key)))
 }
 
 // Len and Bytes give the record's size for counters.
-func (r *Register) Len() int   { return len(r.records) }
-func (r *Register) Bytes() int { return r.bytes }
+func (r *Registry) Len() int         { return len(r.records) }
+func (r *Registry) AnswerBytes() int { return r.bytes }
 
 func recordID(account string, key Key) string { return account + "\x00" + key.ID }
 
 func hashOf(id string) uint64 { return xxhash.Sum64String(id) }
 
 // Begin decides about a call that has just arrived.
-func (r *Register) Begin(now time.Duration, call Call) Decision {
+func (r *Registry) Begin(now time.Duration, call Call) Decision {
 	r.expire(now)
 	id := recordID(call.Account, call.Key)
 	if rec := r.records[id]; rec != nil {
@@ -146,7 +146,7 @@
 }
 
 // reserve puts a key on record and sets room for its answer aside.
-func (r *Register) reserve(id string, call Call, life lifetime) {
+func (r *Registry) reserve(id string, call Call, life lifetime) {
 	rec := &record{
 		id: id, place: notQueued, state: stateReserved, kind: call.Key.Kind,
 		fingerprint: call.Fingerprint, first: life.first, expires: life.expires,
@@ -157,7 +157,7 @@
 }
 
 // again answers a call whose key is on record.
-func (r *Register) again(rec *record, call Call) Decision {
+func (r *Registry) again(rec *record, call Call) Decision {
 	if rec.fingerprint != call.Fingerprint {
 		return refuse(failure.New(failure.KindKeyReused, "this idempotency key was used for another call"))
 	}
@@ -181,12 +181,12 @@
 const inProgressRetry = time.Second
 
 // place says where a call belongs; mine is true when that is this process.
-func (r *Register) place(now time.Duration, call Call, id string) (d Decision, mine bool) {
+func (r *Registry) place(now time.Duration, call Call, id string) (d Decision, mine bool) {
 	if call.Key.Kind == KeyMinted {
 		return r.placeMinted(call)
 	}
 	if call.Forwarded && call.HostsRevision > 0 {
-		r.Heard(now, call.HostsRevision)
+		r.ObservePeerRevision(now, call.HostsRevision)
 	}
 	if call.Incarnation != 0 && call.Incarnation != r.cfg.Self.Incarnation {
 		return refuse(ownerLost()), false
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *Register) placeMinted(call Call) (Decision, bool) {
+func (r *Registry) placeMinted(call Call) (Decision, bool) {
 	owner := call.Key.Owner
 	switch {
 	case owner == r.cfg.Self:
@@ -243,7 +243,7 @@
 // that slept since Begin finds out here that its right has ended. until is
 // when the first byte must have left: a pause between Check and the write that
 // ends before it is harmless; it is at least Margin long.
-func (r *Register) Check(now time.Duration, account string, key Key) (until time.Duration, err *failure.Error) {
+func (r *Registry) Check(now time.Duration, account string, key Key) (until time.Duration, err *failure.Error) {
 	id := recordID(account, key)
 	rec := r.records[id]
 	if rec == nil || rec.state != stateReserved {
@@ -266,8 +266,8 @@
 	return until, nil
 }
 
-// Finish records the target's answer.
-func (r *Register) Finish(account string, key Key, answer *Answer) {
+// MarkFinished records the target's answer.
+func (r *Registry) MarkFinished(account string, key Key, answer *Answer) {
 	rec := r.records[recordID(account, key)]
 	if rec == nil || rec.state != stateSent {
 		return
@@ -282,8 +282,8 @@
 	r.hold(rec, size)
 }
 
-// Lost records that the call was sent and that no answer came.
-func (r *Register) Lost(account string, key Key) {
+// MarkLost records that the call was sent and that no answer came.
+func (r *Registry) MarkLost(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec == nil || rec.state != stateSent {
 		return
@@ -292,9 +292,9 @@
 	r.hold(rec, 0)
 }
 
-// NotRun records that the call certainly did not run: it was never sent, or
+// MarkNotRun records that the call certainly did not run: it was never sent, or
 // the target itself said so. The key may be used again.
-func (r *Register) NotRun(account string, key Key) {
+func (r *Registry) MarkNotRun(account string, key Key) {
 	rec := r.records[recordID(account, key)]
 	if rec != nil && (rec.state == stateReserved || rec.state == stateSent) {
 		r.drop(rec)
@@ -302,12 +302,12 @@
 }
 
 // hold sets the bytes that a record counts for.
-func (r *Register) hold(rec *record, size int) {
+func (r *Registry) hold(rec *record, size int) {
 	r.bytes += size - rec.held
 	rec.held = size
 }
 
-func (r *Register) drop(rec *record) {
+func (r *Registry) drop(rec *record) {
 	r.hold(rec, 0)
 	r.expiry.remove(rec)
 	delete(r.records, rec.id)
--- a/internal/decide/once/once_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 )
 
@@ -35,40 +35,42 @@
 	return id.String()
 }
 
-func callerKey(text string) once.Key {
-	key, err := once.CallerKey(text)
+func callerKey(text string) idempotency.Key {
+	key, err := idempotency.CallerKey(text)
 	Expect(err).NotTo(HaveOccurred())
 	return key
 }
 
 // self owns every key while it is alone on the list.
-var self = once.Process{Address: "a", Incarnation: 7}
+var self = idempotency.Process{Address: "a", Incarnation: 7}
 
 // settled returns a register that has been the only owner for an hour.
-func settled(cfg once.Config) (*once.Register, time.Duration) {
+func settled(cfg idempotency.Config) (*idempotency.Registry, time.Duration) {
 	cfg.Self = self
-	r := once.New(cfg)
+	r := idempotency.New(cfg)
 	now := time.Duration(0)
 	for ; now <= time.Hour; now += time.Second {
-		r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+		r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 	}
 	return r, now - time.Second
 }
 
-func call(key once.Key, now time.Duration) once.Call {
-	return once.Call{Account: "park", Key: key, Fingerprint: 1, Wall: epoch.Add(now)}
+func call(key idempotency.Key, now time.Duration) idempotency.Call {
+	return idempotency.Call{Account: "park", Key: key, Fingerprint: 1, WallTime: epoch.Add(now)}
 }
 
-func freshKey(now time.Duration) once.Key { return callerKey(ordered(epoch.Add(now), uint64(now))) }
+func freshKey(now time.Duration) idempotency.Key {
+	return callerKey(ordered(epoch.Add(now), uint64(now)))
+}
 
 // outcome tells a decision in one word.
-func outcome(d once.Decision) string {
+func outcome(d idempotency.Decision) string {
 	switch d.Action {
-	case once.Run:
+	case idempotency.Run:
 		return "run"
-	case once.Replay:
+	case idempotency.Replay:
 		return "replay"
-	case once.Forward:
+	case idempotency.Forward:
 		return "forward " + d.Owner.Address
 	default:
 		return string(d.Err.Kind) + " " + string(d.Err.Executed)
@@ -77,8 +79,8 @@
 
 var _ = Describe("a caller's key", func() {
 	DescribeTable("is read in its canonical form",
-		func(text string, kind once.KeyKind, id string) {
-			key, err := once.CallerKey(text)
+		func(text string, kind idempotency.KeyKind, id string) {
+			key, err := idempotency.CallerKey(text)
 			if kind == 0 {
 				Expect(failure.KindOf(err)).To(Equal(failure.KindKeyInvalid))
 				return
@@ -87,12 +89,12 @@
 			Expect(key.Kind).To(Equal(kind))
 			Expect(key.ID).To(Equal("c/" + id))
 		},
-		Entry(nil, "order-17", once.KeyOpaque, "order-17"),
-		Entry(nil, `"order-17"`, once.KeyOpaque, "order-17"),
-		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", once.KeyOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
-		Entry(nil, "0198f0a0-0000-4000-8000-00000000ABCD", once.KeyOpaque, "0198f0a0-0000-4000-8000-00000000abcd"),
-		Entry(nil, "", once.KeyKind(0), ""), Entry(nil, `""`, once.KeyKind(0), ""), Entry(nil, "a b", once.KeyKind(0), ""),
-		Entry(nil, "é", once.KeyKind(0), ""), Entry(nil, strings.Repeat("x", 256), once.KeyKind(0), ""),
+		Entry(nil, "order-17", idempotency.KeyOpaque, "order-17"),
+		Entry(nil, `"order-17"`, idempotency.KeyOpaque, "order-17"),
+		Entry(nil, "0198F0A0-0000-7000-8000-00000000ABCD", idempotency.KeyOrdered, "0198f0a0-0000-7000-8000-00000000abcd"),
+		Entry(nil, "0198f0a0-0000-4000-8000-00000000ABCD", idempotency.KeyOpaque, "0198f0a0-0000-4000-8000-00000000abcd"),
+		Entry(nil, "", idempotency.KeyKind(0), ""), Entry(nil, `""`, idempotency.KeyKind(0), ""), Entry(nil, "a b", idempotency.KeyKind(0), ""),
+		Entry(nil, "é", idempotency.KeyKind(0), ""), Entry(nil, strings.Repeat("x", 256), idempotency.KeyKind(0), ""),
 	)
 	It("carries its time when it is a UUIDv7", func() {
 		Expect(callerKey(ordered(epoch, 1)).Stamp.Equal(epoch)).To(BeTrue())
@@ -104,8 +106,8 @@
 	// its way, after its answer was lost, and after the target fell silent.
 	// Each time the second must not drive a crew out.
 	DescribeTable("answers a repeated call by what happened to the first",
-		func(act func(*once.Register, time.Duration, once.Key), want string) {
-			r, now := settled(once.Config{})
+		func(act func(*idempotency.Registry, time.Duration, idempotency.Key), want string) {
+			r, now := settled(idempotency.Config{})
 			key := freshKey(now)
 			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
 			act(r, now, key)
@@ -118,32 +120,38 @@
 			other.Account = "other park"
 			Expect(outcome(r.Begin(now, other))).To(Equal("run"), "accounts don't share keys")
 		},
-		Entry("queued", func(*once.Register, time.Duration, once.Key) {}, "in-progress unknown"),
-		Entry("refused in the queue", func(r *once.Register, _ time.Duration, k once.Key) { r.NotRun("park", k) }, "run"),
+		Entry("queued", func(*idempotency.Registry, time.Duration, idempotency.Key) {}, "in-progress unknown"),
+		Entry("refused in the queue", func(r *idempotency.Registry, _ time.Duration, k idempotency.Key) { r.MarkNotRun("park", k) }, "run"),
 		Entry("sent", send, "in-progress unknown"),
-		Entry("answered", func(r *once.Register, now time.Duration, k once.Key) {
+		Entry("answered", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
 			send(r, now, k)
-			r.Finish("park", k, &once.Answer{Status: 200, Body: []byte("booked")})
-			r.Lost("park", k)
-			r.NotRun("park", k)
+			r.MarkFinished("park", k, &idempotency.Answer{Status: 200, Body: []byte("booked")})
+			r.MarkLost("park", k)
+			r.MarkNotRun("park", k)
 		}, "replay"),
-		Entry("answered at length", func(r *once.Register, now time.Duration, k once.Key) {
+		Entry("answered at length", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
 			send(r, now, k)
-			r.Finish("park", k, &once.Answer{Body: make([]byte, once.DefaultMaxAnswer+1)})
+			r.MarkFinished("park", k, &idempotency.Answer{Body: make([]byte, idempotency.DefaultMaxAnswer+1)})
 		}, "outcome-unknown yes"),
-		Entry("sent, no answer", func(r *once.Register, now time.Duration, k once.Key) { send(r, now, k); r.Lost("park", k) }, "outcome-unknown unknown"),
-		Entry("the target did not run it", func(r *once.Register, now time.Duration, k once.Key) { send(r, now, k); r.NotRun("park", k) }, "run"),
+		Entry("sent, no answer", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
+			send(r, now, k)
+			r.MarkLost("park", k)
+		}, "outcome-unknown unknown"),
+		Entry("the target did not run it", func(r *idempotency.Registry, now time.Duration, k idempotency.Key) {
+			send(r, now, k)
+			r.MarkNotRun("park", k)
+		}, "run"),
 	)
 
 	It("checks a call once, and only one that was begun", func() {
-		r, now := settled(once.Config{})
+		r, now := settled(idempotency.Config{})
 		key := freshKey(now)
 		_, err := r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
 		r.Begin(now, call(key, now))
 		until, err := r.Check(now, "park", key)
 		Expect(err).To(BeNil())
-		Expect(until - now).To(BeNumerically(">=", once.DefaultMargin))
+		Expect(until - now).To(BeNumerically(">=", idempotency.DefaultMargin))
 		_, err = r.Check(now, "park", key)
 		Expect(err).NotTo(BeNil())
 		Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("in-progress unknown"), "the failed check forgets nothing")
@@ -152,37 +160,37 @@
 	// Clients book faster than keys expire, or with answers that are large. A
 	// record that forgot the oldest key would run that booking again.
 	It("refuses new keys when it is full rather than forget", func() {
-		r, now := settled(once.Config{MaxKeys: 3})
+		r, now := settled(idempotency.Config{MaxKeys: 3})
 		first := freshKey(now)
 		for i := range 3 {
 			key := freshKey(now + time.Duration(i)*time.Millisecond)
 			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
 			send(r, now, key)
-			r.Finish("park", key, &once.Answer{Body: make([]byte, 100)})
+			r.MarkFinished("park", key, &idempotency.Answer{Body: make([]byte, 100)})
 		}
 		Expect(r.Len()).To(Equal(3))
-		Expect(r.Bytes()).To(Equal(300))
+		Expect(r.AnswerBytes()).To(Equal(300))
 		d := r.Begin(now, call(callerKey("opaque"), now))
 		Expect(outcome(d)).To(Equal("overloaded no"))
-		Expect(d.Err.RetryAfter).To(BeNumerically("~", once.DefaultLife, 2*time.Second))
+		Expect(d.Err.RetryAfter).To(BeNumerically("~", idempotency.DefaultLife, 2*time.Second))
 		Expect(outcome(r.Begin(now, call(first, now)))).To(Equal("replay"))
 
-		bytes, now := settled(once.Config{MaxAnswerBytes: once.DefaultMaxAnswer})
+		bytes, now := settled(idempotency.Config{MaxAnswerBytes: idempotency.DefaultMaxAnswer})
 		Expect(outcome(bytes.Begin(now, call(freshKey(now), now)))).To(Equal("run"))
 		Expect(outcome(bytes.Begin(now, call(callerKey("x"), now)))).To(Equal("overloaded no"))
 	})
 
 	// A caller comes back hours later with a key whose record is gone.
 	It("refuses expired keys, and remembers opaque ones while there is room", func() {
-		r, now := settled(once.Config{MaxKeys: 2})
-		keys := map[string]once.Key{"ordered": freshKey(now), "opaque": callerKey("order-17")}
+		r, now := settled(idempotency.Config{MaxKeys: 2})
+		keys := map[string]idempotency.Key{"ordered": freshKey(now), "opaque": callerKey("order-17")}
 		for _, key := range keys {
 			r.Begin(now, call(key, now))
 			send(r, now, key)
-			r.Finish("park", key, &once.Answer{})
+			r.MarkFinished("park", key, &idempotency.Answer{})
 		}
 		for end := now + 20*time.Minute; now < end; now += time.Second {
-			r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+			r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 		}
 		for name, key := range keys {
 			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("idempotency-key-expired unknown"), name)
@@ -195,7 +203,7 @@
 	})
 
 	It("keeps a call that is on its way past its key's life", func() {
-		r, now := settled(once.Config{})
+		r, now := settled(idempotency.Config{})
 		key := callerKey("slow")
 		r.Begin(now, call(key, now))
 		send(r, now, key)
@@ -204,60 +212,62 @@
 	})
 })
 
-func send(r *once.Register, now time.Duration, key once.Key) {
+func send(r *idempotency.Registry, now time.Duration, key idempotency.Key) {
 	_, err := r.Check(now, "park", key)
 	Expect(err).To(BeNil())
 }
 
 var _ = Describe("a minted key", func() {
-	key := func(owner once.Process, at time.Duration) once.Key { return once.MintedKey("1", owner, at) }
+	key := func(owner idempotency.Process, at time.Duration) idempotency.Key {
+		return idempotency.MintedKey("1", owner, at)
+	}
 
 	// The call reaches the wrong entry, a process that was restarted, or comes
 	// after the key's life. Only the very process that made it may ever run it,
 	// whatever lists and clocks say.
 	DescribeTable("runs only in the process that made it",
-		func(owner once.Process, forwarded bool, want string) {
-			r := once.New(once.Config{Self: self}) // no host list at all
+		func(owner idempotency.Process, forwarded bool, want string) {
+			r := idempotency.New(idempotency.Config{Self: self}) // no host list at all
 			c := call(key(owner, time.Minute), 2*time.Minute)
 			c.Forwarded = forwarded
 			Expect(outcome(r.Begin(2*time.Minute, c))).To(Equal(want))
 		},
 		Entry("here", self, false, "run"),
 		Entry("here, forwarded", self, true, "run"),
-		Entry("elsewhere", once.Process{Address: "b", Incarnation: 1}, false, "forward b"),
-		Entry("elsewhere, forwarded", once.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
-		Entry("an earlier process here", once.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
+		Entry("elsewhere", idempotency.Process{Address: "b", Incarnation: 1}, false, "forward b"),
+		Entry("elsewhere, forwarded", idempotency.Process{Address: "b", Incarnation: 1}, true, "idempotency-owner-lost unknown"),
+		Entry("an earlier process here", idempotency.Process{Address: "a", Incarnation: 6}, false, "idempotency-owner-lost unknown"),
 	)
 	It("ends", func() {
-		r := once.New(once.Config{Self: self})
+		r := idempotency.New(idempotency.Config{Self: self})
 		k := key(self, 0)
 		Expect(outcome(r.Begin(0, call(k, 0)))).To(Equal("run"))
 		send(r, 0, k)
-		r.Finish("park", k, &once.Answer{})
+		r.MarkFinished("park", k, &idempotency.Answer{})
 		Expect(outcome(r.Begin(time.Minute, call(k, 0)))).To(Equal("replay"))
 		Expect(outcome(r.Begin(time.Hour, call(k, 0)))).To(Equal("idempotency-key-expired unknown"))
 		Expect(r.NextSequence()).To(BeNumerically("<", r.NextSequence()))
-		Expect(once.OwnerUnreachable(fmt.Errorf("refused")).Executed).To(Equal(failure.ExecutedUnknown))
+		Expect(idempotency.OwnerUnreachable(fmt.Errorf("refused")).Executed).To(Equal(failure.ExecutedUnknown))
 	})
 })
 
 var _ = Describe("ownership of callers' keys", func() {
 	type change struct {
 		at   time.Duration // after the settled hour
-		list once.HostList
+		list idempotency.HostList
 	}
-	confirm := func(revision uint64, hosts ...string) once.HostList {
-		return once.HostList{Revision: revision, Live: hosts}
+	confirm := func(revision uint64, hosts ...string) idempotency.HostList {
+		return idempotency.HostList{Revision: revision, LiveHosts: hosts}
 	}
 	// Hosts come and go, the list is late, the service stops answering or is
 	// restored to an older state. A booking may have run at another entry
 	// meanwhile; who can't know must say so instead of running it.
 	DescribeTable("vouches only for what it can know",
 		func(changes []change, opaque bool, keyAge, after time.Duration, want string) {
-			r, start := settled(once.Config{})
+			r, start := settled(idempotency.Config{})
 			for _, c := range changes {
-				c.list.Confirmed = start + c.at
-				r.SetHosts(start+c.at, c.list)
+				c.list.ConfirmedAt = start + c.at
+				r.ConfirmHosts(start+c.at, c.list)
 			}
 			now := start + after
 			// Number 3 is a key that c would own, and that e would not.
@@ -288,10 +298,10 @@
 	)
 
 	It("says when an opaque key can be vouched for", func() {
-		r := once.New(once.Config{Self: self})
-		r.SetHosts(0, once.HostList{Revision: 1, Live: []string{"a"}})
+		r := idempotency.New(idempotency.Config{Self: self})
+		r.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}})
 		d := r.Begin(time.Second, call(callerKey("x"), time.Second))
-		want := once.DefaultLife + once.DefaultFreshness + once.DefaultMargin - time.Second
+		want := idempotency.DefaultLife + idempotency.DefaultFreshness + idempotency.DefaultMargin - time.Second
 		Expect(d.Err.RetryAfter).To(Equal(want))
 		Expect(r.Owner("park", callerKey("x"))).To(Equal("a"))
 	})
@@ -300,30 +310,30 @@
 	// other side forwards a call and names its newer revision: from then on
 	// this entry's list is worth nothing until it catches up.
 	It("stops vouching when a peer has a newer list", func() {
-		r, now := settled(once.Config{})
+		r, now := settled(idempotency.Config{})
 		c := call(freshKey(now), now)
 		c.Forwarded, c.HostsRevision = true, 9
 		Expect(outcome(r.Begin(now, c))).To(Equal("idempotency-key-unvouched unknown"))
 		now += time.Second
-		r.SetHosts(now, once.HostList{Revision: 1, Live: []string{"a"}, Confirmed: now})
+		r.ConfirmHosts(now, idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}, ConfirmedAt: now})
 		Expect(outcome(r.Begin(now, call(freshKey(now), now)))).To(Equal("idempotency-key-unvouched unknown"), "its ownership began anew")
-		caught, now := settled(once.Config{})
-		caught.Heard(now, 2)
-		caught.SetHosts(now+1, once.HostList{Revision: 2, Live: []string{"a"}, Confirmed: now + 1})
+		caught, now := settled(idempotency.Config{})
+		caught.ObservePeerRevision(now, 2)
+		caught.ConfirmHosts(now+1, idempotency.HostList{Revision: 2, LiveHosts: []string{"a"}, ConfirmedAt: now + 1})
 		Expect(outcome(caught.Begin(now+1, call(callerKey("y"), now)))).To(Equal("run"), "a list that was merely late breaks nothing")
 	})
 
 	// The process sleeps between accepting and sending; meanwhile the key was
 	// another's, or the list was not confirmed any more.
 	DescribeTable("is checked again right before the first byte",
-		func(sleep time.Duration, lists ...once.HostList) {
-			r, now := settled(once.Config{})
+		func(sleep time.Duration, lists ...idempotency.HostList) {
+			r, now := settled(idempotency.Config{})
 			key := freshKey(now)
 			Expect(outcome(r.Begin(now, call(key, now)))).To(Equal("run"))
 			for _, list := range lists {
 				now += sleep
-				list.Confirmed = now
-				r.SetHosts(now, list)
+				list.ConfirmedAt = now
+				r.ConfirmHosts(now, list)
 			}
 			if len(lists) == 0 {
 				now += sleep
@@ -339,9 +349,9 @@
 
 	It("moves only the keys of the host that changed, and evenly", func() {
 		hosts := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-		before, after := once.New(once.Config{Self: self}), once.New(once.Config{Self: self})
-		before.SetHosts(0, once.HostList{Revision: 1, Live: hosts})
-		after.SetHosts(0, once.HostList{Revision: 1, Live: hosts[:7]})
+		before, after := idempotency.New(idempotency.Config{Self: self}), idempotency.New(idempotency.Config{Self: self})
+		before.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: hosts})
+		after.ConfirmHosts(0, idempotency.HostList{Revision: 1, LiveHosts: hosts[:7]})
 		owned := map[string]int{}
 		for i := range 8000 {
 			key := callerKey(fmt.Sprint(i))
@@ -357,7 +367,7 @@
 	})
 
 	It("counts a confirmation from the time of its request, by clocks that differ", func() {
-		cfg := once.Config{ClockError: 500 * time.Millisecond}
+		cfg := idempotency.Config{ClockError: 500 * time.Millisecond}
 		Expect(cfg.ConfirmedAt(time.Minute, epoch.Add(2*time.Second), epoch)).To(Equal(time.Minute - 2500*time.Millisecond))
 		Expect(cfg.ConfirmedAt(time.Minute, epoch, epoch.Add(time.Hour))).To(Equal(time.Minute - 500*time.Millisecond))
 	})
@@ -366,16 +376,16 @@
 func BenchmarkBegin(b *testing.B) {
 	for _, hosts := range []int{8, 3300} {
 		b.Run(fmt.Sprint(hosts, " hosts"), func(b *testing.B) {
-			r := once.New(once.Config{Self: self})
-			list := once.HostList{Revision: 1, Live: []string{"a"}}
+			r := idempotency.New(idempotency.Config{Self: self})
+			list := idempotency.HostList{Revision: 1, LiveHosts: []string{"a"}}
 			for i := range hosts - 1 {
-				list.Live = append(list.Live, fmt.Sprint("10.0.0.1:", i))
+				list.LiveHosts = append(list.LiveHosts, fmt.Sprint("10.0.0.1:", i))
 			}
-			r.SetHosts(0, list)
-			key, _ := once.CallerKey("x")
+			r.ConfirmHosts(0, list)
+			key, _ := idempotency.CallerKey("x")
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Begin(time.Second, once.Call{Account: "park", Key: key})
+				r.Begin(time.Second, idempotency.Call{Account: "park", Key: key})
 			}
 		})
 	}
--- a/internal/decide/once/key.go
+++ b/internal/decide/idempotency/key.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"strings"
--- a/internal/decide/once/schedule_test.go
+++ b/internal/decide/idempotency/schedule_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 )
 
@@ -19,7 +19,7 @@
 // differ by at most ClockError, the service answers with a state that was in
 // force after the request was sent, a pause between the last check and the
 // write is shorter than Margin, and opaque keys are used for OpaqueWindow.
-var scheduleConfig = once.Config{
+var scheduleConfig = idempotency.Config{
 	Freshness: 30 * time.Millisecond, Margin: 20 * time.Millisecond, ClockError: 6 * time.Millisecond,
 	AheadLimit: 20 * time.Millisecond, OrderedLife: 400 * time.Millisecond,
 	OpaqueWindow: 150 * time.Millisecond, MintedLife: 400 * time.Millisecond, MaxKeys: 64,
@@ -32,17 +32,17 @@
 }
 
 type simEntry struct {
-	self    once.Process
+	self    idempotency.Process
 	started time.Duration
 	skew    time.Duration
-	reg     *once.Register
+	reg     *idempotency.Registry
 	tries   []attempt
 	asked   bool // a confirmation is on its way
-	answer  once.HostList
+	answer  idempotency.HostList
 }
 
 type simKey struct {
-	key   once.Key
+	key   idempotency.Key
 	first time.Duration // the caller's first try, for opaque keys
 	used  bool
 	runs  int
@@ -81,11 +81,11 @@
 func (w *world) restart(i int) {
 	e := w.entries[i]
 	cfg := scheduleConfig
-	cfg.Self = once.Process{Address: fmt.Sprint("e", i), Incarnation: e.self.Incarnation + 1}
+	cfg.Self = idempotency.Process{Address: fmt.Sprint("e", i), Incarnation: e.self.Incarnation + 1}
 	if !w.vouching {
 		cfg.Freshness, cfg.Margin, cfg.AheadLimit, cfg.ClockError = time.Hour, -time.Hour-time.Second, 1, 1
 	}
-	*e = simEntry{self: cfg.Self, started: w.now, skew: e.skew, reg: once.New(cfg)}
+	*e = simEntry{self: cfg.Self, started: w.now, skew: e.skew, reg: idempotency.New(cfg)}
 }
 
 func (w *world) list() listState { return w.history[len(w.history)-1] }
@@ -101,11 +101,11 @@
 		w.change(a)
 	case 3, 4, 5:
 		e.asked = true
-		e.answer = once.HostList{Revision: w.list().revision, Live: w.list().live, Confirmed: w.now - e.started}
+		e.answer = idempotency.HostList{Revision: w.list().revision, LiveHosts: w.list().live, ConfirmedAt: w.now - e.started}
 	case 6, 7, 8:
 		if e.asked {
 			e.asked = false
-			e.reg.SetHosts(w.now-e.started, e.answer)
+			e.reg.ConfirmHosts(w.now-e.started, e.answer)
 		}
 	case 9, 10:
 		w.use(e, int(a)/8)
@@ -143,17 +143,17 @@
 }
 
 func (w *world) newKey(a byte) {
-	var key once.Key
+	var key idempotency.Key
 	n := len(w.keys)
 	switch a % 3 {
 	case 0: // the caller's clock is off by up to a tenth of a second
 		stamp := epoch.Add(w.now + time.Duration(int(a)-128)*time.Millisecond)
-		key, _ = once.CallerKey(ordered(stamp, uint64(n)))
+		key, _ = idempotency.CallerKey(ordered(stamp, uint64(n)))
 	case 1:
-		key, _ = once.CallerKey(fmt.Sprint("opaque-", n))
+		key, _ = idempotency.CallerKey(fmt.Sprint("opaque-", n))
 	default:
 		e := w.entries[int(a)/3%len(w.entries)]
-		key = once.MintedKey(fmt.Sprint(n), e.self, w.now-e.started)
+		key = idempotency.MintedKey(fmt.Sprint(n), e.self, w.now-e.started)
 	}
 	w.keys = append(w.keys, &simKey{key: key})
 }
@@ -167,21 +167,21 @@
 	if !k.used {
 		k.used, k.first = true, w.now
 	}
-	if k.key.Kind == once.KeyOpaque && w.now-k.first > scheduleConfig.OpaqueWindow {
+	if k.key.Kind == idempotency.KeyOpaque && w.now-k.first > scheduleConfig.OpaqueWindow {
 		return
 	}
-	d := w.begin(e, k, once.Call{})
-	if d.Action == once.Forward {
+	d := w.begin(e, k, idempotency.Call{})
+	if d.Action == idempotency.Forward {
 		for _, owner := range w.entries {
 			if owner.self.Address != d.Owner.Address {
 				continue
 			}
-			d = w.begin(owner, k, once.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
+			d = w.begin(owner, k, idempotency.Call{Forwarded: true, Incarnation: d.Owner.Incarnation})
 			e = owner
 			break
 		}
 	}
-	if d.Action == once.Run {
+	if d.Action == idempotency.Run {
 		e.tries = append(e.tries, attempt{key: n})
 	}
 	w.compare(k, d)
@@ -190,13 +190,13 @@
 // compare sets a decision against that of a single process that never dies and
 // knows all: it runs a new key, repeats an answer, and says no only of a key
 // that did not run.
-func (w *world) compare(k *simKey, d once.Decision) {
+func (w *world) compare(k *simKey, d idempotency.Decision) {
 	switch {
-	case d.Action == once.Replay && k.runs == 0:
+	case d.Action == idempotency.Replay && k.runs == 0:
 		w.wrong = append(w.wrong, "an answer to a call that never ran: "+k.key.ID)
-	case d.Action == once.Refuse && d.Err.Executed == failure.ExecutedNo && k.runs > 0:
+	case d.Action == idempotency.Refuse && d.Err.Executed == failure.ExecutedNo && k.runs > 0:
 		w.wrong = append(w.wrong, "no to a call that ran: "+k.key.ID)
-	case d.Action == once.Refuse:
+	case d.Action == idempotency.Refuse:
 		w.refused[d.Err.Kind]++
 	}
 }
@@ -208,8 +208,8 @@
 	failure.KindKeyExpired, failure.KindKeyInvalid, failure.KindOverloaded,
 }
 
-func (w *world) begin(e *simEntry, k *simKey, call once.Call) once.Decision {
-	call.Account, call.Key, call.Wall = "a", k.key, epoch.Add(w.now+e.skew)
+func (w *world) begin(e *simEntry, k *simKey, call idempotency.Call) idempotency.Decision {
+	call.Account, call.Key, call.WallTime = "a", k.key, epoch.Add(w.now+e.skew)
 	return e.reg.Begin(w.now-e.started, call)
 }
 
@@ -222,7 +222,7 @@
 		return
 	}
 	if _, err := e.reg.Check(w.now-e.started, "a", w.keys[t.key].key); err != nil {
-		e.reg.NotRun("a", w.keys[t.key].key)
+		e.reg.MarkNotRun("a", w.keys[t.key].key)
 		e.tries = append(e.tries[:n%len(e.tries)], e.tries[n%len(e.tries)+1:]...)
 		return
 	}
@@ -238,18 +238,18 @@
 	e.tries = append(e.tries[:n], e.tries[n+1:]...)
 	key := w.keys[t.key]
 	if w.now-t.at >= scheduleConfig.Margin {
-		e.reg.Lost("a", key.key)
+		e.reg.MarkLost("a", key.key)
 		return
 	}
 	switch a % 4 {
 	case 0:
-		e.reg.NotRun("a", key.key) // the target said so, and ran nothing
+		e.reg.MarkNotRun("a", key.key) // the target said so, and ran nothing
 	case 1:
 		key.runs++
-		e.reg.Lost("a", key.key)
+		e.reg.MarkLost("a", key.key)
 	default:
 		key.runs++
-		e.reg.Finish("a", key.key, &once.Answer{Status: 200})
+		e.reg.MarkFinished("a", key.key, &idempotency.Answer{Status: 200})
 	}
 }
 
@@ -265,7 +265,7 @@
 
 // runs counts the keys that ran, by kind, so that a register which refuses all
 // does not pass for a safe one.
-func (w *world) ran(into map[once.KeyKind]int) {
+func (w *world) ran(into map[idempotency.KeyKind]int) {
 	for _, k := range w.keys {
 		if k.runs > 0 {
 			into[k.key.Kind]++
@@ -333,7 +333,7 @@
 	// that reaches them. The same schedules must show that, or they could not
 	// show anything.
 	It("run each key at most once, where the naive version runs some twice", func() {
-		ran := map[once.KeyKind]int{}
+		ran := map[idempotency.KeyKind]int{}
 		naive := 0
 		refused := map[failure.Kind]int{}
 		for seed := range uint64(1000) {
@@ -351,7 +351,7 @@
 			}
 		}
 		Expect(naive).To(BeNumerically(">", 100))
-		for _, kind := range []once.KeyKind{once.KeyMinted, once.KeyOrdered, once.KeyOpaque} {
+		for _, kind := range []idempotency.KeyKind{idempotency.KeyMinted, idempotency.KeyOrdered, idempotency.KeyOpaque} {
 			Expect(ran[kind]).To(BeNumerically(">", 100), "kind %d", kind)
 		}
 		AddReportEntry("schedules", fmt.Sprintf("ran %v, naive broke %d of 1000, refused %v", ran, naive, refused))
--- a/internal/decide/once/vouch.go
+++ b/internal/decide/idempotency/vouch.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 type lifetime struct{ first, expires time.Duration }
 
 // mayRun decides whether this process, the key's owner, may run a new key.
-func (r *Register) mayRun(now time.Duration, call Call, id string) (lifetime, *failure.Error) {
+func (r *Registry) mayRun(now time.Duration, call Call, id string) (lifetime, *failure.Error) {
 	switch call.Key.Kind {
 	case KeyMinted:
 		return r.mayRunMinted(now, call.Key)
@@ -21,7 +21,7 @@
 	}
 }
 
-func (r *Register) mayRunMinted(now time.Duration, key Key) (lifetime, *failure.Error) {
+func (r *Registry) mayRunMinted(now time.Duration, key Key) (lifetime, *failure.Error) {
 	expires := key.MintedAt + r.cfg.MintedLife
 	if now >= expires {
 		return lifetime{}, failure.New(failure.KindKeyExpired, "the key's life is over").Unknown()
@@ -29,8 +29,8 @@
 	return lifetime{first: key.MintedAt, expires: expires}, nil
 }
 
-func (r *Register) mayRunOrdered(now time.Duration, call Call, id string) (lifetime, *failure.Error) {
-	age := call.Wall.Sub(call.Key.Stamp)
+func (r *Registry) mayRunOrdered(now time.Duration, call Call, id string) (lifetime, *failure.Error) {
+	age := call.WallTime.Sub(call.Key.Stamp)
 	if age < -r.cfg.AheadLimit {
 		return lifetime{}, failure.New(failure.KindKeyInvalid, "the key's time lies in the future").Unknown()
 	}
@@ -50,7 +50,7 @@
 	return life, err
 }
 
-func (r *Register) mayRunOpaque(now time.Duration, id string) (lifetime, *failure.Error) {
+func (r *Registry) mayRunOpaque(now time.Duration, id string) (lifetime, *failure.Error) {
 	life := lifetime{first: now - r.cfg.OpaqueWindow, expires: now + r.cfg.OpaqueWindow}
 	ready, err := r.vouch(now, id)
 	if err == nil && life.first < ready {
@@ -62,7 +62,7 @@
 // vouch gives the time from which on this process can vouch for the key: it
 // has owned it without a break, and earlier owners have stopped. It fails
 // while the host list is not confirmed.
-func (r *Register) vouch(now time.Duration, id string) (ready time.Duration, err *failure.Error) {
+func (r *Registry) vouch(now time.Duration, id string) (ready time.Duration, err *failure.Error) {
 	since, ok := r.owners.since(hashOf(id))
 	if !ok {
 		return 0, unvouched("this entry is not the key's owner").After(r.cfg.Freshness)
@@ -78,7 +78,7 @@
 
 // room makes place for one more key, or refuses: forgetting a live key would
 // let it run a second time.
-func (r *Register) room(now time.Duration) *failure.Error {
+func (r *Registry) room(now time.Duration) *failure.Error {
 	full := func() bool {
 		return len(r.records) >= r.cfg.MaxKeys || r.bytes+r.cfg.MaxAnswer > r.cfg.MaxAnswerBytes
 	}
--- a/internal/decide/membership/core.go
+++ b/internal/decide/membership/core.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Core is the membership state machine of one process. It is not safe for
+// Node is the membership state machine of one process. It is not safe for
 // concurrent use.
-type Core struct {
+type Node struct {
 	cfg  Config
 	self Member
 	rng  *rand.Rand
@@ -73,9 +73,9 @@
 type digestPair struct{ local, remote uint64 }
 
 // New returns a state machine that knows only its own process.
-func New(cfg Config) *Core {
+func New(cfg Config) *Node {
 	cfg = cfg.withDefaults()
-	c := &Core{
+	c := &Node{
 		cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, hash("seed", cfg.Self.Address))),
 		records: map[string]*record{}, broadcasts: map[string]*broadcast{},
 		probes: map[uint64]*probe{}, peerDigests: map[string]digestPair{}, viewStale: true,
@@ -87,24 +87,24 @@
 }
 
 // Self returns this process's own entry, as sent to peers.
-func (c *Core) Self() Member { return c.self }
+func (c *Node) Self() Member { return c.self }
 
 // Digest returns the digest of the confirmed members that are alive or suspect.
-func (c *Core) Digest() uint64 { return c.digest }
+func (c *Node) Digest() uint64 { return c.digest }
 
 // View returns the member list as of the last tick.
-func (c *Core) View() *View {
+func (c *Node) View() *View {
 	if c.view == nil {
 		c.refreshView()
 	}
 	return c.view
 }
 
-// Published takes the platform's list of hosts, or the seed addresses from the
+// SetPublishedPeers takes the platform's list of hosts, or the seed addresses from the
 // settings at startup. It adds a record for each listed peer, which is then
 // probed. The list alone neither makes a member alive nor removes a confirmed
 // one.
-func (c *Core) Published(now time.Duration, peers []Peer) {
+func (c *Node) SetPublishedPeers(now time.Duration, peers []Peer) {
 	listed := make(map[string]Peer, len(peers))
 	for _, p := range peers {
 		if p.Address == c.self.Address {
@@ -132,7 +132,7 @@
 
 // Leave marks this process as stopped by plan and returns the messages that
 // announce it to the neighbours.
-func (c *Core) Leave() []Action {
+func (c *Node) Leave() []Action {
 	c.digest -= hashMember(c.self)
 	c.self.State = Left
 	c.queueBroadcast(c.self)
@@ -145,26 +145,26 @@
 
 // Merge applies the member updates that came with a message, and queues those
 // that are new for broadcast.
-func (c *Core) Merge(now time.Duration, members []Member) {
+func (c *Node) Merge(now time.Duration, members []Member) {
 	for _, m := range members {
 		c.applyUpdate(now, m, true)
 	}
 }
 
-// Sync applies a peer's full member list. Its updates are not queued for
+// MergeFullList applies a peer's full member list. Its updates are not queued for
 // broadcast: this process lacked them, but the rest of the fleet need not.
 // Otherwise a process that joins 3,300 others would fill its messages with them
 // for half an hour. If a whole side of a partition lacks them, the other
 // processes on that side find the difference by comparing digests.
-func (c *Core) Sync(now time.Duration, members []Member) {
+func (c *Node) MergeFullList(now time.Duration, members []Member) {
 	for _, m := range members {
 		c.applyUpdate(now, m, false)
 	}
 }
 
-// All returns this process and all confirmed members, the recently dead
+// FullList returns this process and all confirmed members, the recently dead
 // included, for an exchange of full lists.
-func (c *Core) All() []Member {
+func (c *Node) FullList() []Member {
 	out := []Member{c.self}
 	for _, r := range c.records {
 		if r.confirmed {
@@ -176,7 +176,7 @@
 
 // applyUpdate applies a member's state and, if propagate is set, queues a
 // change for broadcast.
-func (c *Core) applyUpdate(now time.Duration, m Member, propagate bool) {
+func (c *Node) applyUpdate(now time.Duration, m Member, propagate bool) {
 	if m.Address == "" || m.Incarnation == 0 || m.Incarnation >= maxIncarnation || m.State < Alive || m.State > Left {
 		return
 	}
@@ -206,7 +206,7 @@
 }
 
 // replaceMember replaces the state that a record holds.
-func (c *Core) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
+func (c *Node) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
 	// A member that goes or comes back changes ownership, so its update is
 	// pushed at once. A member that joins owns nothing yet, so its update can
 	// wait for the next probe.
@@ -224,7 +224,7 @@
 	c.recordChanged(now, r, propagate)
 }
 
-func (c *Core) recordChanged(now time.Duration, r *record, propagate bool) {
+func (c *Node) recordChanged(now time.Duration, r *record, propagate bool) {
 	switch r.State {
 	case Suspect:
 		r.expiresAt = now + c.suspicionTimeout()
@@ -240,7 +240,7 @@
 // refute raises this process's incarnation above that of a peer's newer entry
 // for it. A process that was paused, or that replaced another at the same
 // address, would otherwise stay dead to the fleet while it runs.
-func (c *Core) refute(m Member) {
+func (c *Node) refute(m Member) {
 	if c.self.State == Left || !m.supersedes(c.self) {
 		return
 	}
@@ -253,19 +253,19 @@
 
 // suspicionTimeout is the time in which a suspect may refute. It grows with the
 // logarithm of the fleet size.
-func (c *Core) suspicionTimeout() time.Duration {
+func (c *Node) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(c.records)+1)))
 	return time.Duration(scale * float64(c.cfg.SuspicionTimeout))
 }
 
-func (c *Core) addRecord(m Member) *record {
-	r := &record{Member: m, ringHashes: ringHashes(m.Address, c.cfg.Rings)}
+func (c *Node) addRecord(m Member) *record {
+	r := &record{Member: m, ringHashes: ringHashes(m.Address, c.cfg.RingCount)}
 	c.records[m.Address] = r
 	c.viewStale = true
 	return r
 }
 
-func (c *Core) removeRecord(address string) {
+func (c *Node) removeRecord(address string) {
 	if r := c.records[address]; r != nil && r.inDigest() {
 		c.digest -= hashMember(r.Member)
 	}
--- a/internal/decide/membership/gossip.go
+++ b/internal/decide/membership/gossip.go
@@ -9,12 +9,12 @@
 )
 
 // queueBroadcast queues a member's state for sending to peers.
-func (c *Core) queueBroadcast(m Member) { c.broadcasts[m.Address] = &broadcast{Member: m} }
+func (c *Node) queueBroadcast(m Member) { c.broadcasts[m.Address] = &broadcast{Member: m} }
 
 // selectUpdates returns the updates for one message, the least transmitted
 // first. The entry of the receiver itself is always included when it is not
 // alive, so that the receiver can refute it.
-func (c *Core) selectUpdates(to string) []Member {
+func (c *Node) selectUpdates(to string) []Member {
 	limit := c.transmitLimit()
 	pending := make([]*broadcast, 0, len(c.broadcasts))
 	for address, b := range c.broadcasts {
@@ -44,12 +44,12 @@
 	return out
 }
 
-func (c *Core) transmitLimit() int {
+func (c *Node) transmitLimit() int {
 	return transmitMultiplier * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
 }
 
 // refreshView rebuilds the neighbours and the view after a change.
-func (c *Core) refreshView() {
+func (c *Node) refreshView() {
 	if !c.viewStale && c.view != nil {
 		return
 	}
@@ -74,11 +74,11 @@
 }
 
 // pickNeighbours returns this process's successor on each ring.
-func (c *Core) pickNeighbours() []string {
-	own := ringHashes(c.self.Address, c.cfg.Rings)
+func (c *Node) pickNeighbours() []string {
+	own := ringHashes(c.self.Address, c.cfg.RingCount)
 	anyMember := func(string, *record) bool { return true }
 	picked := map[string]bool{}
-	for ring := range c.cfg.Rings {
+	for ring := range c.cfg.RingCount {
 		// The unsigned difference wraps around at the end of the ring.
 		if s := c.nearest(func(r *record) uint64 { return r.ringHashes[ring] - own[ring] }, anyMember); s != "" {
 			picked[s] = true
@@ -92,7 +92,7 @@
 // process's nor the target's. When two data centres lose the link between them,
 // relays in either of them can't help, and healthy members would be declared
 // dead.
-func (c *Core) relaysTo(target string) []string {
+func (c *Node) relaysTo(target string) []string {
 	targetRecord := c.records[target]
 	inThirdDataCentre := func(r *record) bool {
 		return r.DataCentre != c.self.DataCentre && r.DataCentre != targetRecord.DataCentre
@@ -104,8 +104,8 @@
 
 // appendPredecessors appends to out the processes that precede the target on a
 // ring and that accept allows, until out has limit elements.
-func (c *Core) appendPredecessors(out []string, targetRecord *record, target string, limit int, accept func(*record) bool) []string {
-	for ring := range c.cfg.Rings {
+func (c *Node) appendPredecessors(out []string, targetRecord *record, target string, limit int, accept func(*record) bool) []string {
+	for ring := range c.cfg.RingCount {
 		if len(out) >= limit {
 			break
 		}
@@ -121,7 +121,7 @@
 
 // nearest returns the member at the smallest distance that is not gone and that
 // accept allows.
-func (c *Core) nearest(distance func(*record) uint64, accept func(string, *record) bool) string {
+func (c *Node) nearest(distance func(*record) uint64, accept func(string, *record) bool) string {
 	best, bestDistance := "", uint64(math.MaxUint64)
 	for address, r := range c.records {
 		if r.isGone() || !accept(address, r) {
--- a/internal/decide/membership/graph_test.go
+++ b/internal/decide/membership/graph_test.go
@@ -84,7 +84,7 @@
 		links := undirectedGraph(40, 6)
 		for i, n := range f.nodes {
 			for _, a := range n.View().Neighbours {
-				Expect(links[i]).To(ContainElement(slices.IndexFunc(f.nodes, func(m *membership.Core) bool { return m.Self().Address == a })))
+				Expect(links[i]).To(ContainElement(slices.IndexFunc(f.nodes, func(m *membership.Node) bool { return m.Self().Address == a })))
 			}
 		}
 	})
@@ -138,7 +138,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			c := newNode(0, 1)
-			c.Published(0, peers(n))
+			c.SetPublishedPeers(0, peers(n))
 			for i := range n {
 				c.Merge(0, []membership.Member{{Address: address(i), Incarnation: 1, DataCentre: dataCentre(i)}})
 			}
@@ -149,7 +149,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += tickInterval
 				k := 1 + i%(n-1)
-				c.Receive(now, membership.Member{Address: address(k), Incarnation: uint64(2 + i), DataCentre: dataCentre(k)}, nil)
+				c.HandleProbe(now, membership.Member{Address: address(k), Incarnation: uint64(2 + i), DataCentre: dataCentre(k)}, nil)
 				c.Tick(now)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "KB")
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -28,7 +28,7 @@
 // or not at all if linkBroken says so.
 type fleet struct {
 	now   time.Duration
-	nodes []*membership.Core
+	nodes []*membership.Node
 	// down holds the nodes that neither tick nor answer.
 	down           map[string]bool
 	linkBroken     func(a, b string) bool
@@ -50,7 +50,7 @@
 	return out
 }
 
-func newNode(i int, incarnation uint64) *membership.Core {
+func newNode(i int, incarnation uint64) *membership.Node {
 	return membership.New(membership.Config{Seed: uint64(i), Self: membership.Member{
 		Address: address(i), Incarnation: incarnation, DataCentre: dataCentre(i)}})
 }
@@ -60,13 +60,13 @@
 	f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 	for i := range n {
 		c := newNode(i, 1000)
-		c.Published(0, peers(n))
+		c.SetPublishedPeers(0, peers(n))
 		f.nodes = append(f.nodes, c)
 	}
 	return f
 }
 
-func (f *fleet) nodeAt(address string) *membership.Core {
+func (f *fleet) nodeAt(address string) *membership.Node {
 	if f.indexByAddress == nil {
 		f.indexByAddress = map[string]int{}
 		for i, n := range f.nodes {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (f *fleet) execute(n *membership.Core, actions []membership.Action) {
+func (f *fleet) execute(n *membership.Node, actions []membership.Action) {
 	self := n.Self().Address
 	for _, a := range actions {
 		f.sentMessages++
@@ -99,19 +99,19 @@
 		peer := f.nodeAt(a.To)
 		switch a.Kind {
 		case membership.ActionProbe:
-			reply := peer.Receive(f.now, n.Self(), a.Updates)
+			reply := peer.HandleProbe(f.now, n.Self(), a.Updates)
 			f.sentMessages++
 			f.sentMembers += len(reply)
-			n.Acked(f.now, a.Probe, peer.Self(), reply, peer.Digest())
-		case membership.ActionProbeVia:
+			n.HandleProbeAck(f.now, a.ProbeID, peer.Self(), reply, peer.Digest())
+		case membership.ActionIndirectProbe:
 			if f.connected(a.To, a.Target) {
-				n.ViaReached(a.Probe)
+				n.HandleIndirectProbeAck(a.ProbeID)
 			}
 		case membership.ActionSync:
 			f.syncs++
-			localMembers := n.All()
-			n.Sync(f.now, peer.All())
-			peer.Sync(f.now, localMembers)
+			localMembers := n.FullList()
+			n.MergeFullList(f.now, peer.FullList())
+			peer.MergeFullList(f.now, localMembers)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 }
 
 // stateOf returns the state of a member in n's view.
-func stateOf(n *membership.Core, address string) string {
+func stateOf(n *membership.Node, address string) string {
 	for _, m := range n.View().Members {
 		if m.Address == address {
 			return m.State.String()
@@ -188,7 +188,7 @@
 		f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 		for i := range 16 {
 			c := newNode(i, 1000)
-			c.Published(0, peers(1))
+			c.SetPublishedPeers(0, peers(1))
 			f.nodes = append(f.nodes, c)
 		}
 		f.runUntil(30*time.Second, f.allSeeAllAlive)
@@ -203,7 +203,7 @@
 		f := newFleet(0)
 		for i := range hosts {
 			c := newNode(i, 1000)
-			c.Published(0, []membership.Peer{{Address: address(0)}, {Address: address(70)}, {Address: address(140)}})
+			c.SetPublishedPeers(0, []membership.Peer{{Address: address(0)}, {Address: address(70)}, {Address: address(140)}})
 			f.nodes = append(f.nodes, c)
 		}
 		Expect(f.runUntil(time.Minute, f.allSeeAllAlive)).To(BeNumerically("<=", timeLimit))
@@ -217,10 +217,10 @@
 		f.down[address(5)] = true
 		Expect(f.runUntil(20*time.Second, func() bool { return f.allSee(address(5), "dead") })).To(BeNumerically(">", 2*time.Second))
 		for _, n := range f.nodes {
-			n.Published(f.now, peers(32))
+			n.SetPublishedPeers(f.now, peers(32))
 		}
 		f.run(10 * time.Second)
-		Expect(f.nodes[0].View().Live("")).NotTo(ContainElement(address(5)))
+		Expect(f.nodes[0].View().LiveAddresses("")).NotTo(ContainElement(address(5)))
 	})
 
 	// A process is suspended for twenty seconds by a snapshot of its host. Its
@@ -251,7 +251,7 @@
 		for t := f.now; t < f.now+20*time.Second; t += tickInterval {
 			isolated.Tick(t)
 		}
-		Expect(len(isolated.View().Live(""))).To(BeNumerically("<", 16))
+		Expect(len(isolated.View().LiveAddresses(""))).To(BeNumerically("<", 16))
 	})
 
 	// Two halves of the fleet are cut off from each other for a while. Each
@@ -268,7 +268,7 @@
 		f.run(time.Minute)
 		total := 0
 		for _, i := range []int{0, 23} {
-			total += len(f.nodes[i].View().Live(""))
+			total += len(f.nodes[i].View().LiveAddresses(""))
 		}
 		Expect(total).To(Equal(24), "each side counts only its own members")
 		f.linkBroken = func(string, string) bool { return false }
@@ -316,7 +316,7 @@
 		f.run(20 * time.Second)
 		f.down = map[string]bool{}
 		f.nodes[7] = newNode(7, 10)
-		f.nodes[7].Published(f.now, peers(16))
+		f.nodes[7].SetPublishedPeers(f.now, peers(16))
 		f.runUntil(30*time.Second, f.allSeeAllAlive)
 		Expect(f.nodes[7].Self().Incarnation).To(BeNumerically(">", 1000))
 	})
@@ -347,7 +347,7 @@
 			list[i].Leaving = f.nodes[i].View().IsReader() && i%3 == 0
 		}
 		for _, n := range f.nodes {
-			n.Published(f.now, list)
+			n.SetPublishedPeers(f.now, list)
 		}
 		f.run(time.Second)
 		Expect(readersPerDataCentre()["dc0"]).To(Equal(3))
@@ -423,13 +423,13 @@
 			now += time.Duration(rng.IntN(3000)) * time.Millisecond
 			switch rng.IntN(6) {
 			case 0:
-				c.Published(now, peers(rng.IntN(8)))
+				c.SetPublishedPeers(now, peers(rng.IntN(8)))
 			case 1:
-				c.Failed(now, uint64(rng.IntN(20)))
+				c.HandleProbeFailure(now, uint64(rng.IntN(20)))
 			case 2:
-				c.Acked(now, uint64(rng.IntN(20)), randomMember(), []membership.Member{randomMember()}, rng.Uint64())
+				c.HandleProbeAck(now, uint64(rng.IntN(20)), randomMember(), []membership.Member{randomMember()}, rng.Uint64())
 			case 3:
-				if got := c.Receive(now, randomMember(), []membership.Member{randomMember(), randomMember()}); len(got) > 12 {
+				if got := c.HandleProbe(now, randomMember(), []membership.Member{randomMember(), randomMember()}); len(got) > 12 {
 					t.Fatalf("%d members in one message, more than the limit of 12", len(got))
 				}
 			default:
@@ -448,7 +448,7 @@
 			}
 		}
 		other := newNode(0, 7)
-		other.Merge(0, c.All())
+		other.Merge(0, c.FullList())
 		if c.Self().Incarnation == other.Self().Incarnation && c.Digest() != other.Digest() {
 			t.Fatal("the digest differs from that of another state machine with the same members")
 		}
@@ -471,7 +471,7 @@
 				start, simulatedStart := time.Now(), f.now
 				for i := range restarts {
 					f.nodes[i%n] = newNode(i%n, uint64(2000+i))
-					f.nodes[i%n].Published(f.now, peers(n))
+					f.nodes[i%n].SetPublishedPeers(f.now, peers(n))
 					f.run(25 * time.Second)
 				}
 				cpu := time.Since(start)
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -8,13 +8,13 @@
 
 // Tick advances the state machine to now and returns the actions that are due.
 // Call it several times within a probe timeout.
-func (c *Core) Tick(now time.Duration) []Action {
+func (c *Node) Tick(now time.Duration) []Action {
 	c.extendDeadlines(now)
 	c.expireProbes(now)
 	c.expireMembers(now)
 	c.refreshView()
 	if now >= c.nextProbeAt && c.self.State != Left {
-		c.nextProbeAt = now + c.cfg.ProbeEvery
+		c.nextProbeAt = now + c.cfg.ProbeInterval
 		c.startProbe(now)
 	}
 	if c.pushPending && now >= c.nextPushAt {
@@ -30,7 +30,7 @@
 // not run. A process that was paused finds every probe unanswered and every
 // suspicion expired; without this it would declare its peers dead on resuming,
 // although only it was away.
-func (c *Core) extendDeadlines(now time.Duration) {
+func (c *Node) extendDeadlines(now time.Duration) {
 	gap := now - c.lastTick
 	c.lastTick = now
 	if gap < pauseThreshold {
@@ -46,7 +46,7 @@
 
 // pushAll sends the queued updates to every neighbour without waiting for the
 // next probe.
-func (c *Core) pushAll() {
+func (c *Node) pushAll() {
 	for _, n := range c.neighbours {
 		c.actions = append(c.actions, Action{Kind: ActionProbe, To: n, Updates: c.selectUpdates(n), Timeout: c.cfg.ProbeTimeout})
 	}
@@ -54,7 +54,7 @@
 
 // startProbe probes the next neighbour or, once in deadProbeCycle probes, a
 // member that is believed dead.
-func (c *Core) startProbe(now time.Duration) {
+func (c *Node) startProbe(now time.Duration) {
 	c.probeRound++
 	target := ""
 	if c.probeRound%deadProbeCycle == 0 || len(c.neighbours) == 0 {
@@ -69,13 +69,13 @@
 	c.lastProbeID++
 	c.probes[c.lastProbeID] = &probe{target: target, deadline: now + c.cfg.ProbeTimeout}
 	c.actions = append(c.actions, Action{
-		Kind: ActionProbe, Probe: c.lastProbeID, To: target, Updates: c.selectUpdates(target), Timeout: c.cfg.ProbeTimeout,
+		Kind: ActionProbe, ProbeID: c.lastProbeID, To: target, Updates: c.selectUpdates(target), Timeout: c.cfg.ProbeTimeout,
 	})
 }
 
 // randomDeadMember returns a random member that is believed dead or that never
 // answered.
-func (c *Core) randomDeadMember() string {
+func (c *Node) randomDeadMember() string {
 	var dead []string
 	for address, r := range c.records {
 		if r.State == Dead && !r.leaving {
@@ -89,9 +89,9 @@
 	return dead[c.rng.IntN(len(dead))]
 }
 
-// Acked handles the answer to a probe: the member that answered, its updates,
+// HandleProbeAck handles the answer to a probe: the member that answered, its updates,
 // and the digest of its member list.
-func (c *Core) Acked(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
+func (c *Node) HandleProbeAck(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
 	p := c.probes[id]
 	delete(c.probes, id)
 	c.applyUpdate(now, from, true)
@@ -101,26 +101,26 @@
 	}
 }
 
-// Failed handles a probe that failed before its deadline, and starts the
+// HandleProbeFailure handles a probe that failed before its deadline, and starts the
 // indirect probe at once.
-func (c *Core) Failed(now time.Duration, id uint64) {
+func (c *Node) HandleProbeFailure(now time.Duration, id uint64) {
 	if p := c.probes[id]; p != nil && !p.indirect {
 		c.startIndirectProbe(now, id, p)
 	}
 }
 
-// ViaReached handles the answer of a relay that reached the target of a probe.
-func (c *Core) ViaReached(id uint64) { delete(c.probes, id) }
+// HandleIndirectProbeAck handles the answer of a relay that reached the target of a probe.
+func (c *Node) HandleIndirectProbeAck(id uint64) { delete(c.probes, id) }
 
-// Receive handles another process's probe and returns the updates to answer
+// HandleProbe handles another process's probe and returns the updates to answer
 // with.
-func (c *Core) Receive(now time.Duration, from Member, updates []Member) []Member {
+func (c *Node) HandleProbe(now time.Duration, from Member, updates []Member) []Member {
 	c.applyUpdate(now, from, true)
 	c.Merge(now, updates)
 	return c.selectUpdates(from.Address)
 }
 
-func (c *Core) expireProbes(now time.Duration) {
+func (c *Node) expireProbes(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.probes)) {
 		p := c.probes[id]
 		if p.deadline > now {
@@ -137,7 +137,7 @@
 
 // startIndirectProbe asks relays to probe the target. A link that is broken
 // only between this process and the target must not make the target a suspect.
-func (c *Core) startIndirectProbe(now time.Duration, id uint64, p *probe) {
+func (c *Node) startIndirectProbe(now time.Duration, id uint64, p *probe) {
 	p.indirect = true
 	p.deadline = now + c.cfg.ProbeTimeout
 	if r := c.records[p.target]; r == nil || r.isGone() || !r.confirmed {
@@ -149,13 +149,13 @@
 	}
 	for _, relay := range c.relaysTo(p.target) {
 		c.actions = append(c.actions, Action{
-			Kind: ActionProbeVia, Probe: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
+			Kind: ActionIndirectProbe, ProbeID: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
 		})
 	}
 }
 
 // markSuspect records that a member was not reached.
-func (c *Core) markSuspect(now time.Duration, address string) {
+func (c *Node) markSuspect(now time.Duration, address string) {
 	r := c.records[address]
 	if r == nil || r.isGone() {
 		return
@@ -174,7 +174,7 @@
 	}
 }
 
-func (c *Core) expireMembers(now time.Duration) {
+func (c *Node) expireMembers(now time.Duration) {
 	if now < c.nextExpiryAt {
 		return
 	}
@@ -201,7 +201,7 @@
 // starts, lists change all the time, and updates of hundreds of members at a
 // dozen a message take a minute to spread: hosts that each know a different
 // part of the fleet select different relays and owners.
-func (c *Core) compareDigests(now time.Duration, peer string, remoteDigest uint64) {
+func (c *Node) compareDigests(now time.Duration, peer string, remoteDigest uint64) {
 	pair := digestPair{c.digest, remoteDigest}
 	settled := c.peerDigests[peer] == pair
 	c.peerDigests[peer] = pair
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -29,10 +29,10 @@
 	return out
 }
 
-// Readers is the number of processes in a data centre that watch the
+// ReadersPerDataCentre is the number of processes in a data centre that watch the
 // configuration service. Three survive two failures at once; more would use up
 // calls of a rate limit that grows more slowly than the fleet.
-const Readers = 3
+const ReadersPerDataCentre = 3
 
 // readerKey is the rendezvous key of the reader role.
 const readerKey = "configuration-reader"
@@ -41,8 +41,8 @@
 // A process that is cut off from its data centre sees only itself and reads,
 // which costs a call a second and does no harm.
 func (v *View) IsReader() bool {
-	ranked := Rank(readerKey, v.Live(v.Self.DataCentre))
-	return slices.Contains(ranked[:min(Readers, len(ranked))], v.Self.Address)
+	ranked := Rank(readerKey, v.LiveAddresses(v.Self.DataCentre))
+	return slices.Contains(ranked[:min(ReadersPerDataCentre, len(ranked))], v.Self.Address)
 }
 
 func hash(key, address string) uint64 {
--- a/internal/decide/membership/types.go
+++ b/internal/decide/membership/types.go
@@ -58,10 +58,10 @@
 // default.
 type Config struct {
 	Self Member
-	// ProbeEvery is the time between two probes. One a second, sent and
+	// ProbeInterval is the time between two probes. One a second, sent and
 	// received, costs about 1 KB/s with framing and detects a dead process
 	// within some six seconds.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 	// ProbeTimeout bounds a probe, and the indirect probes after it. Links take
 	// 1.5 ms one way; 500 ms leaves room for a busy host and a new TLS
 	// connection.
@@ -71,11 +71,11 @@
 	// logarithm of the fleet size, since the path of a refutation grows with
 	// it.
 	SuspicionTimeout time.Duration
-	// Rings is the number of hash rings, and so of neighbours. With six, an
+	// RingCount is the number of hash rings, and so of neighbours. With six, an
 	// update reaches 3,300 members in at most six hops, and with a third of
 	// them gone at once it still reaches all but one in the worst of 20 random
 	// draws (graph_test.go).
-	Rings int
+	RingCount int
 	// MaxUpdates bounds the member updates in one message.
 	MaxUpdates int
 	// DeadRetention is how long a dead member that the published list does not
@@ -127,12 +127,12 @@
 			*d = v
 		}
 	}
-	setDefault(&c.ProbeEvery, defaultProbeInterval)
+	setDefault(&c.ProbeInterval, defaultProbeInterval)
 	setDefault(&c.ProbeTimeout, DefaultProbeTimeout)
 	setDefault(&c.SuspicionTimeout, defaultSuspicionTimeout)
 	setDefault(&c.DeadRetention, defaultDeadRetention)
-	if c.Rings == 0 {
-		c.Rings = defaultRings
+	if c.RingCount == 0 {
+		c.RingCount = defaultRings
 	}
 	if c.MaxUpdates == 0 {
 		c.MaxUpdates = defaultMaxUpdates
@@ -149,9 +149,9 @@
 	// reports the answer or the failure back. The probe with the number 0 only
 	// carries updates; its failure is ignored.
 	ActionProbe ActionKind = iota + 1
-	// ActionProbeVia asks To to probe Target. The caller reports back if Target
+	// ActionIndirectProbe asks To to probe Target. The caller reports back if Target
 	// was reached.
-	ActionProbeVia
+	ActionIndirectProbe
 	// ActionSync exchanges full member lists with To; both sides apply what
 	// they receive.
 	ActionSync
@@ -160,7 +160,7 @@
 // Action is an operation that the caller is to perform on the network.
 type Action struct {
 	Kind    ActionKind
-	Probe   uint64
+	ProbeID uint64
 	To      string
 	Target  string
 	Updates []Member
@@ -182,9 +182,9 @@
 	Neighbours []string
 }
 
-// Live returns the members that may take roles in a data centre: those that are
+// LiveAddresses returns the members that may take roles in a data centre: those that are
 // alive or suspect and not leaving. An empty name selects all data centres.
-func (v *View) Live(dataCentre string) []string {
+func (v *View) LiveAddresses(dataCentre string) []string {
 	var out []string
 	for _, m := range v.Members {
 		if m.State <= Suspect && !v.Leaving[m.Address] && (dataCentre == "" || m.DataCentre == dataCentre) {
--- a/internal/decide/memory/memory.go
+++ b/internal/decide/memoryforecast/memoryforecast.go
@@ -1,4 +1,4 @@
-// Package memory predicts how the memory of a model engine fills as the
+// Package memoryforecast predicts how the memory of a model engine fills as the
 // generations in its batch grow, and tells whether one more fits.
 //
 // Load pattern: an engine keeps the keys and values of every running token.
@@ -14,12 +14,12 @@
 // independent, so variances add. Sums are kept up to date by adding and taking
 // away single generations, so that a decision costs the same for any number
 // of running ones.
-package memory
+package memoryforecast
 
 import (
 	"math"
 
-	"filbertdeck/internal/decide/lengths"
+	"filbertdeck/internal/decide/outputlength"
 )
 
 const (
@@ -41,14 +41,14 @@
 
 const horizonCount = len(horizons)
 
-// Growth is what one generation adds to each horizon's mean and variance, in
+// Forecast is what one generation adds to each horizon's mean and variance, in
 // tokens and tokens squared.
-type Growth struct {
+type Forecast struct {
 	mean, variance [horizonCount]float64
 }
 
-// Now is the memory in use at present, in tokens.
-func (g *Growth) Now() float64 { return g.mean[0] }
+// InUse is the memory in use at present, in tokens.
+func (g *Forecast) InUse() float64 { return g.mean[0] }
 
 // Generation is a running generation or a candidate, in tokens.
 type Generation struct {
@@ -58,7 +58,7 @@
 }
 
 // Predict fills g with the growth of one generation.
-func (g *Growth) Predict(d *lengths.Distribution, gen Generation) {
+func (g *Forecast) Predict(d *outputlength.Distribution, gen Generation) {
 	reached := d.Beyond(gen.Produced)
 	for i := range horizonCount {
 		ahead := horizons[i]
@@ -77,19 +77,19 @@
 
 // Load is the predicted memory of one engine: the sum over what runs there.
 type Load struct {
-	sum Growth
+	sum Forecast
 }
 
 // Add counts a generation in.
-func (l *Load) Add(g *Growth) {
+func (l *Load) Add(g *Forecast) {
 	for i := range horizonCount {
 		l.sum.mean[i] += g.mean[i]
 		l.sum.variance[i] += g.variance[i]
 	}
 }
 
-// AddAlike counts in several generations of the same growth.
-func (l *Load) AddAlike(g *Growth, count int) {
+// AddN counts in several generations of the same growth.
+func (l *Load) AddN(g *Forecast, count int) {
 	n := float64(count)
 	for i := range horizonCount {
 		l.sum.mean[i] += n * g.mean[i]
@@ -98,7 +98,7 @@
 }
 
 // Remove takes a generation out that was added with the same growth.
-func (l *Load) Remove(g *Growth) {
+func (l *Load) Remove(g *Forecast) {
 	for i := range horizonCount {
 		l.sum.mean[i] -= g.mean[i]
 		l.sum.variance[i] = math.Max(0, l.sum.variance[i]-g.variance[i])
@@ -107,13 +107,13 @@
 
 // Reset empties the sum. Recomputing it from time to time keeps rounding
 // errors of many additions and removals from adding up.
-func (l *Load) Reset() { l.sum = Growth{} }
+func (l *Load) Reset() { l.sum = Forecast{} }
 
-// Now is the memory in use at present, in tokens.
-func (l *Load) Now() float64 { return l.sum.mean[0] }
+// InUse is the memory in use at present, in tokens.
+func (l *Load) InUse() float64 { return l.sum.mean[0] }
 
-// Rule is the setting of the admission rule.
-type Rule struct {
+// AdmissionRule is the setting of the admission rule.
+type AdmissionRule struct {
 	// Deviations is z, the standard deviations kept free.
 	Deviations float64
 	// Watermark is the usable part of the memory, 0 to 1.
@@ -121,15 +121,15 @@
 }
 
 // DefaultRule returns the setting that serves every mix.
-func DefaultRule() Rule {
-	return Rule{Deviations: DefaultDeviations, Watermark: DefaultWatermark}
+func DefaultRule() AdmissionRule {
+	return AdmissionRule{Deviations: DefaultDeviations, Watermark: DefaultWatermark}
 }
 
 // Headroom is the least part of the memory, over all horizons, that stays free
 // under the watermark when the candidate is added; negative when it does not
 // fit. Unexplained is memory in use that no generation of the sum accounts
 // for, and memory the engine's size, both in tokens.
-func (r Rule) Headroom(l *Load, candidate *Growth, unexplained, memory float64) float64 {
+func (r AdmissionRule) Headroom(l *Load, candidate *Forecast, unexplained, memory float64) float64 {
 	limit := r.Watermark*memory - unexplained
 	least := math.Inf(1)
 	for i := range horizonCount {
--- a/internal/decide/memory/memory_test.go
+++ b/internal/decide/memoryforecast/memoryforecast_test.go
@@ -1,4 +1,4 @@
-package memory
+package memoryforecast
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/lengths"
+	"filbertdeck/internal/decide/outputlength"
 )
 
 func TestMemory(t *testing.T) {
@@ -18,20 +18,20 @@
 const size = 10_000.0
 
 // learned returns a table in which every output has the given length.
-func learned(length int) *lengths.Distribution {
-	d := lengths.New(0)
+func learned(length int) *outputlength.Distribution {
+	d := outputlength.New(0)
 	for range 3000 {
-		d.Progress(0, length-1)
-		d.Finished(length)
+		d.RecordProgress(0, length-1)
+		d.RecordFinished(length)
 	}
 	d.Refresh()
 	return d
 }
 
 // admit counts how many fresh generations the rule lets in.
-func admit(d *lengths.Distribution, gen Generation, unexplained float64) int {
+func admit(d *outputlength.Distribution, gen Generation, unexplained float64) int {
 	var load Load
-	var g Growth
+	var g Forecast
 	g.Predict(d, gen)
 	for n := 0; ; n++ {
 		if DefaultRule().Headroom(&load, &g, unexplained, size) < 0 {
@@ -67,7 +67,7 @@
 		r := rand.New(rand.NewPCG(3, 4))
 		d := learned(300)
 		var load Load
-		running := make([]Growth, 200)
+		running := make([]Forecast, 200)
 		for i := range running {
 			running[i].Predict(d, Generation{Prompt: r.IntN(2000), Produced: r.IntN(400)})
 			load.Add(&running[i])
@@ -85,7 +85,7 @@
 func BenchmarkHeadroom(b *testing.B) {
 	d := learned(300)
 	var load Load
-	var g Growth
+	var g Forecast
 	b.ReportAllocs()
 	for range b.N {
 		g.Predict(d, Generation{Prompt: 400, Max: 4096})
--- a/internal/decide/migration/migration.go
+++ b/internal/decide/migration/migration.go
@@ -46,9 +46,9 @@
 	return Config{Notice: 1500 * time.Millisecond, EndMargin: 0.5, OrderShare: 0.5}
 }
 
-// Stays tells whether a generation needn't be moved: it has ended by itself
+// CompletesInTime tells whether a generation needn't be moved: it has ended by itself
 // before the engine stops. left is the longest that it can run on.
-func (c Config) Stays(left, leavesIn time.Duration) bool {
+func (c Config) CompletesInTime(left, leavesIn time.Duration) bool {
 	return left < time.Duration(float64(leavesIn)*c.EndMargin)
 }
 
@@ -63,18 +63,18 @@
 	return time.Duration(bits / linkMbps * float64(time.Microsecond))
 }
 
-// Wait is the time that a generation waits before its copy is asked for.
-func (c Config) Wait(copying time.Duration) time.Duration {
+// CopyDelay is the time that a generation waits before its copy is asked for.
+func (c Config) CopyDelay(copying time.Duration) time.Duration {
 	return time.Duration(float64(copying) * c.OrderShare)
 }
 
 // unknownLeft stands for a time that nothing is known of.
 const unknownLeft = time.Duration(1<<63 - 1)
 
-// MostLeft gives the longest time that a generation runs on: most events is
+// MaxRemaining gives the longest time that a generation runs on: most events is
 // what it may make at all, 0 when that is unknown, done those made in the time
 // since the first one. Clients' estimates say too little for it.
-func MostLeft(most, done int, since time.Duration) time.Duration {
+func MaxRemaining(most, done int, since time.Duration) time.Duration {
 	if most == 0 || done < 2 {
 		return unknownLeft
 	}
--- a/internal/decide/migration/migration_test.go
+++ b/internal/decide/migration/migration_test.go
@@ -24,16 +24,16 @@
 
 	// Its copy would hold up those of generations that have long to run.
 	It("stays when it can't but end before the engine stops", func() {
-		left := migration.MostLeft(10, 4, 3*40*time.Millisecond)
+		left := migration.MaxRemaining(10, 4, 3*40*time.Millisecond)
 		Expect(left).To(Equal(6 * 40 * time.Millisecond))
-		Expect(migration.Default().Stays(left, notice)).To(BeTrue())
+		Expect(migration.Default().CompletesInTime(left, notice)).To(BeTrue())
 	})
 
 	// The client's estimate says that the report is about to end. Estimates are
 	// off by a factor of three, and a report that stays for nothing is cut.
 	DescribeTable("leaves when that is not sure", func(most, done int) {
-		left := migration.MostLeft(most, done, time.Duration(done)*40*time.Millisecond)
-		Expect(migration.Default().Stays(left, notice)).To(BeFalse())
+		left := migration.MaxRemaining(most, done, time.Duration(done)*40*time.Millisecond)
+		Expect(migration.Default().CompletesInTime(left, notice)).To(BeFalse())
 	},
 		Entry("long to run", 556, 50),
 		Entry("too close to the end of the notice", 40, 20),
@@ -53,7 +53,7 @@
 		for i := range queue {
 			takes := migration.CopyTime(1500+draw.IntN(4500), 18_432, 2700)
 			heard := time.Duration(draw.IntN(30)) * time.Millisecond
-			queue[i] = request{heard + c.Wait(takes), takes}
+			queue[i] = request{heard + c.CopyDelay(takes), takes}
 		}
 		slices.SortFunc(queue, func(a, b request) int { return cmp.Compare(a.at, b.at) })
 		free, whole := time.Duration(0), 0
--- a/internal/decide/mirror/mirror_test.go
+++ b/internal/decide/mirror/mirror_test.go
@@ -18,7 +18,7 @@
 }
 
 func targetRecord(id string, revision uint64, modify func(*directory.Target)) directory.Record {
-	t := &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
+	t := &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, StartedUnixMilli: 1}
 	if modify != nil {
 		modify(t)
 	}
@@ -26,7 +26,7 @@
 }
 
 func removalRecord(key string, revision uint64) directory.Record {
-	return directory.Record{Key: key, Revision: revision, Gone: true}
+	return directory.Record{Key: key, Revision: revision, Deleted: true}
 }
 
 func configRecord(version, revision uint64) directory.Record {
@@ -36,7 +36,7 @@
 func acceptsRequests(m *mirror.Mirror, now time.Duration, id string) bool {
 	v := m.View(now)
 	t, ok := v.Target(id)
-	return ok && v.TakesNew(t)
+	return ok && v.AcceptsNewRequests(t)
 }
 
 var _ = Describe("the mirror", func() {
@@ -49,7 +49,7 @@
 			m := mirror.New(mirror.Config{})
 			rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 			for _, r := range records {
-				m.Changes(0, []directory.Record{r}, 0)
+				m.ApplyChanges(0, []directory.Record{r}, 0)
 			}
 			Expect(m.View(0).Config.Version).To(Equal(uint64(9)))
 			Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
@@ -62,16 +62,16 @@
 	// hosts would do nothing else.
 	It("does not report a heartbeat as a change", func() {
 		m := mirror.New(mirror.Config{})
-		Expect(m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil)}, 3)).To(BeTrue())
-		Expect(m.Changes(0, []directory.Record{targetRecord("i-1", 5, nil)}, 5)).To(BeFalse())
+		Expect(m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil)}, 3)).To(BeTrue())
+		Expect(m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 5, nil)}, 5)).To(BeFalse())
 		Expect(m.ChangedSince(3)).To(BeEmpty())
 		Expect(m.ChangedSince(2)).To(HaveLen(1))
 	})
 
 	It("removes what a full snapshot lacks, but not what was published after it", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 9, nil)}, 9)
-		m.Whole(0, nil, 5)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 9, nil)}, 9)
+		m.ApplySnapshot(0, nil, 5)
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
 		Expect(acceptsRequests(m, 0, "i-2")).To(BeTrue())
 	})
@@ -81,12 +81,12 @@
 	// seconds.
 	It("takes targets whose entries lapsed with the store for alive during the grace period", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil)}, 4)
-		m.StoreLost()
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil)}, 4)
+		m.StoreFailed()
 		m.StoreAnswered(10 * time.Second)
-		m.Whole(10*time.Second, nil, 9)
+		m.ApplySnapshot(10*time.Second, nil, 9)
 		Expect(acceptsRequests(m, 11*time.Second, "i-1")).To(BeTrue())
-		m.Changes(11*time.Second, []directory.Record{targetRecord("i-1", 12, nil)}, 12)
+		m.ApplyChanges(11*time.Second, []directory.Record{targetRecord("i-1", 12, nil)}, 12)
 		Expect(acceptsRequests(m, 13*time.Second, "i-1")).To(BeTrue())
 		Expect(acceptsRequests(m, 13*time.Second, "i-2")).To(BeFalse())
 	})
@@ -95,17 +95,17 @@
 	// knew the target.
 	It("passes on the removal of a target that it never knew", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil)}, 10)
-		m.Merge(0, []directory.Record{removalRecord(directory.TargetKey("i-2"), 15)}, 15)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil)}, 10)
+		m.MergeFromPeer(0, []directory.Record{removalRecord(directory.TargetKey("i-2"), 15)}, 15)
 		Expect(m.ChangedSince(13)).To(HaveLen(1))
 	})
 
 	// Guards against a removed target that comes back with a peer's old list.
 	DescribeTable("does not restore what was removed by the known revision", func(before ...directory.Record) {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, before, 3)
-		m.Whole(0, nil, 11)
-		m.Merge(0, []directory.Record{targetRecord("i-1", 7, nil)}, 0)
+		m.ApplyChanges(0, before, 3)
+		m.ApplySnapshot(0, nil, 11)
+		m.MergeFromPeer(0, []directory.Record{targetRecord("i-1", 7, nil)}, 0)
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
 	}, Entry("a target that it never knew"),
 		Entry("a target whose removal it knew", targetRecord("i-1", 2, nil), removalRecord(directory.TargetKey("i-1"), 3)))
@@ -115,13 +115,13 @@
 	It("takes a leaving target for leaving until it restarts", func() {
 		m, peer := mirror.New(mirror.Config{}), mirror.New(mirror.Config{})
 		leaving := targetRecord("i-1", 5, func(t *directory.Target) { t.Leaving = true })
-		m.Changes(0, []directory.Record{targetRecord("i-1", 3, nil), leaving}, 5)
-		m.Changes(0, []directory.Record{targetRecord("i-1", 7, nil)}, 7)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil), leaving}, 5)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 7, nil)}, 7)
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
-		peer.Whole(0, m.Delta(0), m.Revision())
+		peer.ApplySnapshot(0, m.Delta(0), m.Revision())
 		Expect(acceptsRequests(peer, 0, "i-1")).To(BeFalse())
 
-		m.Changes(0, []directory.Record{targetRecord("i-1", 9, func(t *directory.Target) { t.Started = 2 })}, 9)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 9, func(t *directory.Target) { t.StartedUnixMilli = 2 })}, 9)
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeTrue())
 	})
 
@@ -129,9 +129,9 @@
 	// is not used; an unreadable configuration does not revoke the last one.
 	It("keeps the last readable configuration and uses no unreadable target", func() {
 		m := mirror.New(mirror.Config{})
-		m.Changes(0, []directory.Record{configRecord(3, 2), targetRecord("i-1", 3, nil)}, 3)
-		m.Changes(0, []directory.Record{
-			{Key: "config", Revision: 4, Fault: "no JSON"}, {Key: directory.TargetKey("i-1"), Revision: 5, Fault: "no JSON"},
+		m.ApplyChanges(0, []directory.Record{configRecord(3, 2), targetRecord("i-1", 3, nil)}, 3)
+		m.ApplyChanges(0, []directory.Record{
+			{Key: "config", Revision: 4, ReadError: "no JSON"}, {Key: directory.TargetKey("i-1"), Revision: 5, ReadError: "no JSON"},
 		}, 5)
 		Expect(m.View(0).Config.Version).To(Equal(uint64(3)))
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
--- a/internal/decide/lengths/lengths.go
+++ b/internal/decide/outputlength/outputlength.go
@@ -1,4 +1,4 @@
-// Package lengths learns how long generations become, while they run.
+// Package outputlength learns how long generations become, while they run.
 //
 // Load pattern: nobody knows an output's length ahead, and the mix shifts
 // during the day (short summaries in the morning, long reports at night).
@@ -22,7 +22,7 @@
 // endings expected scales the hazard (proportional hazards), and only down:
 // erring towards short outputs costs preemptions, the other way a little
 // throughput for a while.
-package lengths
+package outputlength
 
 import (
 	"math"
@@ -90,9 +90,9 @@
 	return d
 }
 
-// Progress records that a generation grew from one count of tokens to another
+// RecordProgress records that a generation grew from one count of tokens to another
 // and still runs.
-func (d *Distribution) Progress(from, to int) {
+func (d *Distribution) RecordProgress(from, to int) {
 	if to <= from {
 		return
 	}
@@ -127,9 +127,9 @@
 	return likely / d.expected
 }
 
-// Finished records that a generation ended by itself with so many tokens. Its
+// RecordFinished records that a generation ended by itself with so many tokens. Its
 // progress up to there must have been recorded.
-func (d *Distribution) Finished(tokens int) {
+func (d *Distribution) RecordFinished(tokens int) {
 	b := bucketOf(tokens)
 	d.ended[b] += d.weight
 	d.changed = true
--- a/internal/decide/lengths/lengths_test.go
+++ b/internal/decide/outputlength/outputlength_test.go
@@ -1,4 +1,4 @@
-package lengths
+package outputlength
 
 import (
 	"math"
@@ -15,8 +15,8 @@
 }
 
 func observe(d *Distribution, n int) {
-	d.Progress(0, n-1)
-	d.Finished(n)
+	d.RecordProgress(0, n-1)
+	d.RecordFinished(n)
 }
 
 // logNormal draws a length with the given median.
@@ -69,7 +69,7 @@
 				observe(d, 50)
 				continue
 			}
-			d.Progress(0, 400)
+			d.RecordProgress(0, 400)
 		}
 		d.Refresh()
 		Expect(d.Beyond(350)).To(BeNumerically("~", 2.0/3, 0.06))
--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -25,15 +25,15 @@
 // Config holds the settings of a tenure; a field that is zero takes its
 // default.
 type Config struct {
-	// ConfirmFor is how long a confirmation of the host list is valid. The
+	// ConfirmationTTL is how long a confirmation of the host list is valid. The
 	// default is 4 s: a watch call waits for one second and counts from its
 	// start, so it is up to two seconds old when the next one is answered;
 	// twice that tolerates one lost answer. A longer time keeps an owner
 	// through longer outages, and makes its successor wait longer.
-	ConfirmFor time.Duration
-	// ActFor is the longest time from an owner's decision to act until the
+	ConfirmationTTL time.Duration
+	// ActionTTL is the longest time from an owner's decision to act until the
 	// action takes effect: the lifetime of a lease. The default is 3 s.
-	ActFor time.Duration
+	ActionTTL time.Duration
 }
 
 const (
@@ -55,7 +55,7 @@
 	everConfirmed bool
 }
 
-// Set records whether the list of the given revision names this process. It is
+// SetOwner records whether the list of the given revision names this process. It is
 // called for each list that is read, even if the answer stays the same, and
 // before that list is confirmed.
 //
@@ -66,7 +66,7 @@
 // gap of less than maxConfirmationGap can't hide such an owner, since it had no
 // time to become the only one. Revisions can't show a missed list, because
 // changes of the service's other values raise them too.
-func (t *Tenure) Set(now time.Duration, revision uint64, owner bool) {
+func (t *Tenure) SetOwner(now time.Duration, revision uint64, owner bool) {
 	mayHaveMissedList := revision != t.revision && (!t.everConfirmed || now-t.confirmedAt > maxConfirmationGap)
 	if owner && (!t.owner || mayHaveMissedList) {
 		t.startedAt = now
@@ -82,25 +82,25 @@
 	t.everConfirmed = true
 }
 
-// Owner reports whether the list names this process.
-func (t *Tenure) Owner() bool { return t.owner }
+// IsOwner reports whether the list names this process.
+func (t *Tenure) IsOwner() bool { return t.owner }
 
 // Revision returns the revision of the list.
 func (t *Tenure) Revision() uint64 { return t.revision }
 
-// Began returns the time at which the list was first seen to name this process.
-func (t *Tenure) Began() time.Duration { return t.startedAt }
+// StartedAt returns the time at which the list was first seen to name this process.
+func (t *Tenure) StartedAt() time.Duration { return t.startedAt }
 
-// SoleFrom returns the time from which no action of an earlier owner takes
+// ExclusiveFrom returns the time from which no action of an earlier owner takes
 // effect. An earlier owner acts for at most the validity of its last
 // confirmation, which came before this tenure began, and its last action takes
 // effect within the delay of an action.
-func (t *Tenure) SoleFrom(cfg Config) time.Duration {
-	return t.startedAt + cmp.Or(cfg.ConfirmFor, defaultConfirmationTTL) + cmp.Or(cfg.ActFor, defaultActionTTL)
+func (t *Tenure) ExclusiveFrom(cfg Config) time.Duration {
+	return t.startedAt + cmp.Or(cfg.ConfirmationTTL, defaultConfirmationTTL) + cmp.Or(cfg.ActionTTL, defaultActionTTL)
 }
 
-// Sole reports whether this process is the only one that acts as owner now.
-func (t *Tenure) Sole(now time.Duration, cfg Config) bool {
-	recentlyConfirmed := t.everConfirmed && now-t.confirmedAt <= cmp.Or(cfg.ConfirmFor, defaultConfirmationTTL)
-	return t.owner && recentlyConfirmed && now > t.SoleFrom(cfg)
+// IsExclusive reports whether this process is the only one that acts as owner now.
+func (t *Tenure) IsExclusive(now time.Duration, cfg Config) bool {
+	recentlyConfirmed := t.everConfirmed && now-t.confirmedAt <= cmp.Or(cfg.ConfirmationTTL, defaultConfirmationTTL)
+	return t.owner && recentlyConfirmed && now > t.ExclusiveFrom(cfg)
 }
--- a/internal/decide/ownership/tenure_test.go
+++ b/internal/decide/ownership/tenure_test.go
@@ -22,11 +22,11 @@
 var _ = DescribeTable("a tenure is exclusive only while confirmed, and after its predecessor's actions have taken effect",
 	func(now, confirmedBefore time.Duration, revision uint64, owner bool, confirmedAfter time.Duration, expected bool) {
 		var t ownership.Tenure
-		t.Set(0, 1, true)
+		t.SetOwner(0, 1, true)
 		t.Confirm(confirmedBefore)
-		t.Set(5*time.Second, revision, owner)
+		t.SetOwner(5*time.Second, revision, owner)
 		t.Confirm(confirmedAfter)
-		Expect(t.Sole(now, ownership.Config{})).To(Equal(expected))
+		Expect(t.IsExclusive(now, ownership.Config{})).To(Equal(expected))
 	},
 	Entry("wait over and list confirmed", 8*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, true),
 	Entry("wait not over", 7*time.Second, 3*time.Second, uint64(9), true, 7*time.Second, false),
--- a/internal/decide/placement/backup.go
+++ b/internal/decide/placement/backup.go
@@ -11,7 +11,7 @@
 	fullestFleet = 0.4
 )
 
-// RoomForCopies tells whether engines together have room for backups of what
+// HasRoomForBackups tells whether engines together have room for backups of what
 // they run.
 //
 // Load pattern: traffic fills three quarters of all engines' memory, and a sixth
@@ -21,19 +21,19 @@
 // a keeper, the generations of those that leave come on top, and the memory runs
 // out: generations are preempted in the middle of their streams, read again, and
 // late.
-func RoomForCopies(candidates []Candidate) bool {
+func HasRoomForBackups(candidates []Candidate) bool {
 	memory, running := 0, 0
 	for _, c := range candidates {
-		memory += c.Memory
-		running += c.Tokens
+		memory += c.MemoryTokens
+		running += c.ReservedTokens
 	}
 	return float64(running) <= fullestFleet*float64(memory)
 }
 
-// ChooseKeeper gives the index of the engine that keeps a backup of so many
+// ChooseBackupEngine gives the index of the engine that keeps a backup of so many
 // tokens, -1 when none has room; draw is as for Choose.
-func ChooseKeeper(candidates []Candidate, tokens int, draw float64) int {
-	i := Choose(candidates, tokens, draw)
+func ChooseBackupEngine(candidates []Candidate, tokens int, draw float64) int {
+	i := ChooseLeastLoaded(candidates, tokens, draw)
 	if i < 0 || Load(candidates[i], tokens) > fullestKeeper {
 		return -1
 	}
--- a/internal/decide/placement/delay.go
+++ b/internal/decide/placement/delay.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Work is what a generation asks of an engine, in tokens.
-type Work struct {
-	// Prompt is read; Output is expected to be made.
-	Prompt, Output int
-	// Within is the time to the first token that callers are promised; 0 for none.
-	Within time.Duration
+// Workload is what a generation asks of an engine, in tokens.
+type Workload struct {
+	// PromptTokens is read; OutputTokens is expected to be made.
+	PromptTokens, OutputTokens int
+	// FirstTokenObjective is the time to the first token that callers are promised; 0 for none.
+	FirstTokenObjective time.Duration
 }
 
 // Figures of an engine that runs generations in one batch, relative to the time
@@ -38,7 +38,7 @@
 	penaltyCost = 5 * time.Second
 )
 
-// Delay is the time that a generation takes at an engine together with the time
+// MarginalDelay is the time that a generation takes at an engine together with the time
 // that it adds to those which run there.
 //
 // Load pattern: generations of half a minute run beside short answers, and both
@@ -52,41 +52,43 @@
 // progress is what callers lose; this is what the choice adds to it. Long
 // generations so go to quick engines, and short answers to where few others wait
 // for the reading of their prompts.
-func Delay(c Candidate, w Work) time.Duration {
-	step := c.Step
+func MarginalDelay(c Candidate, w Workload) time.Duration {
+	step := c.TimePerToken
 	if step <= 0 {
 		step = usualStep
 	}
 	perToken := float64(step)
-	reading := float64(c.Unread+w.Prompt) * readPart * perToken
+	reading := float64(c.UnreadTokens+w.PromptTokens) * readPart * perToken
 	if c.Running > 0 {
 		// Chunks of the prompt take turns with steps of the others.
 		reading *= 2
 	}
-	making := float64(w.Output) * perToken * (1 + batchPart*float64(c.Running))
-	others := float64(c.Running) * perToken * (readPart*float64(w.Prompt) + batchPart*float64(w.Output))
+	making := float64(w.OutputTokens) * perToken * (1 + batchPart*float64(c.Running))
+	others := float64(c.Running) * perToken * (readPart*float64(w.PromptTokens) + batchPart*float64(w.OutputTokens))
 	return time.Duration(reading+making+others) + lateness(time.Duration(reading), w) + crowding(c, w) + time.Duration(c.Penalty*float64(penaltyCost))
 }
 
 // lateness is what the risk of a late first token adds. Other hosts' prompts of
 // the last moments are not known yet, so the reading may well take twice as
 // long; an answer that is late then is worth a sixth of one in time.
-func lateness(reading time.Duration, w Work) time.Duration {
-	if w.Within <= 0 {
+func lateness(reading time.Duration, w Workload) time.Duration {
+	if w.FirstTokenObjective <= 0 {
 		return 0
 	}
-	return lateCost * max(reading-w.Within/2, 0)
+	return lateCost * max(reading-w.FirstTokenObjective/2, 0)
 }
 
 // crowding is what an engine's memory and places add.
-func crowding(c Candidate, w Work) time.Duration {
+func crowding(c Candidate, w Workload) time.Duration {
 	fullness := float64(c.Running+1) / float64(max(c.Slots, 1))
-	if c.Memory > 0 {
-		fullness = max(fullness, float64(c.Tokens+c.Copies+w.Prompt+w.Output)/float64(c.Memory))
+	if c.MemoryTokens > 0 {
+		fullness = max(fullness, float64(c.ReservedTokens+c.BackupTokens+w.PromptTokens+w.OutputTokens)/float64(c.MemoryTokens))
 	}
 	return time.Duration(max(fullness-roomyPart, 0) * float64(crowdedCost))
 }
 
-// Crowded tells whether an engine would be so full with so many tokens more
+// PreemptionLikely tells whether an engine would be so full with so many tokens more
 // that generations are likely to be preempted there.
-func Crowded(c Candidate, tokens int) bool { return crowding(c, Work{Prompt: tokens}) > 0 }
+func PreemptionLikely(c Candidate, tokens int) bool {
+	return crowding(c, Workload{PromptTokens: tokens}) > 0
+}
--- a/internal/decide/placement/delay_test.go
+++ b/internal/decide/placement/delay_test.go
@@ -20,10 +20,10 @@
 
 var _ = Describe("the engine of a generation", func() {
 	engine := func(running, tokens, unread int, step time.Duration) placement.Candidate {
-		return placement.Candidate{Running: running, Slots: 24, Tokens: tokens, Unread: unread, Memory: 34_000, Step: step}
+		return placement.Candidate{Running: running, Slots: 24, ReservedTokens: tokens, UnreadTokens: unread, MemoryTokens: 34_000, TimePerToken: step}
 	}
-	long := placement.Work{Prompt: 3000, Output: 900}
-	short := placement.Work{Prompt: 2200, Output: 16}
+	long := placement.Workload{PromptTokens: 3000, OutputTokens: 900}
+	short := placement.Workload{PromptTokens: 2200, OutputTokens: 16}
 
 	// One engine in three is slower. A draft of half a minute that is sent there
 	// because it is a little emptier takes a third longer.
@@ -48,15 +48,15 @@
 	// stopped, read again and late. A quick engine is not worth that.
 	It("is not a crowded one", func() {
 		crowded, roomy := engine(7, 28_000, 0, quickStep), engine(3, 12_000, 0, slowStep)
-		Expect(placement.Crowded(crowded, 3900)).To(BeTrue())
-		Expect(placement.Crowded(roomy, 3900)).To(BeFalse())
+		Expect(placement.PreemptionLikely(crowded, 3900)).To(BeTrue())
+		Expect(placement.PreemptionLikely(roomy, 3900)).To(BeFalse())
 		Expect(placement.ChooseEngine([]placement.Candidate{crowded, roomy}, long, 0)).To(Equal(1))
 	})
 
 	It("has room for its backups too", func() {
 		keeper := engine(3, 12_000, 0, quickStep)
-		keeper.Copies = 16_000
-		Expect(placement.Crowded(keeper, 3900)).To(BeTrue())
+		keeper.BackupTokens = 16_000
+		Expect(placement.PreemptionLikely(keeper, 3900)).To(BeTrue())
 	})
 
 	It("is found while nothing is known of speeds", func() {
@@ -71,16 +71,16 @@
 	// the generation itself; made all the same, they fill the engines that join,
 	// and running drafts are stopped and read again.
 	It("are made only while engines have room for them and for what they run", func() {
-		calm := []placement.Candidate{{Tokens: 9000, Memory: 34_000}, {Tokens: 14_000, Memory: 34_000}}
-		busy := []placement.Candidate{{Tokens: 29_000, Memory: 34_000}, {Tokens: 1000, Memory: 34_000}}
-		Expect(placement.RoomForCopies(calm)).To(BeTrue())
-		Expect(placement.RoomForCopies(busy)).To(BeFalse())
+		calm := []placement.Candidate{{ReservedTokens: 9000, MemoryTokens: 34_000}, {ReservedTokens: 14_000, MemoryTokens: 34_000}}
+		busy := []placement.Candidate{{ReservedTokens: 29_000, MemoryTokens: 34_000}, {ReservedTokens: 1000, MemoryTokens: 34_000}}
+		Expect(placement.HasRoomForBackups(calm)).To(BeTrue())
+		Expect(placement.HasRoomForBackups(busy)).To(BeFalse())
 	})
 
 	It("lie at an engine that is not half full with them", func() {
-		list := []placement.Candidate{{Slots: 24, Tokens: 9000, Copies: 9000, Memory: 34_000}, {Slots: 24, Tokens: 12_000, Memory: 34_000}}
-		Expect(placement.ChooseKeeper(list, 3900, 0)).To(Equal(1))
-		Expect(placement.ChooseKeeper(list[:1], 3900, 0)).To(Equal(-1))
+		list := []placement.Candidate{{Slots: 24, ReservedTokens: 9000, BackupTokens: 9000, MemoryTokens: 34_000}, {Slots: 24, ReservedTokens: 12_000, MemoryTokens: 34_000}}
+		Expect(placement.ChooseBackupEngine(list, 3900, 0)).To(Equal(1))
+		Expect(placement.ChooseBackupEngine(list[:1], 3900, 0)).To(Equal(-1))
 	})
 })
 
@@ -132,11 +132,11 @@
 }
 
 func (e *played) candidate() placement.Candidate {
-	c := placement.Candidate{Slots: 48, Memory: 34_346, Step: time.Duration(7.5 * e.slower * float64(time.Millisecond))}
+	c := placement.Candidate{Slots: 48, MemoryTokens: 34_346, TimePerToken: time.Duration(7.5 * e.slower * float64(time.Millisecond))}
 	for _, r := range slices.Concat(e.runs, e.reads) {
 		c.Running++
-		c.Tokens += r.prompt + r.output
-		c.Unread += max(r.unread, 0)
+		c.ReservedTokens += r.prompt + r.output
+		c.UnreadTokens += max(r.unread, 0)
 	}
 	return c
 }
@@ -144,7 +144,7 @@
 // play sends two minutes of long and short generations to nine engines, of
 // which three are a third slower, and gives how many long ones were in progress
 // on the mean.
-func play(seed uint64, choose func([]placement.Candidate, placement.Work) int) float64 {
+func play(seed uint64, choose func([]placement.Candidate, placement.Workload) int) float64 {
 	const seconds, longRate, shortRate = 120, 3.43, 4.84
 	draw := rand.New(rand.NewPCG(seed, 7))
 	engines := make([]*played, 9)
@@ -172,7 +172,7 @@
 			for i, e := range engines {
 				list[i] = e.candidate()
 			}
-			e := engines[choose(list, placement.Work{Prompt: r.prompt, Output: r.output})]
+			e := engines[choose(list, placement.Workload{PromptTokens: r.prompt, OutputTokens: r.output})]
 			e.reads = append(e.reads, r)
 		}
 		for _, e := range engines {
@@ -193,10 +193,10 @@
 	It("are in progress for less time when placed by what a choice adds", func() {
 		byFullness, byDelay := 0.0, 0.0
 		for seed := range uint64(6) {
-			byFullness += play(seed, func(list []placement.Candidate, w placement.Work) int {
-				return placement.Choose(list, w.Prompt+w.Output, 0)
+			byFullness += play(seed, func(list []placement.Candidate, w placement.Workload) int {
+				return placement.ChooseLeastLoaded(list, w.PromptTokens+w.OutputTokens, 0)
 			})
-			byDelay += play(seed, func(list []placement.Candidate, w placement.Work) int {
+			byDelay += play(seed, func(list []placement.Candidate, w placement.Workload) int {
 				return placement.ChooseEngine(list, w, 0)
 			})
 		}
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -26,15 +26,15 @@
 	// Running requests of all hosts, as far as is known.
 	Running int
 	Slots   int
-	// Tokens are in the target's memory or will be, of all hosts; Memory is
+	// ReservedTokens are in the target's memory or will be, of all hosts; MemoryTokens is
 	// its size, 0 for plain services.
-	Tokens, Memory int
-	// Copies are the tokens of backups that it keeps.
-	Copies int
-	// Unread are those of prompts that have no first event yet.
-	Unread int
-	// Step is the time that an engine alone takes for one token; 0 when unknown.
-	Step time.Duration
+	ReservedTokens, MemoryTokens int
+	// BackupTokens are the tokens of backups that it keeps.
+	BackupTokens int
+	// UnreadTokens are those of prompts that have no first event yet.
+	UnreadTokens int
+	// TimePerToken is the time that an engine alone takes for one token; 0 when unknown.
+	TimePerToken time.Duration
 	// Penalty is added to the load: a target that failed lately, or lies in
 	// another data centre, is taken only when the others are that much fuller.
 	Penalty float64
@@ -42,13 +42,13 @@
 
 // Penalties of targets in another data centre, in shares of fullness.
 const (
-	// RemoteCharge decides among about equals: a generation's events are few
+	// RemotePenalty decides among about equals: a generation's events are few
 	// bytes.
-	RemoteCharge = 0.03
-	// RemoteCopyCharge is for generations that are moved: a copy within the
+	RemotePenalty = 0.03
+	// RemoteMigrationPenalty is for generations that are moved: a copy within the
 	// data centre takes half the time, and an engine a quarter fuller costs
 	// less than a pause that comes too late.
-	RemoteCopyCharge = 0.25
+	RemoteMigrationPenalty = 0.25
 )
 
 // readPerFullness is the number of unread prompt tokens that weighs as much as
@@ -61,9 +61,9 @@
 // Load is a target's fullness once it has the request: 1 is full.
 func Load(c Candidate, tokens int) float64 {
 	load := float64(c.Running+1) / float64(max(c.Slots, 1))
-	if c.Memory > 0 {
-		load = max(load, float64(c.Tokens+c.Copies+tokens)/float64(c.Memory))
-		load += float64(c.Unread) / readPerFullness
+	if c.MemoryTokens > 0 {
+		load = max(load, float64(c.ReservedTokens+c.BackupTokens+tokens)/float64(c.MemoryTokens))
+		load += float64(c.UnreadTokens) / readPerFullness
 	}
 	return load + c.Penalty
 }
@@ -78,17 +78,17 @@
 	leastSample = 3
 )
 
-// Exact tells whether so few hosts choose that each knows of nearly all choices
+// KnowsRecentChoices tells whether so few hosts choose that each knows of nearly all choices
 // of the others.
-func Exact(hosts int) bool { return hosts <= exactHosts }
+func KnowsRecentChoices(hosts int) bool { return hosts <= exactHosts }
 
-// Sample gives the number of targets that a host looks at of so many. Load
+// SampleSize gives the number of targets that a host looks at of so many. Load
 // pattern: dozens of hosts place more prompts a second than there are engines, and each knows
 // what the others did a quarter of a second ago. If all choose the emptiest of
 // all targets, a dozen prompts go to the same one before anybody hears of it;
 // choosing the emptier of a few random ones spreads them.
-func Sample(targets, hosts int) int {
-	if Exact(hosts) {
+func SampleSize(targets, hosts int) int {
+	if KnowsRecentChoices(hosts) {
 		return targets
 	}
 	return min(max(targets*exactHosts/hosts, leastSample), targets)
@@ -98,21 +98,21 @@
 // choice: as many as a data centre has of a service. Each costs two datagrams.
 const mostAsked = 12
 
-// Asked gives the number of targets to ask about of so many.
-func Asked(targets int) int { return min(targets, mostAsked) }
+// QueriedTargets gives the number of targets to ask about of so many.
+func QueriedTargets(targets int) int { return min(targets, mostAsked) }
 
-// Choose gives the index of the least loaded candidate for a request of so
+// ChooseLeastLoaded gives the index of the least loaded candidate for a request of so
 // many tokens, -1 when there is none. draw in [0, 1) breaks ties, so that
 // hosts that know the same don't all choose the same.
-func Choose(candidates []Candidate, tokens int, draw float64) int {
+func ChooseLeastLoaded(candidates []Candidate, tokens int, draw float64) int {
 	return least(candidates, draw, func(c Candidate) float64 { return Load(c, tokens) })
 }
 
 // ChooseEngine gives the index of the engine at which a generation adds least
 // to the time that all of them take, -1 when there is none; draw is as for
 // Choose.
-func ChooseEngine(candidates []Candidate, w Work, draw float64) int {
-	return least(candidates, draw, func(c Candidate) float64 { return float64(Delay(c, w)) })
+func ChooseEngine(candidates []Candidate, w Workload, draw float64) int {
+	return least(candidates, draw, func(c Candidate) float64 { return float64(MarginalDelay(c, w)) })
 }
 
 func least(candidates []Candidate, draw float64, score func(Candidate) float64) int {
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -18,13 +18,13 @@
 
 var _ = Describe("the choice of a target", func() {
 	engine := func(id string, running, tokens, unread int) placement.Candidate {
-		return placement.Candidate{ID: id, Running: running, Slots: 24, Tokens: tokens, Memory: 34000, Unread: unread}
+		return placement.Candidate{ID: id, Running: running, Slots: 24, ReservedTokens: tokens, MemoryTokens: 34000, UnreadTokens: unread}
 	}
 
 	It("takes the emptiest", func() {
 		list := []placement.Candidate{engine("a", 6, 20000, 0), engine("b", 3, 9000, 0), engine("c", 5, 16000, 0)}
 		for draw := 0.0; draw < 1; draw += 0.1 {
-			Expect(placement.Choose(list, 3000, draw)).To(Equal(1))
+			Expect(placement.ChooseLeastLoaded(list, 3000, draw)).To(Equal(1))
 		}
 	})
 
@@ -33,18 +33,18 @@
 	// engines are idle between two steps.
 	It("counts the prompts that an empty engine has yet to read", func() {
 		list := []placement.Candidate{engine("new", 2, 6000, 6000), engine("old", 4, 14000, 0)}
-		Expect(placement.Choose(list, 3000, 0)).To(Equal(1))
+		Expect(placement.ChooseLeastLoaded(list, 3000, 0)).To(Equal(1))
 	})
 
 	It("prefers the own data centre only among about equals", func() {
 		near, far := engine("near", 4, 14000, 0), engine("far", 4, 13600, 0)
-		far.Penalty = placement.RemoteCharge
-		Expect(placement.Choose([]placement.Candidate{near, far}, 3000, 0.6)).To(Equal(0))
-		near.Tokens = 20000
-		Expect(placement.Choose([]placement.Candidate{near, far}, 3000, 0.1)).To(Equal(1))
+		far.Penalty = placement.RemotePenalty
+		Expect(placement.ChooseLeastLoaded([]placement.Candidate{near, far}, 3000, 0.6)).To(Equal(0))
+		near.ReservedTokens = 20000
+		Expect(placement.ChooseLeastLoaded([]placement.Candidate{near, far}, 3000, 0.1)).To(Equal(1))
 	})
 
-	It("finds none among none", func() { Expect(placement.Choose(nil, 1, 0.5)).To(Equal(-1)) })
+	It("finds none among none", func() { Expect(placement.ChooseLeastLoaded(nil, 1, 0.5)).To(Equal(-1)) })
 
 	// 84 hosts place prompts on 48 engines and hear of each other's choices a
 	// quarter of a second late. If all take the emptiest of all, a dozen prompts
@@ -57,11 +57,11 @@
 		candidates := make([]placement.Candidate, targets)
 		for range rounds {
 			for i := range candidates {
-				candidates[i] = placement.Candidate{Slots: 24, Memory: 30_000, Tokens: draw.IntN(15_000)}
+				candidates[i] = placement.Candidate{Slots: 24, MemoryTokens: 30_000, ReservedTokens: draw.IntN(15_000)}
 			}
 			got := make([]int, targets)
 			for range 14 {
-				order := draw.Perm(targets)[:placement.Sample(targets, hosts)]
+				order := draw.Perm(targets)[:placement.SampleSize(targets, hosts)]
 				best := order[0]
 				for _, at := range order {
 					if placement.Load(candidates[at], tokens) < placement.Load(candidates[best], tokens) {
@@ -79,7 +79,7 @@
 	)
 
 	DescribeTable("looks at", func(targets, hosts, sample int) {
-		Expect(placement.Sample(targets, hosts)).To(Equal(sample))
+		Expect(placement.SampleSize(targets, hosts)).To(Equal(sample))
 	},
 		Entry("all engines of a small fleet", 9, 8, 9),
 		Entry("some of a large one's", 48, 84, 4),
--- a/internal/decide/poison/detector.go
+++ b/internal/decide/poison/detector.go
@@ -56,15 +56,15 @@
 const (
 	// Clear requests run anywhere.
 	Clear Verdict = iota
-	// Apart requests run on a target without other suspects.
-	Apart
-	// Alone requests run on a target without any other request.
-	Alone
-	// Guilty requests are refused at once.
-	Guilty
+	// Isolated requests run on a target without other suspects.
+	Isolated
+	// Exclusive requests run on a target without any other request.
+	Exclusive
+	// Blocked requests are refused at once.
+	Blocked
 )
 
-var verdictNames = [...]string{Clear: "clear", Apart: "apart", Alone: "alone", Guilty: "guilty"}
+var verdictNames = [...]string{Clear: "clear", Isolated: "apart", Exclusive: "alone", Blocked: "guilty"}
 
 // String names the verdict as counters and logs show it.
 func (v Verdict) String() string { return verdictNames[v] }
@@ -102,16 +102,16 @@
 	return &Detector{cfg: cfg.withDefaults(), index: map[uint64]evidence{}}
 }
 
-// Crashed notes that a target died while it ran the fingerprints, the latest
+// AddCrash notes that a target died while it ran the fingerprints, the latest
 // start first. A target that died idle is noted too: it shows a common cause.
-func (d *Detector) Crashed(now time.Duration, id uint64, fingerprints []uint64) {
+func (d *Detector) AddCrash(now time.Duration, id uint64, fingerprints []uint64) {
 	if d.add(crash{id: id, at: now, suspects: fingerprints}) {
 		d.rebuild(now)
 	}
 }
 
-// Finished notes that a request ran to its end.
-func (d *Detector) Finished(now time.Duration, fingerprint uint64) {
+// AddCompletion notes that a request ran to its end.
+func (d *Detector) AddCompletion(now time.Duration, fingerprint uint64) {
 	f := finish{fingerprint: fingerprint, at: now, ever: true}
 	d.cleared.add(f)
 	if e, suspected := d.index[fingerprint]; suspected {
@@ -121,8 +121,8 @@
 	}
 }
 
-// Rule says how a request may run now.
-func (d *Detector) Rule(now time.Duration, fingerprint uint64) Ruling {
+// Assess says how a request may run now.
+func (d *Detector) Assess(now time.Duration, fingerprint uint64) Ruling {
 	if len(d.index) == 0 {
 		return Ruling{}
 	}
@@ -134,11 +134,11 @@
 	case e.weight < fullWeight:
 		return Ruling{}
 	case e.weight >= guiltyWeight:
-		return Ruling{Verdict: Guilty, Wait: e.expires - now}
+		return Ruling{Verdict: Blocked, Wait: e.expires - now}
 	case e.weight >= aloneWeight:
-		return Ruling{Verdict: Alone, Wait: d.hold(now, e)}
+		return Ruling{Verdict: Exclusive, Wait: d.hold(now, e)}
 	default:
-		return Ruling{Verdict: Apart, Wait: d.hold(now, e)}
+		return Ruling{Verdict: Isolated, Wait: d.hold(now, e)}
 	}
 }
 
@@ -149,11 +149,11 @@
 // MayShare tells whether a request may join a target that runs requests with
 // the given verdicts.
 func MayShare(v Verdict, running []Verdict) bool {
-	if v == Alone {
+	if v == Exclusive {
 		return len(running) == 0
 	}
 	for _, other := range running {
-		if other == Alone || (v == Apart && other == Apart) {
+		if other == Exclusive || (v == Isolated && other == Isolated) {
 			return false
 		}
 	}
--- a/internal/decide/poison/detector_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -27,28 +27,28 @@
 	var d *poison.Detector
 	BeforeEach(func() { d = poison.New(poison.Config{}) })
 	crash := func(at time.Duration, n int, fingerprints ...uint64) {
-		d.Crashed(at, poison.CrashID("t", uint64(n)), fingerprints)
+		d.AddCrash(at, poison.CrashID("t", uint64(n)), fingerprints)
 	}
 
 	It("holds, sets apart, runs alone and refuses, then forgets", func() {
 		crash(0, 1, bad, good)
-		Expect(d.Rule(sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Apart, Wait: 4 * sec}))
-		Expect(d.Rule(5*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Apart}))
+		Expect(d.Assess(sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Isolated, Wait: 4 * sec}))
+		Expect(d.Assess(5*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Isolated}))
 		crash(6*sec, 2, bad)
-		Expect(d.Rule(11*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Alone}))
+		Expect(d.Assess(11*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Exclusive}))
 		crash(12*sec, 3, bad)
-		Expect(d.Rule(12*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Guilty, Wait: 10 * time.Minute}))
-		Expect(d.Rule(11*time.Minute, bad)).To(Equal(poison.Ruling{}))
+		Expect(d.Assess(12*sec, bad)).To(Equal(poison.Ruling{Verdict: poison.Blocked, Wait: 10 * time.Minute}))
+		Expect(d.Assess(11*time.Minute, bad)).To(Equal(poison.Ruling{}))
 		Expect(d.Suspects()).To(BeZero())
 	})
 
 	It("clears a request that finished, before or after the crash", func() {
-		d.Finished(0, good)
+		d.AddCompletion(0, good)
 		crash(sec, 1, bad, good, 8)
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(sec, 8).Verdict).To(Equal(poison.Apart))
-		d.Finished(4*sec, 8)
-		Expect(d.Rule(4*sec, 8).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(sec, good).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(sec, 8).Verdict).To(Equal(poison.Isolated))
+		d.AddCompletion(4*sec, 8)
+		Expect(d.Assess(4*sec, 8).Verdict).To(Equal(poison.Clear))
 	})
 
 	// A rack loses its power. Four targets die within a second with a hundred
@@ -57,14 +57,14 @@
 		for i := range 4 {
 			crash(time.Duration(i)*sec/5, i, uint64(100+i), good)
 		}
-		Expect(d.Rule(sec, 101).Verdict).To(Equal(poison.Clear))
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Guilty), "on all four and never finished")
-		d.Finished(sec, good)
-		Expect(d.Rule(sec, good).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(sec, 101).Verdict).To(Equal(poison.Clear))
+		Expect(d.Assess(sec, good).Verdict).To(Equal(poison.Blocked), "on all four and never finished")
+		d.AddCompletion(sec, good)
+		Expect(d.Assess(sec, good).Verdict).To(Equal(poison.Clear))
 	})
 
 	It("lets suspects share a target only with clear requests", func() {
-		clear, apart, alone := poison.Clear, poison.Apart, poison.Alone
+		clear, apart, alone := poison.Clear, poison.Isolated, poison.Exclusive
 		for _, v := range []poison.Verdict{clear, apart, alone} {
 			Expect(poison.MayShare(v, nil)).To(BeTrue())
 			Expect(poison.MayShare(v, []poison.Verdict{clear})).To(Equal(v != alone))
@@ -179,7 +179,7 @@
 	case j.target < 0:
 		w.start(j, w.IntN(4*pools))
 	case j.fingerprint != bad:
-		w.detectors[pool].Finished(w.now, j.fingerprint)
+		w.detectors[pool].AddCompletion(w.now, j.fingerprint)
 		j.over, j.target = true, -1
 		w.served++
 	default:
@@ -189,7 +189,7 @@
 			o.target, o.until = -1, w.now+2*step
 			died = append(died, o.fingerprint)
 		}
-		w.detectors[pool].Crashed(w.now, poison.CrashID("t", uint64(w.crashes)), died)
+		w.detectors[pool].AddCrash(w.now, poison.CrashID("t", uint64(w.crashes)), died)
 		for to := range w.detectors {
 			w.push(pool, to)
 		}
@@ -208,12 +208,12 @@
 
 func (w *fleet) start(j *job, target int) {
 	d := w.detectors[target/4]
-	ruling := d.Rule(w.now, j.fingerprint)
+	ruling := d.Assess(w.now, j.fingerprint)
 	var sharing []poison.Verdict
 	for _, o := range w.on(target) {
-		sharing = append(sharing, d.Rule(w.now, o.fingerprint).Verdict)
+		sharing = append(sharing, d.Assess(w.now, o.fingerprint).Verdict)
 	}
-	j.over = !w.naive && ruling.Verdict == poison.Guilty
+	j.over = !w.naive && ruling.Verdict == poison.Blocked
 	if j.over || !w.naive && (ruling.Wait > 0 || !poison.MayShare(ruling.Verdict, sharing)) {
 		return
 	}
@@ -239,8 +239,8 @@
 			b.Merge(time.Hour, []poison.Crash{c, c})
 		}
 		for fp := range uint64(4) {
-			if a.Rule(time.Hour, fp) != b.Rule(time.Hour, fp) {
-				t.Fatalf("fingerprint %d: %v and %v", fp, a.Rule(time.Hour, fp), b.Rule(time.Hour, fp))
+			if a.Assess(time.Hour, fp) != b.Assess(time.Hour, fp) {
+				t.Fatalf("fingerprint %d: %v and %v", fp, a.Assess(time.Hour, fp), b.Assess(time.Hour, fp))
 			}
 		}
 	})
@@ -248,9 +248,9 @@
 
 func BenchmarkRule(b *testing.B) {
 	d := poison.New(poison.Config{})
-	d.Crashed(0, 1, []uint64{bad, good})
+	d.AddCrash(0, 1, []uint64{bad, good})
 	b.ReportAllocs()
 	for range b.N {
-		d.Rule(sec, bad)
+		d.Assess(sec, bad)
 	}
 }
--- a/internal/decide/pools/accounts.go
+++ b/internal/decide/pools/accounts.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Accounts knows the owner of each account with limits. It gives the same
+// AccountIndex knows the owner of each account with limits. It gives the same
 // answers as AccountOwner, but looks only at what a change concerns: at the
 // target size the list changes twice a minute, and ranking 3,300 hosts anew for
 // each of 11,000 accounts would take a second of processor time each. It is not
 // safe for concurrent use.
-type Accounts struct {
+type AccountIndex struct {
 	hosts []member
 	byKey map[string]*owned
 }
@@ -26,12 +26,12 @@
 	owner member
 }
 
-// NewAccounts returns an index without hosts and accounts.
-func NewAccounts() *Accounts { return &Accounts{byKey: map[string]*owned{}} }
+// NewAccountIndex returns an index without hosts and accounts.
+func NewAccountIndex() *AccountIndex { return &AccountIndex{byKey: map[string]*owned{}} }
 
 // SetHosts takes a published list. An account moves when its owner left the
 // list, or when a host joined that ranks higher.
-func (a *Accounts) SetHosts(hosts []Host) {
+func (a *AccountIndex) SetHosts(hosts []Host) {
 	next := eligible(hosts)
 	joined := missing(next, a.hosts)
 	left := missing(a.hosts, next)
@@ -50,7 +50,7 @@
 }
 
 // SetAccounts takes the names of the accounts that have limits.
-func (a *Accounts) SetAccounts(names []string) {
+func (a *AccountIndex) SetAccounts(names []string) {
 	old := a.byKey
 	a.byKey = make(map[string]*owned, len(names))
 	for _, name := range names {
@@ -65,7 +65,7 @@
 
 // Owner gives the control process that owns an account; ok is false for an
 // account without limits, and while no host is known.
-func (a *Accounts) Owner(account string) (control string, ok bool) {
+func (a *AccountIndex) Owner(account string) (control string, ok bool) {
 	o := a.byKey[account]
 	if o == nil || o.owner.control == "" {
 		return "", false
@@ -73,8 +73,8 @@
 	return o.owner.control, true
 }
 
-// Owned lists the accounts that a process owns, in the order of their names.
-func (a *Accounts) Owned(control string) []string {
+// OwnedBy lists the accounts that a process owns, in the order of their names.
+func (a *AccountIndex) OwnedBy(control string) []string {
 	var out []string
 	for name, o := range a.byKey {
 		if o.owner.control == control {
@@ -93,7 +93,7 @@
 	}
 	out := make([]member, len(live))
 	for i, h := range live {
-		out[i] = member{control: h.Control, hash: hash(h.Control)}
+		out[i] = member{control: h.ControlAddress, hash: hash(h.ControlAddress)}
 	}
 	slices.SortFunc(out, func(a, b member) int { return cmp.Compare(a.control, b.control) })
 	return out
--- a/internal/decide/pools/choose.go
+++ b/internal/decide/pools/choose.go
@@ -22,8 +22,8 @@
 	// Unknown stands for the backlog of a pool without news. Default 200 ms:
 	// such a pool is tried, but after those known to be free.
 	Unknown time.Duration
-	// NewsFor is how long a gossiped backlog counts. Default 5 s.
-	NewsFor time.Duration
+	// BacklogMaxAge is how long a gossiped backlog counts. Default 5 s.
+	BacklogMaxAge time.Duration
 }
 
 const (
@@ -39,55 +39,55 @@
 	c.AffinityWorth = cmp.Or(c.AffinityWorth, defaultAffinityWorth)
 	c.PerSent = cmp.Or(c.PerSent, defaultPerSent)
 	c.Unknown = cmp.Or(c.Unknown, defaultUnknown)
-	c.NewsFor = cmp.Or(c.NewsFor, defaultNewsFor)
+	c.BacklogMaxAge = cmp.Or(c.BacklogMaxAge, defaultNewsFor)
 	return c
 }
 
-// View is what an entry knows of one pool. A slice of views is a snapshot that
+// PoolView is what an entry knows of one pool. A slice of views is a snapshot that
 // requests read without a lock.
-type View struct {
+type PoolView struct {
 	ID         string
 	DataCentre string
 	// Key stands for ID in ranks: see NewView.
 	Key uint64
-	// Control is the address of the process to ask.
-	Control string
+	// ControlAddress is the address of the process to ask.
+	ControlAddress string
 	// Backlog is the gossiped wait, heard at NewsAt; Heard is false without
 	// news.
-	Backlog time.Duration
-	NewsAt  time.Duration
-	Heard   bool
-	// Sent counts this entry's asks since the news that are not decided yet.
-	Sent int
+	Backlog      time.Duration
+	NewsAt       time.Duration
+	BacklogKnown bool
+	// PendingRequests counts this entry's asks since the news that are not decided yet.
+	PendingRequests int
 	// Share of new work that the data centre takes: 1, less while it returns,
 	// 0 once it is taken out (see package drain).
 	Share float64
 }
 
-// NewView returns a view of a pool without news, in full service.
-func NewView(pool Pool, control string) View {
-	return View{ID: pool.ID, DataCentre: pool.DataCentre, Key: mix(hash(pool.ID)), Control: control, Share: 1}
+// NewPoolView returns a view of a pool without news, in full service.
+func NewPoolView(pool Pool, control string) PoolView {
+	return PoolView{ID: pool.ID, DataCentre: pool.DataCentre, Key: mix(hash(pool.ID)), ControlAddress: control, Share: 1}
 }
 
 // Request is what a choice depends on.
 type Request struct {
 	// DataCentre is the entry's own.
 	DataCentre string
-	// Affinity is the hash of the prompt's first blocks, or the fingerprint of
+	// AffinityKey is the hash of the prompt's first blocks, or the fingerprint of
 	// a request without prefix. Equal requests have the same candidates, so a
 	// request that crashes targets meets the same few allocators.
-	Affinity uint64
-	// Cached says that Affinity stands for a prefix worth finding again.
-	Cached bool
-	// Avoid lists pools that this request was refused by or could not reach.
-	Avoid []string
+	AffinityKey uint64
+	// HasPrefix says that Affinity stands for a prefix worth finding again.
+	HasPrefix bool
+	// ExcludedPools lists pools that this request was refused by or could not reach.
+	ExcludedPools []string
 }
 
-// Draw holds the random numbers of one choice.
-type Draw struct {
-	Other uint64
-	// Share is in [0, 1).
-	Share float64
+// RandomDraw holds the random numbers of one choice.
+type RandomDraw struct {
+	CandidateSeed uint64
+	// ShareSample is in [0, 1).
+	ShareSample float64
 }
 
 // Choose gives the index of the pool to ask, -1 when there is none. Pools are
@@ -96,16 +96,16 @@
 //
 // When only returning data centres are left, they take all the work: refusing
 // it would be worse than a quick return.
-func Choose(now time.Duration, cfg Config, views []View, r Request, d Draw) int {
+func Choose(now time.Duration, cfg Config, views []PoolView, r Request, d RandomDraw) int {
 	cfg = cfg.withDefaults()
 	if best := choose(now, &cfg, views, &r, d); best >= 0 {
 		return best
 	}
-	d.Share = 0
+	d.ShareSample = 0
 	return choose(now, &cfg, views, &r, d)
 }
 
-func choose(now time.Duration, cfg *Config, views []View, r *Request, d Draw) int {
+func choose(now time.Duration, cfg *Config, views []PoolView, r *Request, d RandomDraw) int {
 	c := candidates(views, r, d)
 	best, least := -1, time.Duration(0)
 	for n, i := range c {
@@ -113,7 +113,7 @@
 			continue
 		}
 		score := score(now, cfg, &views[i], r)
-		if r.Cached && n == 0 {
+		if r.HasPrefix && n == 0 {
 			score -= cfg.AffinityWorth
 		}
 		if best < 0 || score < least {
@@ -126,20 +126,20 @@
 // candidates gives the first and the second by affinity and one at random, all
 // in the entry's data centre, and one at random elsewhere; -1 for none. Random
 // ones are those that rank first for a random number, which takes one pass.
-func candidates(views []View, r *Request, d Draw) [4]int {
+func candidates(views []PoolView, r *Request, d RandomDraw) [4]int {
 	first, second, other, far := champion{at: -1}, champion{at: -1}, champion{at: -1}, champion{at: -1}
 	for i := range views {
 		v := &views[i]
 		if !usable(v, r, d) {
 			continue
 		}
-		random := mix(d.Other ^ v.Key)
+		random := mix(d.CandidateSeed ^ v.Key)
 		if v.DataCentre != r.DataCentre {
 			far.offer(i, random)
 			continue
 		}
 		other.offer(i, random)
-		byAffinity := mix(r.Affinity ^ v.Key)
+		byAffinity := mix(r.AffinityKey ^ v.Key)
 		if beaten := first; first.offer(i, byAffinity) {
 			second = beaten
 		} else {
@@ -163,29 +163,29 @@
 	return true
 }
 
-func usable(v *View, r *Request, d Draw) bool {
-	avoided := len(r.Avoid) > 0 && slices.Contains(r.Avoid, v.ID)
-	return d.Share < v.Share && !avoided
+func usable(v *PoolView, r *Request, d RandomDraw) bool {
+	avoided := len(r.ExcludedPools) > 0 && slices.Contains(r.ExcludedPools, v.ID)
+	return d.ShareSample < v.Share && !avoided
 }
 
-func score(now time.Duration, cfg *Config, v *View, r *Request) time.Duration {
+func score(now time.Duration, cfg *Config, v *PoolView, r *Request) time.Duration {
 	s := cfg.Unknown
-	if v.Heard && now-v.NewsAt < cfg.NewsFor {
+	if v.BacklogKnown && now-v.NewsAt < cfg.BacklogMaxAge {
 		s = v.Backlog
 	}
-	s += time.Duration(v.Sent) * cfg.PerSent
+	s += time.Duration(v.PendingRequests) * cfg.PerSent
 	if v.DataCentre != r.DataCentre {
 		s += cfg.FarPenalty
 	}
 	return s
 }
 
-// Subset gives the pools of a data centre that an entry keeps sessions with:
+// SessionPools gives the pools of a data centre that an entry keeps sessions with:
 // the n that rank first for the entry. At the target size a service has some
 // eighty pools in a data centre; with a session to each, pings alone would
 // use up an entry's budget of bytes. Different entries get different subsets,
 // and a change of pools moves few sessions.
-func Subset(entry string, pools []Pool, n int) []Pool {
+func SessionPools(entry string, pools []Pool, n int) []Pool {
 	out := slices.Clone(pools)
 	key := hash(entry)
 	slices.SortFunc(out, func(a, b Pool) int {
--- a/internal/decide/pools/owner.go
+++ b/internal/decide/pools/owner.go
@@ -7,9 +7,9 @@
 
 // Host is a published host that runs a control process.
 type Host struct {
-	// Control is the control process's address.
-	Control    string
-	DataCentre string
+	// ControlAddress is the control process's address.
+	ControlAddress string
+	DataCentre     string
 	// Leaving hosts own nothing, unless all hosts leave.
 	Leaving bool
 }
@@ -50,8 +50,8 @@
 		return c
 	}
 	return cmp.Or(
-		cmp.Compare(rank(key, hash(b.Control)), rank(key, hash(a.Control))),
-		cmp.Compare(a.Control, b.Control),
+		cmp.Compare(rank(key, hash(b.ControlAddress)), rank(key, hash(a.ControlAddress))),
+		cmp.Compare(a.ControlAddress, b.ControlAddress),
 	)
 }
 
--- a/internal/decide/pools/ranking.go
+++ b/internal/decide/pools/ranking.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// Ranking ranks one list of hosts for many pools. It gives the order of Ranked,
+// HostRanking ranks one list of hosts for many pools. It gives the order of Ranked,
 // its first hosts only: at the target size a plan has 2,500 pools and 3,300
 // hosts, and sorting all hosts for each pool took eight seconds.
-type Ranking struct {
+type HostRanking struct {
 	hosts []rankedHost
 	// live counts the hosts of a data centre that do not leave.
 	live     map[string]int
@@ -18,11 +18,11 @@
 	mixed uint64
 }
 
-// NewRanking prepares a list of hosts.
-func NewRanking(hosts []Host) *Ranking {
-	r := &Ranking{hosts: make([]rankedHost, len(hosts)), live: map[string]int{}, byCentre: map[string][]int{}}
+// NewHostRanking prepares a list of hosts.
+func NewHostRanking(hosts []Host) *HostRanking {
+	r := &HostRanking{hosts: make([]rankedHost, len(hosts)), live: map[string]int{}, byCentre: map[string][]int{}}
 	for i, h := range hosts {
-		r.hosts[i] = rankedHost{Host: h, mixed: mix(hash(h.Control))}
+		r.hosts[i] = rankedHost{Host: h, mixed: mix(hash(h.ControlAddress))}
 		r.byCentre[h.DataCentre] = append(r.byCentre[h.DataCentre], i)
 		if !h.Leaving {
 			r.live[h.DataCentre]++
@@ -31,8 +31,8 @@
 	return r
 }
 
-// First gives the first n of Ranked.
-func (r *Ranking) First(pool Pool, n int) []Host {
+// TopHosts gives the first n of Ranked.
+func (r *HostRanking) TopHosts(pool Pool, n int) []Host {
 	best := make([]candidate, 0, n+1)
 	key := hash(pool.ID)
 	if r.live[pool.DataCentre] >= n {
@@ -57,7 +57,7 @@
 }
 
 // offer keeps the best n candidates in order.
-func (r *Ranking) offer(best []candidate, n int, key uint64, dc string, index int) []candidate {
+func (r *HostRanking) offer(best []candidate, n int, key uint64, dc string, index int) []candidate {
 	h := &r.hosts[index]
 	c := candidate{index: index, tier: tier(dc, h.Host), rank: mix(key ^ h.mixed)}
 	at := len(best)
@@ -73,9 +73,9 @@
 	return best[:min(len(best), n)]
 }
 
-func (r *Ranking) before(a, b candidate) bool {
+func (r *HostRanking) before(a, b candidate) bool {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier), cmp.Compare(b.rank, a.rank),
-		cmp.Compare(r.hosts[a.index].Control, r.hosts[b.index].Control),
+		cmp.Compare(r.hosts[a.index].ControlAddress, r.hosts[b.index].ControlAddress),
 	) < 0
 }
--- a/internal/decide/quota/doc.go
+++ b/internal/decide/quota/doc.go
@@ -41,9 +41,9 @@
 
 // Config holds the figures; the zero value of a field means its default.
 type Config struct {
-	// LeaseFor is the life of a lease at its holder. Default 3 s: long enough
+	// LeaseDuration is the life of a lease at its holder. Default 3 s: long enough
 	// that one lost renewal of one a second costs nothing.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// Margin is how much longer the owner counts a lease. Default 500 ms, for
 	// clocks of the two that run at rates apart by less than a tenth.
 	Margin time.Duration
@@ -66,7 +66,7 @@
 )
 
 func (c Config) withDefaults() Config {
-	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseFor)
+	c.LeaseDuration = cmp.Or(c.LeaseDuration, defaultLeaseFor)
 	c.Margin = cmp.Or(c.Margin, defaultMargin)
 	c.ConfirmFor = cmp.Or(c.ConfirmFor, defaultConfirmFor)
 	c.LingerFor = cmp.Or(c.LingerFor, defaultLingerFor)
@@ -75,7 +75,7 @@
 }
 
 func (c Config) tenure() ownership.Config {
-	return ownership.Config{ConfirmFor: c.ConfirmFor, ActFor: c.LeaseFor + c.Margin}
+	return ownership.Config{ConfirmationTTL: c.ConfirmFor, ActionTTL: c.LeaseDuration + c.Margin}
 }
 
 // Limits are a row's limits; 0 means none.
@@ -93,16 +93,16 @@
 	Running, Waiting int
 	// TokensPerSecond is the rate that it would use.
 	TokensPerSecond float64
-	// Known is the serial number of the grant that it acts on, 0 for none.
-	Known uint64
+	// KnownSerial is the serial number of the grant that it acts on, 0 for none.
+	KnownSerial uint64
 }
 
 // Release tells the owner that a holder's lease of an account is over and that
 // it runs nothing of it.
 type Release struct {
 	Account, Holder string
-	// Known is the serial number of the last grant that the holder received.
-	Known uint64
+	// KnownSerial is the serial number of the last grant that the holder received.
+	KnownSerial uint64
 }
 
 // Grant answers a demand: the holder's part of the limits.
@@ -110,8 +110,8 @@
 	Account         string
 	Running         int
 	TokensPerSecond float64
-	// LeaseFor counts from before the demand was sent; 0 means no lease.
-	LeaseFor time.Duration
+	// LeaseDuration counts from before the demand was sent; 0 means no lease.
+	LeaseDuration time.Duration
 	// NotOwner says that another process owns the account.
 	NotOwner bool
 	// RetryAfter is when to ask again.
--- a/internal/decide/quota/holder.go
+++ b/internal/decide/quota/holder.go
@@ -25,17 +25,17 @@
 	return &Holder{cfg: cfg.withDefaults(), leases: map[string]*holding{}}
 }
 
-// Granted takes an answer to a demand that was sent at asked. An answer that was
+// ApplyGrant takes an answer to a demand that was sent at asked. An answer that was
 // given before the one in force is dropped: the owner no longer counts it. An
 // answer without a lease, of an owner that is new, leaves the lease of the one
 // before in force.
-func (h *Holder) Granted(asked time.Duration, g Grant) {
+func (h *Holder) ApplyGrant(asked time.Duration, g Grant) {
 	l := h.leases[g.Account]
 	if l == nil {
 		l = &holding{filled: asked}
 		h.leases[g.Account] = l
 	}
-	if g.LeaseFor == 0 {
+	if g.LeaseDuration == 0 {
 		l.retry = max(l.retry, asked+g.RetryAfter)
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 	l.asked = asked
 	l.fill(asked, h.cfg.RateBurst)
-	l.grant, l.expires = g, asked+g.LeaseFor
+	l.grant, l.expires = g, asked+g.LeaseDuration
 }
 
 // MayStart tells whether a request of the account may start while running of
@@ -63,8 +63,8 @@
 	return inRunning && inRate
 }
 
-// Running is the number of requests that the account's lease allows here.
-func (h *Holder) Running(now time.Duration, account string) int {
+// RunningLimit is the number of requests that the account's lease allows here.
+func (h *Holder) RunningLimit(now time.Duration, account string) int {
 	l := h.leases[account]
 	if l == nil || now >= l.expires {
 		return 0
@@ -72,16 +72,16 @@
 	return l.grant.Running
 }
 
-// Charge books tokens as they are produced.
-func (h *Holder) Charge(now time.Duration, account string, tokens int) {
+// ChargeTokens books tokens as they are produced.
+func (h *Holder) ChargeTokens(now time.Duration, account string, tokens int) {
 	if l := h.leases[account]; l != nil {
 		l.fill(now, h.cfg.RateBurst)
 		l.tokens -= float64(tokens)
 	}
 }
 
-// RenewAt is when the account's next demand should be sent.
-func (h *Holder) RenewAt(account string) time.Duration {
+// NextRenewal is when the account's next demand should be sent.
+func (h *Holder) NextRenewal(account string) time.Duration {
 	l := h.leases[account]
 	if l == nil {
 		return 0
--- a/internal/decide/quota/owner.go
+++ b/internal/decide/quota/owner.go
@@ -59,7 +59,7 @@
 // nothing.
 func (g *issued) heard(now time.Duration, d Demand) {
 	g.inUse = d.Running
-	known := d.Known
+	known := d.KnownSerial
 	if known > g.last {
 		known = 0
 	}
@@ -111,13 +111,13 @@
 	return &Owner{cfg: cfg.withDefaults(), accounts: map[string]*account{}}
 }
 
-// SetOwned says which accounts this process owns by the host list of the given
+// SetOwnedAccounts says which accounts this process owns by the host list of the given
 // revision (see pools.Accounts). Call it for each list that is read and when
 // accounts come and go. An account that is new to the table is owned since the
 // list was first seen: nobody else has leased it by this list. The leases of an
 // account that another process owns now go on at their holders; the next owner
 // waits them out.
-func (o *Owner) SetOwned(now time.Duration, revision uint64, owned []string) {
+func (o *Owner) SetOwnedAccounts(now time.Duration, revision uint64, owned []string) {
 	began := now
 	if revision == o.revision && o.listed {
 		began = o.listSince
@@ -130,38 +130,38 @@
 		a := old[name]
 		if a == nil {
 			a = &account{leases: map[string]*lease{}}
-			a.tenure.Set(began, revision, true)
+			a.tenure.SetOwner(began, revision, true)
 		}
 		a.tenure.Confirm(o.confirmed)
-		a.tenure.Set(now, revision, true)
+		a.tenure.SetOwner(now, revision, true)
 		o.accounts[name] = a
 	}
 }
 
-// Confirm says that the host list was the newest at the moment at.
-func (o *Owner) Confirm(at time.Duration) { o.confirmed = max(o.confirmed, at) }
+// ConfirmHostList says that the host list was the newest at the moment at.
+func (o *Owner) ConfirmHostList(at time.Duration) { o.confirmed = max(o.confirmed, at) }
 
-// Ask takes a demand, which also renews, and leases a part by demand.
-func (o *Owner) Ask(now time.Duration, limits Limits, d Demand) Grant {
+// HandleDemand takes a demand, which also renews, and leases a part by demand.
+func (o *Owner) HandleDemand(now time.Duration, limits Limits, d Demand) Grant {
 	a := o.accounts[d.Account]
 	if a == nil {
-		return Grant{Account: d.Account, NotOwner: true, RetryAfter: o.cfg.LeaseFor / 3}
+		return Grant{Account: d.Account, NotOwner: true, RetryAfter: o.cfg.LeaseDuration / 3}
 	}
 	l := a.book(now, d, o.cfg.LingerFor)
 	a.tenure.Confirm(o.confirmed)
-	if !a.tenure.Sole(now, o.cfg.tenure()) {
-		return Grant{Account: d.Account, RetryAfter: max(a.tenure.SoleFrom(o.cfg.tenure())-now, o.cfg.LeaseFor/3)}
+	if !a.tenure.IsExclusive(now, o.cfg.tenure()) {
+		return Grant{Account: d.Account, RetryAfter: max(a.tenure.ExclusiveFrom(o.cfg.tenure())-now, o.cfg.LeaseDuration/3)}
 	}
-	end := now + o.cfg.LeaseFor + o.cfg.Margin
+	end := now + o.cfg.LeaseDuration + o.cfg.Margin
 	running := a.runningPart(now, limits.Running, l)
 	rate := a.part(now, limits.TokensPerSecond, l, rateOf)
 	o.serial = max(o.serial, o.revision<<serialBits) + 1
-	l.running.add(issue{o.serial, running, end + o.cfg.LeaseFor})
+	l.running.add(issue{o.serial, running, end + o.cfg.LeaseDuration})
 	l.rate.set(now, end, rate)
 	l.expires = end
 	return Grant{
 		Account: d.Account, Running: running, TokensPerSecond: rate,
-		LeaseFor: o.cfg.LeaseFor, RetryAfter: o.cfg.LeaseFor / 3, Serial: o.serial,
+		LeaseDuration: o.cfg.LeaseDuration, RetryAfter: o.cfg.LeaseDuration / 3, Serial: o.serial,
 	}
 }
 
@@ -201,7 +201,7 @@
 	if a == nil {
 		return
 	}
-	if l := a.leases[r.Holder]; l != nil && l.running.last == r.Known {
+	if l := a.leases[r.Holder]; l != nil && l.running.last == r.KnownSerial {
 		delete(a.leases, r.Holder)
 	}
 }
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -22,8 +22,8 @@
 // soleOwner is an owner that has waited out its predecessor by ten seconds.
 func soleOwner() *quota.Owner {
 	o := quota.NewOwner(quota.Config{})
-	o.SetOwned(0, 1, []string{"park"})
-	o.Confirm(10 * time.Second)
+	o.SetOwnedAccounts(0, 1, []string{"park"})
+	o.ConfirmHostList(10 * time.Second)
 	return o
 }
 
@@ -38,16 +38,16 @@
 	// what it had, and what it starts by it runs on.
 	It("gives by demand, and makes room for a late comer once the holder knows", func() {
 		o := soleOwner()
-		Expect(o.Ask(now, row, demand("a", 0, 500)).Running).To(Equal(100))
-		Expect(o.Ask(now, row, demand("b", 0, 10)).Running).To(BeZero())
-		less := o.Ask(now+time.Second, row, demand("a", 40, 500))
+		Expect(o.HandleDemand(now, row, demand("a", 0, 500)).Running).To(Equal(100))
+		Expect(o.HandleDemand(now, row, demand("b", 0, 10)).Running).To(BeZero())
+		less := o.HandleDemand(now+time.Second, row, demand("a", 40, 500))
 		Expect(less.Running).To(Equal(90), "b wants ten")
-		o.Confirm(now + 4*time.Second)
-		Expect(o.Ask(now+4*time.Second, row, demand("b", 0, 10)).Running).To(BeZero(), "a may not know yet")
+		o.ConfirmHostList(now + 4*time.Second)
+		Expect(o.HandleDemand(now+4*time.Second, row, demand("b", 0, 10)).Running).To(BeZero(), "a may not know yet")
 		knowing := demand("a", 40, 500)
-		knowing.Known = less.Serial
-		o.Ask(now+4*time.Second, row, knowing)
-		Expect(o.Ask(now+4*time.Second, row, demand("b", 0, 10)).Running).To(Equal(10))
+		knowing.KnownSerial = less.Serial
+		o.HandleDemand(now+4*time.Second, row, knowing)
+		Expect(o.HandleDemand(now+4*time.Second, row, demand("b", 0, 10)).Running).To(Equal(10))
 		Expect(o.Leased(now+4*time.Second, "park").Running).To(Equal(100))
 	})
 
@@ -55,46 +55,46 @@
 	// its part to another pool at once would exceed the row.
 	It("counts a silent holder for a minute, unless it is released", func() {
 		o := soleOwner()
-		o.Ask(now, row, demand("a", 0, 80))
-		o.Confirm(now + 20*time.Second)
-		Expect(o.Ask(now+20*time.Second, row, demand("b", 0, 80)).Running).To(Equal(20))
-		o.Confirm(now + 90*time.Second)
-		c := o.Ask(now+90*time.Second, row, demand("c", 0, 80))
+		o.HandleDemand(now, row, demand("a", 0, 80))
+		o.ConfirmHostList(now + 20*time.Second)
+		Expect(o.HandleDemand(now+20*time.Second, row, demand("b", 0, 80)).Running).To(Equal(20))
+		o.ConfirmHostList(now + 90*time.Second)
+		c := o.HandleDemand(now+90*time.Second, row, demand("c", 0, 80))
 		Expect(c.Running).To(Equal(80))
-		o.Confirm(now + 91*time.Second)
-		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial - 1})
-		Expect(o.Ask(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(20), "c was given a lease meanwhile")
-		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial})
-		Expect(o.Ask(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(90))
+		o.ConfirmHostList(now + 91*time.Second)
+		o.Release(quota.Release{Account: "park", Holder: "c", KnownSerial: c.Serial - 1})
+		Expect(o.HandleDemand(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(20), "c was given a lease meanwhile")
+		o.Release(quota.Release{Account: "park", Holder: "c", KnownSerial: c.Serial})
+		Expect(o.HandleDemand(now+91*time.Second, row, demand("b", 0, 90)).Running).To(Equal(90))
 	})
 
 	It("leases nothing while it is new or unconfirmed", func() {
 		o := soleOwner()
-		Expect(o.Ask(5*time.Second, row, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(15*time.Second, row, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(5*time.Second, row, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
-		Expect(o.Ask(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
-		o.SetOwned(now, 1, []string{"park", "new"})
-		Expect(o.Ask(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an old list")
-		o.SetOwned(now, 2, []string{"park", "third"})
-		Expect(o.Ask(now, row, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseFor).To(BeZero(), "its last owner's leases run on")
-		Expect(o.Ask(now, row, demand("a", 0, 1)).Running).To(Equal(1), "owned before, owned still")
+		Expect(o.HandleDemand(5*time.Second, row, demand("a", 0, 1)).LeaseDuration).To(BeZero())
+		Expect(o.HandleDemand(15*time.Second, row, demand("a", 0, 1)).LeaseDuration).To(BeZero())
+		Expect(o.HandleDemand(5*time.Second, row, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
+		Expect(o.HandleDemand(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
+		o.SetOwnedAccounts(now, 1, []string{"park", "new"})
+		Expect(o.HandleDemand(now, row, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an old list")
+		o.SetOwnedAccounts(now, 2, []string{"park", "third"})
+		Expect(o.HandleDemand(now, row, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseDuration).To(BeZero(), "its last owner's leases run on")
+		Expect(o.HandleDemand(now, row, demand("a", 0, 1)).Running).To(Equal(1), "owned before, owned still")
 	})
 
 	It("leases rates, which a holder can't overdraw for long", func() {
 		rate := quota.Limits{TokensPerSecond: 90}
 		o, h := soleOwner(), quota.NewHolder(quota.Config{})
-		g := o.Ask(now, rate, quota.Demand{Account: "park", Holder: "a", TokensPerSecond: 60})
+		g := o.HandleDemand(now, rate, quota.Demand{Account: "park", Holder: "a", TokensPerSecond: 60})
 		Expect(g.TokensPerSecond).To(Equal(60.0))
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeFalse())
-		h.Granted(now, g)
+		h.ApplyGrant(now, g)
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeTrue())
-		h.Charge(now+time.Second, "park", 150)
+		h.ChargeTokens(now+time.Second, "park", 150)
 		Expect(h.MayStart(now+2*time.Second, "park", rate, 0)).To(BeFalse(), "30 tokens of debt")
 		Expect(h.MayStart(now+2600*time.Millisecond, "park", rate, 0)).To(BeTrue())
-		h.Charge(now+2600*time.Millisecond, "park", 1000)
+		h.ChargeTokens(now+2600*time.Millisecond, "park", 1000)
 		Expect(h.MayStart(now+3*time.Second, "park", rate, 0)).To(BeFalse(), "the lease is over")
-		h.Granted(now+20*time.Second, g)
+		h.ApplyGrant(now+20*time.Second, g)
 		Expect(h.MayStart(now+20*time.Second, "park", rate, 0)).To(BeFalse(), "nothing was gained without a lease")
 		Expect(h.MayStart(now, "other", quota.Limits{}, 1000)).To(BeTrue(), "no limits")
 	})
@@ -107,9 +107,9 @@
 		got := map[string]float64{}
 		for at := range 10 {
 			t := now + time.Duration(at)*time.Second
-			o.Confirm(t)
+			o.ConfirmHostList(t)
 			for _, holder := range []string{"a", "b", "c"} {
-				got[holder] = o.Ask(t, rate, quota.Demand{Account: "park", Holder: holder, TokensPerSecond: 90}).TokensPerSecond
+				got[holder] = o.HandleDemand(t, rate, quota.Demand{Account: "park", Holder: holder, TokensPerSecond: 90}).TokensPerSecond
 			}
 			Expect(o.Leased(t, "park").TokensPerSecond).To(BeNumerically("<=", 90))
 		}
@@ -123,11 +123,11 @@
 		known := map[string]uint64{}
 		for at := range 40 {
 			t := now + time.Duration(at)*time.Second
-			o.Confirm(t)
+			o.ConfirmHostList(t)
 			for _, holder := range []string{"a", "b", "c", "d"} {
 				d := demand(holder, 0, 5)
-				d.Known = known[holder]
-				g := o.Ask(t, small, d)
+				d.KnownSerial = known[holder]
+				g := o.HandleDemand(t, small, d)
 				known[holder] = g.Serial
 				turns[holder] += g.Running
 			}
@@ -138,19 +138,19 @@
 
 	It("asks in time, sooner when starved, and forgets what it no longer uses", func() {
 		h := quota.NewHolder(quota.Config{})
-		due := func(now time.Duration, uses ...quota.Use) []quota.Demand { return h.Due(now, "a", uses, 10) }
-		use := quota.Use{Account: "park", Running: 2, Waiting: 6}
+		due := func(now time.Duration, uses ...quota.Usage) []quota.Demand { return h.DueDemands(now, "a", uses, 10) }
+		use := quota.Usage{Account: "park", Running: 2, Waiting: 6}
 		Expect(due(0, use)).To(Equal([]quota.Demand{{Account: "park", Holder: "a", Running: 2, Waiting: 8, TokensPerSecond: 50}}))
 		Expect(due(100*time.Millisecond, use)).To(BeEmpty())
-		h.Granted(0, quota.Grant{Account: "park", Running: 2, LeaseFor: 3 * time.Second, RetryAfter: time.Second, Serial: 9})
-		h.Granted(1, quota.Grant{Account: "park", Running: 50, LeaseFor: 3 * time.Second, Serial: 8})
-		Expect(h.Running(1, "park")).To(Equal(2), "an answer given before")
+		h.ApplyGrant(0, quota.Grant{Account: "park", Running: 2, LeaseDuration: 3 * time.Second, RetryAfter: time.Second, Serial: 9})
+		h.ApplyGrant(1, quota.Grant{Account: "park", Running: 50, LeaseDuration: 3 * time.Second, Serial: 8})
+		Expect(h.RunningLimit(1, "park")).To(Equal(2), "an answer given before")
 		Expect(due(300*time.Millisecond, use)).To(HaveLen(1), "starved")
 		use.Waiting = 0
 		Expect(due(700*time.Millisecond, use)).To(BeEmpty())
-		Expect(due(time.Second, use, quota.Use{Account: "new"})).To(HaveLen(2))
+		Expect(due(time.Second, use, quota.Usage{Account: "new"})).To(HaveLen(2))
 		Expect(due(4 * time.Second)).To(BeEmpty())
-		Expect(h.RenewAt("park")).To(BeZero())
+		Expect(h.NextRenewal("park")).To(BeZero())
 	})
 
 	It("never leases more than the row, in any seed, unlike counting by gossip", func() {
@@ -207,10 +207,10 @@
 			if list%2 == i {
 				owned = append(owned, "park")
 			}
-			o.SetOwned(w.now, uint64(list), owned)
+			o.SetOwnedAccounts(w.now, uint64(list), owned)
 		}
 		if list == w.published && w.IntN(10) == 0 {
-			o.Confirm(w.now)
+			o.ConfirmHostList(w.now)
 		}
 	}
 }
@@ -231,25 +231,25 @@
 			cut = w.now + 10*time.Second
 		}
 		o, asked := w.owners[w.published%2], w.now
-		uses := []quota.Use{{Account: "park", Running: w.running[i], Waiting: max(0, want-w.running[i])}}
+		uses := []quota.Usage{{Account: "park", Running: w.running[i], Waiting: max(0, want-w.running[i])}}
 		if w.idles && want == 0 && w.running[i] == 0 {
 			uses = nil
 		}
-		for _, r := range h.Drop(w.now, fmt.Sprint(i), uses) {
+		for _, r := range h.DropIdle(w.now, fmt.Sprint(i), uses) {
 			if w.now >= cut {
 				w.send(func() { o.Release(r) })
 			}
 		}
-		for _, d := range h.Due(w.now, fmt.Sprint(i), uses, 1) {
+		for _, d := range h.DueDemands(w.now, fmt.Sprint(i), uses, 1) {
 			if w.now < cut {
 				continue
 			}
 			w.send(func() {
-				g := o.Ask(w.now, row, d)
-				w.send(func() { h.Granted(asked, g) })
+				g := o.HandleDemand(w.now, row, d)
+				w.send(func() { h.ApplyGrant(asked, g) })
 			})
 		}
-		room := h.Running(w.now, "park")
+		room := h.RunningLimit(w.now, "park")
 		w.leased += room
 		if naive {
 			room = row.Running
@@ -318,7 +318,7 @@
 
 func BenchmarkMayStart(b *testing.B) {
 	h := quota.NewHolder(quota.Config{})
-	h.Granted(0, quota.Grant{Account: "park", Running: 5, LeaseFor: time.Hour})
+	h.ApplyGrant(0, quota.Grant{Account: "park", Running: 5, LeaseDuration: time.Hour})
 	b.ReportAllocs()
 	for range b.N {
 		h.MayStart(time.Second, "park", row, 3)
--- a/internal/decide/quota/schedule.go
+++ b/internal/decide/quota/schedule.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Use is what one account does in a pool.
-type Use struct {
+// Usage is what one account does in a pool.
+type Usage struct {
 	Account string
 	// Running requests are in progress, Waiting ones in the queue.
 	Running, Waiting int
@@ -27,19 +27,19 @@
 	leastRate = 50
 )
 
-// Due gives the demands that should be sent now for the accounts that use this
+// DueDemands gives the demands that should be sent now for the accounts that use this
 // pool, the most urgent first, at most limit of them: one message carries those
 // of an owner. An account that has nothing here, and whose lease is over, is
 // dropped; the owner's lease of it ends by itself.
-func (h *Holder) Due(now time.Duration, holder string, uses []Use, limit int) []Demand {
-	h.Drop(now, holder, uses)
-	due := make([]Use, 0, len(uses))
+func (h *Holder) DueDemands(now time.Duration, holder string, uses []Usage, limit int) []Demand {
+	h.DropIdle(now, holder, uses)
+	due := make([]Usage, 0, len(uses))
 	for _, u := range uses {
-		if h.RenewAt(u.Account) <= now || h.starved(now, u) {
+		if h.NextRenewal(u.Account) <= now || h.starved(now, u) {
 			due = append(due, u)
 		}
 	}
-	slices.SortFunc(due, func(a, b Use) int {
+	slices.SortFunc(due, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(h.expiry(a.Account), h.expiry(b.Account)), cmp.Compare(a.Account, b.Account))
 	})
 	due = due[:min(limit, len(due))]
@@ -60,24 +60,24 @@
 	return 0
 }
 
-func (u Use) demand(holder string, known uint64) Demand {
+func (u Usage) demand(holder string, known uint64) Demand {
 	wanted := u.Running + u.Waiting
 	spare := max(leastSpare, int(headroom*float64(wanted)))
 	return Demand{
 		Account: u.Account, Holder: holder, Running: u.Running, Waiting: u.Waiting + spare,
-		TokensPerSecond: max(leastRate, (1+headroom)*u.TokensPerSecond), Known: known,
+		TokensPerSecond: max(leastRate, (1+headroom)*u.TokensPerSecond), KnownSerial: known,
 	}
 }
 
 // starved tells whether requests wait for more than the lease allows. Such an
 // account asks again sooner than it would renew, but not in every step: an
 // owner with nothing to give would be asked as often as requests come.
-func (h *Holder) starved(now time.Duration, u Use) bool {
+func (h *Holder) starved(now time.Duration, u Usage) bool {
 	l := h.leases[u.Account]
 	if l == nil || u.Waiting == 0 {
 		return false
 	}
-	return u.Running >= h.Running(now, u.Account) && now-l.sent >= h.cfg.LeaseFor/starvedShare
+	return u.Running >= h.RunningLimit(now, u.Account) && now-l.sent >= h.cfg.LeaseDuration/starvedShare
 }
 
 // starvedShare: a starved account asks ten times a lease.
@@ -92,7 +92,7 @@
 		h.leases[account] = l
 	}
 	l.sent = now
-	l.retry = max(l.retry, now+h.cfg.LeaseFor/starvedShare)
+	l.retry = max(l.retry, now+h.cfg.LeaseDuration/starvedShare)
 }
 
 func (h *Holder) expiry(account string) time.Duration {
@@ -106,11 +106,11 @@
 // account must not shed it by pausing for a moment.
 const debtLife = time.Minute
 
-// Drop forgets the accounts that have nothing here and whose lease is over, and
+// DropIdle forgets the accounts that have nothing here and whose lease is over, and
 // gives the releases that their owners should hear. Without them an owner takes
 // such a holder for one that fell silent, and counts for a minute what it could
 // have had: a small limit would be used up by pools that do nothing.
-func (h *Holder) Drop(now time.Duration, holder string, uses []Use) []Release {
+func (h *Holder) DropIdle(now time.Duration, holder string, uses []Usage) []Release {
 	used := make(map[string]bool, len(uses))
 	for _, u := range uses {
 		used[u.Account] = true
@@ -121,7 +121,7 @@
 			continue
 		}
 		if l.grant.Serial > 0 {
-			out = append(out, Release{Account: account, Holder: holder, Known: l.grant.Serial})
+			out = append(out, Release{Account: account, Holder: holder, KnownSerial: l.grant.Serial})
 		}
 		l.grant = Grant{}
 		if l.tokens >= 0 || now >= l.expires+debtLife {
@@ -132,5 +132,5 @@
 	return out
 }
 
-// Expires is the end of the account's lease; 0 without one.
-func (h *Holder) Expires(account string) time.Duration { return h.expiry(account) }
+// ExpiresAt is the end of the account's lease; 0 without one.
+func (h *Holder) ExpiresAt(account string) time.Duration { return h.expiry(account) }
--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -21,9 +21,9 @@
 
 // Config holds the settings of the selection.
 type Config struct {
-	// Want is the number of readers for the hosts that share them. With two,
+	// ReaderCount is the number of readers for the hosts that share them. With two,
 	// the loss of one has no effect.
-	Want int
+	ReaderCount int
 	// ReportTTL is how long a host's report is valid. Hosts ask the readers in
 	// turn, every 200 ms; two requests to each may fail.
 	ReportTTL time.Duration
@@ -33,13 +33,13 @@
 	StartupPeriod time.Duration
 }
 
-// Default returns the settings in use.
-func Default() Config {
-	return Config{Want: 2, ReportTTL: 1200 * time.Millisecond, StartupPeriod: 5 * time.Second}
+// DefaultConfig returns the settings in use.
+func DefaultConfig() Config {
+	return Config{ReaderCount: 2, ReportTTL: 1200 * time.Millisecond, StartupPeriod: 5 * time.Second}
 }
 
-// Readers holds one host's knowledge of the others.
-type Readers struct {
+// Selector holds one host's knowledge of the others.
+type Selector struct {
 	cfg     Config
 	reports map[string]report
 }
@@ -50,20 +50,20 @@
 }
 
 // New returns the state of a host that has heard from no other: it reads.
-func New(cfg Config) *Readers { return &Readers{cfg: cfg, reports: map[string]report{}} }
+func New(cfg Config) *Selector { return &Selector{cfg: cfg, reports: map[string]report{}} }
 
-// Heard records whether a host reported that it reads the store successfully.
-func (r *Readers) Heard(now time.Duration, host string, reading bool) {
+// RecordReport records whether a host reported that it reads the store successfully.
+func (r *Selector) RecordReport(now time.Duration, host string, reading bool) {
 	r.reports[host] = report{now, reading}
 }
 
-// Read reports whether self is to read, given the live hosts in the order of
+// ShouldRead reports whether self is to read, given the live hosts in the order of
 // their rank; fresh is set when self's data is recent enough. While a fleet
 // starts, hosts know few others and hear of no higher-ranked reader, so most of
 // them would take the role in turn. Therefore a host that has just started and
 // does not rank among the first reads only while its data is out of date.
-func (r *Readers) Read(now time.Duration, self string, ranked []string, fresh bool) bool {
-	if now < r.cfg.StartupPeriod && fresh && !r.Among(self, ranked) {
+func (r *Selector) ShouldRead(now time.Duration, self string, ranked []string, fresh bool) bool {
+	if now < r.cfg.StartupPeriod && fresh && !r.IsPreferred(self, ranked) {
 		return false
 	}
 	higherRanked := 0
@@ -75,19 +75,19 @@
 			higherRanked++
 		}
 	}
-	return higherRanked < r.Wanted()
+	return higherRanked < r.ReaderCount()
 }
 
-// Wanted returns the configured number of readers.
-func (r *Readers) Wanted() int { return r.cfg.Want }
+// ReaderCount returns the configured number of readers.
+func (r *Selector) ReaderCount() int { return r.cfg.ReaderCount }
 
-// Among reports whether self is one of the hosts that read in normal operation.
-func (r *Readers) Among(self string, ranked []string) bool {
-	return slices.Contains(ranked[:min(len(ranked), r.Wanted())], self)
+// IsPreferred reports whether self is one of the hosts that read in normal operation.
+func (r *Selector) IsPreferred(self string, ranked []string) bool {
+	return slices.Contains(ranked[:min(len(ranked), r.ReaderCount())], self)
 }
 
-// Known returns the other hosts that are known to read, in the order of ranked.
-func (r *Readers) Known(now time.Duration, self string, ranked []string) []string {
+// KnownReaders returns the other hosts that are known to read, in the order of ranked.
+func (r *Selector) KnownReaders(now time.Duration, self string, ranked []string) []string {
 	var out []string
 	for _, host := range ranked {
 		if host != self && r.isReading(now, host) {
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (r *Readers) isReading(now time.Duration, host string) bool {
+func (r *Selector) isReading(now time.Duration, host string) bool {
 	last, known := r.reports[host]
 	return known && last.reading && now-last.receivedAt < r.cfg.ReportTTL
 }
--- a/internal/decide/retrybudget/budget.go
+++ b/internal/decide/retrybudget/budget.go
@@ -29,17 +29,17 @@
 
 // Config holds the figures; the zero value of a field means its default.
 type Config struct {
-	// Share of first tries that may be retried. Default 0.1: it covers the
+	// RetryRatio of first tries that may be retried. Default 0.1: it covers the
 	// loss of one target of ten at once, and adds at most a tenth to an
 	// overload.
-	Share float64
+	RetryRatio float64
 	// Burst is the most tokens that a bucket of an account holds. Default 10.
 	Burst float64
 	// ServiceBurst is the most that a service's holds. Default ten times Burst.
 	ServiceBurst float64
-	// Trickle is added per second, used or not. Default 0.2: an account that
+	// RefillPerSecond is added per second, used or not. Default 0.2: an account that
 	// sends a request a minute may always retry it.
-	Trickle float64
+	RefillPerSecond float64
 	// MaxBuckets bounds the accounts and services that are kept; idle ones go
 	// first. Default 4096, some 600 KB.
 	MaxBuckets int
@@ -52,15 +52,15 @@
 	defaultMaxBuckets = 4096
 	// serviceBurst is a service's burst in units of an account's.
 	serviceBurst = 10
-	// NoTrickle, as a Config's Trickle, adds nothing with time.
-	NoTrickle = -1
+	// NoRefill, as a Config's Trickle, adds nothing with time.
+	NoRefill = -1
 )
 
 func (c Config) withDefaults() Config {
-	c.Share = cmp.Or(c.Share, defaultShare)
+	c.RetryRatio = cmp.Or(c.RetryRatio, defaultShare)
 	c.Burst = cmp.Or(c.Burst, defaultBurst)
 	c.ServiceBurst = cmp.Or(c.ServiceBurst, serviceBurst*c.Burst)
-	c.Trickle = max(cmp.Or(c.Trickle, defaultTrickle), 0)
+	c.RefillPerSecond = max(cmp.Or(c.RefillPerSecond, defaultTrickle), 0)
 	c.MaxBuckets = cmp.Or(c.MaxBuckets, defaultMaxBuckets)
 	return c
 }
@@ -148,9 +148,9 @@
 	return &Budget{cfg: cfg.withDefaults(), buckets: map[Key]*Bucket{}, hosts: 1}
 }
 
-// ShareAmong says how many hosts share the bursts, so that all hosts' retries
+// SetHostCount says how many hosts share the bursts, so that all hosts' retries
 // keep to one bound. Buckets that hold more are emptied to their part.
-func (b *Budget) ShareAmong(hosts int) {
+func (b *Budget) SetHostCount(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := float64(max(hosts, 1))
@@ -163,15 +163,15 @@
 	b.hosts = next
 }
 
-// First books a first try.
-func (b *Budget) First(now time.Duration, k Key) {
-	b.bucket(now, k).Deposit(b.cfg.Share)
-	b.service(now, k).Deposit(b.cfg.Share)
+// RecordFirstAttempt books a first try.
+func (b *Budget) RecordFirstAttempt(now time.Duration, k Key) {
+	b.bucket(now, k).Deposit(b.cfg.RetryRatio)
+	b.service(now, k).Deposit(b.cfg.RetryRatio)
 }
 
-// Retry tells whether a request may be tried once more, and books it. When it
+// AllowRetry tells whether a request may be tried once more, and books it. When it
 // may not, the failure is the request's answer.
-func (b *Budget) Retry(now time.Duration, k Key) bool {
+func (b *Budget) AllowRetry(now time.Duration, k Key) bool {
 	own := b.bucket(now, k)
 	if !own.Take(now) {
 		return false
@@ -213,7 +213,7 @@
 	if len(b.buckets) >= b.cfg.MaxBuckets {
 		b.evict(now)
 	}
-	burst, trickle := b.cfg.Burst, b.cfg.Trickle
+	burst, trickle := b.cfg.Burst, b.cfg.RefillPerSecond
 	if k.Account == "" {
 		burst, trickle = b.cfg.ServiceBurst, trickle*serviceBurst
 	}
--- a/internal/decide/retrybudget/budget_test.go
+++ b/internal/decide/retrybudget/budget_test.go
@@ -29,31 +29,31 @@
 		b := retrybudget.New(retrybudget.Config{})
 		retries := 0
 		for range 1000 {
-			b.First(0, clinic)
-			if b.Retry(0, clinic) {
+			b.RecordFirstAttempt(0, clinic)
+			if b.AllowRetry(0, clinic) {
 				retries++
 			}
 		}
 		Expect(retries).To(BeNumerically("~", 110, 1), "a tenth and the burst")
-		Expect(b.Retry(0, radio)).To(BeTrue())
-		Expect(b.Retry(5*time.Second, clinic)).To(BeTrue(), "the trickle")
-		Expect(b.Retry(5*time.Second, clinic)).To(BeFalse())
+		Expect(b.AllowRetry(0, radio)).To(BeTrue())
+		Expect(b.AllowRetry(5*time.Second, clinic)).To(BeTrue(), "the trickle")
+		Expect(b.AllowRetry(5*time.Second, clinic)).To(BeFalse())
 	})
 
 	It("bounds a service's retries over all accounts, and its memory", func() {
 		b := retrybudget.New(retrybudget.Config{MaxBuckets: 64})
 		retries := 0
 		for i := range 1000 {
-			if b.Retry(0, retrybudget.Key{Account: fmt.Sprint(i % 50), Service: "report"}) {
+			if b.AllowRetry(0, retrybudget.Key{Account: fmt.Sprint(i % 50), Service: "report"}) {
 				retries++
 			}
 		}
 		Expect(retries).To(Equal(100))
 		for range 9 { // the service's trickle; what the account didn't get is still its own
-			Expect(b.Retry(5*time.Second, retrybudget.Key{Account: "0", Service: "report"})).To(BeTrue())
+			Expect(b.AllowRetry(5*time.Second, retrybudget.Key{Account: "0", Service: "report"})).To(BeTrue())
 		}
 		for i := range 1000 {
-			b.First(0, retrybudget.Key{Account: fmt.Sprint(i), Service: "report"})
+			b.RecordFirstAttempt(0, retrybudget.Key{Account: fmt.Sprint(i), Service: "report"})
 		}
 		Expect(b.Buckets()).To(BeNumerically("<=", 64))
 	})
@@ -80,7 +80,7 @@
 			bears = 70
 		}
 		for range 100 {
-			b.First(now, clinic)
+			b.RecordFirstAttempt(now, clinic)
 		}
 		tries := [3]int{100, failed[0], failed[1]}
 		load := tries[0] + tries[1] + tries[2]
@@ -88,7 +88,7 @@
 		failed = [3]int{}
 		for n, count := range tries {
 			for range count {
-				if rnd.Float64() >= served*served && n < 2 && (!budgeted || b.Retry(now, clinic)) {
+				if rnd.Float64() >= served*served && n < 2 && (!budgeted || b.AllowRetry(now, clinic)) {
 					failed[n]++
 				}
 			}
@@ -105,8 +105,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			budget.First(0, clinic)
-			budget.Retry(0, clinic)
+			budget.RecordFirstAttempt(0, clinic)
+			budget.AllowRetry(0, clinic)
 		}
 	})
 }
--- a/internal/decide/rollout/document.go
+++ b/internal/decide/rollout/document.go
@@ -24,13 +24,13 @@
 
 // The verdicts on a delta.
 const (
-	// VerdictKnown: the document holds this version already.
-	VerdictKnown Verdict = iota + 1
-	// VerdictOld: the document holds a newer version, the peer or the service
+	// VerdictCurrent: the document holds this version already.
+	VerdictCurrent Verdict = iota + 1
+	// VerdictStale: the document holds a newer version, the peer or the service
 	// is behind.
-	VerdictOld
-	// VerdictTake: the delta leads to a newer version.
-	VerdictTake
+	VerdictStale
+	// VerdictApply: the delta leads to a newer version.
+	VerdictApply
 	// VerdictGap: the delta starts after this document's version or does not
 	// give its digest; fetch the whole.
 	VerdictGap
@@ -78,14 +78,14 @@
 	return rows
 }
 
-// Judge says what a delta means here, and for VerdictTake gives the rows that
+// Evaluate says what a delta means here, and for VerdictTake gives the rows that
 // it changes, for validation. It changes nothing.
-func (d *Document) Judge(delta Delta) (Verdict, []Row) {
+func (d *Document) Evaluate(delta Delta) (Verdict, []Row) {
 	switch c := delta.Version.Compare(d.head.Version); {
 	case c < 0:
-		return VerdictOld, nil
+		return VerdictStale, nil
 	case c == 0 && delta.Digest == d.head.Digest:
-		return VerdictKnown, nil
+		return VerdictCurrent, nil
 	case c == 0 && delta.Digest < d.head.Digest:
 		// Two contents of one version: all nodes settle on the larger digest.
 		// Nothing tells which is newer, but that all hold the same matters.
@@ -103,7 +103,7 @@
 	if digest != delta.Digest {
 		return VerdictGap, nil
 	}
-	return VerdictTake, changed
+	return VerdictApply, changed
 }
 
 // changed gives the rows of a delta that differ from those in force, with the
@@ -166,11 +166,11 @@
 	d.log = slices.Delete(d.log, 0, cut)
 }
 
-// Since gives what a peer at version from lacks; the whole document when the
+// DeltaSince gives what a peer at version from lacks; the whole document when the
 // log does not reach back that far or a delta would not be smaller.
-func (d *Document) Since(from Version) Delta {
+func (d *Document) DeltaSince(from Version) Delta {
 	if from == (Version{}) || d.logFrom.After(from) {
-		return d.All()
+		return d.FullDelta()
 	}
 	start, _ := slices.BinarySearchFunc(d.log, from, func(e logEntry, v Version) int {
 		if e.version.After(v) {
@@ -187,13 +187,13 @@
 		}
 	}
 	if len(delta.Rows) > len(d.rows) {
-		return d.All()
+		return d.FullDelta()
 	}
 	return delta
 }
 
-// All gives the whole document.
-func (d *Document) All() Delta { return Delta{Head: d.head, Full: true, Rows: d.Rows()} }
+// FullDelta gives the whole document.
+func (d *Document) FullDelta() Delta { return Delta{Head: d.head, Full: true, Rows: d.Rows()} }
 
 // Refuse notes that a version failed validation. The newest refusal stands; a
 // version that is in force or older can't be refused any more. It tells
--- a/internal/decide/rollout/join.go
+++ b/internal/decide/rollout/join.go
@@ -18,31 +18,31 @@
 	joinLimit = 30 * time.Second
 )
 
-// Join decides when a new process is ready. Without it a host that is
+// Readiness decides when a new process is ready. Without it a host that is
 // replaced while the configuration service is stale or restored would serve
 // from a table older than the one in force: an edit would revert there.
-type Join struct {
+type Readiness struct {
 	started time.Duration
 	asked   map[string]bool
 	service bool
 	done    bool
 }
 
-// NewJoin starts at now.
-func NewJoin(now time.Duration) *Join {
-	return &Join{started: now, asked: map[string]bool{}}
+// NewReadiness starts at now.
+func NewReadiness(now time.Duration) *Readiness {
+	return &Readiness{started: now, asked: map[string]bool{}}
 }
 
-// Peer notes that everything a peer holds was taken over.
-func (j *Join) Peer(address string) {
+// RecordPeer notes that everything a peer holds was taken over.
+func (j *Readiness) RecordPeer(address string) {
 	if len(j.asked) < joinPeers {
 		j.asked[address] = true
 	}
 }
 
-// Unasked gives those of some peers that are still to be asked: none once
+// RemainingPeers gives those of some peers that are still to be asked: none once
 // enough were.
-func (j *Join) Unasked(peers []string) []string {
+func (j *Readiness) RemainingPeers(peers []string) []string {
 	if j.Confirmed() {
 		return nil
 	}
@@ -55,8 +55,8 @@
 	return out
 }
 
-// Service notes that the service's documents were read.
-func (j *Join) Service() { j.service = true }
+// RecordService notes that the service's documents were read.
+func (j *Readiness) RecordService() { j.service = true }
 
 // Ready tells whether the process may serve: peers is how many others there
 // are to ask, holds whether a table is in force here, behind whether a peer
@@ -65,7 +65,7 @@
 // While it is behind the grace does not count: a table of 11,000 rows that is
 // on its way to a busy host takes longer than that, and the host would serve
 // from the old one in the meantime.
-func (j *Join) Ready(now time.Duration, peers int, holds, behind bool) bool {
+func (j *Readiness) Ready(now time.Duration, peers int, holds, behind bool) bool {
 	if j.done {
 		return true
 	}
@@ -83,4 +83,4 @@
 
 // Confirmed tells whether enough peers were asked, for the operators' view: a
 // process that became ready by waiting can only know what the service says.
-func (j *Join) Confirmed() bool { return len(j.asked) >= joinPeers }
+func (j *Readiness) Confirmed() bool { return len(j.asked) >= joinPeers }
--- a/internal/decide/rollout/restore.go
+++ b/internal/decide/rollout/restore.go
@@ -20,9 +20,9 @@
 // five hours of edits before the restore.
 const maxHistory = 4096
 
-// History remembers which content a revision of the service had, in the
+// RevisionHistory remembers which content a revision of the service had, in the
 // lineage that was current then.
-type History struct {
+type RevisionHistory struct {
 	seen  map[uint64][]content
 	order []uint64
 }
@@ -33,11 +33,11 @@
 	lineage uint64
 }
 
-// NewHistory returns an empty history.
-func NewHistory() *History { return &History{seen: map[uint64][]content{}} }
+// NewRevisionHistory returns an empty history.
+func NewRevisionHistory() *RevisionHistory { return &RevisionHistory{seen: map[uint64][]content{}} }
 
 // Record notes what a document held at a version.
-func (h *History) Record(section string, head Head) {
+func (h *RevisionHistory) Record(section string, head Head) {
 	c := content{section, head.Digest, head.Version.Epoch}
 	known := h.seen[head.Version.Revision]
 	for _, k := range known {
@@ -58,7 +58,7 @@
 // Lineage gives the epoch in which this very content was seen at the head's
 // revision, so that a replica of an abandoned lineage is told from the current
 // one; false when it was never seen.
-func (h *History) Lineage(section string, head Head) (uint64, bool) {
+func (h *RevisionHistory) Lineage(section string, head Head) (uint64, bool) {
 	newest, found := uint64(0), false
 	for _, k := range h.seen[head.Version.Revision] {
 		if k.section == section && k.digest == head.Digest {
@@ -68,9 +68,9 @@
 	return newest, found
 }
 
-// Foreign tells whether the head's revision is known in its lineage with
+// ProvesRestore tells whether the head's revision is known in its lineage with
 // another content than this, which proves that the service was restored.
-func (h *History) Foreign(section string, head Head) bool {
+func (h *RevisionHistory) ProvesRestore(section string, head Head) bool {
 	other := false
 	for _, k := range h.seen[head.Version.Revision] {
 		if k.lineage != head.Version.Epoch {
@@ -84,8 +84,8 @@
 	return other
 }
 
-// Kept is a row whose edit a restore lost.
-type Kept struct {
+// PreservedRow is a row whose edit a restore lost.
+type PreservedRow struct {
 	// Baseline is the row as the restored service has it.
 	Baseline string
 	// Text is the row as it was in force.
@@ -93,13 +93,13 @@
 }
 
 // Overlay holds the kept rows of one document by key.
-type Overlay map[string]Kept
+type Overlay map[string]PreservedRow
 
-// Lost gives the rows in force that differ from the restored service's.
-func Lost(inForce, restored []Row) Overlay {
+// LostEdits gives the rows in force that differ from the restored service's.
+func LostEdits(inForce, restored []Row) Overlay {
 	out := Overlay{}
 	for _, r := range inForce {
-		out[r.Key] = Kept{Text: r.Text}
+		out[r.Key] = PreservedRow{Text: r.Text}
 	}
 	for _, r := range restored {
 		k := out[r.Key]
@@ -113,10 +113,10 @@
 	return out
 }
 
-// Resolve lays the kept rows over the service's. A row that the service shows
+// Apply lays the kept rows over the service's. A row that the service shows
 // other than at the restore has been edited since: there the edit counts, and
 // the row is no longer kept, also if it is changed back later.
-func (o Overlay) Resolve(service []Row) ([]Row, Overlay) {
+func (o Overlay) Apply(service []Row) ([]Row, Overlay) {
 	left := Overlay{}
 	rows := make([]Row, 0, len(service))
 	named := make(map[string]bool, len(service))
@@ -143,9 +143,9 @@
 // rows hold no such character.
 const overlaySeparator = "\x00"
 
-// OverlayRows gives the overlays of several documents as one document's rows,
+// EncodeOverlays gives the overlays of several documents as one document's rows,
 // so that gossip carries them like any other.
-func OverlayRows(overlays map[string]Overlay) []Row {
+func EncodeOverlays(overlays map[string]Overlay) []Row {
 	var rows []Row
 	for section, o := range overlays {
 		for key, k := range o {
@@ -155,8 +155,8 @@
 	return rows
 }
 
-// OverlaysOf reads what OverlayRows wrote; rows that are none are left out.
-func OverlaysOf(rows []Row) map[string]Overlay {
+// DecodeOverlays reads what OverlayRows wrote; rows that are none are left out.
+func DecodeOverlays(rows []Row) map[string]Overlay {
 	out := map[string]Overlay{}
 	for _, r := range rows {
 		section, key, ok := strings.Cut(r.Key, overlaySeparator)
@@ -167,7 +167,7 @@
 		if out[section] == nil {
 			out[section] = Overlay{}
 		}
-		out[section][key] = Kept{baseline, text}
+		out[section][key] = PreservedRow{baseline, text}
 	}
 	return out
 }
--- a/internal/decide/rollout/restore_test.go
+++ b/internal/decide/rollout/restore_test.go
@@ -11,7 +11,7 @@
 	headAt := func(epoch, revision, digest uint64) rollout.Head {
 		return rollout.Head{Version: at(epoch, revision), Digest: digest}
 	}
-	h := rollout.NewHistory()
+	h := rollout.NewRevisionHistory()
 	h.Record("table", headAt(0, 10, 1))
 	h.Record("hosts", headAt(0, 11, 2))
 	h.Record("table", headAt(1, 11, 3))
@@ -20,7 +20,7 @@
 	// service shows something else under a number that was given before.
 	DescribeTable("proves a restore only by another content under a known number",
 		func(section string, head rollout.Head, foreign bool) {
-			Expect(h.Foreign(section, head)).To(Equal(foreign))
+			Expect(h.ProvesRestore(section, head)).To(Equal(foreign))
 		},
 		Entry("the same again", "table", headAt(0, 10, 1), false),
 		Entry("another content", "table", headAt(0, 10, 9), true),
@@ -37,23 +37,23 @@
 	})
 
 	It("forgets the oldest", func() {
-		long := rollout.NewHistory()
+		long := rollout.NewRevisionHistory()
 		for i := range uint64(5000) {
 			long.Record("table", headAt(0, i, i+1))
 		}
-		Expect(long.Foreign("table", headAt(0, 1, 9))).To(BeFalse())
-		Expect(long.Foreign("table", headAt(0, 4999, 9))).To(BeTrue())
+		Expect(long.ProvesRestore("table", headAt(0, 1, 9))).To(BeFalse())
+		Expect(long.ProvesRestore("table", headAt(0, 4999, 9))).To(BeTrue())
 	})
 })
 
 var _ = Describe("rows that a restore lost", func() {
 	inForce := []rollout.Row{{Key: "a", Text: "new"}, {Key: "b", Text: "same"}, {Key: "added", Text: "x"}}
 	restored := []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "same"}, {Key: "removed", Text: "y"}}
-	lost := rollout.Lost(inForce, restored)
+	lost := rollout.LostEdits(inForce, restored)
 
 	DescribeTable("stay in force until the service shows them changed",
 		func(service, want []rollout.Row, left int) {
-			rows, overlay := lost.Resolve(service)
+			rows, overlay := lost.Apply(service)
 			Expect(rows).To(ConsistOf(want))
 			Expect(overlay).To(HaveLen(left))
 		},
@@ -68,8 +68,8 @@
 	)
 
 	It("travel as rows", func() {
-		back := rollout.OverlaysOf(rollout.OverlayRows(map[string]rollout.Overlay{"table": lost}))
+		back := rollout.DecodeOverlays(rollout.EncodeOverlays(map[string]rollout.Overlay{"table": lost}))
 		Expect(back).To(Equal(map[string]rollout.Overlay{"table": lost}))
-		Expect(rollout.OverlaysOf([]rollout.Row{{Key: "x", Text: "y"}})).To(BeEmpty())
+		Expect(rollout.DecodeOverlays([]rollout.Row{{Key: "x", Text: "y"}})).To(BeEmpty())
 	})
 })
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -30,13 +30,13 @@
 	for k, t := range content {
 		d.Rows = append(d.Rows, rollout.Row{Key: k, Text: t})
 	}
-	d.Head = rollout.Head{Version: v, Digest: rollout.DigestOf(d.Rows)}
+	d.Head = rollout.Head{Version: v, Digest: rollout.ComputeDigest(d.Rows)}
 	return d
 }
 
 func offer(d *rollout.Document, delta rollout.Delta) rollout.Verdict {
-	verdict, changed := d.Judge(delta)
-	if verdict == rollout.VerdictTake {
+	verdict, changed := d.Evaluate(delta)
+	if verdict == rollout.VerdictApply {
 		d.Commit(delta, changed)
 	}
 	return verdict
@@ -54,33 +54,33 @@
 	var d *rollout.Document
 	BeforeEach(func() {
 		d = rollout.NewDocument()
-		Expect(offer(d, listing(at(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictTake))
+		Expect(offer(d, listing(at(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictApply))
 	})
 
 	// The service goes back to a backup. An operator had cut a runaway account
 	// to a tenth; were the old row taken, that account would flood again, and
 	// the operator would see an accepted edit undone.
 	It("never goes back to an older revision, whoever offers it", func() {
-		Expect(offer(d, listing(at(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictOld))
-		Expect(offer(d, rollout.Delta{From: at(0, 8), Head: rollout.Head{Version: at(0, 9)}})).To(Equal(rollout.VerdictOld))
+		Expect(offer(d, listing(at(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictStale))
+		Expect(offer(d, rollout.Delta{From: at(0, 8), Head: rollout.Head{Version: at(0, 9)}})).To(Equal(rollout.VerdictStale))
 		Expect(content(d)).To(Equal(rows{"a": "1", "b": "1"}))
 	})
 
 	// After a restore the service counts on from an older revision, and new
 	// edits would wait until it has caught up. The operators raise the epoch.
 	It("takes an edit of a higher epoch though its revision is lower", func() {
-		Expect(offer(d, listing(at(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictTake))
+		Expect(offer(d, listing(at(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictApply))
 		Expect(content(d)).To(Equal(rows{"a": "2"}))
-		Expect(offer(d, listing(at(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictOld))
+		Expect(offer(d, listing(at(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictStale))
 	})
 
 	DescribeTable("judges deltas", func(delta rollout.Delta, want rollout.Verdict) {
 		before := content(d)
-		verdict, _ := d.Judge(delta)
+		verdict, _ := d.Evaluate(delta)
 		Expect(verdict).To(Equal(want))
 		Expect(content(d)).To(Equal(before))
 	},
-		Entry("the same again", listing(at(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictKnown),
+		Entry("the same again", listing(at(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictCurrent),
 		Entry("a delta that starts later", rollout.Delta{From: at(0, 11), Head: rollout.Head{Version: at(0, 12)}}, rollout.VerdictGap),
 		Entry("a delta whose digest does not come out", rollout.Delta{From: at(0, 10), Head: rollout.Head{Version: at(0, 12), Digest: 1},
 			Rows: []rollout.Row{{Key: "a", Text: "2"}}}, rollout.VerdictGap),
@@ -106,11 +106,11 @@
 		for i := range uint64(5) {
 			offer(d, listing(at(0, 11+i), rows{"a": fmt.Sprint(i), "b": "1"}))
 		}
-		delta := d.Since(at(0, 12))
+		delta := d.DeltaSince(at(0, 12))
 		Expect(delta.Full).To(BeFalse())
 		Expect(delta.Rows).To(Equal([]rollout.Row{{Key: "a", Text: "4"}}))
-		Expect(d.Since(at(0, 3)).Full).To(BeTrue())
-		Expect(d.Since(rollout.Version{}).Full).To(BeTrue())
+		Expect(d.DeltaSince(at(0, 3)).Full).To(BeTrue())
+		Expect(d.DeltaSince(rollout.Version{}).Full).To(BeTrue())
 	})
 
 	It("refuses a version for good, until a newer one is in force", func() {
@@ -119,7 +119,7 @@
 		Expect(d.Refuse(rollout.Refusal{Version: at(0, 11), Reason: "weight"})).To(BeFalse(), "known is no news")
 		Expect(d.Refuse(rollout.Refusal{Version: at(0, 10)})).To(BeFalse(), "in force can't be refused")
 		Expect(offer(d, bad)).To(Equal(rollout.VerdictRefused))
-		Expect(offer(d, listing(at(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictTake))
+		Expect(offer(d, listing(at(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictApply))
 		Expect(d.Refused()).To(BeZero())
 	})
 })
@@ -171,7 +171,7 @@
 			if rng.IntN(5) == 0 {
 				from = at(0, uint64(rng.IntN(len(s.history)+1)))
 			}
-			take(n, peer.Since(from))
+			take(n, peer.DeltaSince(from))
 		}
 		check(s)
 	}
@@ -233,12 +233,12 @@
 
 var _ = DescribeTable("a process is ready",
 	func(ready bool, now time.Duration, peers, asked int, service, holds, behind bool) {
-		j := rollout.NewJoin(0)
+		j := rollout.NewReadiness(0)
 		for i := range asked {
-			j.Peer(fmt.Sprint(i))
+			j.RecordPeer(fmt.Sprint(i))
 		}
 		if service {
-			j.Service()
+			j.RecordService()
 		}
 		Expect(j.Ready(now, peers, holds, behind)).To(Equal(ready))
 	},
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -27,23 +27,23 @@
 // restoreBits is the room for recognised restores within an epoch.
 const restoreBits = 16
 
-// EpochOf puts the operators' number and the number of recognised restores
+// CombineEpoch puts the operators' number and the number of recognised restores
 // into one; the operators' leads.
-func EpochOf(operators, restores uint64) uint64 { return operators<<restoreBits | restores }
+func CombineEpoch(operators, restores uint64) uint64 { return operators<<restoreBits | restores }
 
-// Operators gives the operators' part of the epoch.
-func (v Version) Operators() uint64 { return v.Epoch >> restoreBits }
+// OperatorEpoch gives the operators' part of the epoch.
+func (v Version) OperatorEpoch() uint64 { return v.Epoch >> restoreBits }
 
-// Restores gives the number of restores that were recognised in this epoch.
-func (v Version) Restores() uint64 { return v.Epoch & (1<<restoreBits - 1) }
+// RestoreCount gives the number of restores that were recognised in this epoch.
+func (v Version) RestoreCount() uint64 { return v.Epoch & (1<<restoreBits - 1) }
 
 // String gives the version as epoch.revision, with the recognised restores as
 // epoch+restores.revision where there are any.
 func (v Version) String() string {
-	if v.Restores() > 0 {
-		return fmt.Sprintf("%d+%d.%d", v.Operators(), v.Restores(), v.Revision)
+	if v.RestoreCount() > 0 {
+		return fmt.Sprintf("%d+%d.%d", v.OperatorEpoch(), v.RestoreCount(), v.Revision)
 	}
-	return fmt.Sprintf("%d.%d", v.Operators(), v.Revision)
+	return fmt.Sprintf("%d.%d", v.OperatorEpoch(), v.Revision)
 }
 
 // Head is what two nodes compare to learn whether they hold the same.
@@ -73,8 +73,8 @@
 	return d.Sum64()
 }
 
-// DigestOf gives the digest of a whole document.
-func DigestOf(rows []Row) uint64 {
+// ComputeDigest gives the digest of a whole document.
+func ComputeDigest(rows []Row) uint64 {
 	var sum uint64
 	for _, r := range rows {
 		sum += r.hash()
--- a/internal/decide/slowstart/config.go
+++ b/internal/decide/slowstart/config.go
@@ -14,9 +14,9 @@
 	// tens of seconds, a plain service a few. Default 2 s: four reports at the
 	// 500 ms lag that the users' engines show.
 	FreshFor time.Duration
-	// LeaseFor is the life of an admission without renewal; an unseen grant
+	// LeaseDuration is the life of an admission without renewal; an unseen grant
 	// can reach the target until it ends. Default 3 s.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// ConfirmFor is how long one confirmation of the host list counts. Default
 	// 4 s, see package ownership.
 	ConfirmFor time.Duration
@@ -54,7 +54,7 @@
 
 func (c Config) withDefaults() Config {
 	c.FreshFor = cmp.Or(c.FreshFor, defaultFreshFor)
-	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseFor)
+	c.LeaseDuration = cmp.Or(c.LeaseDuration, defaultLeaseFor)
 	c.ConfirmFor = cmp.Or(c.ConfirmFor, defaultConfirmFor)
 	c.Claimants = cmp.Or(c.Claimants, defaultClaimants)
 	c.WarmBears = cmp.Or(c.WarmBears, defaultWarmBears)
@@ -71,8 +71,8 @@
 	Age time.Duration
 	// Incarnation changes when the target restarts.
 	Incarnation uint64
-	// Bears is the number of requests that it bears now; 0 means unsaid.
-	Bears            int
+	// Capacity is the number of requests that it bears now; 0 means unsaid.
+	Capacity         int
 	Running, Waiting int
 	// StepTime is the mean time of a batch step; 0 means unsaid.
 	StepTime time.Duration
--- a/internal/decide/slowstart/gate_test.go
+++ b/internal/decide/slowstart/gate_test.go
@@ -25,14 +25,14 @@
 )
 
 var _ = Describe("a gate", func() {
-	var g *slowstart.Gate
+	var g *slowstart.Limiter
 	BeforeEach(func() {
 		g = slowstart.New(slowstart.Config{})
 		g.SetOwner(0, 1, true)
 	})
 	// room gives the gate a report that was taken age before now, then asks it.
 	room := func(now, age time.Duration, incarnation uint64, bears, running int) int {
-		g.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Bears: bears, Running: running, StepTime: 20 * ms})
+		g.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Capacity: bears, Running: running, StepTime: 20 * ms})
 		return g.Room(now)
 	}
 
@@ -40,7 +40,7 @@
 		Expect(g.Room(0)).To(Equal(0))
 		Expect(room(100*ms, 0, 1, 32, 0)).To(Equal(8), "a burst of a quarter of Bears")
 		Expect(room(200*ms, 0, 1, 32, 31)).To(Equal(1))
-		g.Granted(200*ms, 1)
+		g.RecordGrant(200*ms, 1)
 		Expect(g.Room(200 * ms)).To(Equal(0))
 		Expect(room(210*ms, 150*ms, 1, 32, 0)).To(Equal(0), "a report from before the last one")
 		Expect(g.Room(2200 * ms)).To(Equal(0))
@@ -62,23 +62,23 @@
 		Entry("incarnation", func(now time.Duration) { room(now, 0, 2, 2, 0) }),
 		Entry("drop of Bears", func(now time.Duration) { room(now, 0, 1, 20, 0) }),
 		Entry("step time", func(now time.Duration) {
-			g.Observe(now, slowstart.Report{Incarnation: 1, Bears: 64, Running: 4, StepTime: 200 * ms})
+			g.Observe(now, slowstart.Report{Incarnation: 1, Capacity: 64, Running: 4, StepTime: 200 * ms})
 		}),
 		Entry("first token", func(now time.Duration) {
 			for i := range uint64(20) {
-				g.Granted(now, i)
-				g.Ended(now, i, true, 100*ms+time.Duration(i/19)*sec)
+				g.RecordGrant(now, i)
+				g.RecordEnd(now, i, true, 100*ms+time.Duration(i/19)*sec)
 			}
 			room(now, 0, 1, 64, 0)
 		}),
-		Entry("connections that broke", func(now time.Duration) { g.Suspect(now) }),
+		Entry("connections that broke", func(now time.Duration) { g.MarkSuspect(now) }),
 	)
 
 	It("grants one at a time against a report that covers the grant before", func() {
 		Expect(room(6*sec, 0, 1, 4, 0)).To(Equal(1))
-		g.Granted(6*sec, 1)
+		g.RecordGrant(6*sec, 1)
 		Expect(room(6100*ms, 0, 1, 4, 0)).To(Equal(0), "not seen to start yet")
-		g.Started(6200*ms, 1)
+		g.RecordStart(6200*ms, 1)
 		Expect(room(6300*ms, 150*ms, 1, 4, 1)).To(Equal(0), "the report is older than the start")
 		Expect(room(6400*ms, 0, 1, 4, 1)).To(Equal(1))
 		g.SetOwner(6400*ms, 9, true)
@@ -105,17 +105,17 @@
 	It("fills a small target that has settled, and keeps it alive by its tokens", func() {
 		for now := 6 * sec; now <= 20*sec; now += 200 * ms {
 			g.Confirm(now)
-			g.Granted(now, uint64(now))
-			g.Started(now, uint64(now))
+			g.RecordGrant(now, uint64(now))
+			g.RecordStart(now, uint64(now))
 			room(now+tick, 0, 1, 6, 1)
-			g.Ended(now+2*tick, uint64(now), true, 50*ms)
+			g.RecordEnd(now+2*tick, uint64(now), true, 50*ms)
 		}
 		Expect(g.State(20 * sec)).To(Equal(slowstart.Settled))
 		Expect(g.Room(20*sec)).To(Equal(4), "one burst")
-		g.Granted(20*sec+tick, 7)
-		g.Started(20*sec+2*tick, 7)
+		g.RecordGrant(20*sec+tick, 7)
+		g.RecordStart(20*sec+2*tick, 7)
 		room(20*sec+4*tick, 0, 1, 6, 1)
-		g.Progress(24*sec, 7)
+		g.RecordProgress(24*sec, 7)
 		Expect(g.State(25 * sec)).To(Equal(slowstart.Settled))
 	})
 
@@ -126,17 +126,17 @@
 		for i := uint64(1000); i < 1030; i++ { // one by one, which says nothing of more
 			now += 100 * ms
 			room(now, 0, 1, 0, 0)
-			g.Granted(now, i)
-			g.Ended(now, i, true, 0)
+			g.RecordGrant(now, i)
+			g.RecordEnd(now, i, true, 0)
 		}
 		Expect(g.State(now)).To(Equal(slowstart.Cold))
 		for i := uint64(0); g.State(now) != slowstart.Warm && i < 500; i++ {
 			now += 100 * ms
 			room(now, 0, 1, 0, int(i%8))
-			g.Granted(now, i)
-			g.Started(now, i)
+			g.RecordGrant(now, i)
+			g.RecordStart(now, i)
 			if i >= 8 {
-				g.Ended(now, i-8, true, 0)
+				g.RecordEnd(now, i-8, true, 0)
 			}
 		}
 		Expect(room(now+ms, 0, 1, 0, 1)).To(Equal(4))
@@ -180,9 +180,9 @@
 // bears doubles every two seconds from one to 32.
 func (w *world) bears() int { return 1 << min(5, max(0, w.now-w.up)/(2*sec)) }
 
-func (w *world) arrive(g *slowstart.Gate, lease uint64) {
+func (w *world) arrive(g *slowstart.Limiter, lease uint64) {
 	if w.now < w.up {
-		w.later(100*ms, func() { g.Ended(w.now, lease, false, 0); g.Suspect(w.now) })
+		w.later(100*ms, func() { g.RecordEnd(w.now, lease, false, 0); g.MarkSuspect(w.now) })
 		return
 	}
 	if bears := w.bears(); bears < 16 {
@@ -192,10 +192,10 @@
 		}
 	}
 	w.running[lease] = true
-	w.later(600*ms, func() { g.Started(w.now, lease) })
+	w.later(600*ms, func() { g.RecordStart(w.now, lease) })
 	w.later(3*sec, func() {
 		delete(w.running, lease)
-		w.later(3*sec, func() { g.Ended(w.now, lease, true, 100*ms) })
+		w.later(3*sec, func() { g.RecordEnd(w.now, lease, true, 100*ms) })
 	})
 }
 
@@ -213,7 +213,7 @@
 			g.Confirm(w.now)
 		}
 		if w.now >= w.up && w.IntN(10) == 0 {
-			taken, r := w.now, slowstart.Report{Incarnation: w.life, Bears: w.bears(), Running: len(w.running)}
+			taken, r := w.now, slowstart.Report{Incarnation: w.life, Capacity: w.bears(), Running: len(w.running)}
 			w.later(700*ms, func() {
 				r.Age, seen = w.now-taken, r
 				g.Observe(w.now, r)
@@ -221,16 +221,16 @@
 		}
 		room := g.Room(w.now)
 		if naive {
-			room = seen.Bears - seen.Running
+			room = seen.Capacity - seen.Running
 		}
 		for range max(0, room) {
 			lease += claimants
 			id := lease + i
-			g.Granted(w.now, id)
+			g.RecordGrant(w.now, id)
 			if w.IntN(10) > 0 {
 				w.later(150*ms, func() { w.arrive(g, id) })
 			} else { // lost; the lease runs out
-				w.later(3*sec, func() { g.Ended(w.now, id, false, 0) })
+				w.later(3*sec, func() { g.RecordEnd(w.now, id, false, 0) })
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 
 func BenchmarkRoom(b *testing.B) {
 	g := slowstart.New(slowstart.Config{})
-	g.Observe(sec, slowstart.Report{Bears: 32, Running: 4})
+	g.Observe(sec, slowstart.Report{Capacity: 32, Running: 4})
 	b.ReportAllocs()
 	for range b.N {
 		g.Room(sec)
--- a/internal/decide/slowstart/warmth.go
+++ b/internal/decide/slowstart/warmth.go
@@ -54,11 +54,11 @@
 	if !w.seen || r.Incarnation != w.incarnation {
 		w.restart(taken, r.Incarnation)
 	}
-	dropped := float64(r.Bears) < dropShare*float64(w.said)
-	if r.Bears != w.said {
+	dropped := float64(r.Capacity) < dropShare*float64(w.said)
+	if r.Capacity != w.said {
 		w.levelSince = taken
 	}
-	w.said = r.Bears
+	w.said = r.Capacity
 	jumped := w.stepJumped(r)
 	switch {
 	case dropped, jumped:
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/storeoutage/storeoutage.go
@@ -1,4 +1,4 @@
-// Package silence detects early that the store has stopped answering, and
+// Package storeoutage detects early that the store has stopped answering, and
 // limits the requests that hosts send to targets meanwhile.
 //
 // Engines are reclaimed every few seconds with one and a half seconds' notice,
@@ -13,7 +13,7 @@
 // later call ends it.
 //
 // The package is not safe for concurrent use; times are on the monotonic clock.
-package silence
+package storeoutage
 
 import "time"
 
@@ -45,8 +45,8 @@
 	hasOverdue   bool
 }
 
-// Answered records the time that an answer took beyond the requested wait.
-func (d *Detector) Answered(took time.Duration) {
+// RecordAnswer records the time that an answer took beyond the requested wait.
+func (d *Detector) RecordAnswer(took time.Duration) {
 	took = max(took, 0)
 	if !d.measured {
 		d.mean, d.deviation, d.measured = took, took/2, true
@@ -56,19 +56,19 @@
 	d.mean += time.Duration(meanGain * float64(took-d.mean))
 }
 
-// Patience returns the time beyond the requested wait after which an answer is
+// AnswerTimeout returns the time beyond the requested wait after which an answer is
 // overdue.
-func (d *Detector) Patience() time.Duration {
+func (d *Detector) AnswerTimeout() time.Duration {
 	if !d.measured {
 		return initialTimeout
 	}
 	return max(d.mean+deviationMultiplier*d.deviation, minTimeout)
 }
 
-// Overdue records that an answer that was due at a time has not come, here or
+// RecordOverdue records that an answer that was due at a time has not come, here or
 // at another host. It reports whether that is an outage that was not known
 // before.
-func (d *Detector) Overdue(due time.Duration) bool {
+func (d *Detector) RecordOverdue(due time.Duration) bool {
 	if d.hasOverdue && due < d.overdueSince+sameOutageTolerance {
 		return false
 	}
@@ -76,13 +76,13 @@
 	return true
 }
 
-// Due returns when the last overdue answer should have come, and false if none
+// LastOverdue returns when the last overdue answer should have come, and false if none
 // was ever overdue.
-func (d *Detector) Due() (time.Duration, bool) { return d.overdueSince, d.hasOverdue }
+func (d *Detector) LastOverdue() (time.Duration, bool) { return d.overdueSince, d.hasOverdue }
 
-// Suspect reports whether the store may have stopped answering, given the start
+// IsSuspect reports whether the store may have stopped answering, given the start
 // of the last call that it is known to have answered at any host.
-func (d *Detector) Suspect(answered time.Duration) bool {
+func (d *Detector) IsSuspect(answered time.Duration) bool {
 	return d.hasOverdue && answered < d.overdueSince
 }
 
@@ -90,10 +90,10 @@
 // round but the first.
 const askersPerLaterRound = 2
 
-// Asks reports whether a host asks a target in a round, given the number of
+// ShouldAsk reports whether a host asks a target in a round, given the number of
 // hosts that have something running there; sample is a random number in [0, 1).
 // All hosts ask in the first round: with a random choice there, a third of the
 // targets would not be asked, and their notice may already be running.
-func Asks(first bool, hosts int, sample float64) bool {
+func ShouldAsk(first bool, hosts int, sample float64) bool {
 	return first || sample*float64(hosts) < askersPerLaterRound
 }
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -1,4 +1,4 @@
-package silence_test
+package storeoutage_test
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 )
 
 func TestSilence(t *testing.T) {
@@ -20,49 +20,49 @@
 	// Guards against a fixed timeout that is too long for a store that answers
 	// within milliseconds.
 	It("takes tenths of a second where answers come in milliseconds", func() {
-		var d silence.Detector
+		var d storeoutage.Detector
 		for range 20 {
-			d.Answered(8 * time.Millisecond)
+			d.RecordAnswer(8 * time.Millisecond)
 		}
-		Expect(d.Patience()).To(BeNumerically("<=", 100*time.Millisecond))
+		Expect(d.AnswerTimeout()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
 	// Guards against a slow store that is taken for a failed one at each call.
 	It("does not suspect a store that is always slow", func() {
-		var d silence.Detector
+		var d storeoutage.Detector
 		rng := rand.New(rand.NewPCG(1, 2))
 		falseTimeouts := 0
 		for i := range 200 {
 			took := time.Duration(200+rng.IntN(80)) * time.Millisecond
-			if i > 20 && took > d.Patience() {
+			if i > 20 && took > d.AnswerTimeout() {
 				falseTimeouts++
 			}
-			d.Answered(took)
+			d.RecordAnswer(took)
 		}
 		Expect(falseTimeouts).To(BeNumerically("<=", 2))
 	})
 
 	It("ends the suspicion with the answer to a later call", func() {
-		var d silence.Detector
-		Expect(d.Suspect(0)).To(BeFalse())
-		Expect(d.Overdue(5 * time.Second)).To(BeTrue())
-		Expect(d.Suspect(4 * time.Second)).To(BeTrue())
-		Expect(d.Suspect(5 * time.Second)).To(BeFalse())
+		var d storeoutage.Detector
+		Expect(d.IsSuspect(0)).To(BeFalse())
+		Expect(d.RecordOverdue(5 * time.Second)).To(BeTrue())
+		Expect(d.IsSuspect(4 * time.Second)).To(BeTrue())
+		Expect(d.IsSuspect(5 * time.Second)).To(BeFalse())
 	})
 
 	// Guards against hosts that report one outage to each other without end,
 	// each time a few milliseconds later.
 	It("counts one outage, however often hosts report it to each other", func() {
-		var local, peer silence.Detector
+		var local, peer storeoutage.Detector
 		at := 5 * time.Second
-		Expect(local.Overdue(at)).To(BeTrue())
+		Expect(local.RecordOverdue(at)).To(BeTrue())
 		for range 1000 {
 			at += 3 * time.Millisecond
-			peer.Overdue(at)
-			at, _ = peer.Due()
-			Expect(local.Overdue(at)).To(BeFalse())
+			peer.RecordOverdue(at)
+			at, _ = peer.LastOverdue()
+			Expect(local.RecordOverdue(at)).To(BeFalse())
 		}
-		Expect(local.Suspect(5*time.Second + time.Millisecond)).To(BeFalse())
+		Expect(local.IsSuspect(5*time.Second + time.Millisecond)).To(BeFalse())
 	})
 })
 
@@ -76,8 +76,8 @@
 		for range rounds {
 			n := 0
 			for range hosts {
-				Expect(silence.Asks(true, hosts, rng.Float64())).To(BeTrue())
-				if silence.Asks(false, hosts, rng.Float64()) {
+				Expect(storeoutage.ShouldAsk(true, hosts, rng.Float64())).To(BeTrue())
+				if storeoutage.ShouldAsk(false, hosts, rng.Float64()) {
 					n++
 				}
 			}
@@ -91,7 +91,7 @@
 	})
 
 	It("are always sent by the only host", func() {
-		Expect(silence.Asks(false, 1, 0.999)).To(BeTrue())
-		Expect(silence.Asks(false, 0, 0.999)).To(BeTrue())
+		Expect(storeoutage.ShouldAsk(false, 1, 0.999)).To(BeTrue())
+		Expect(storeoutage.ShouldAsk(false, 0, 0.999)).To(BeTrue())
 	})
 })
--- a/internal/decide/loadshare/peers.go
+++ b/internal/decide/targetload/peers.go
@@ -1,4 +1,4 @@
-package loadshare
+package targetload
 
 import "math/bits"
 
