--- a/internal/decide/loadshare/loadshare.go
+++ b/internal/decide/targetload/targetload.go
@@ -1,4 +1,4 @@
-// Package loadshare adds up what all hosts have running at each target.
+// Package targetload adds up what all hosts have running at each target.
 //
 // Load pattern: eight hosts send long generations to nine engines, each host
 // about four at a time; what a target reports of itself is half a second old
@@ -16,7 +16,7 @@
 // dropped: its host is gone, and its requests with it.
 //
 // It is not safe for concurrent use; times are on the steady clock.
-package loadshare
+package targetload
 
 import (
 	"slices"
@@ -34,8 +34,8 @@
 	expireAfter = 3 * RefreshEvery
 )
 
-// Count is what one host has running at one target.
-type Count struct {
+// HostLoad is what one host has running at one target.
+type HostLoad struct {
 	Host, Target string
 	// Version rises with each count of the host, over its restarts too.
 	Version uint64
@@ -43,41 +43,41 @@
 	// Leaving says that the host has heard from the target itself that it is
 	// about to stop.
 	Leaving bool
-	// Step is the host's estimate of the time that the target alone takes for
+	// TimePerToken is the host's estimate of the time that the target alone takes for
 	// one token; 0 for none.
-	Step time.Duration
-	// Rate is what the target last said to the host of the rate it takes; nil when
+	TimePerToken time.Duration
+	// AdvertisedRate is what the target last said to the host of the rate it takes; nil when
 	// it never named one.
-	Rate *targetrate.Advertisement
-	// Failures is another number after each request of the host that the target
+	AdvertisedRate *targetrate.Advertisement
+	// FailureSeq is another number after each request of the host that the target
 	// broke; 0 when it broke none.
-	Failures uint32
+	FailureSeq uint32
 }
 
 // Load is what runs at a target. Loads add up.
 type Load struct {
 	Running int
-	// Tokens are in memory or will be; Unread are those of prompts that have
+	// ReservedTokens are in memory or will be; UnreadTokens are those of prompts that have
 	// no first event yet.
-	Tokens, Unread int
-	// Copies are the tokens of backups that the target keeps or will keep.
-	Copies int
+	ReservedTokens, UnreadTokens int
+	// BackupTokens are the tokens of backups that the target keeps or will keep.
+	BackupTokens int
 }
 
-// Plus adds two loads.
-func (l Load) Plus(o Load) Load {
-	return Load{l.Running + o.Running, l.Tokens + o.Tokens, l.Unread + o.Unread, l.Copies + o.Copies}
+// Add adds two loads.
+func (l Load) Add(o Load) Load {
+	return Load{l.Running + o.Running, l.ReservedTokens + o.ReservedTokens, l.UnreadTokens + o.UnreadTokens, l.BackupTokens + o.BackupTokens}
 }
 
-// Minus takes a load off.
-func (l Load) Minus(o Load) Load {
-	return Load{l.Running - o.Running, l.Tokens - o.Tokens, l.Unread - o.Unread, l.Copies - o.Copies}
+// Sub takes a load off.
+func (l Load) Sub(o Load) Load {
+	return Load{l.Running - o.Running, l.ReservedTokens - o.ReservedTokens, l.UnreadTokens - o.UnreadTokens, l.BackupTokens - o.BackupTokens}
 }
 
 type key struct{ host, target string }
 
 type held struct {
-	Count
+	HostLoad
 	heard time.Duration
 	// told has the bit of each peer that holds this version: it was told, or
 	// told it itself.
@@ -86,8 +86,8 @@
 	ownerTold uint64
 }
 
-// Board holds the counts known to one host.
-type Board struct {
+// Table holds the counts known to one host.
+type Table struct {
 	self      string
 	version   uint64
 	failures  uint32
@@ -98,20 +98,20 @@
 
 // New returns an empty board of a host. start must be higher than any version
 // that an earlier process of the host used, such as the time of day.
-func New(self string, start uint64) *Board {
-	return &Board{self: self, version: start, counts: map[key]held{}, peers: newPeerBits()}
+func New(self string, start uint64) *Table {
+	return &Table{self: self, version: start, counts: map[key]held{}, peers: newPeerBits()}
 }
 
-// SetOwn notes what this host has running at a target.
-func (b *Board) SetOwn(now time.Duration, target string, load Load) {
-	c := b.Own(target)
+// SetLocalLoad notes what this host has running at a target.
+func (b *Table) SetLocalLoad(now time.Duration, target string, load Load) {
+	c := b.Local(target)
 	c.Load = load
 	b.setOwn(now, c)
 }
 
 // SetLeaving notes that a target told this host that it is about to stop.
-func (b *Board) SetLeaving(now time.Duration, target string) {
-	c := b.Own(target)
+func (b *Table) SetLeaving(now time.Duration, target string) {
+	c := b.Local(target)
 	if c.Leaving {
 		return
 	}
@@ -119,93 +119,93 @@
 	b.setOwn(now, c)
 }
 
-// SetStep notes the time that a target alone takes for one token.
-func (b *Board) SetStep(now time.Duration, target string, step time.Duration) {
-	c := b.Own(target)
-	c.Step = step
+// SetTimePerToken notes the time that a target alone takes for one token.
+func (b *Table) SetTimePerToken(now time.Duration, target string, step time.Duration) {
+	c := b.Local(target)
+	c.TimePerToken = step
 	b.setOwn(now, c)
 }
 
 // AddFailure notes a request of this host that a target broke. The numbers run
 // over all targets: a count that expired and is made anew must not come to the
 // same one.
-func (b *Board) AddFailure(now time.Duration, target string) {
+func (b *Table) AddFailure(now time.Duration, target string) {
 	b.failures++
-	c := b.Own(target)
-	c.Failures = b.failures
+	c := b.Local(target)
+	c.FailureSeq = b.failures
 	b.setOwn(now, c)
 }
 
 // SetRate notes what a target said of the rate it takes.
-func (b *Board) SetRate(now time.Duration, target string, w targetrate.Advertisement) {
-	c := b.Own(target)
-	c.Rate = &w
+func (b *Table) SetRate(now time.Duration, target string, w targetrate.Advertisement) {
+	c := b.Local(target)
+	c.AdvertisedRate = &w
 	b.setOwn(now, c)
 }
 
-// Own gives this host's count of a target, an empty one when there is none.
-func (b *Board) Own(target string) Count {
-	c := b.counts[key{b.self, target}].Count
+// Local gives this host's count of a target, an empty one when there is none.
+func (b *Table) Local(target string) HostLoad {
+	c := b.counts[key{b.self, target}].HostLoad
 	c.Host, c.Target = b.self, target
 	return c
 }
 
-func (b *Board) setOwn(now time.Duration, c Count) {
+func (b *Table) setOwn(now time.Duration, c HostLoad) {
 	b.version++
 	c.Version = b.version
 	k := key{c.Host, c.Target}
-	b.counts[k] = held{Count: c, heard: now, ownerTold: b.counts[k].ownerTold}
+	b.counts[k] = held{HostLoad: c, heard: now, ownerTold: b.counts[k].ownerTold}
 }
 
-// OwnNews gives this host's own counts that changed since the last time, or
+// OwnerUpdates gives this host's own counts that changed since the last time, or
 // have to be told again, and takes them for told to the owners of their targets.
-func (b *Board) OwnNews(now time.Duration) []Count {
+func (b *Table) OwnerUpdates(now time.Duration) []HostLoad {
 	b.refresh(now)
 	b.expire(now)
-	var news []Count
+	var news []HostLoad
 	for k, c := range b.counts {
 		if k.host != b.self || c.ownerTold == c.Version {
 			continue
 		}
 		c.ownerTold = c.Version
 		b.counts[k] = c
-		news = append(news, c.Count)
+		news = append(news, c.HostLoad)
 	}
 	return news
 }
 
-// TakeAll takes all that the owner of a target knows of it: what it does not
+// ReplaceTarget takes all that the owner of a target knows of it: what it does not
 // name has ended.
-func (b *Board) TakeAll(now time.Duration, target string, counts []Count) {
+func (b *Table) ReplaceTarget(now time.Duration, target string, counts []HostLoad) {
 	for k := range b.counts {
-		named := func(c Count) bool { return c.Host == k.host }
+		named := func(c HostLoad) bool { return c.Host == k.host }
 		if k.target == target && k.host != b.self && !slices.ContainsFunc(counts, named) {
 			delete(b.counts, k)
 		}
 	}
-	b.Take(now, "", counts)
+	b.Merge(now, "", counts)
 }
 
-// Of gives the counts of one target that say anything, this host's own among
+// ForTarget gives the counts of one target that say anything, this host's own among
 // them.
-func (b *Board) Of(now time.Duration, target string) []Count {
-	var counts []Count
+func (b *Table) ForTarget(now time.Duration, target string) []HostLoad {
+	var counts []HostLoad
 	for k, c := range b.counts {
 		if k.target == target && !c.empty() && (k.host == b.self || now-c.heard < expireAfter) {
-			counts = append(counts, c.Count)
+			counts = append(counts, c.HostLoad)
 		}
 	}
 	return counts
 }
 
 // empty tells whether a count says nothing that a missing one would not.
-func (c Count) empty() bool {
-	return c.Load == Load{} && c.Step == 0 && !c.Leaving && c.Failures == 0 && c.Rate == nil
+func (c HostLoad) empty() bool {
+	return c.Load == Load{} && c.TimePerToken == 0 && !c.Leaving && c.FailureSeq == 0 && c.AdvertisedRate == nil
 }
 
-// Take takes counts that a peer told; an empty name stands for one that is not
+// Merge takes counts that a peer told; an empty name stands for one that is not
 // told any.
-func (b *Board) Take(now time.Duration, peer string, counts []Count) {
+func (b *Table) Merge(now time.Duration, peer string, counts []HostLoad) {
 	var bit uint64
 	if peer != "" {
 		bit = b.bit(peer)
@@ -217,7 +217,7 @@
 			// tells must overrule it, also if the clock went back meanwhile.
 			if c.Version > b.version {
 				b.version = c.Version
-				b.SetOwn(now, c.Target, b.counts[k].Load)
+				b.SetLocalLoad(now, c.Target, b.counts[k].Load)
 			}
 			continue
 		}
@@ -227,7 +227,7 @@
 			// Hosts that ask about a target tell what they have there, which mostly
 			// is nothing. Kept, these would fill answers and memory.
 		case !known || c.Version > old.Version:
-			b.counts[k] = held{Count: c, heard: now, told: bit}
+			b.counts[k] = held{HostLoad: c, heard: now, told: bit}
 		case c.Version == old.Version:
 			old.told |= bit
 			if peer == "" {
@@ -239,27 +239,27 @@
 	}
 }
 
-// News gives the counts that a peer was not told yet, by this host or by
+// PeerUpdates gives the counts that a peer was not told yet, by this host or by
 // telling them itself, and takes them for told.
-func (b *Board) News(now time.Duration, peer string) []Count {
+func (b *Table) PeerUpdates(now time.Duration, peer string) []HostLoad {
 	b.refresh(now)
 	b.expire(now)
 	bit := b.bit(peer)
-	var news []Count
+	var news []HostLoad
 	for k, c := range b.counts {
 		if k.host == peer || c.told&bit != 0 {
 			continue
 		}
 		c.told |= bit
 		b.counts[k] = c
-		news = append(news, c.Count)
+		news = append(news, c.HostLoad)
 	}
 	return news
 }
 
 // bit gives the bit of a peer. When it was another peer's, that one may hold
 // nothing by now.
-func (b *Board) bit(peer string) uint64 {
+func (b *Table) bit(peer string) uint64 {
 	bit, taken := b.peers.bit(peer)
 	if !taken {
 		return bit
@@ -281,9 +281,9 @@
 	Leaving bool
 }
 
-// Sums adds up the counts of every target in one pass: a choice among all
+// Totals adds up the counts of every target in one pass: a choice among all
 // targets of a service would else go through all counts once for each of them.
-func (b *Board) Sums(now time.Duration) map[string]Sum {
+func (b *Table) Totals(now time.Duration) map[string]Sum {
 	sums := make(map[string]Sum)
 	for k, c := range b.counts {
 		own := k.host == b.self
@@ -292,7 +292,7 @@
 		}
 		sum := sums[k.target]
 		if !own {
-			sum.Others = sum.Others.Plus(c.Load)
+			sum.Others = sum.Others.Add(c.Load)
 		}
 		if c.Running > 0 {
 			sum.Hosts++
@@ -303,19 +303,19 @@
 	return sums
 }
 
-func (b *Board) refresh(now time.Duration) {
+func (b *Table) refresh(now time.Duration) {
 	if now-b.refreshed < RefreshEvery {
 		return
 	}
 	b.refreshed = now
 	for k, c := range b.counts {
 		if k.host == b.self && c.Running > 0 && now-c.heard >= RefreshEvery {
-			b.SetOwn(now, k.target, c.Load)
+			b.SetLocalLoad(now, k.target, c.Load)
 		}
 	}
 }
 
-func (b *Board) expire(now time.Duration) {
+func (b *Table) expire(now time.Duration) {
 	for k, c := range b.counts {
 		if now-c.heard >= expireAfter {
 			delete(b.counts, k)
--- a/internal/decide/targetrate/targetrate.go
+++ b/internal/decide/targetrate/targetrate.go
@@ -58,8 +58,8 @@
 	At time.Duration
 }
 
-// Holders is the number of hosts, of so many, that share a rate.
-func Holders(perSecond float64, hosts int) int {
+// HolderCount is the number of hosts, of so many, that share a rate.
+func HolderCount(perSecond float64, hosts int) int {
 	return max(min(hosts, mostHolders, int(buckets(perSecond))), 1)
 }
 
@@ -77,7 +77,7 @@
 
 // shareOf gives the share of the host with a rank, none for most.
 func shareOf(perSecond float64, rank, hosts int) share {
-	holders := Holders(perSecond, hosts)
+	holders := HolderCount(perSecond, hosts)
 	if rank < 0 || rank >= holders {
 		return share{}
 	}
@@ -85,8 +85,8 @@
 	return share{perSecond: max(perSecond, leastRate) / n, bucket: math.Floor(buckets(perSecond) / n)}
 }
 
-// Board holds what targets said of their rates, and this host's tokens.
-type Board struct{ targets map[string]*target }
+// Limiter holds what targets said of their rates, and this host's tokens.
+type Limiter struct{ targets map[string]*target }
 
 // target is one that named a rate.
 type target struct {
@@ -99,11 +99,11 @@
 }
 
 // New returns an empty board.
-func New() *Board { return &Board{targets: map[string]*target{}} }
+func New() *Limiter { return &Limiter{targets: map[string]*target{}} }
 
 // Observe takes what a target said in an answer to this host. It tells whether
 // other hosts are to hear of it.
-func (b *Board) Observe(id string, a Advertisement) (tell bool) {
+func (b *Limiter) Observe(id string, a Advertisement) (tell bool) {
 	t := b.targets[id]
 	if t == nil && !a.Limited {
 		return false
@@ -118,7 +118,7 @@
 }
 
 // Merge takes what a target said to another host.
-func (b *Board) Merge(id string, a Advertisement) {
+func (b *Limiter) Merge(id string, a Advertisement) {
 	t := b.targets[id]
 	if t == nil && !a.Limited || t != nil && a.At <= t.last.At {
 		return
@@ -126,7 +126,7 @@
 	b.take(id, a).announced = a.At
 }
 
-func (b *Board) take(id string, a Advertisement) *target {
+func (b *Limiter) take(id string, a Advertisement) *target {
 	t := b.targets[id]
 	if t == nil {
 		t = &target{}
@@ -137,7 +137,7 @@
 }
 
 // Limited is the number of targets that name a rate.
-func (b *Board) Limited() int {
+func (b *Limiter) Limited() int {
 	n := 0
 	for _, t := range b.targets {
 		if t.last.Limited {
@@ -147,8 +147,8 @@
 	return n
 }
 
-// Advertised gives what a target said last; false when it names no rate.
-func (b *Board) Advertised(id string) (Advertisement, bool) {
+// Limit gives what a target said last; false when it names no rate.
+func (b *Limiter) Limit(id string) (Advertisement, bool) {
 	t := b.targets[id]
 	if t == nil || !t.last.Limited {
 		return Advertisement{}, false
@@ -158,14 +158,14 @@
 
 // Stale tells whether a target named a rate so long ago that it may take more by
 // now.
-func (b *Board) Stale(now time.Duration, id string) bool {
-	a, limited := b.Advertised(id)
+func (b *Limiter) Stale(now time.Duration, id string) bool {
+	a, limited := b.Limit(id)
 	return limited && now-a.At >= staleAfter
 }
 
-// Open tells whether this host, with a rank among so many, may send one more to a
+// Allows tells whether this host, with a rank among so many, may send one more to a
 // target now.
-func (b *Board) Open(now time.Duration, id string, rank, hosts int) bool {
+func (b *Limiter) Allows(now time.Duration, id string, rank, hosts int) bool {
 	t := b.targets[id]
 	if t == nil || !t.last.Limited {
 		return true
@@ -176,8 +176,8 @@
 
 // Wait is the time until this host may send one more to a target. A host without a
 // share waits for the mean time between two requests there.
-func (b *Board) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
-	if b.Open(now, id, rank, hosts) {
+func (b *Limiter) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
+	if b.Allows(now, id, rank, hosts) {
 		return 0
 	}
 	t := b.targets[id]
@@ -190,31 +190,31 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Send takes a token for a request that goes to a target.
-func (b *Board) Send(id string) {
+// TakeToken takes a token for a request that goes to a target.
+func (b *Limiter) TakeToken(id string) {
 	if t := b.targets[id]; t != nil && t.last.Limited {
 		t.tokens--
 	}
 }
 
-// Borrowed adds a token that another host lent.
-func (b *Board) Borrowed(id string) {
+// AddBorrowed adds a token that another host lent.
+func (b *Limiter) AddBorrowed(id string) {
 	if t := b.targets[id]; t != nil && t.last.Limited {
 		t.tokens++
 	}
 }
 
 // Lend gives a token away, if this host knows the target's rate and has one.
-func (b *Board) Lend(now time.Duration, id string, rank, hosts int) bool {
-	if _, limited := b.Advertised(id); !limited || !b.Open(now, id, rank, hosts) {
+func (b *Limiter) Lend(now time.Duration, id string, rank, hosts int) bool {
+	if _, limited := b.Limit(id); !limited || !b.Allows(now, id, rank, hosts) {
 		return false
 	}
-	b.Send(id)
+	b.TakeToken(id)
 	return true
 }
 
 // Retain forgets targets that are gone.
-func (b *Board) Retain(known func(id string) bool) {
+func (b *Limiter) Retain(known func(id string) bool) {
 	for id := range b.targets {
 		if !known(id) {
 			delete(b.targets, id)
--- a/internal/decide/targetrate/targetrate_test.go
+++ b/internal/decide/targetrate/targetrate_test.go
@@ -22,23 +22,23 @@
 // without a token asks one of those that share the rate.
 func play(perSecond float64, hosts int, lending bool, idle, length time.Duration) []time.Duration {
 	draw := rand.New(rand.NewPCG(1, uint64(hosts)))
-	boards := make([]*targetrate.Board, hosts)
+	boards := make([]*targetrate.Limiter, hosts)
 	for i := range boards {
 		boards[i] = targetrate.New()
 		boards[i].Merge("i-1", targetrate.Advertisement{Limited: true, PerSecond: perSecond})
 	}
-	holders := targetrate.Holders(perSecond, hosts)
+	holders := targetrate.HolderCount(perSecond, hosts)
 	var sent []time.Duration
 	const triesPerSecond = 200
 	for now := idle; now < idle+length; now += time.Second / triesPerSecond {
 		host := draw.IntN(hosts)
-		if !boards[host].Open(now, "i-1", host, hosts) && lending {
+		if !boards[host].Allows(now, "i-1", host, hosts) && lending {
 			if lender := draw.IntN(holders); lender != host && boards[lender].Lend(now, "i-1", lender, hosts) {
-				boards[host].Borrowed("i-1")
+				boards[host].AddBorrowed("i-1")
 			}
 		}
-		if boards[host].Open(now, "i-1", host, hosts) {
-			boards[host].Send("i-1")
+		if boards[host].Allows(now, "i-1", host, hosts) {
+			boards[host].TakeToken("i-1")
 			sent = append(sent, now)
 		}
 	}
@@ -93,11 +93,11 @@
 		b := targetrate.New()
 		Expect(b.Observe("i-1", targetrate.Advertisement{At: 1})).To(BeFalse())
 		Expect(b.Observe("i-1", limited(2, 2))).To(BeTrue())
-		a, known := b.Advertised("i-1")
+		a, known := b.Limit("i-1")
 		Expect(known).To(BeTrue())
 		Expect(a.PerSecond).To(Equal(2.0))
 		b.Merge("i-1", targetrate.Advertisement{At: 3})
-		_, known = b.Advertised("i-1")
+		_, known = b.Limit("i-1")
 		Expect(known).To(BeFalse())
 	})
 
@@ -106,7 +106,7 @@
 		b := targetrate.New()
 		b.Observe("i-1", limited(2, 5))
 		b.Merge("i-1", targetrate.Advertisement{At: 4})
-		_, known := b.Advertised("i-1")
+		_, known := b.Limit("i-1")
 		Expect(known).To(BeTrue())
 	})
 
@@ -123,11 +123,11 @@
 	It("gives the time until the next request", func() {
 		b := targetrate.New()
 		b.Observe("i-1", limited(1, 0))
-		Expect(b.Open(0, "i-1", 0, 1)).To(BeTrue())
-		b.Send("i-1")
-		Expect(b.Open(0, "i-1", 0, 1)).To(BeFalse())
+		Expect(b.Allows(0, "i-1", 0, 1)).To(BeTrue())
+		b.TakeToken("i-1")
+		Expect(b.Allows(0, "i-1", 0, 1)).To(BeFalse())
 		Expect(b.Wait(0, "i-1", 0, 1)).To(Equal(time.Second))
-		Expect(b.Open(time.Second, "i-1", 0, 1)).To(BeTrue())
+		Expect(b.Allows(time.Second, "i-1", 0, 1)).To(BeTrue())
 
 		other := targetrate.New()
 		other.Merge("i-1", limited(4, 0))
--- a/internal/entry/admit/lease.go
+++ b/internal/entry/admit/lease.go
@@ -45,8 +45,8 @@
 	return failure.New(failure.KindLeaseLost, "admission ended before the request was sent")
 }
 
-// Produced sets the number of tokens produced so far.
-func (l *Lease) Produced(n int) { l.produced.Store(uint32(n)) }
+// SetProduced sets the number of tokens produced so far.
+func (l *Lease) SetProduced(n int) { l.produced.Store(uint32(n)) }
 
 // Settle ends the lease; only the first call counts.
 func (l *Lease) Settle(outcome filbertv1.Outcome, firstToken, duration time.Duration) {
--- a/internal/entry/callers/callers.go
+++ b/internal/entry/callerapi/callerapi.go
@@ -1,6 +1,6 @@
-// Package callers is the interface that callers use: completions, chat
+// Package callerapi is the interface that callers use: completions, chat
 // completions, plain services and idempotency keys, over HTTP.
-package callers
+package callerapi
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -41,8 +41,8 @@
 	Life      *lifecycle.Lifecycle
 	Ring      *handle.Ring
 	Relay     *generation.Relay
-	Lookups   *plain.Lookups
-	Once      *plain.Once
+	Lookups   *servicecall.Lookups
+	Once      *servicecall.Once
 	BodyLimit int64
 }
 
@@ -226,7 +226,7 @@
 		failure.Write(w, err)
 		return err
 	}
-	call := plain.Call{
+	call := servicecall.Call{
 		Account: r.account, Service: s, Method: r.Method, Path: targetPath(r),
 		Header: r.Header, Body: body, Books: books, Arrived: r.arrived,
 	}
--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -17,20 +17,20 @@
 
 func (x *run) serve(ctx context.Context) error {
 	switch {
-	case x.order.Conclude():
+	case x.order.MarkComplete():
 		return x.out.finish()
 	case x.Resume != nil:
 		return x.adopt(ctx)
 	}
 	key := retrybudget.Key{Account: x.Account.Name, Service: x.Service.Name}
-	x.budget.First(time.Since(x.start), key)
+	x.budget.RecordFirstAttempt(time.Since(x.start), key)
 	for attempt := 1; ; attempt++ {
 		err := x.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		again := attempt < maxAttempts && x.retryable(ctx, err) && x.order.MayRestart()
-		if !again || !x.budget.Retry(time.Since(x.start), key) {
+		if !again || !x.budget.AllowRetry(time.Since(x.start), key) {
 			return x.ended(ctx, err)
 		}
 		x.order.Restart(uuid.NewString())
@@ -59,8 +59,8 @@
 		f = failure.Wrap(err, failure.KindDeadline, "the caller left")
 	}
 	switch {
-	case x.order.Reached() > 0:
-		f = x.order.Lost(err)
+	case x.order.DeliveredTokens() > 0:
+		f = x.order.LostError(err)
 	case x.begun && f.Executed == failure.ExecutedNo && f.Kind != failure.KindPoison:
 		_ = f.Unknown()
 	}
@@ -145,7 +145,7 @@
 		if x.firstToken == 0 {
 			x.firstToken = time.Since(started)
 		}
-		lease.Produced(int(x.order.Next()))
+		lease.SetProduced(int(x.order.NextOffset()))
 	}
 	err = x.follow(ctx, s, err, lease.Target, progress)
 	x.release(ctx, lease.Target, generation, err)
@@ -155,7 +155,7 @@
 // release cancels a generation that nobody can come back to: its tokens would
 // take room from others.
 func (x *run) release(ctx context.Context, target, generation string, err error) {
-	abandoned := ctx.Err() != nil && x.order.Reached() == 0
+	abandoned := ctx.Err() != nil && x.order.DeliveredTokens() == 0
 	if err != nil && (abandoned || x.order.MayRestart()) {
 		go x.engines.cancelGeneration(target, generation)
 	}
@@ -170,7 +170,7 @@
 	s, err := x.engines.resume(ctx, h.Target, h.Generation, h.Offset)
 	progress := func() {
 		if lease != nil {
-			lease.Produced(int(x.order.Next()))
+			lease.SetProduced(int(x.order.NextOffset()))
 		}
 	}
 	err = x.follow(ctx, s, err, h.Target, progress)
--- a/internal/entry/generation/follow.go
+++ b/internal/entry/generation/follow.go
@@ -22,14 +22,14 @@
 		if err == nil {
 			return x.out.finish()
 		}
-		if !x.resumable(ctx, err) || !x.order.Reopen() {
+		if !x.resumable(ctx, err) || !x.order.TryResume() {
 			return err
 		}
 		x.Books.Update(func(c *accounting.Counts) { c.Resumes++ })
 		if !pause(ctx, reopenPause) {
 			return err
 		}
-		s, err = x.engines.resume(ctx, target, x.order.Generation(), x.order.Next())
+		s, err = x.engines.resume(ctx, target, x.order.Generation(), x.order.NextOffset())
 	}
 }
 
@@ -59,9 +59,9 @@
 func (x *run) relay(s *stream, progress func()) error {
 	for {
 		if err := s.next(&x.event); err != nil {
-			if x.order.Conclude() {
+			if x.order.MarkComplete() {
 				// Only the closing event is missing: the answer is whole.
-				x.order.Release()
+				x.order.MarkReleased()
 				return nil
 			}
 			return lostStream(err)
@@ -108,7 +108,7 @@
 	}
 	switch x.order.Check(f) {
 	case delivery.Complete:
-		x.order.Release()
+		x.order.MarkReleased()
 		return true, nil
 	case delivery.Duplicate:
 		return false, nil
@@ -119,7 +119,7 @@
 	}
 	progress()
 	x.count(int(f.Tokens))
-	return false, x.out.token(&x.frame, x.order.Next())
+	return false, x.out.token(&x.frame, x.order.NextOffset())
 }
 
 func (x *run) judged() (delivery.Frame, error) {
@@ -139,7 +139,7 @@
 	}
 	now := time.Now()
 	x.progressed = now
-	if x.order.Next() == uint64(tokens) {
+	if x.order.NextOffset() == uint64(tokens) {
 		x.Books.FirstToken(now.Sub(x.Begun))
 	}
 	x.Books.Tokens(tokens, now.Sub(x.lastToken))
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -89,7 +89,7 @@
 	*Relay
 	Request
 	out    sink
-	order  delivery.Order
+	order  delivery.Sequencer
 	quoted string
 	frame  engineFrame
 	event  sse.Event
@@ -121,7 +121,7 @@
 func (x *run) prepare(w http.ResponseWriter) {
 	mode := delivery.Stream
 	if x.Service.Delivery == table.DeliveryWhole || !x.Stream {
-		mode = delivery.Whole
+		mode = delivery.Buffered
 	}
 	id := uuid.NewString()
 	if x.Resume != nil {
@@ -152,7 +152,7 @@
 	switch {
 	case !x.Stream:
 		return &whole
-	case mode == delivery.Whole:
+	case mode == delivery.Buffered:
 		return &heldStreamSink{wholeSink: whole, stream: newStreamSink(w, x.ring, h, s)}
 	default:
 		return newStreamSink(w, x.ring, h, s)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -16,12 +16,12 @@
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/decide/hedge"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
-	"filbertdeck/internal/entry/callers"
+	"filbertdeck/internal/entry/callerapi"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -47,8 +47,8 @@
 
 // newProcess draws the incarnation: another process at the same address is
 // another owner of idempotency keys.
-func newProcess(s *Settings) once.Process {
-	return once.Process{Address: s.PeerListen, Incarnation: rand.Uint64() | 1}
+func newProcess(s *Settings) idempotency.Process {
+	return idempotency.Process{Address: s.PeerListen, Incarnation: rand.Uint64() | 1}
 }
 
 // ringEvery is how often the key ring's file is looked at.
@@ -89,7 +89,7 @@
 	}, s.StopNotice, s.StopWait)
 }
 
-func newAdmission(lc fx.Lifecycle, self once.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
+func newAdmission(lc fx.Lifecycle, self idempotency.Process, s *Settings, creds rpc.Credentials, b *state.Board, reg gometrics.Registry) *admit.Client {
 	hello := &filbertv1.Hello{Entry: self.Address, Incarnation: self.Incarnation, DataCentre: s.DataCentre}
 	c := admit.New(hello, creds, b.Owners, reg)
 	lc.Append(fx.StopHook(c.Close))
@@ -98,7 +98,7 @@
 
 func newTargetClient() *targetclient.Client { return targetclient.New(targetclient.Settings{}) }
 
-func newPicker(b *state.Board, self once.Process, s *Settings) *state.Picker {
+func newPicker(b *state.Board, self idempotency.Process, s *Settings) *state.Picker {
 	return state.NewPicker(b, self.Address, s.DataCentre)
 }
 
@@ -110,21 +110,21 @@
 	return generation.NewRelay(a, client, ring, pick, b.PoolOf, budget)
 }
 
-func newLookups(a *admit.Client, client *targetclient.Client, b *state.Board, pick *state.Picker, budget *retrybudget.Budget) *plain.Lookups {
-	return &plain.Lookups{
+func newLookups(a *admit.Client, client *targetclient.Client, b *state.Board, pick *state.Picker, budget *retrybudget.Budget) *servicecall.Lookups {
+	return &servicecall.Lookups{
 		Admission: a, Client: client, Pick: pick, Budget: budget, Hedges: hedge.NewSet(hedge.Config{}),
 		Board: b, Start: time.Now(),
 	}
 }
 
-func newPeers(lc fx.Lifecycle, creds rpc.Credentials) *plain.Peers {
-	p := plain.NewPeers(creds)
+func newPeers(lc fx.Lifecycle, creds rpc.Credentials) *servicecall.Peers {
+	p := servicecall.NewPeers(creds)
 	lc.Append(fx.StopHook(p.Close))
 	return p
 }
 
-func newOnce(a *admit.Client, ring *handle.Ring, self once.Process, b *state.Board, pick *state.Picker, p *plain.Peers) *plain.Once {
-	o := &plain.Once{
+func newOnce(a *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, pick *state.Picker, p *servicecall.Peers) *servicecall.Once {
+	o := &servicecall.Once{
 		Admission: a, Client: targetclient.NewOnce(targetclient.Settings{}), Pick: pick,
 		Ring: ring, Self: self, Board: b, Forwarder: p,
 	}
@@ -134,14 +134,14 @@
 
 func newAPI(
 	b *state.Board, books *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
-	relay *generation.Relay, lookups *plain.Lookups, o *plain.Once, s *Settings,
-) *callers.API {
-	return &callers.API{
+	relay *generation.Relay, lookups *servicecall.Lookups, o *servicecall.Once, s *Settings,
+) *callerapi.API {
+	return &callerapi.API{
 		Board: b, Books: books, Life: life, Ring: ring, Relay: relay, Lookups: lookups, Once: o, BodyLimit: s.BodyLimit,
 	}
 }
 
-func newWatcher(b *state.Board, books *accounting.Book, self once.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
+func newWatcher(b *state.Board, books *accounting.Book, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
 	controls := s.Control
 	if len(controls) == 0 {
 		controls = []string{defaultControl}
@@ -171,22 +171,22 @@
 // host list; it is well below the list's freshness bound.
 const registerEvery = 500 * time.Millisecond
 
-func keepRegister(lc fx.Lifecycle, o *plain.Once) { process.Every(lc, registerEvery, o.Refresh) }
+func keepRegister(lc fx.Lifecycle, o *servicecall.Once) { process.Every(lc, registerEvery, o.Refresh) }
 
 // registerGauges shows what the entry holds.
-func registerGauges(reg gometrics.Registry, o *plain.Once, life *lifecycle.Lifecycle) {
+func registerGauges(reg gometrics.Registry, o *servicecall.Once, life *lifecycle.Lifecycle) {
 	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.Running()) })
 	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.Size(); return int64(keys) })
 	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.Size(); return int64(bytes) })
 }
 
-func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *plain.Once, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
+func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *servicecall.Once, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
-	filbertv1.RegisterForwardServer(server, &plain.Server{Once: o, Board: b, Begin: life.Begin})
+	filbertv1.RegisterForwardServer(server, &servicecall.Server{Once: o, Board: b, Begin: life.Begin})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, books *accounting.Book, b *state.Board, self once.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, books *accounting.Book, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
@@ -201,8 +201,8 @@
 
 // serveCallers is the last to start and the first to stop. Its stop reports
 // "not ready", waits for the requests in progress, and only then closes.
-func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callers.API, life *lifecycle.Lifecycle, s *Settings) {
-	server := callers.NewServer(api.Handler())
+func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callerapi.API, life *lifecycle.Lifecycle, s *Settings) {
+	server := callerapi.NewServer(api.Handler())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return process.StartHTTP(server, id.ListenHTTP, s.Listen) },
 		OnStop: func(ctx context.Context) error {
--- a/internal/entry/plain/forward.go
+++ b/internal/entry/servicecall/forward.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/rpc"
@@ -67,10 +67,10 @@
 // Forward hands the call to its owner. When the owner does not answer the
 // outcome is unknown, also when it was never reached: it may have run an
 // earlier sending of the same call.
-func (p *Peers) Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error) {
+func (p *Peers) Forward(ctx context.Context, owner idempotency.Process, key string, revision uint64, call Call) (*idempotency.Answer, bool, error) {
 	conn, err := p.conn(owner.Address)
 	if err != nil {
-		return nil, false, once.OwnerUnreachable(err)
+		return nil, false, idempotency.OwnerUnreachable(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, onceLimit)
 	defer cancel()
@@ -81,7 +81,7 @@
 	})
 	if err != nil {
 		p.drop(owner.Address, conn)
-		return nil, false, once.OwnerUnreachable(err)
+		return nil, false, idempotency.OwnerUnreachable(err)
 	}
 	if reply.Problem != "" {
 		return nil, false, failure.FromProblem(failure.Problem{
@@ -89,7 +89,7 @@
 			Detail: "answer of the entry that owns the key", RetryAfterMS: int64(reply.RetryAfterMs),
 		})
 	}
-	return &once.Answer{Status: int(reply.Status), Headers: headersFromWire(reply.Headers), Body: reply.Body}, reply.Replayed, nil
+	return &idempotency.Answer{Status: int(reply.Status), Headers: headersFromWire(reply.Headers), Body: reply.Body}, reply.Replayed, nil
 }
 
 func forwarded(h http.Header) []*filbertv1.Header {
--- a/internal/entry/plain/lookup.go
+++ b/internal/entry/servicecall/lookup.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/decide/hedge"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
@@ -59,9 +59,9 @@
 
 // run tries targets until one answers. Sending the call again is safe here:
 // the service's row says that its calls may be repeated.
-func (l *Lookups) run(ctx context.Context, call Call) (*once.Answer, error) {
+func (l *Lookups) run(ctx context.Context, call Call) (*idempotency.Answer, error) {
 	key := retrybudget.Key{Account: call.Account.Name, Service: call.Service.Name}
-	l.Budget.First(l.now(), key)
+	l.Budget.RecordFirstAttempt(l.now(), key)
 	var avoid []string
 	var sent bool
 	for attempt := 1; ; attempt++ {
@@ -72,7 +72,7 @@
 		f := failure.From(r.err)
 		sent = sent || f.Executed != failure.ExecutedNo
 		over := r.target == "" || attempt == lookupAttempts || ctx.Err() != nil
-		if over || !l.Budget.Retry(l.now(), key) {
+		if over || !l.Budget.AllowRetry(l.now(), key) {
 			if sent && f.Executed == failure.ExecutedNo {
 				_ = f.Unknown()
 			}
@@ -85,7 +85,7 @@
 
 // result is one sending's end; target is empty when none was found.
 type result struct {
-	answer *once.Answer
+	answer *idempotency.Answer
 	target string
 	err    error
 }
@@ -93,8 +93,8 @@
 // hedged sends the call, and a second time to another target when the answer
 // is late and the budget allows it. The first whole answer counts.
 func (l *Lookups) hedged(ctx context.Context, call Call, avoid []string, first bool) result {
-	hedger := l.Hedges.Of(l.now(), call.Service.Name)
-	delay, ok := hedger.Begin(first)
+	hedger := l.Hedges.ForService(l.now(), call.Service.Name)
+	delay, ok := hedger.StartCall(first)
 	if !ok {
 		return l.observed(ctx, call, avoid, hedger)
 	}
@@ -144,7 +144,7 @@
 		return "", false
 	}
 	backlog, others := l.Board.Situation(call.Service.Name, target)
-	refusal := hedger.Second(l.now(), hedge.Situation{Repeatable: true, Backlog: backlog, OtherTargets: others})
+	refusal := hedger.AllowSecond(l.now(), hedge.Conditions{Repeatable: true, Backlog: backlog, OtherTargets: others})
 	return target, refusal == hedge.None
 }
 
@@ -164,7 +164,7 @@
 	return result{answer: answer, target: lease.Target, err: err}
 }
 
-func (l *Lookups) send(ctx context.Context, call Call, lease *admit.Lease) (*once.Answer, error) {
+func (l *Lookups) send(ctx context.Context, call Call, lease *admit.Lease) (*idempotency.Answer, error) {
 	req, err := call.request(lease.Target)
 	if err != nil {
 		return nil, err
--- a/internal/entry/plain/once.go
+++ b/internal/entry/servicecall/once.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"filbertdeck/internal/accounting"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
@@ -32,7 +32,7 @@
 
 // Forwarder hands a call to the entry that owns its key.
 type Forwarder interface {
-	Forward(ctx context.Context, owner once.Process, key string, revision uint64, call Call) (*once.Answer, bool, error)
+	Forward(ctx context.Context, owner idempotency.Process, key string, revision uint64, call Call) (*idempotency.Answer, bool, error)
 }
 
 // Once runs calls that may run at most once.
@@ -41,19 +41,19 @@
 	Client    OnceDoer
 	Pick      Picker
 	Ring      *handle.Ring
-	Self      once.Process
+	Self      idempotency.Process
 	Board     *state.Board
 	Forwarder Forwarder
 
 	mu       sync.Mutex
-	register *once.Register
+	register *idempotency.Registry
 	start    time.Time
 }
 
 // Open makes the register; the process vouches for nothing older.
 func (o *Once) Open() {
 	o.start = time.Now()
-	o.register = once.New(once.Config{Self: o.Self})
+	o.register = idempotency.New(idempotency.Config{Self: o.Self})
 }
 
 func (o *Once) now() time.Duration { return time.Since(o.start) }
@@ -73,24 +73,24 @@
 func (o *Once) Size() (keys, bytes int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.register.Len(), o.register.Bytes()
+	return o.register.Len(), o.register.AnswerBytes()
 }
 
 // parseKey reads the caller's key, minted or of its own making.
-func (o *Once) parseKey(text, account string) (once.Key, error) {
+func (o *Once) parseKey(text, account string) (idempotency.Key, error) {
 	if text == "" {
-		return once.Key{}, failure.New(failure.KindKeyRequired, "this service needs the header %s", HeaderKey)
+		return idempotency.Key{}, failure.New(failure.KindKeyRequired, "this service needs the header %s", HeaderKey)
 	}
 	if !handle.IsMinted(text) {
-		return once.CallerKey(text)
+		return idempotency.CallerKey(text)
 	}
 	m, err := o.Ring.OpenMinted(text, account)
 	if err != nil {
-		return once.Key{}, err
+		return idempotency.Key{}, err
 	}
-	owner := once.Process{Address: m.Owner, Incarnation: m.Incarnation}
+	owner := idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}
 	id := owner.Address + "/" + strconv.FormatUint(m.Incarnation, 16) + "/" + strconv.FormatUint(m.Sequence, 16)
-	return once.MintedKey(id, owner, m.Age0), nil
+	return idempotency.MintedKey(id, owner, m.Age0), nil
 }
 
 // Serve answers the call; the failure it returns was told to the caller.
@@ -115,13 +115,13 @@
 }
 
 // Run runs the call, repeats its recorded answer, or hands it to its owner.
-func (o *Once) Run(ctx context.Context, call Call, keyText string, origin *Origin) (*once.Answer, bool, error) {
+func (o *Once) Run(ctx context.Context, call Call, keyText string, origin *Origin) (*idempotency.Answer, bool, error) {
 	key, err := o.parseKey(keyText, call.Account.Name)
 	if err != nil {
 		return nil, false, err
 	}
-	request := once.Call{
-		Account: call.Account.Name, Key: key, Fingerprint: call.fingerprint(), Wall: time.Now(),
+	request := idempotency.Call{
+		Account: call.Account.Name, Key: key, Fingerprint: call.fingerprint(), WallTime: time.Now(),
 	}
 	if origin != nil {
 		request.Forwarded = true
@@ -129,18 +129,18 @@
 	}
 	d, revision := o.begin(request)
 	switch d.Action {
-	case once.Replay:
+	case idempotency.Replay:
 		return d.Answer, true, nil
-	case once.Forward:
+	case idempotency.Forward:
 		return o.Forwarder.Forward(ctx, d.Owner, keyText, revision, call)
-	case once.Refuse:
+	case idempotency.Refuse:
 		return nil, false, d.Err
 	}
 	answer, err := o.execute(ctx, call, key)
 	return answer, false, err
 }
 
-func (o *Once) begin(request once.Call) (once.Decision, uint64) {
+func (o *Once) begin(request idempotency.Call) (idempotency.Decision, uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	revision := o.refresh()
@@ -156,11 +156,11 @@
 	}
 	if hosts.Revision != confirmed.HostsRevision {
 		// The list on the blackboard is older than the one that was confirmed.
-		o.register.Heard(o.now(), confirmed.HostsRevision)
+		o.register.ObservePeerRevision(o.now(), confirmed.HostsRevision)
 		return hosts.Revision
 	}
-	o.register.SetHosts(o.now(), once.HostList{
-		Revision: hosts.Revision, Live: hosts.LiveEntries(), Confirmed: confirmed.At.Sub(o.start),
+	o.register.ConfirmHosts(o.now(), idempotency.HostList{
+		Revision: hosts.Revision, LiveHosts: hosts.LiveEntries(), ConfirmedAt: confirmed.At.Sub(o.start),
 	})
 	return hosts.Revision
 }
@@ -175,7 +175,7 @@
 
 // execute runs a call that this process may run. The call goes on when its
 // caller leaves: its outcome is on record for when the caller asks again.
-func (o *Once) execute(ctx context.Context, call Call, key once.Key) (*once.Answer, error) {
+func (o *Once) execute(ctx context.Context, call Call, key idempotency.Key) (*idempotency.Answer, error) {
 	lease, err := acquire(ctx, o.Admission, o.Pick, call, nil)
 	if err != nil {
 		o.notRun(call, key)
@@ -191,7 +191,7 @@
 	return answer, err
 }
 
-func (o *Once) send(ctx context.Context, call Call, key once.Key, lease *admit.Lease) (*once.Answer, error) {
+func (o *Once) send(ctx context.Context, call Call, key idempotency.Key, lease *admit.Lease) (*idempotency.Answer, error) {
 	req, err := call.request(lease.Target)
 	if err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 }
 
 // check is the last look at the right to run, right before the first byte.
-func (o *Once) check(call Call, key once.Key) error {
+func (o *Once) check(call Call, key idempotency.Key) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.refresh()
@@ -227,22 +227,22 @@
 	return nil
 }
 
-func (o *Once) notRun(call Call, key once.Key) {
+func (o *Once) notRun(call Call, key idempotency.Key) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.register.NotRun(call.Account.Name, key)
+	o.register.MarkNotRun(call.Account.Name, key)
 }
 
-func (o *Once) record(call Call, key once.Key, answer *once.Answer, err error) {
+func (o *Once) record(call Call, key idempotency.Key, answer *idempotency.Answer, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	account := call.Account.Name
 	switch {
 	case err == nil:
-		o.register.Finish(account, key, answer)
+		o.register.MarkFinished(account, key, answer)
 	case failure.From(err).Executed == failure.ExecutedNo:
-		o.register.NotRun(account, key)
+		o.register.MarkNotRun(account, key)
 	default:
-		o.register.Lost(account, key)
+		o.register.MarkLost(account, key)
 	}
 }
--- a/internal/entry/plain/request.go
+++ b/internal/entry/servicecall/request.go
@@ -1,6 +1,6 @@
-// Package plain relays calls to plain services: idempotent ones, which may be
+// Package servicecall relays calls to plain services: idempotent ones, which may be
 // sent to another target when one fails, and calls that run at most once.
-package plain
+package servicecall
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/table"
 )
@@ -71,7 +71,7 @@
 
 // readAnswer takes a target's answer whole. Half an answer is a failure: its
 // target ran the call.
-func readAnswer(resp *http.Response) (*once.Answer, error) {
+func readAnswer(resp *http.Response) (*idempotency.Answer, error) {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
@@ -80,17 +80,17 @@
 	if len(body) > maxAnswer {
 		return nil, failure.New(failure.KindTargetFailed, "the target's answer is over %d bytes", maxAnswer).Ran()
 	}
-	a := &once.Answer{Status: resp.StatusCode, Body: body}
+	a := &idempotency.Answer{Status: resp.StatusCode, Body: body}
 	for _, name := range returned {
 		if value := resp.Header.Get(name); value != "" {
-			a.Headers = append(a.Headers, once.Header{Name: name, Value: value})
+			a.Headers = append(a.Headers, idempotency.Header{Name: name, Value: value})
 		}
 	}
 	return a, nil
 }
 
 // write hands an answer to the caller.
-func write(w http.ResponseWriter, a *once.Answer) {
+func write(w http.ResponseWriter, a *idempotency.Answer) {
 	for _, h := range a.Headers {
 		w.Header().Set(h.Name, h.Value)
 	}
@@ -98,7 +98,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-func headersToWire(headers []once.Header) []*filbertv1.Header {
+func headersToWire(headers []idempotency.Header) []*filbertv1.Header {
 	out := make([]*filbertv1.Header, len(headers))
 	for i, h := range headers {
 		out[i] = &filbertv1.Header{Name: h.Name, Value: h.Value}
@@ -106,10 +106,10 @@
 	return out
 }
 
-func headersFromWire(headers []*filbertv1.Header) []once.Header {
-	out := make([]once.Header, len(headers))
+func headersFromWire(headers []*filbertv1.Header) []idempotency.Header {
+	out := make([]idempotency.Header, len(headers))
 	for i, h := range headers {
-		out[i] = once.Header{Name: h.Name, Value: h.Value}
+		out[i] = idempotency.Header{Name: h.Name, Value: h.Value}
 	}
 	return out
 }
--- a/internal/entry/state/pick.go
+++ b/internal/entry/state/pick.go
@@ -42,14 +42,14 @@
 	views atomic.Pointer[viewSet]
 
 	mu      sync.Mutex
-	centres *drain.Centres
+	centres *drain.DataCentres
 }
 
 // viewSet is one immutable state of all services' pools.
 type viewSet struct {
 	pools     *Pools
 	table     *table.Table
-	byService map[string][]decide.View
+	byService map[string][]decide.PoolView
 	sent      map[string]*atomic.Int64
 }
 
@@ -57,7 +57,7 @@
 func NewPicker(b *Board, entry, dataCentre string) *Picker {
 	return &Picker{
 		board: b, entry: entry, dataCentre: dataCentre, start: time.Now(),
-		cfg: decide.Config{NewsFor: pushedNews}, centres: drain.NewCentres(drain.Config{}),
+		cfg: decide.Config{BacklogMaxAge: pushedNews}, centres: drain.NewDataCentres(drain.RampConfig{}),
 	}
 }
 
@@ -92,12 +92,12 @@
 		return Choice{}, failure.New(failure.KindNotReady, "the pools are not known yet").After(retryNoPool)
 	}
 	base := set.byService[r.Service]
-	views := make([]decide.View, len(base), sessionsNear+sessionsFar)
+	views := make([]decide.PoolView, len(base), sessionsNear+sessionsFar)
 	copy(views, base)
 	p.fill(set, views)
 	i := decide.Choose(p.now(), p.cfg, views, decide.Request{
-		DataCentre: p.dataCentre, Affinity: r.Affinity, Cached: r.Cached, Avoid: exhausted(set.pools, views, r.Avoid),
-	}, decide.Draw{Other: rand.Uint64(), Share: rand.Float64()})
+		DataCentre: p.dataCentre, AffinityKey: r.Affinity, HasPrefix: r.Cached, ExcludedPools: exhausted(set.pools, views, r.Avoid),
+	}, decide.RandomDraw{CandidateSeed: rand.Uint64(), ShareSample: rand.Float64()})
 	if i < 0 {
 		return Choice{}, failure.New(failure.KindNoTarget, "service %q has no target that takes work", r.Service).After(retryNoPool)
 	}
@@ -107,16 +107,16 @@
 }
 
 // fill completes the views with what changes from request to request.
-func (p *Picker) fill(set *viewSet, views []decide.View) {
+func (p *Picker) fill(set *viewSet, views []decide.PoolView) {
 	now := p.now()
 	backlogs := p.board.backlogs()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range views {
 		ms, known := backlogs[views[i].ID]
-		views[i].Backlog, views[i].Heard = time.Duration(ms)*time.Millisecond, known
-		views[i].Sent = int(set.sent[views[i].ID].Load())
-		views[i].Share = p.centres.Share(now, views[i].DataCentre)
+		views[i].Backlog, views[i].BacklogKnown = time.Duration(ms)*time.Millisecond, known
+		views[i].PendingRequests = int(set.sent[views[i].ID].Load())
+		views[i].Share = p.centres.WorkShare(now, views[i].DataCentre)
 	}
 }
 
@@ -134,7 +134,7 @@
 // build keeps the counts of pools that stay.
 func (p *Picker) build(pools *Pools, t *table.Table, old *viewSet) *viewSet {
 	p.followDrain(t)
-	next := &viewSet{pools: pools, table: t, byService: map[string][]decide.View{}, sent: map[string]*atomic.Int64{}}
+	next := &viewSet{pools: pools, table: t, byService: map[string][]decide.PoolView{}, sent: map[string]*atomic.Int64{}}
 	for service, list := range pools.ByService {
 		for _, pool := range p.subset(list) {
 			next.byService[service] = append(next.byService[service], viewOf(pool))
@@ -168,11 +168,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.centres.Set(p.now(), out)
+	p.centres.SetDrained(p.now(), out)
 }
 
-func viewOf(pool *filbertv1.Pool) decide.View {
-	return decide.NewView(decide.Pool{ID: pool.Name, DataCentre: pool.DataCentre}, "")
+func viewOf(pool *filbertv1.Pool) decide.PoolView {
+	return decide.NewPoolView(decide.Pool{ID: pool.Name, DataCentre: pool.DataCentre}, "")
 }
 
 // subset gives the pools that this entry keeps to.
@@ -192,7 +192,7 @@
 		}
 	}
 	var out []*filbertv1.Pool
-	kept := append(decide.Subset(p.entry, near, sessionsNear), decide.Subset(p.entry, far, sessionsFar)...)
+	kept := append(decide.SessionPools(p.entry, near, sessionsNear), decide.SessionPools(p.entry, far, sessionsFar)...)
 	for _, pool := range kept {
 		out = append(out, byName[pool.ID])
 	}
@@ -200,7 +200,7 @@
 }
 
 // exhausted lists the pools every target of which failed the request already.
-func exhausted(pools *Pools, views []decide.View, avoid []string) []string {
+func exhausted(pools *Pools, views []decide.PoolView, avoid []string) []string {
 	if len(avoid) == 0 {
 		return nil
 	}
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -87,7 +87,7 @@
 		p.index[address] = i
 	}
 	// The allocator has owned the pool for a while: see confirm.
-	p.alloc.SetOwner(-time.Minute, true)
+	p.alloc.SetConfirmedOwner(-time.Minute, true)
 	p.alloc.SetTargets(0, p.targets)
 	for _, c := range s.Classes {
 		p.alloc.SetShare(0, admission.Share{Account: c.Account, Weight: c.Weight})
@@ -133,7 +133,7 @@
 	}
 	p.alloc.Renew(now, holder(id), []admission.Renewal{{
 		Lease: g.decision.Lease, Target: g.decision.Target, Account: g.account,
-		PromptTokens: g.prompt, Produced: produced,
+		PromptTokens: g.prompt, ProducedTokens: produced,
 	}})
 }
 
@@ -146,14 +146,14 @@
 	if p.plain {
 		produced = 0
 	}
-	p.alloc.Settle(now, admission.Settlement{Lease: g.decision.Lease, Outcome: how, Produced: produced, FirstToken: first})
+	p.alloc.Settle(now, admission.Settlement{Lease: g.decision.Lease, Outcome: how, ProducedTokens: produced, FirstToken: first})
 }
 
 func (p *filbertdeck) Report(now time.Duration, engine int, r model.Report) {
 	report := admission.Report{
 		Target: p.targets[engine].Address, Age: r.Age, Incarnation: r.Incarnation,
 		MemoryTokens: r.MemoryTokens, UsedTokens: r.UsedTokens, Running: r.Running, Waiting: r.Waiting,
-		Preemptions: r.Preemptions, Bears: r.Bears, StepTime: r.StepTime,
+		Preemptions: r.Preemptions, Capacity: r.Bears, StepTime: r.StepTime,
 	}
 	if p.plain {
 		report.MemoryTokens, report.UsedTokens = 0, 0
@@ -170,7 +170,7 @@
 
 func (p *filbertdeck) Decide(now time.Duration) []Decision {
 	if now-p.renewed >= time.Second {
-		p.alloc.Confirm(now)
+		p.alloc.ConfirmOwnership(now)
 		p.renewed = now
 	}
 	p.out = p.out[:0]
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -98,7 +98,7 @@
 // not the batch is what it runs out of.
 func warm() model.Config {
 	cfg := model.DefaultConfig()
-	cfg.RampTime, cfg.FullBears = 0, 256
+	cfg.WarmUpTime, cfg.WarmCapacity = 0, 256
 	return cfg
 }
 
@@ -268,8 +268,8 @@
 func lookups(name string, hot float64) Scenario {
 	const served = 2 * 16 / 0.020
 	cfg := model.DefaultConfig()
-	cfg.RampTime, cfg.FullBears, cfg.MaxBatch = 0, 16, 16
-	cfg.BaseStep, cfg.PerSequence, cfg.PerPrompt = 20*time.Millisecond, time.Nanosecond, time.Nanosecond
+	cfg.WarmUpTime, cfg.WarmCapacity, cfg.MaxBatch = 0, 16, 16
+	cfg.BaseStep, cfg.PerSequence, cfg.PerPromptToken = 20*time.Millisecond, time.Nanosecond, time.Nanosecond
 	call := func(account string, rate float64) Class {
 		return Class{
 			Account: account, Weight: 1, Rate: rate, Prompt: Lengths{1, 0}, Output: Lengths{1, 0},
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -123,11 +123,11 @@
 	e := w.engines[f.Engine]
 	switch f.Kind {
 	case FaultSlow:
-		e.Slow(w.now, f.Factor)
+		e.SetSlowFactor(w.now, f.Factor)
 	case FaultCrash:
 		e.Crash(w.now)
 	case FaultCold:
-		e.Cold(w.now)
+		e.ResetWarmUp(w.now)
 	case FaultLeave, FaultReturn:
 		w.leaving[f.Engine] = f.Kind == FaultLeave
 		w.policy.Leave(w.now, w.leaving)
@@ -159,7 +159,7 @@
 	} else {
 		w.result.gap(event.At, event.At-r.lastToken)
 	}
-	r.produced, r.lastToken = event.Produced, event.At
+	r.produced, r.lastToken = event.ProducedTokens, event.At
 	w.result.token(r, event.At)
 }
 
@@ -241,7 +241,7 @@
 		return
 	}
 	err := w.engines[r.engine].Submit(w.now, model.Job{
-		ID: model.JobID(r.id), Priority: d.Priority, PromptTokens: r.prompt, Length: r.length,
+		ID: model.JobID(r.id), Priority: d.Priority, PromptTokens: r.prompt, OutputTokens: r.length,
 		Prefix: r.prefix, Crash: r.class.Crash,
 	})
 	if err != nil {
--- a/internal/gateway/ask.go
+++ b/internal/gateway/ask.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 	"time"
 
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 )
 
-// Owned is a target, as it has an owner of its counts.
-type Owned struct{ ID, DataCentre string }
+// TargetRef is a target, as it has an owner of its counts.
+type TargetRef struct{ ID, DataCentre string }
 
-// AskOwner tells the owner of a target's counts what this host has running
+// QueryOwner tells the owner of a target's counts what this host has running
 // there and gives what the owner knows of it; false without an answer.
 //
 // Load pattern: hundreds of hosts place some fifty prompts a second, and news of
@@ -25,7 +25,7 @@
 // chooser tells its choice, and whom it asks for the others' before it chooses.
 // No promise rests on it: without an answer, or where two hosts take themselves
 // for the owner, choices are made by what is known.
-type AskOwner func(target Owned, own []loadshare.Count) ([]loadshare.Count, bool)
+type QueryOwner func(target TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool)
 
 const (
 	// askTries bounds the owners asked for one request: each costs a round trip
@@ -36,18 +36,18 @@
 	betterBy = 100 * time.Millisecond
 )
 
-// AskOwners sets how owners are asked; nobody is until then.
-func (l *Loads) AskOwners(ask AskOwner) { l.askOwner = ask }
+// SetOwnerQuery sets how owners are asked; nobody is until then.
+func (l *TargetLoads) SetOwnerQuery(ask QueryOwner) { l.askOwner = ask }
 
-// Answer takes what another host has running at targets, and gives all that is
+// AnswerOwnerQuery takes what another host has running at targets, and gives all that is
 // known here of those.
-func (l *Loads) Answer(counts []loadshare.Count) []loadshare.Count {
-	l.Take("", counts)
+func (l *TargetLoads) AnswerOwnerQuery(counts []targetload.HostLoad) []targetload.HostLoad {
+	l.MergeLoads("", counts)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []loadshare.Count
+	var all []targetload.HostLoad
 	for _, c := range counts {
-		all = append(all, l.share.Of(l.now(), c.Target)...)
+		all = append(all, l.share.ForTarget(l.now(), c.Target)...)
 	}
 	return all
 }
@@ -55,7 +55,7 @@
 // askAbout asks the owners of some targets at once for a generation and takes
 // what they know; false when none answered. What runs at a plain service is over
 // before it could be told.
-func (l *Loads) askAbout(w Wanted, looked pool) bool {
+func (l *TargetLoads) askAbout(w Wanted, looked pool) bool {
 	if w.Prompt.Tokens == 0 || !l.asks() {
 		return false
 	}
@@ -73,21 +73,21 @@
 }
 
 // asks tells whether owners are asked.
-func (l *Loads) asks() bool { return l.askOwner != nil && l.ByOwners() }
+func (l *TargetLoads) asks() bool { return l.askOwner != nil && l.SendsToOwnersOnly() }
 
 // askFor tells a target's owner what this host has there and takes what the
 // owner knows; false without an answer.
-func (l *Loads) askFor(t *directory.Seen) bool {
+func (l *TargetLoads) askFor(t *directory.ObservedTarget) bool {
 	l.mu.Lock()
-	own := l.share.Own(t.ID)
+	own := l.share.Local(t.ID)
 	l.mu.Unlock()
-	counts, answered := l.askOwner(Owned{t.ID, t.DataCentre}, []loadshare.Count{own})
+	counts, answered := l.askOwner(TargetRef{t.ID, t.DataCentre}, []targetload.HostLoad{own})
 	if !answered {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share.TakeAll(l.now(), t.ID, counts)
+	l.share.ReplaceTarget(l.now(), t.ID, counts)
 	l.learn(counts)
 	return true
 }
@@ -95,7 +95,7 @@
 // verify asks the owner of a place's target, and goes to another of the targets
 // looked at while that is better; after the last question only to one whose
 // owner was asked.
-func (l *Loads) verify(view *directory.View, w Wanted, looked pool, place *Place) *Place {
+func (l *TargetLoads) verify(view *directory.View, w Wanted, looked pool, place *Place) *Place {
 	var asked pool
 	for try := range askTries {
 		if !l.ask(place) {
@@ -120,18 +120,18 @@
 
 // ask tells a target's owner of a place there and takes what it knows; false
 // when nobody was asked or answered.
-func (l *Loads) ask(p *Place) bool { return l.asks() && l.askFor(p.at) }
+func (l *TargetLoads) ask(p *Place) bool { return l.asks() && l.askFor(p.at) }
 
 // better takes a place at another of the targets looked at, where by now a
 // request adds less than at its place; nil when there is none.
-func (l *Loads) better(view *directory.View, w Wanted, looked pool, p *Place) *Place {
+func (l *TargetLoads) better(view *directory.View, w Wanted, looked pool, p *Place) *Place {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := l.renew(view, w, slices.DeleteFunc(slices.Clone(looked), func(o option) bool { return o.target.ID == p.target }))
-	sums, usual := l.share.Sums(l.now()), l.speed.Usual()
-	here := l.candidate(view, p.at, w.Near, sums[p.target].Others.Minus(p.load), usual)
+	sums, usual := l.share.Totals(l.now()), l.speed.Median()
+	here := l.candidate(view, p.at, w.Near, sums[p.target].Others.Sub(p.load), usual)
 	best := others.choose(l.draw, w)
-	if best == nil || placement.Delay(best.Candidate, w.work())+betterBy > placement.Delay(here, w.work()) {
+	if best == nil || placement.MarginalDelay(best.Candidate, w.work())+betterBy > placement.MarginalDelay(here, w.work()) {
 		return nil
 	}
 	return l.take(best, w.Prompt)
--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/gateway"
 )
@@ -22,25 +22,25 @@
 	view := func() *directory.View {
 		cfg := testConfig()
 		cfg.Services[1].Engine.MemoryTokens = 30_000
-		targets := map[string]*directory.Seen{}
+		targets := map[string]*directory.ObservedTarget{}
 		for i := range engines {
 			id := fmt.Sprintf("i-%d", i)
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
 		return directory.NewView(1, cfg, targets, nil)
 	}
-	fleet := func(seed uint64) []*gateway.Loads {
-		all := make([]*gateway.Loads, hosts)
+	fleet := func(seed uint64) []*gateway.TargetLoads {
+		all := make([]*gateway.TargetLoads, hosts)
 		for i := range all {
-			all[i] = gateway.NewLoads(fmt.Sprintf("host-%d", i), "dc-1", func() time.Duration { return time.Second })
-			all[i].CountHosts(func() int { return hosts })
+			all[i] = gateway.NewTargetLoads(fmt.Sprintf("host-%d", i), "dc-1", func() time.Duration { return time.Second })
+			all[i].SetHostCount(func() int { return hosts })
 			all[i].Draw(rand.New(rand.NewPCG(seed, uint64(i))))
 		}
 		return all
 	}
 	// busiest has each host place one generation before news of any reach
 	// another, and gives the most that one engine got.
-	busiest := func(all []*gateway.Loads) int {
+	busiest := func(all []*gateway.TargetLoads) int {
 		got, most := map[string]int{}, 0
 		for _, l := range all {
 			t, _, ok := l.Acquire(view(), gateway.Wanted{Service: "llm", Prompt: prompt, Near: gateway.Anywhere})
@@ -62,7 +62,9 @@
 			all := fleet(seed)
 			owner := all[0]
 			for _, l := range all[1:] {
-				l.AskOwners(func(_ gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) { return owner.Answer(own), true })
+				l.SetOwnerQuery(func(_ gateway.TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool) {
+					return owner.AnswerOwnerQuery(own), true
+				})
 			}
 			if busiest(all) > twiceTheMean {
 				asked++
@@ -81,7 +83,7 @@
 		l := fleet(1)[0]
 		var mu sync.Mutex
 		questions := map[string]int{}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.SetOwnerQuery(func(target gateway.TargetRef, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			questions[target.ID]++
@@ -100,10 +102,13 @@
 	It("are not asked about in a small fleet, nor for plain services", func() {
 		l := fleet(1)[0]
 		questions := 0
-		l.AskOwners(func(gateway.Owned, []loadshare.Count) ([]loadshare.Count, bool) { questions++; return nil, true })
+		l.SetOwnerQuery(func(gateway.TargetRef, []targetload.HostLoad) ([]targetload.HostLoad, bool) {
+			questions++
+			return nil, true
+		})
 		_, _, ok := l.Acquire(view(), gateway.Wanted{Service: "llm", Near: gateway.Anywhere})
 		Expect(ok).To(BeTrue())
-		l.CountHosts(func() int { return 6 })
+		l.SetHostCount(func() int { return 6 })
 		_, _, ok = l.Acquire(view(), gateway.Wanted{Service: "llm", Prompt: prompt, Near: gateway.Anywhere})
 		Expect(ok).To(BeTrue())
 		Expect(questions).To(BeZero())
@@ -114,24 +119,24 @@
 	// own takes its part; a second one there would bring the engine down.
 	It("leave a cold engine alone once this host's part of it is taken", func() {
 		cfg := testConfig()
-		cfg.Services[1].ColdRate, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
-		targets := map[string]*directory.Seen{}
+		cfg.Services[1].ColdRequestsPerSecond, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
+		targets := map[string]*directory.ObservedTarget{}
 		for _, id := range []string{"cold", "warm-1", "warm-2"} {
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
-		targets["cold"].ColdUntil = time.Minute
+		targets["cold"].WarmAt = time.Minute
 		v := directory.NewView(1, cfg, targets, nil)
 		l := fleet(1)[0]
-		l.BoundCold(gateway.ColdBound{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
-		busy := func(target string) loadshare.Count {
-			return loadshare.Count{Host: "host-9", Target: target, Version: 1, Load: loadshare.Load{Running: 9, Tokens: 40_000, Unread: 9000}}
+		l.SetColdRateLimit(gateway.ColdRateLimit{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
+		busy := func(target string) targetload.HostLoad {
+			return targetload.HostLoad{Host: "host-9", Target: target, Version: 1, Load: targetload.Load{Running: 9, ReservedTokens: 40_000, UnreadTokens: 9000}}
 		}
-		l.AskOwners(func(target gateway.Owned, _ []loadshare.Count) ([]loadshare.Count, bool) {
+		l.SetOwnerQuery(func(target gateway.TargetRef, _ []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 			if target.ID == "cold" {
 				return nil, true
 			}
-			l.Hold("cold", call.Prompt{Tokens: 10})
-			return []loadshare.Count{busy("warm-1"), busy("warm-2")}, true
+			l.Reserve("cold", call.Prompt{Tokens: 10})
+			return []targetload.HostLoad{busy("warm-1"), busy("warm-2")}, true
 		})
 		t, _, ok := l.Acquire(v, gateway.Wanted{Service: "llm", Prompt: prompt, Near: gateway.Anywhere})
 		Expect(ok).To(BeTrue())
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -20,8 +20,8 @@
 
 // cover gives a sending a backup while some engine has room to keep one; nil
 // when it gets none. Generations that another run may go on with need none.
-func (gen *generation) cover(s *call.Send, target *directory.Seen) *backup {
-	if e := gen.service.Engine; e == nil || !e.Backups || gen.route.Resumable {
+func (gen *generation) cover(s *call.Send, target *directory.ObservedTarget) *backup {
+	if e := gen.service.Engine; e == nil || !e.KeepsBackups || gen.route.Resumable {
 		return nil
 	}
 	keeper, kept, ok := gen.g.cfg.Loads.Keep(gen.g.view(), gen.Prompt, target)
--- a/internal/gateway/bounds_test.go
+++ b/internal/gateway/bounds_test.go
@@ -20,13 +20,13 @@
 
 // patient sets how long the caller waits, in milliseconds.
 func patient(req *http.Request, ms int) *http.Request {
-	req.Header.Set(standin.Deadline, strconv.Itoa(ms))
+	req.Header.Set(standin.HeaderDeadline, strconv.Itoa(ms))
 	return req
 }
 
 // handedOver is the time that a target was told it may work, in milliseconds.
 func handedOver(r *http.Request) int {
-	ms, err := strconv.Atoi(r.Header.Get(standin.Deadline))
+	ms, err := strconv.Atoi(r.Header.Get(standin.HeaderDeadline))
 	Expect(err).NotTo(HaveOccurred())
 	return ms
 }
@@ -97,8 +97,8 @@
 })
 
 var _ = Describe("a data centre that operators have taken out", func() {
-	drained := func(d *deck, dataCentre string, targets ...*directory.Seen) {
-		seen := map[string]*directory.Seen{}
+	drained := func(d *deck, dataCentre string, targets ...*directory.ObservedTarget) {
+		seen := map[string]*directory.ObservedTarget{}
 		for _, t := range targets {
 			seen[t.ID] = t
 		}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -5,25 +5,25 @@
 	"slices"
 	"time"
 
-	"filbertdeck/internal/decide/coldshare"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
 
-// ColdBound bounds what all hosts send to a cold target in a second: its own
+// ColdRateLimit bounds what all hosts send to a cold target in a second: its own
 // rate times Factor, plus Extra.
-type ColdBound struct {
+type ColdRateLimit struct {
 	Factor, Extra float64
 	// Rank gives this host's rank among the hosts for a target, and how many
 	// hosts there are.
 	Rank func(target string) (rank, hosts int)
 }
 
-// BoundCold sets the bound; without one cold targets are treated like warm
+// SetColdRateLimit sets the bound; without one cold targets are treated like warm
 // ones.
-func (l *Loads) BoundCold(b ColdBound) { l.cold = b }
+func (l *TargetLoads) SetColdRateLimit(b ColdRateLimit) { l.cold = b }
 
 const (
 	// penaltyFor is how long a failure counts against a target: until the next
@@ -59,38 +59,38 @@
 // Away prefers another data centre than one, so that its loss takes no copy
 // with it.
 func Away(dataCentre string) Nearness {
-	return Nearness{remote: placement.RemoteCharge, awayFrom: dataCentre, away: placement.RemoteCopyCharge}
+	return Nearness{remote: placement.RemotePenalty, awayFrom: dataCentre, away: placement.RemoteMigrationPenalty}
 }
 
 // Anywhere prefers the own data centre among about equals only.
-var Anywhere = Nearness{remote: placement.RemoteCharge}
+var Anywhere = Nearness{remote: placement.RemotePenalty}
 
 // Near prefers a data centre unless its targets are much fuller: copies to
 // another one take twice as long.
 func Near(dataCentre string) Nearness {
-	return Nearness{dataCentre: dataCentre, remote: placement.RemoteCopyCharge}
+	return Nearness{dataCentre: dataCentre, remote: placement.RemoteMigrationPenalty}
 }
 
 // coldRate is the rate that a target bears while it is cold, 0 when it is not.
-func (l *Loads) coldRate(view *directory.View, t *directory.Seen) float64 {
+func (l *TargetLoads) coldRate(view *directory.View, t *directory.ObservedTarget) float64 {
 	s, ok := view.Service(t.Service)
-	if !ok || s.ColdRate <= 0 || l.cold.Rank == nil {
+	if !ok || s.ColdRequestsPerSecond <= 0 || l.cold.Rank == nil {
 		return 0
 	}
-	if l.now() < t.ColdUntil || l.now()-l.of(t.ID).unreachableAt < coldAgain {
-		return s.ColdRate
+	if l.now() < t.WarmAt || l.now()-l.of(t.ID).unreachableAt < coldAgain {
+		return s.ColdRequestsPerSecond
 	}
 	return 0
 }
 
 // coldPart is this host's part of the sends a second to a cold target.
-func (l *Loads) coldPart(target string, rate float64) int {
+func (l *TargetLoads) coldPart(target string, rate float64) int {
 	rank, hosts := l.cold.Rank(target)
-	return coldshare.Part(rate*l.cold.Factor+l.cold.Extra, rank, hosts)
+	return coldlimit.SendQuota(rate*l.cold.Factor+l.cold.Extra, rank, hosts)
 }
 
 // Failed notes that a target failed a request by its own fault.
-func (l *Loads) Failed(target string) {
+func (l *TargetLoads) Failed(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.of(target)
@@ -104,7 +104,7 @@
 // Broke notes that a target broke a request, and tells other hosts. A target's
 // own failures, answered in good order, are not told: some requests fail
 // wherever they go.
-func (l *Loads) Broke(target string) {
+func (l *TargetLoads) Broke(target string) {
 	l.Failed(target)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,17 +113,17 @@
 }
 
 // Unreachable notes that a target could not be reached.
-func (l *Loads) Unreachable(target string) {
+func (l *TargetLoads) Unreachable(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.of(target).unreachableAt = l.now()
 }
 
 // pool gives the targets of a service that may get work now.
-func (l *Loads) pool(view *directory.View, w Wanted) pool {
+func (l *TargetLoads) pool(view *directory.View, w Wanted) pool {
 	var out pool
-	sums, alerts, usual := l.share.Sums(l.now()), l.alerts.Sums(l.now()), l.speed.Usual()
-	for _, t := range view.Pool(w.Service) {
+	sums, alerts, usual := l.share.Totals(l.now()), l.alerts.Totals(l.now()), l.speed.Median()
+	for _, t := range view.ServiceTargets(w.Service) {
 		if !takesWork(view, w, t) || alerts[t.ID].Leaving || !l.bears(view, t) || !l.withinRate(t.ID) {
 			continue
 		}
@@ -133,33 +133,33 @@
 }
 
 // takesWork tells whether a target may get a request as far as is published.
-func takesWork(view *directory.View, w Wanted, t *directory.Seen) bool {
-	return view.TakesNew(t) && !slices.Contains(w.Avoid, t.ID)
+func takesWork(view *directory.View, w Wanted, t *directory.ObservedTarget) bool {
+	return view.AcceptsNewRequests(t) && !slices.Contains(w.Avoid, t.ID)
 }
 
 // mayGet tells whether a target may get a request but for its rate.
-func (l *Loads) mayGet(view *directory.View, w Wanted, t *directory.Seen) bool {
+func (l *TargetLoads) mayGet(view *directory.View, w Wanted, t *directory.ObservedTarget) bool {
 	return takesWork(view, w, t) && !l.isLeaving(t.ID) && l.bears(view, t)
 }
 
 // bears tells whether a target takes one more from this host now: a cold one
 // takes this host's part of its rate.
-func (l *Loads) bears(view *directory.View, t *directory.Seen) bool {
+func (l *TargetLoads) bears(view *directory.View, t *directory.ObservedTarget) bool {
 	rate := l.coldRate(view, t)
-	return rate == 0 || l.of(t.ID).gate.Open(l.now(), l.coldPart(t.ID, rate))
+	return rate == 0 || l.of(t.ID).gate.Allows(l.now(), l.coldPart(t.ID, rate))
 }
 
 // candidate gives what is known of a target; others is what other hosts have
 // running there, usual the speed taken for engines that nothing is known of.
-func (l *Loads) candidate(view *directory.View, t *directory.Seen, near Nearness, others loadshare.Load, usual time.Duration) placement.Candidate {
+func (l *TargetLoads) candidate(view *directory.View, t *directory.ObservedTarget, near Nearness, others targetload.Load, usual time.Duration) placement.Candidate {
 	own := l.of(t.ID)
-	all := own.Plus(others)
+	all := own.Add(others)
 	c := placement.Candidate{
-		ID: t.ID, Running: all.Running, Slots: t.Slots, Tokens: all.Tokens, Copies: all.Copies, Unread: all.Unread,
-		Step: cmp.Or(l.speed.Step(t.ID), usual),
+		ID: t.ID, Running: all.Running, Slots: t.Slots, ReservedTokens: all.ReservedTokens, BackupTokens: all.BackupTokens, UnreadTokens: all.UnreadTokens,
+		TimePerToken: cmp.Or(l.speed.TimePerToken(t.ID), usual),
 	}
 	if s, ok := view.Service(t.Service); ok && s.Engine != nil {
-		c.Memory = s.Engine.MemoryTokens
+		c.MemoryTokens = s.Engine.MemoryTokens
 	}
 	if l.now()-own.failedAt < penaltyFor {
 		c.Penalty = min(float64(own.failures)*penaltyEach, penaltyMost)
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -16,7 +16,7 @@
 // there: engines free copies that nothing is added to. One that is gone must not
 // be offered: an engine that fails part of its requests may run it.
 func (gen *generation) copyKept() time.Duration {
-	return cmp.Or(gen.service.Engine.CopyKept, usualCopyKept)
+	return cmp.Or(gen.service.Engine.CopyTTL, usualCopyKept)
 }
 
 // copied is a copy of a generation's memory at another engine, from which the
@@ -27,7 +27,7 @@
 // again it is refused at best; an engine that fails part of its requests took
 // such a request for a new one, and a generation that may run once ran twice.
 type copied struct {
-	at      *directory.Seen
+	at      *directory.ObservedTarget
 	handoff call.Handoff
 	offered atomic.Bool
 }
--- a/internal/gateway/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -14,7 +14,7 @@
 )
 
 // noRoom refuses a request as one that did not run.
-var noRoom = say("HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.NotExecuted + ": 1\nContent-Length: 0\n\n")
+var noRoom = say("HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.HeaderNotExecuted + ": 1\nContent-Length: 0\n\n")
 
 // failing is an engine that makes one event and, once told to, breaks off.
 type failing struct {
@@ -53,7 +53,7 @@
 		done := make(chan result, 1)
 		go func() { done <- d.do(d.request("POST", "/report/")) }()
 		Eventually(first.made.Load).Should(Equal(int64(1)))
-		Expect(first.requests()[0].Header.Get(standin.Backup)).To(Equal(keeper.address))
+		Expect(first.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(keeper.address))
 		first.refuseMoves.Store(true)
 		d.publish(leaving(first.entry("llm", "dc-1")), keeper.entry("llm", "dc-2"))
 		Eventually(func() int { return len(keeper.requests()) }).Should(Equal(1))
@@ -71,13 +71,13 @@
 		first := startFailing("i-1")
 		keeper := startEngine("i-2", 3, time.Millisecond)
 		d := startDeck(first.entry("llm", "dc-1"))
-		d.cfg.Services[1].Engine.CopyKept = 100 * time.Millisecond
+		d.cfg.Services[1].Engine.CopyTTL = 100 * time.Millisecond
 		d.publish(first.entry("llm", "dc-1"), keeper.entry("llm", "dc-2"))
 		d.loads.Failed("i-2")
 		done := make(chan result, 1)
 		go func() { done <- d.do(d.request("POST", "/report/")) }()
 		Eventually(first.made.Load).Should(Equal(int64(1)))
-		Expect(first.requests()[0].Header.Get(standin.Backup)).To(Equal(keeper.address))
+		Expect(first.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(keeper.address))
 		time.AfterFunc(200*time.Millisecond, func() { first.breaks.Store(true) })
 		var got result
 		Eventually(done, "10s").Should(Receive(&got))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -38,7 +38,7 @@
 }
 
 // basis gives what a target is chosen by now.
-func (g *Gateway) basis() *basis { return &basis{view: g.view(), age: g.cfg.Age(), at: time.Now()} }
+func (g *Gateway) basis() *basis { return &basis{view: g.view(), age: g.cfg.ViewAge(), at: time.Now()} }
 
 // sent notes that the first byte is sent.
 func (b *basis) sent() { b.waited.Store(int64(time.Since(b.at))) }
@@ -51,7 +51,7 @@
 }
 
 // send makes a sending of the request to a target.
-func (x *exchange) send(target *directory.Seen) *call.Send {
+func (x *exchange) send(target *directory.ObservedTarget) *call.Send {
 	s := &call.Send{Request: x.Request, Target: target.Target, Left: time.Until(x.deadline), Priority: -1}
 	if x.account != nil {
 		s.Account = x.account.Name
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,7 +19,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -59,26 +59,26 @@
 
 // Config holds what a gateway works with.
 type Config struct {
-	Dialect call.Dialect
-	Engines call.Engines
-	Board   *published.Board
-	Loads   *Loads
-	Budget  *retrybudget.Budget
-	// Suspects are requests that crash targets.
-	Suspects *Suspects
-	Client   *targetclient.Once
+	Dialect     call.Dialect
+	Engines     call.Engines
+	Board       *recordsync.Board
+	Loads       *TargetLoads
+	RetryBudget *retrybudget.Budget
+	// CrashEvidence are requests that crash targets.
+	CrashEvidence *CrashEvidence
+	Client        *targetclient.Once
 	// Migration decides how generations leave an engine.
 	Migration migration.Config
 	Log       *slog.Logger
 	Metrics   gometrics.Registry
-	// Current tells whether what is on the board is new enough to say that
+	// ViewCurrent tells whether what is on the board is new enough to say that
 	// something does not exist.
-	Current func() bool
-	// Age tells how long ago it was known that nothing newer had been published
+	ViewCurrent func() bool
+	// ViewAge tells how long ago it was known that nothing newer had been published
 	// than is on the board; negative when it never was.
-	Age func() time.Duration
-	// Blind tells whether this host can't know what is published by now.
-	Blind func() bool
+	ViewAge func() time.Duration
+	// Disconnected tells whether this host can't know what is published by now.
+	Disconnected func() bool
 	// Now is the steady clock of the process.
 	Now func() time.Duration
 }
@@ -105,9 +105,9 @@
 // stopTimes say how a process stops.
 type stopTimes struct{ lastRun, gone time.Time }
 
-// StopBy says that the process stops: it begins no generation after lastRun
+// AnnounceShutdown says that the process stops: it begins no generation after lastRun
 // and will be gone at a time.
-func (g *Gateway) StopBy(lastRun, gone time.Time) { g.stop.Store(&stopTimes{lastRun, gone}) }
+func (g *Gateway) AnnounceShutdown(lastRun, gone time.Time) { g.stop.Store(&stopTimes{lastRun, gone}) }
 
 // stoppingBefore tells whether the process will most likely be gone before a
 // generation has ended. It would be cut, and may run only once: better that
@@ -190,7 +190,7 @@
 		}
 	}
 	g.meters.received(x.route.Kind)
-	name := x.route.Pick(rand.Float64())
+	name := x.route.PickService(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
 		return failure.New(failure.KindNoTarget, "service %q of the route is not configured", name).After(noTargetRetry)
 	}
@@ -203,7 +203,7 @@
 	}
 	x.deadline = x.Arrived.Add(patience - answerMargin)
 	x.fingerprint = fingerprint(x)
-	if g.cfg.Suspects.guilty(x.fingerprint) {
+	if g.cfg.CrashEvidence.guilty(x.fingerprint) {
 		return failure.New(failure.KindOverloaded, "the request crashed each target that ran it").After(guiltyRetry)
 	}
 	if x.route.Kind == directory.Generation && g.stoppingBefore(x) {
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -50,7 +50,7 @@
 
 	mu sync.Mutex
 	// at is the target where the generation runs.
-	at *directory.Seen
+	at *directory.ObservedTarget
 	// cancelLeg ends the stream from there.
 	cancelLeg context.CancelFunc
 	// backup keeps a copy of the generation's memory, nil when none does.
@@ -62,7 +62,7 @@
 
 // leg is one engine's part of a stream.
 type leg struct {
-	target *directory.Seen
+	target *directory.ObservedTarget
 	resp   *http.Response
 	place  *Place
 	cancel context.CancelFunc
@@ -93,7 +93,7 @@
 func (g *Gateway) generate(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	g.runs.add(gen)
 	defer g.runs.remove(gen)
 	l, err := gen.start()
@@ -127,7 +127,7 @@
 		gen.enter(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
 			"tokens", tokensOf(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", by, "tries", t.sent+t.unsent+1,
-			"running", place.chosen.Running, "promised", place.chosen.Tokens, "unread", place.chosen.Unread, "step", place.chosen.Step)
+			"running", place.chosen.Running, "promised", place.chosen.ReservedTokens, "unread", place.chosen.UnreadTokens, "step", place.chosen.TimePerToken)
 		l, err := gen.open(gen.send(target), target, place, by)
 		if err == nil {
 			gen.opened(l)
@@ -150,11 +150,11 @@
 
 // wanted is what a new run of the generation wants of an engine.
 func (gen *generation) wanted(avoid []string) Wanted {
-	return Wanted{Service: gen.service.Name, Prompt: gen.Prompt, Within: gen.route.Objective, Near: Anywhere, Avoid: avoid}
+	return Wanted{Service: gen.service.Name, Prompt: gen.Prompt, Within: gen.route.LatencyObjective, Near: Anywhere, Avoid: avoid}
 }
 
 // enter notes where the generation runs; a move away from there is not begun.
-func (gen *generation) enter(target *directory.Seen, cancel context.CancelFunc, b *backup) {
+func (gen *generation) enter(target *directory.ObservedTarget, cancel context.CancelFunc, b *backup) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	gen.at, gen.cancelLeg, gen.backup, gen.move = target, cancel, b, nil
@@ -169,26 +169,26 @@
 }
 
 // runsAt tells whether the generation still runs at a target.
-func (gen *generation) runsAt(target *directory.Seen) bool {
+func (gen *generation) runsAt(target *directory.ObservedTarget) bool {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	return gen.at == target
 }
 
 // open sends the request to an engine and waits for the answer's header.
-func (gen *generation) open(s *call.Send, target *directory.Seen, place *Place, by *basis) (*leg, error) {
+func (gen *generation) open(s *call.Send, target *directory.ObservedTarget, place *Place, by *basis) (*leg, error) {
 	return gen.openWithin(0, s, target, place, by)
 }
 
 // openWithin is open that waits no longer than a limit; 0 means none.
-func (gen *generation) openWithin(limit time.Duration, s *call.Send, target *directory.Seen, place *Place, by *basis) (*leg, error) {
+func (gen *generation) openWithin(limit time.Duration, s *call.Send, target *directory.ObservedTarget, place *Place, by *basis) (*leg, error) {
 	ctx, cancel := context.WithCancel(gen.ctx)
 	if limit > 0 {
 		timer := time.AfterFunc(limit, cancel)
 		defer timer.Stop()
 	}
 	b := gen.cover(s, target)
-	end := gen.g.cfg.Suspects.begin(target, gen.fingerprint)
+	end := gen.g.cfg.CrashEvidence.begin(target, gen.fingerprint)
 	resp, answer, err := gen.g.open(ctx, s, by)
 	if answer.Leaving && gen.movable() {
 		gen.g.checkLeaving(target)
@@ -240,7 +240,7 @@
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Event(gen.pauses.last); full && gen.service.Engine != nil {
+		if mean, full := window.Add(gen.pauses.last); full && gen.service.Engine != nil {
 			gen.g.cfg.Loads.Stepped(l.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -21,7 +21,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -37,8 +37,8 @@
 }
 
 const (
-	requestID = standin.RequestID
-	seal      = standin.Seal
+	requestID = standin.HeaderRequestID
+	seal      = standin.HeaderSeal
 	// healthPath is where a target of the service "llm" tells its health.
 	healthPath = "/health"
 )
@@ -98,8 +98,8 @@
 	return append([]*http.Request(nil), t.got...)
 }
 
-func (t *target) entry(service, dataCentre string) *directory.Seen {
-	return &directory.Seen{Listed: true, Target: directory.Target{
+func (t *target) entry(service, dataCentre string) *directory.ObservedTarget {
+	return &directory.ObservedTarget{Published: true, Target: directory.Target{
 		ID: t.id, Service: service, Address: t.address, DataCentre: dataCentre, Slots: 6,
 	}}
 }
@@ -118,41 +118,41 @@
 	out      *blackboard.Writer[directory.View]
 	cfg      *directory.Config
 	calls    *http.Client
-	loads    *gateway.Loads
+	loads    *gateway.TargetLoads
 	gateway  *gateway.Gateway
-	suspects *gateway.Suspects
-	targets  []*directory.Seen
+	suspects *gateway.CrashEvidence
+	targets  []*directory.ObservedTarget
 	// blind is set while nobody can say what is published.
 	blind atomic.Bool
 }
 
 // startDeck runs a gateway with one service "llm" or "app" and a route to each.
-func startDeck(targets ...*directory.Seen) *deck {
+func startDeck(targets ...*directory.ObservedTarget) *deck {
 	return startDeckLogging(slog.DiscardHandler, targets...)
 }
 
 // startDeckLogging is startDeck with a handler for the logs.
-func startDeckLogging(logs slog.Handler, targets ...*directory.Seen) *deck {
+func startDeckLogging(logs slog.Handler, targets ...*directory.ObservedTarget) *deck {
 	return startDeckSpeaking(platform.Dialect{}, logs, targets...)
 }
 
 // startDeckSpeaking is startDeckLogging with a dialect of the spec's own.
-func startDeckSpeaking(dialect call.Dialect, logs slog.Handler, targets ...*directory.Seen) *deck {
-	board := &published.Board{}
+func startDeckSpeaking(dialect call.Dialect, logs slog.Handler, targets ...*directory.ObservedTarget) *deck {
+	board := &recordsync.Board{}
 	out, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	d := &deck{out: out, cfg: testConfig(), loads: gateway.NewLoads("host-1", "dc-1", now), suspects: gateway.NewSuspects(now)}
+	d := &deck{out: out, cfg: testConfig(), loads: gateway.NewTargetLoads("host-1", "dc-1", now), suspects: gateway.NewCrashEvidence(now)}
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
-		Loads: d.loads, Suspects: d.suspects, Budget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Blind: d.blind.Load, Current: func() bool { return !d.blind.Load() }, Age: func() time.Duration { return 0 },
+		Loads: d.loads, CrashEvidence: d.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
+		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: d.blind.Load, ViewCurrent: func() bool { return !d.blind.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	d.gateway = g
 	ctx, cancel := context.WithCancel(context.Background())
-	go g.Run(ctx)
+	go g.MoveGenerations(ctx)
 	server := httptest.NewServer(g)
 	DeferCleanup(func() { cancel(); server.CloseClientConnections(); server.Close() })
 	d.url, d.calls = server.URL, server.Client()
@@ -163,7 +163,7 @@
 func testConfig() *directory.Config {
 	route := func(prefix, service string, kind directory.RequestKind, attempts int) directory.Route {
 		return directory.Route{
-			Name: prefix, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second, Attempts: attempts,
+			Name: prefix, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second, MaxAttempts: attempts,
 			Backends: []directory.Backend{{Service: service, Weight: 1}},
 		}
 	}
@@ -172,18 +172,18 @@
 	return &directory.Config{
 		Version: 1,
 		Routes: []directory.Route{
-			route("/book/", "app", directory.Once, 2), route("/look/", "app", directory.Repeatable, 2),
+			route("/book/", "app", directory.AtMostOnce, 2), route("/look/", "app", directory.Repeatable, 2),
 			route("/report/", "llm", directory.Generation, 1), resumable,
 		},
 		Services: []directory.Service{{Name: "app"}, {Name: "llm", HealthPath: healthPath, Engine: &directory.Engine{
-			Slots: 6, MemoryTokens: 10000, Moves: true, Backups: true, TokensPerEvent: 1,
+			Slots: 6, MemoryTokens: 10000, CanMigrate: true, KeepsBackups: true, TokensPerEvent: 1,
 		}}},
 		Accounts: []directory.Account{{Name: "clinic", Keys: []string{"key-1"}}},
 	}
 }
 
-func (d *deck) publish(targets ...*directory.Seen) {
-	seen := map[string]*directory.Seen{}
+func (d *deck) publish(targets ...*directory.ObservedTarget) {
+	seen := map[string]*directory.ObservedTarget{}
 	for _, t := range targets {
 		seen[t.ID] = t
 	}
@@ -191,7 +191,7 @@
 }
 
 // add publishes another target beside those there are.
-func (d *deck) add(t *directory.Seen) {
+func (d *deck) add(t *directory.ObservedTarget) {
 	d.targets = append(d.targets, t)
 	d.publish(d.targets...)
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -14,7 +14,7 @@
 
 // limitedTo is a good answer that names the rate its target takes.
 func limitedTo(perSecond string) string {
-	return strings.Replace(goodPlain, "Content-Length", standin.ServerLimit+": "+perSecond+"\nContent-Length", 1)
+	return strings.Replace(goodPlain, "Content-Length", standin.HeaderServerLimit+": "+perSecond+"\nContent-Length", 1)
 }
 
 var _ = Describe("a target that names the rate it takes", func() {
@@ -23,7 +23,7 @@
 		var decks []*deck
 		for i := range hosts {
 			d := startDeck()
-			d.loads.BoundCold(gateway.ColdBound{Rank: func(string) (int, int) { return i, hosts }})
+			d.loads.SetColdRateLimit(gateway.ColdRateLimit{Rank: func(string) (int, int) { return i, hosts }})
 			decks = append(decks, d)
 			for _, t := range targets {
 				d.add(t.entry("app", "dc-1"))
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,38 +7,38 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/accusers"
-	"filbertdeck/internal/decide/coldshare"
+	"filbertdeck/internal/decide/coldlimit"
 	"filbertdeck/internal/decide/enginespeed"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/failurereports"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
 
-// Loads counts what this host has running at each target and chooses targets
+// TargetLoads counts what this host has running at each target and chooses targets
 // by it.
-type Loads struct {
+type TargetLoads struct {
 	self, dataCentre string
 	now              func() time.Duration
 
 	mu    sync.Mutex
 	own   map[string]*targetLoad
-	share *loadshare.Board
+	share *targetload.Table
 	// alerts tells which targets broke requests or are about to stop. They
 	// concern every host, loads only those that choose among the same targets.
-	alerts *loadshare.Board
-	speed  *enginespeed.Board
+	alerts *targetload.Table
+	speed  *enginespeed.Estimator
 	// accusers holds what other hosts tell of failing targets.
-	accusers *accusers.Board
-	cold     ColdBound
+	accusers *failurereports.Tracker
+	cold     ColdRateLimit
 	// rates holds what targets said of the rates they take; borrow asks other hosts
 	// for a request of their share, nil for nobody.
-	rates  *targetrate.Board
+	rates  *targetrate.Limiter
 	borrow BorrowRate
 	// askOwner asks the host that has the newest counts of a target; nil for none.
-	askOwner AskOwner
+	askOwner QueryOwner
 	// hosts gives the number of hosts that choose targets.
 	hosts func() int
 	// draw breaks ties and draws the targets that are looked at.
@@ -50,97 +50,97 @@
 
 // targetLoad is what runs at one target from this host.
 type targetLoad struct {
-	loadshare.Load
+	targetload.Load
 	// failedAt is when a request last failed there by the target's fault.
 	failedAt time.Duration
 	failures int
 	// unreachableAt is when it could last not be reached.
 	unreachableAt time.Duration
 	// gate counts the sends while the target is cold.
-	gate coldshare.Gate
+	gate coldlimit.Limiter
 }
 
-// NewLoads returns empty counts of a host, which is named by its address for
+// NewTargetLoads returns empty counts of a host, which is named by its address for
 // other hosts.
-func NewLoads(host, dataCentre string, now func() time.Duration) *Loads {
+func NewTargetLoads(host, dataCentre string, now func() time.Duration) *TargetLoads {
 	start := uint64(time.Now().UnixMicro())
-	return &Loads{
+	return &TargetLoads{
 		self: host, dataCentre: dataCentre, now: now, own: map[string]*targetLoad{},
-		share: loadshare.New(host, start), alerts: loadshare.New(host, start), speed: enginespeed.New(), accusers: accusers.New(), rates: targetrate.New(),
+		share: targetload.New(host, start), alerts: targetload.New(host, start), speed: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
 		draw: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hosts: func() int { return 1 },
 		changed: make(chan struct{}, 1), alerted: make(chan struct{}, 1), leaving: make(chan struct{}, 1),
 	}
 }
 
 // Draw sets the source of random numbers, for plays that repeat.
-func (l *Loads) Draw(draw *rand.Rand) { l.draw = draw }
+func (l *TargetLoads) Draw(draw *rand.Rand) { l.draw = draw }
 
-// CountHosts sets what gives the number of hosts that choose targets; one until
+// SetHostCount sets what gives the number of hosts that choose targets; one until
 // then.
-func (l *Loads) CountHosts(hosts func() int) { l.hosts = hosts }
+func (l *TargetLoads) SetHostCount(hosts func() int) { l.hosts = hosts }
 
-// Changed is received from when there are loads to tell other hosts.
-func (l *Loads) Changed() <-chan struct{} { return l.changed }
+// LoadsChanged is received from when there are loads to tell other hosts.
+func (l *TargetLoads) LoadsChanged() <-chan struct{} { return l.changed }
 
-// Alerted is received from when there are alerts to tell other hosts.
-func (l *Loads) Alerted() <-chan struct{} { return l.alerted }
+// AlertsChanged is received from when there are alerts to tell other hosts.
+func (l *TargetLoads) AlertsChanged() <-chan struct{} { return l.alerted }
 
-// ByOwners tells whether loads are told to the owners of targets alone. In a
+// SendsToOwnersOnly tells whether loads are told to the owners of targets alone. In a
 // small fleet all hosts tell each other; in a large one each load would pass
 // through every host, though few choose among the same targets at that moment,
 // and the bytes of a host would grow with the fleet.
-func (l *Loads) ByOwners() bool { return !placement.Exact(l.hosts()) }
+func (l *TargetLoads) SendsToOwnersOnly() bool { return !placement.KnowsRecentChoices(l.hosts()) }
 
-// News gives the loads that another host was not told yet; none where owners
+// PendingLoads gives the loads that another host was not told yet; none where owners
 // are told.
-func (l *Loads) News(host string) []loadshare.Count {
-	if l.ByOwners() {
+func (l *TargetLoads) PendingLoads(host string) []targetload.HostLoad {
+	if l.SendsToOwnersOnly() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.News(l.now(), host)
+	return l.share.PeerUpdates(l.now(), host)
 }
 
-// OwnNews gives this host's loads that the owners of their targets were not
+// PendingOwnLoads gives this host's loads that the owners of their targets were not
 // told yet.
-func (l *Loads) OwnNews() []loadshare.Count {
+func (l *TargetLoads) PendingOwnLoads() []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.OwnNews(l.now())
+	return l.share.OwnerUpdates(l.now())
 }
 
-// Take takes loads that another host told.
-func (l *Loads) Take(host string, counts []loadshare.Count) {
+// MergeLoads takes loads that another host told.
+func (l *TargetLoads) MergeLoads(host string, counts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share.Take(l.now(), host, counts)
+	l.share.Merge(l.now(), host, counts)
 	l.learn(counts)
 }
 
 // learn takes what counts say of the speed of engines.
-func (l *Loads) learn(counts []loadshare.Count) {
+func (l *TargetLoads) learn(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		l.speed.Heard(c.Target, c.Step)
+		l.speed.SetRemote(c.Target, c.TimePerToken)
 	}
 }
 
-// Alerts gives the alerts that another host was not told yet.
-func (l *Loads) Alerts(host string) []loadshare.Count {
+// PendingAlerts gives the alerts that another host was not told yet.
+func (l *TargetLoads) PendingAlerts(host string) []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.alerts.News(l.now(), host)
+	return l.alerts.PeerUpdates(l.now(), host)
 }
 
-// TakeAlerts takes alerts that another host told.
-func (l *Loads) TakeAlerts(host string, alerts []loadshare.Count) {
+// MergeAlerts takes alerts that another host told.
+func (l *TargetLoads) MergeAlerts(host string, alerts []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alerts.Take(l.now(), host, alerts)
+	l.alerts.Merge(l.now(), host, alerts)
 	l.mergeRates(alerts)
 	for _, c := range alerts {
 		if c.Host != l.self {
-			l.accusers.Heard(l.now(), c.Host, c.Target, c.Failures)
+			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.FailureSeq)
 		}
 		if c.Leaving {
 			wake.Signal(l.leaving)
@@ -150,11 +150,11 @@
 
 // Prune forgets targets that are gone and have nothing running from here;
 // engines come and go by the dozen an hour, each under an id of its own.
-func (l *Loads) Prune(view *directory.View) {
+func (l *TargetLoads) Prune(view *directory.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, t := range l.own {
-		if _, known := view.Target(id); !known && t.Load == (loadshare.Load{}) {
+		if _, known := view.Target(id); !known && t.Load == (targetload.Load{}) {
 			delete(l.own, id)
 		}
 	}
@@ -168,11 +168,11 @@
 }
 
 // set changes the count at a target.
-func (l *Loads) set(target string, load loadshare.Load) {
+func (l *TargetLoads) set(target string, load targetload.Load) {
 	t := l.of(target)
-	plain := t.Tokens+t.Copies == 0 && load.Tokens+load.Copies == 0
+	plain := t.ReservedTokens+t.BackupTokens == 0 && load.ReservedTokens+load.BackupTokens == 0
 	t.Load = load
-	l.share.SetOwn(l.now(), target, load)
+	l.share.SetLocalLoad(l.now(), target, load)
 	if plain {
 		// Requests of plain services come and go within milliseconds; what is
 		// told of them is out of date when it arrives.
@@ -181,7 +181,7 @@
 	wake.Signal(l.changed)
 }
 
-func (l *Loads) of(target string) *targetLoad {
+func (l *TargetLoads) of(target string) *targetLoad {
 	t := l.own[target]
 	if t == nil {
 		t = &targetLoad{failedAt: -penaltyFor, unreachableAt: -coldAgain}
@@ -192,60 +192,60 @@
 
 // Place is a request's place at a target.
 type Place struct {
-	loads  *Loads
+	loads  *TargetLoads
 	target string
-	load   loadshare.Load
+	load   targetload.Load
 	// at is the target, and chosen what was known of it, when it was chosen.
-	at     *directory.Seen
+	at     *directory.ObservedTarget
 	chosen placement.Candidate
 }
 
-// Hold counts a request at a target that was chosen before.
-func (l *Loads) Hold(target string, p call.Prompt) *Place {
+// Reserve counts a request at a target that was chosen before.
+func (l *TargetLoads) Reserve(target string, p call.Prompt) *Place {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.place(target, p)
 }
 
-func (l *Loads) place(target string, p call.Prompt) *Place {
-	return l.count(target, loadshare.Load{Running: 1, Tokens: tokensOf(p), Unread: p.Tokens})
+func (l *TargetLoads) place(target string, p call.Prompt) *Place {
+	return l.count(target, targetload.Load{Running: 1, ReservedTokens: tokensOf(p), UnreadTokens: p.Tokens})
 }
 
-func (l *Loads) count(target string, load loadshare.Load) *Place {
+func (l *TargetLoads) count(target string, load targetload.Load) *Place {
 	if load.Running > 0 {
-		l.of(target).gate.Send(l.now())
-		l.rates.Send(target)
+		l.of(target).gate.RecordSend(l.now())
+		l.rates.TakeToken(target)
 	}
-	l.set(target, l.of(target).Plus(load))
+	l.set(target, l.of(target).Add(load))
 	return &Place{loads: l, target: target, load: load}
 }
 
 // Started notes that the prompt has been read.
 func (p *Place) Started() {
 	load := p.load
-	load.Unread = 0
+	load.UnreadTokens = 0
 	p.change(load)
 }
 
 // Release gives the place up; it may be called more than once, and on nil.
 func (p *Place) Release() {
 	if p != nil {
-		p.change(loadshare.Load{})
+		p.change(targetload.Load{})
 	}
 }
 
-func (p *Place) change(to loadshare.Load) {
+func (p *Place) change(to targetload.Load) {
 	p.loads.mu.Lock()
 	defer p.loads.mu.Unlock()
 	if p.load == to {
 		return
 	}
-	p.loads.set(p.target, p.loads.of(p.target).Minus(p.load).Plus(to))
+	p.loads.set(p.target, p.loads.of(p.target).Sub(p.load).Add(to))
 	p.load = to
 }
 
 // SetLeaving notes that a target told this host that it is about to stop.
-func (l *Loads) SetLeaving(target string) {
+func (l *TargetLoads) SetLeaving(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alerts.SetLeaving(l.now(), target)
@@ -254,20 +254,20 @@
 }
 
 // Leaving tells whether a target told any host that it is about to stop.
-func (l *Loads) Leaving(target string) bool {
+func (l *TargetLoads) Leaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isLeaving(target)
 }
 
 // isLeaving is Leaving with the lock held.
-func (l *Loads) isLeaving(target string) bool { return l.alerts.Sums(l.now())[target].Leaving }
+func (l *TargetLoads) isLeaving(target string) bool { return l.alerts.Totals(l.now())[target].Leaving }
 
 // Hosts counts the hosts that have something running at a target.
-func (l *Loads) Hosts(target string) int {
+func (l *TargetLoads) Hosts(target string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share.Sums(l.now())[target].Hosts
+	return l.share.Totals(l.now())[target].Hosts
 }
 
 // Figures of the expected output.
--- a/internal/gateway/meters.go
+++ b/internal/gateway/meters.go
@@ -52,7 +52,7 @@
 		movedCopy: counter("moved.copy"), movedBackup: counter("moved.backup"), cameBack: counter("moved.after_loss"), movedAnew: counter("moved.anew"),
 		copyFailed: counter("copies_failed"),
 	}
-	for _, kind := range []directory.RequestKind{directory.Once, directory.Repeatable, directory.Generation} {
+	for _, kind := range []directory.RequestKind{directory.AtMostOnce, directory.Repeatable, directory.Generation} {
 		m.kinds[kind] = &kindMeters{
 			received: counter("received." + kind.String()), answered: counter("answered." + kind.String()),
 			took: newHistogram("took_us."+kind.String(), r),
--- a/internal/gateway/migrate_test.go
+++ b/internal/gateway/migrate_test.go
@@ -70,7 +70,7 @@
 			return
 		}
 		time.Sleep(e.copying)
-		answer := standin.MoveAnswer("h-"+e.id, e.made.Load())
+		answer := standin.MoveResponse("h-"+e.id, e.made.Load())
 		say(fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n", len(answer)))(conn, r)
 		_, _ = conn.Write(answer)
 	case healthPath:
@@ -85,7 +85,7 @@
 func (e *engine) health(conn net.Conn, r *http.Request) {
 	switch {
 	case e.full.Load():
-		say("HTTP/1.1 503 Service Unavailable\n"+standin.NotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
+		say("HTTP/1.1 503 Service Unavailable\n"+standin.HeaderNotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
 	case e.ill.Load():
 		say("HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n")(conn, r)
 	default:
@@ -101,7 +101,7 @@
 		closing = "Connection: close\n"
 	}
 	say("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s-"+e.id+"\n"+closing+"Transfer-Encoding: chunked\n\n")(conn, r)
-	from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+	from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 	gone := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, conn)
@@ -123,7 +123,7 @@
 	_, _ = io.WriteString(conn, "0\r\n\r\n")
 }
 
-func leaving(t *directory.Seen) *directory.Seen {
+func leaving(t *directory.ObservedTarget) *directory.ObservedTarget {
 	out := *t
 	out.Leaving = true
 	return &out
@@ -150,7 +150,7 @@
 		Expect(got.header.Get(seal)).To(Equal("s-i-1"))
 		Expect(first.dropped.Load()).To(BeTrue())
 		resumed := second.requests()[0]
-		Expect(resumed.Header.Get(standin.CopyFrom)).To(Equal(first.address + "/h-i-1"))
+		Expect(resumed.Header.Get(standin.HeaderKVFrom)).To(Equal(first.address + "/h-i-1"))
 		Expect(resumed.Header.Get(requestID)).To(Equal("r-1"))
 	})
 
@@ -253,7 +253,7 @@
 	It("go to another data centre when the engines of theirs have no room", func() {
 		first := startEngine("i-0", 400, 5*time.Millisecond)
 		d := startDeck(first.entry("llm", "dc-1"))
-		entries := []*directory.Seen{leaving(first.entry("llm", "dc-1"))}
+		entries := []*directory.ObservedTarget{leaving(first.entry("llm", "dc-1"))}
 		for i := range 8 {
 			full := startEngine(fmt.Sprint("i-", i+1), 400, time.Millisecond)
 			first.refuseTo = append(first.refuseTo, full.address)
@@ -321,7 +321,7 @@
 		first := startEngine("i-1", 10, 5*time.Millisecond)
 		d := startDeck(first.entry("app", "dc-1"))
 		d.cfg.Routes = append(d.cfg.Routes, directory.Route{
-			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, Attempts: 1,
+			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, MaxAttempts: 1,
 			Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 		d.publish(first.entry("app", "dc-1"))
@@ -365,13 +365,13 @@
 		if second.made.Load() > 0 {
 			from, to = second, first
 		}
-		Expect(from.requests()[0].Header.Get(standin.Backup)).To(Equal(to.address))
+		Expect(from.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(to.address))
 		d.publish(leaving(from.entry("llm", "dc-1")), to.entry("llm", "dc-1"))
 		var got result
 		Eventually(done, "5s").Should(Receive(&got))
 		Expect(got.body).To(Equal(wanted(events)))
 		Expect(from.moves.Load()).To(BeZero())
-		Expect(to.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(to.address + "/r-1"))
+		Expect(to.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(to.address + "/r-1"))
 	})
 })
 
@@ -391,7 +391,7 @@
 		got := d.do(d.request("POST", "/report/"))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.body).To(Equal(wanted(events)))
-		Expect(second.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(second.address + "/r-1"))
+		Expect(second.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(second.address + "/r-1"))
 	})
 })
 
@@ -428,11 +428,11 @@
 		var asked atomic.Int64
 		breaking := func(conn net.Conn, r *http.Request) {
 			asked.Add(1)
-			from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+			from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 			say("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s1\nTransfer-Encoding: chunked\n\n")(conn, r)
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event(from+1)), event(from+1))
 		}
-		var targets []*directory.Seen
+		var targets []*directory.ObservedTarget
 		for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
 			targets = append(targets, startTarget(id, breaking).entry("llm", "dc-1"))
 		}
--- a/internal/gateway/mover.go
+++ b/internal/gateway/mover.go
@@ -52,7 +52,7 @@
 
 // leave lets the generation go on at another engine: where its backup lies, or
 // where its memory was copied while it ran on.
-func (gen *generation) leave(ctx context.Context, from *directory.Seen, m *move) {
+func (gen *generation) leave(ctx context.Context, from *directory.ObservedTarget, m *move) {
 	defer close(m.done)
 	ctx, cancel := context.WithTimeout(ctx, copyLimit)
 	defer cancel()
@@ -65,7 +65,7 @@
 		return
 	}
 	e := gen.service.Engine
-	wake.Sleep(ctx, gen.g.cfg.Migration.Wait(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
+	wake.Sleep(ctx, gen.g.cfg.Migration.CopyDelay(migration.CopyTime(gen.Prompt.Tokens, e.BytesPerToken, e.LinkMbps)))
 	avoid := []string{from.ID}
 	for gen.started(ctx) && gen.runsAt(from) {
 		var over bool
@@ -98,7 +98,7 @@
 // there are full. Engines that refused are not asked again while there are
 // others, so that one with room is found in another data centre within the
 // notice, though copies to there take twice as long.
-func (gen *generation) copyAway(ctx context.Context, from *directory.Seen, m *move, stops time.Time, avoid []string) ([]string, bool) {
+func (gen *generation) copyAway(ctx context.Context, from *directory.ObservedTarget, m *move, stops time.Time, avoid []string) ([]string, bool) {
 	for range moveTries {
 		to, place, ok := gen.g.cfg.Loads.Acquire(gen.g.view(), Wanted{Service: from.Service, Prompt: gen.Prompt, Near: Near(from.DataCentre), Avoid: avoid})
 		if !ok {
@@ -121,7 +121,7 @@
 }
 
 // copyTo copies the generation's memory to another engine and goes over to it.
-func (gen *generation) copyTo(ctx context.Context, from, to *directory.Seen, place *Place, m *move, stops time.Time) copyOutcome {
+func (gen *generation) copyTo(ctx context.Context, from, to *directory.ObservedTarget, place *Place, m *move, stops time.Time) copyOutcome {
 	begun := time.Now()
 	result, err := gen.g.cfg.Engines.Move(ctx, from.Address, gen.ID, to.Address, false)
 	gen.g.cfg.Log.Info("generation copied", "request", gen.ID, "from", from.ID, "to", to.ID, "took", time.Since(begun),
@@ -157,7 +157,7 @@
 
 // dropCopy frees a copy that the generation won't go over to any more, since
 // it has ended: the copy would hold memory at an engine for seconds.
-func (gen *generation) dropCopy(from *directory.Seen, m *move) {
+func (gen *generation) dropCopy(from *directory.ObservedTarget, m *move) {
 	select {
 	case <-gen.ended:
 	default:
@@ -191,7 +191,7 @@
 }
 
 // leavesIn asks the engine when it stops.
-func (gen *generation) leavesIn(ctx context.Context, from *directory.Seen) time.Duration {
+func (gen *generation) leavesIn(ctx context.Context, from *directory.ObservedTarget) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
 	report, err := gen.g.cfg.Engines.Report(ctx, from.Address)
@@ -208,5 +208,5 @@
 		return false
 	}
 	most := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
-	return gen.g.cfg.Migration.Stays(migration.MostLeft(most, p.events, p.last-p.first), leavesIn)
+	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(most, p.events, p.last-p.first), leavesIn)
 }
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
 	"filbertdeck/internal/decide/placement"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
 )
@@ -32,8 +32,8 @@
 }
 
 // work is what a generation asks of an engine.
-func (w Wanted) work() placement.Work {
-	return placement.Work{Prompt: w.Prompt.Tokens, Output: expectedOutput(w.Prompt), Within: w.Within}
+func (w Wanted) work() placement.Workload {
+	return placement.Workload{PromptTokens: w.Prompt.Tokens, OutputTokens: expectedOutput(w.Prompt), FirstTokenObjective: w.Within}
 }
 
 // Acquire chooses a target for a request and counts it there until the place
@@ -43,7 +43,7 @@
 //
 // Where all targets are at the rates they named, or one named its rate so long ago
 // that it may take more, it borrows a request from a host that shares the rate.
-func (l *Loads) Acquire(view *directory.View, w Wanted) (*directory.Seen, *Place, bool) {
+func (l *TargetLoads) Acquire(view *directory.View, w Wanted) (*directory.ObservedTarget, *Place, bool) {
 	l.borrowAny(view, w, l.stale)
 	t, place, ok := l.acquire(view, w)
 	if !ok && l.borrowAny(view, w, always) {
@@ -53,7 +53,7 @@
 }
 
 // acquire is Acquire by the requests that this host has of targets' rates.
-func (l *Loads) acquire(view *directory.View, w Wanted) (*directory.Seen, *Place, bool) {
+func (l *TargetLoads) acquire(view *directory.View, w Wanted) (*directory.ObservedTarget, *Place, bool) {
 	looked, first := l.sample(view, w)
 	answered := l.askAbout(w, looked[:first])
 	place, crowded := l.choose(view, w, looked[:first], first < len(looked))
@@ -72,7 +72,7 @@
 
 // sample draws the targets that are looked at: so many at first, the rest when
 // the best of these is crowded.
-func (l *Loads) sample(view *directory.View, w Wanted) (looked pool, first int) {
+func (l *TargetLoads) sample(view *directory.View, w Wanted) (looked pool, first int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pool := l.pool(view, w)
@@ -89,23 +89,23 @@
 }
 
 // lookAt gives the number of targets to look at of so many.
-func (l *Loads) lookAt(targets int) int {
-	if l.askOwner != nil && !placement.Exact(l.hosts()) {
-		return placement.Asked(targets)
+func (l *TargetLoads) lookAt(targets int) int {
+	if l.askOwner != nil && !placement.KnowsRecentChoices(l.hosts()) {
+		return placement.QueriedTargets(targets)
 	}
-	return placement.Sample(targets, l.hosts())
+	return placement.SampleSize(targets, l.hosts())
 }
 
 // choose takes a place at the best of some targets; nil when there is none. With
 // others left to look at it takes none where the best is crowded.
-func (l *Loads) choose(view *directory.View, w Wanted, looked pool, others bool) (p *Place, crowded bool) {
+func (l *TargetLoads) choose(view *directory.View, w Wanted, looked pool, others bool) (p *Place, crowded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	best := l.renew(view, w, looked).choose(l.draw, w)
 	if best == nil {
 		return nil, others
 	}
-	if others && placement.Crowded(best.Candidate, tokensOf(w.Prompt)) {
+	if others && placement.PreemptionLikely(best.Candidate, tokensOf(w.Prompt)) {
 		return nil, true
 	}
 	return l.take(best, w.Prompt), false
@@ -113,8 +113,8 @@
 
 // renew gives those of some targets that still bear work, with what is known of
 // them by now.
-func (l *Loads) renew(view *directory.View, w Wanted, looked pool) pool {
-	sums, alerts, usual := l.share.Sums(l.now()), l.alerts.Sums(l.now()), l.speed.Usual()
+func (l *TargetLoads) renew(view *directory.View, w Wanted, looked pool) pool {
+	sums, alerts, usual := l.share.Totals(l.now()), l.alerts.Totals(l.now()), l.speed.Median()
 	out := make(pool, 0, len(looked))
 	for _, o := range looked {
 		if !alerts[o.target.ID].Leaving && l.bears(view, o.target) && l.withinRate(o.target.ID) {
@@ -125,7 +125,7 @@
 }
 
 // take counts a request at the target that was chosen for it.
-func (l *Loads) take(o *option, p call.Prompt) *Place {
+func (l *TargetLoads) take(o *option, p call.Prompt) *Place {
 	place := l.place(o.target.ID, p)
 	place.at, place.chosen = o.target, o.Candidate
 	return place
@@ -133,7 +133,7 @@
 
 // Keep chooses a target that keeps a backup of a generation which runs at
 // another, and counts its memory there; false when none has room.
-func (l *Loads) Keep(view *directory.View, p call.Prompt, runs *directory.Seen) (*directory.Seen, *Place, bool) {
+func (l *TargetLoads) Keep(view *directory.View, p call.Prompt, runs *directory.ObservedTarget) (*directory.ObservedTarget, *Place, bool) {
 	w := Wanted{Service: runs.Service, Near: Away(runs.DataCentre), Avoid: []string{runs.ID}}
 	looked, first := l.sample(view, w)
 	looked = looked[:first]
@@ -141,23 +141,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pool := l.renew(view, w, looked)
-	if !placement.RoomForCopies(pool.candidates()) {
+	if !placement.HasRoomForBackups(pool.candidates()) {
 		return nil, nil, false
 	}
-	i := placement.ChooseKeeper(pool.candidates(), tokensOf(p), l.draw.Float64())
+	i := placement.ChooseBackupEngine(pool.candidates(), tokensOf(p), l.draw.Float64())
 	if i < 0 {
 		return nil, nil, false
 	}
 	keeper := pool[i].target
-	return keeper, l.count(keeper.ID, loadshare.Load{Copies: tokensOf(p)}), true
+	return keeper, l.count(keeper.ID, targetload.Load{BackupTokens: tokensOf(p)}), true
 }
 
 // Stepped takes the time that an engine took for one token of a stream.
-func (l *Loads) Stepped(target string, perToken time.Duration) {
+func (l *TargetLoads) Stepped(target string, perToken time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.speed.Sample(target, perToken) {
-		l.share.SetStep(l.now(), target, l.speed.Step(target))
+	if l.speed.AddSample(target, perToken) {
+		l.share.SetTimePerToken(l.now(), target, l.speed.TimePerToken(target))
 		wake.Signal(l.changed)
 	}
 }
@@ -165,7 +165,7 @@
 // option is a target that may be chosen, with what is known of it.
 type option struct {
 	placement.Candidate
-	target *directory.Seen
+	target *directory.ObservedTarget
 }
 
 // pool holds the targets that a choice is made among.
@@ -183,7 +183,7 @@
 func (p pool) choose(draw *rand.Rand, w Wanted) *option {
 	i := -1
 	if w.Prompt.Tokens == 0 {
-		i = placement.Choose(p.candidates(), 0, draw.Float64())
+		i = placement.ChooseLeastLoaded(p.candidates(), 0, draw.Float64())
 	} else {
 		i = placement.ChooseEngine(p.candidates(), w.work(), draw.Float64())
 	}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -29,7 +29,7 @@
 // is whole: one that breaks off must not look complete, and a repeatable
 // request may be sent elsewhere instead.
 func (g *Gateway) plain(ctx context.Context, x *exchange) {
-	g.cfg.Budget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var avoid []string
 	var last error
 	var answer *whole
@@ -126,7 +126,7 @@
 	if unsent(err) {
 		return t.unsent < unsentTries
 	}
-	if t.sent >= x.route.Attempts {
+	if t.sent >= x.route.MaxAttempts {
 		return false
 	}
 	notRun := err != nil && failure.From(err).Executed == failure.ExecutedNo
@@ -134,7 +134,7 @@
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.Budget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.AllowRetry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.meters.sentAgain.Inc(1)
@@ -143,8 +143,8 @@
 
 // try sends a request to one target. The error says whether it ran; an answer
 // without error is the target's own, also when it is a failure.
-func (g *Gateway) try(ctx context.Context, x *exchange, target *directory.Seen, by *basis) (*whole, error) {
-	end := g.cfg.Suspects.begin(target, x.fingerprint)
+func (g *Gateway) try(ctx context.Context, x *exchange, target *directory.ObservedTarget, by *basis) (*whole, error) {
+	end := g.cfg.CrashEvidence.begin(target, x.fingerprint)
 	answer, err := g.fetch(ctx, x, target, by)
 	g.blame(ctx, target, err)
 	end(err == nil)
@@ -152,7 +152,7 @@
 }
 
 // fetch sends a request to one target and reads its whole answer.
-func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.Seen, by *basis) (*whole, error) {
+func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.ObservedTarget, by *basis) (*whole, error) {
 	resp, answer, err := g.open(ctx, x.send(target), by)
 	if err != nil {
 		return nil, err
@@ -227,7 +227,7 @@
 
 // blame counts a failure against a target, unless the caller's leaving or
 // deadline caused it.
-func (g *Gateway) blame(ctx context.Context, target *directory.Seen, err error) {
+func (g *Gateway) blame(ctx context.Context, target *directory.ObservedTarget, err error) {
 	if err == nil || ctx.Err() != nil || failure.KindOf(err) == failure.KindTargetLeft {
 		return
 	}
@@ -235,7 +235,7 @@
 		g.cfg.Loads.Unreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.stays(target) {
-		g.cfg.Suspects.broke(target, g.dial)
+		g.cfg.CrashEvidence.broke(target, g.dial)
 	}
 	g.cfg.Loads.Broke(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
@@ -243,7 +243,7 @@
 
 // stays tells whether a target is not known to be stopping by plan: the end of
 // one that is says nothing of its requests.
-func (g *Gateway) stays(target *directory.Seen) bool {
+func (g *Gateway) stays(target *directory.ObservedTarget) bool {
 	return takesNew(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
 }
 
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/directory"
 	"filbertdeck/internal/wake"
@@ -17,19 +17,19 @@
 // says; false when none lends.
 type BorrowRate func(target string, holders int) bool
 
-// BorrowRates sets how requests are borrowed; none are until then.
-func (l *Loads) BorrowRates(borrow BorrowRate) { l.borrow = borrow }
+// SetRateBorrower sets how requests are borrowed; none are until then.
+func (l *TargetLoads) SetRateBorrower(borrow BorrowRate) { l.borrow = borrow }
 
 // ObserveRate takes what a target said of the rate it takes in an answer to this
 // host; nil is that it named none. It tells whether that is new here.
-func (l *Loads) ObserveRate(target string, perSecond *float64) (changed bool) {
+func (l *TargetLoads) ObserveRate(target string, perSecond *float64) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := targetrate.Advertisement{At: l.now()}
 	if perSecond != nil {
 		w.Limited, w.PerSecond = true, *perSecond
 	}
-	before, _ := l.rates.Advertised(target)
+	before, _ := l.rates.Limit(target)
 	if l.rates.Observe(target, w) {
 		l.alerts.SetRate(l.now(), target, w)
 		wake.Signal(l.alerted)
@@ -38,24 +38,24 @@
 }
 
 // mergeRates takes what targets said to other hosts.
-func (l *Loads) mergeRates(counts []loadshare.Count) {
+func (l *TargetLoads) mergeRates(counts []targetload.HostLoad) {
 	for _, c := range counts {
-		if c.Rate != nil && c.Host != l.self {
-			l.rates.Merge(c.Target, *c.Rate)
+		if c.AdvertisedRate != nil && c.Host != l.self {
+			l.rates.Merge(c.Target, *c.AdvertisedRate)
 		}
 	}
 }
 
 // limitedCount is the number of targets that name a rate.
-func (l *Loads) limitedCount() int64 {
+func (l *TargetLoads) limitedCount() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(l.rates.Limited())
 }
 
-// Lend gives another host one request of a target's rate; false when this host
+// LendRate gives another host one request of a target's rate; false when this host
 // has none to give.
-func (l *Loads) Lend(target string) bool {
+func (l *TargetLoads) LendRate(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rank, hosts := l.rank(target)
@@ -63,7 +63,7 @@
 }
 
 // rank gives this host's rank for a target among the hosts.
-func (l *Loads) rank(target string) (rank, hosts int) {
+func (l *TargetLoads) rank(target string) (rank, hosts int) {
 	if l.cold.Rank == nil {
 		return 0, 1
 	}
@@ -72,17 +72,17 @@
 
 // withinRate tells whether this host may send one more to a target by the rate
 // that the target named.
-func (l *Loads) withinRate(target string) bool {
-	if _, limited := l.rates.Advertised(target); !limited {
+func (l *TargetLoads) withinRate(target string) bool {
+	if _, limited := l.rates.Limit(target); !limited {
 		return true
 	}
 	rank, hosts := l.rank(target)
-	return l.rates.Open(l.now(), target, rank, hosts)
+	return l.rates.Allows(l.now(), target, rank, hosts)
 }
 
 // HoldWithinRate is Hold for a target that may have named a rate; false when no
 // request of it is to be had.
-func (l *Loads) HoldWithinRate(target string, p call.Prompt) (*Place, bool) {
+func (l *TargetLoads) HoldWithinRate(target string, p call.Prompt) (*Place, bool) {
 	place, ok := l.holdWithinOwn(target, p)
 	if !ok && l.borrowFor(target) {
 		return l.holdWithinOwn(target, p)
@@ -91,7 +91,7 @@
 }
 
 // holdWithinOwn is HoldWithinRate by what this host has of the rate.
-func (l *Loads) holdWithinOwn(target string, p call.Prompt) (*Place, bool) {
+func (l *TargetLoads) holdWithinOwn(target string, p call.Prompt) (*Place, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.withinRate(target) {
@@ -101,23 +101,23 @@
 }
 
 // borrowFor borrows one request to a target; false when nobody lends.
-func (l *Loads) borrowFor(target string) bool {
+func (l *TargetLoads) borrowFor(target string) bool {
 	l.mu.Lock()
-	w, limited := l.rates.Advertised(target)
+	w, limited := l.rates.Limit(target)
 	_, hosts := l.rank(target)
 	l.mu.Unlock()
-	if !limited || l.borrow == nil || !l.borrow(target, targetrate.Holders(w.PerSecond, hosts)) {
+	if !limited || l.borrow == nil || !l.borrow(target, targetrate.HolderCount(w.PerSecond, hosts)) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rates.Borrowed(target)
+	l.rates.AddBorrowed(target)
 	return true
 }
 
 // borrowAny borrows one request to a target of a service that is at its rate and
 // takes work else, and gives the target; false when nobody lends.
-func (l *Loads) borrowAny(view *directory.View, w Wanted, which func(target string) bool) bool {
+func (l *TargetLoads) borrowAny(view *directory.View, w Wanted, which func(target string) bool) bool {
 	limited := l.limited(view, w, which)
 	rand.Shuffle(len(limited), func(i, j int) { limited[i], limited[j] = limited[j], limited[i] })
 	return slices.ContainsFunc(limited[:min(len(limited), borrowTries)], l.borrowFor)
@@ -128,15 +128,15 @@
 const borrowTries = 2
 
 // limited gives the targets of a service that take work but for their rate.
-func (l *Loads) limited(view *directory.View, w Wanted, which func(target string) bool) []string {
+func (l *TargetLoads) limited(view *directory.View, w Wanted, which func(target string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.rates.Limited() == 0 {
 		return nil
 	}
 	var out []string
-	for _, t := range view.Pool(w.Service) {
-		_, limited := l.rates.Advertised(t.ID)
+	for _, t := range view.ServiceTargets(w.Service) {
+		_, limited := l.rates.Limit(t.ID)
 		if limited && l.mayGet(view, w, t) && !l.withinRate(t.ID) && which(t.ID) {
 			out = append(out, t.ID)
 		}
@@ -148,11 +148,11 @@
 func always(string) bool { return true }
 
 // stale tells whether a target named its rate so long ago that it may take more.
-func (l *Loads) stale(target string) bool { return l.rates.Stale(l.now(), target) }
+func (l *TargetLoads) stale(target string) bool { return l.rates.Stale(l.now(), target) }
 
 // RoomIn is the time until this host may send to a target of a service that is at
 // its rate; false when none of them is.
-func (l *Loads) RoomIn(view *directory.View, w Wanted) (time.Duration, bool) {
+func (l *TargetLoads) RoomIn(view *directory.View, w Wanted) (time.Duration, bool) {
 	limited := l.limited(view, w, always)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -12,7 +12,7 @@
 // holds an old configuration while others serve a route or key that is new:
 // its caller may try those instead of being told for good that there is none.
 func (g *Gateway) deny(denial *failure.Error) error {
-	if g.cfg.Current() {
+	if g.cfg.ViewCurrent() {
 		return denial
 	}
 	return failure.Wrap(denial, failure.KindNotReady, "the configuration held here may be out of date").After(notReadyRetry)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -91,7 +91,7 @@
 // takesNew tells whether a target of an earlier view may get work by now.
 func takesNew(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
-	return known && now.Started == t.Started && view.TakesNew(now)
+	return known && now.StartedUnixMilli == t.StartedUnixMilli && view.AcceptsNewRequests(now)
 }
 
 // goOn finds where a generation goes on whose stream ended early with why: at
@@ -186,11 +186,11 @@
 // anew has another engine go on with a generation of a route that allows it,
 // behind the last event that the caller has. One that crashes engines would
 // else go from each to the next.
-func (gen *generation) anew(from *directory.Seen, why error) (*leg, error) {
-	if gen.runs >= gen.route.Attempts || gen.g.cfg.Suspects.guilty(gen.fingerprint) {
+func (gen *generation) anew(from *directory.ObservedTarget, why error) (*leg, error) {
+	if gen.runs >= gen.route.MaxAttempts || gen.g.cfg.CrashEvidence.guilty(gen.fingerprint) {
 		return nil, why
 	}
-	if !gen.g.cfg.Budget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.AllowRetry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, why
 	}
 	by := gen.g.basis()
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/directory"
 )
 
@@ -17,15 +17,15 @@
 	// over to it then would start work that nobody waits for, and keep its
 	// place counted for good.
 	It("is not made, and gives its place up", func() {
-		loads := NewLoads("host-1", "dc-1", func() time.Duration { return 0 })
-		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
-		board := &published.Board{}
+		loads := NewTargetLoads("host-1", "dc-1", func() time.Duration { return 0 })
+		target := &directory.ObservedTarget{Published: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
+		board := &recordsync.Board{}
 		var out *blackboard.Writer[directory.View]
 		out, err := board.View.Claim()
 		Expect(err).NotTo(HaveOccurred())
-		out.Publish(directory.NewView(1, nil, map[string]*directory.Seen{"i-1": target}, nil))
+		out.Publish(directory.NewView(1, nil, map[string]*directory.ObservedTarget{"i-1": target}, nil))
 		gen := &generation{exchange: &exchange{Request: &call.Request{}}, g: &Gateway{cfg: Config{Loads: loads, Board: board}}}
-		place := loads.Hold("i-1", call.Prompt{Tokens: 10})
+		place := loads.Reserve("i-1", call.Prompt{Tokens: 10})
 		gen.end()
 		Expect(gen.switchTo(&copied{at: target}, place)).To(MatchError(errEnded))
 		Expect(loads.Hosts("i-1")).To(BeZero())
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"filbertdeck/internal/decide/silence"
+	"filbertdeck/internal/decide/storeoutage"
 	"filbertdeck/internal/directory"
 )
 
@@ -49,8 +49,8 @@
 }
 
 // targets gives the engines at which generations of this host run.
-func (r *runs) targets() []*directory.Seen {
-	seen := map[string]*directory.Seen{}
+func (r *runs) targets() []*directory.ObservedTarget {
+	seen := map[string]*directory.ObservedTarget{}
 	for _, gen := range r.list() {
 		gen.mu.Lock()
 		if gen.at != nil && gen.movable() {
@@ -61,8 +61,8 @@
 	return slices.Collect(maps.Values(seen))
 }
 
-// Run moves generations off leaving targets until ctx is done.
-func (g *Gateway) Run(ctx context.Context) {
+// MoveGenerations moves generations off leaving targets until ctx is done.
+func (g *Gateway) MoveGenerations(ctx context.Context) {
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
 	var asking askRound
@@ -100,7 +100,7 @@
 // few of the hosts of an engine ask it: what one hears the others know a tenth
 // of a second later.
 func (g *Gateway) askTargets(ctx context.Context, last askRound) askRound {
-	if !g.cfg.Blind() {
+	if !g.cfg.Disconnected() {
 		return askRound{}
 	}
 	now := g.cfg.Now()
@@ -108,7 +108,7 @@
 		return last
 	}
 	for _, t := range g.runs.targets() {
-		if silence.Asks(!last.blind, g.cfg.Loads.Hosts(t.ID), rand.Float64()) {
+		if storeoutage.ShouldAsk(!last.blind, g.cfg.Loads.Hosts(t.ID), rand.Float64()) {
 			go g.askTarget(ctx, t)
 		}
 	}
@@ -117,13 +117,13 @@
 
 // checkLeaving asks a target that closes a connection whether it is about to
 // stop: it closes some at other times too.
-func (g *Gateway) checkLeaving(t *directory.Seen) {
+func (g *Gateway) checkLeaving(t *directory.ObservedTarget) {
 	if takesNew(g.view(), t.Target) {
 		go g.askTarget(context.Background(), t)
 	}
 }
 
-func (g *Gateway) askTarget(ctx context.Context, t *directory.Seen) {
+func (g *Gateway) askTarget(ctx context.Context, t *directory.ObservedTarget) {
 	service, known := g.view().Service(t.Service)
 	if !known || g.cfg.Loads.Leaving(t.ID) {
 		return
@@ -155,18 +155,18 @@
 // other; those of plain services that answer with a stream don't.
 func (gen *generation) movable() bool {
 	e := gen.service.Engine
-	return e != nil && e.Moves
+	return e != nil && e.CanMigrate
 }
 
 // beginMove begins a move if the generation's target leaves and none was begun.
-func (gen *generation) beginMove(view *directory.View, loads *Loads) (*directory.Seen, *move, bool) {
+func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.ObservedTarget, *move, bool) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.at == nil || gen.move != nil || !gen.movable() {
 		return nil, nil, false
 	}
 	now, known := view.Target(gen.at.ID)
-	if known && now.Listed && !now.Leaving && !loads.Leaving(gen.at.ID) {
+	if known && now.Published && !now.Leaving && !loads.Leaving(gen.at.ID) {
 		return nil, nil, false
 	}
 	gen.move = &move{done: make(chan struct{})}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -29,9 +29,9 @@
 	guiltyRetry = 10 * time.Second
 )
 
-// Suspects keeps the evidence against requests that crash the targets that run
+// CrashEvidence keeps the evidence against requests that crash the targets that run
 // them, of this host and of others. It is safe for concurrent use.
-type Suspects struct {
+type CrashEvidence struct {
 	now func() time.Duration
 
 	mu       sync.Mutex
@@ -42,16 +42,16 @@
 	news chan struct{}
 }
 
-// NewSuspects returns a Suspects without evidence.
-func NewSuspects(now func() time.Duration) *Suspects {
-	return &Suspects{
+// NewCrashEvidence returns a Suspects without evidence.
+func NewCrashEvidence(now func() time.Duration) *CrashEvidence {
+	return &CrashEvidence{
 		now: now, detector: poison.New(poison.Config{}), running: map[string][]uint64{}, looking: map[uint64]bool{},
 		news: make(chan struct{}, 1),
 	}
 }
 
-// News is received from when there is evidence to tell other hosts.
-func (s *Suspects) News() <-chan struct{} { return s.news }
+// Changed is received from when there is evidence to tell other hosts.
+func (s *CrashEvidence) Changed() <-chan struct{} { return s.news }
 
 // fingerprint names a request over its attempts: the same caller, path and
 // body come again under another id.
@@ -66,22 +66,22 @@
 }
 
 // guilty tells whether a request is known to crash targets.
-func (s *Suspects) guilty(f uint64) bool {
+func (s *CrashEvidence) guilty(f uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.Rule(s.now(), f).Verdict == poison.Guilty
+	return s.detector.Assess(s.now(), f).Verdict == poison.Blocked
 }
 
 // begin notes that a request runs at a target; end says whether it finished
 // there.
-func (s *Suspects) begin(target *directory.Seen, f uint64) (end func(finished bool)) {
+func (s *CrashEvidence) begin(target *directory.ObservedTarget, f uint64) (end func(finished bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running[target.ID] = append(s.running[target.ID], f)
 	return func(finished bool) { s.end(target.ID, f, finished) }
 }
 
-func (s *Suspects) end(target string, f uint64, finished bool) {
+func (s *CrashEvidence) end(target string, f uint64, finished bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.running[target]
@@ -93,15 +93,15 @@
 		delete(s.running, target)
 	}
 	if finished {
-		s.detector.Finished(s.now(), f)
+		s.detector.AddCompletion(s.now(), f)
 	}
 }
 
 // broke notes that a target broke a request's connection. Whether it crashed
 // shows when nobody listens at its address any more; a broken answer alone
 // says nothing.
-func (s *Suspects) broke(target *directory.Seen, dial func(ctx context.Context, address string) error) {
-	id := poison.CrashID(target.ID, uint64(target.Started))
+func (s *CrashEvidence) broke(target *directory.ObservedTarget, dial func(ctx context.Context, address string) error) {
+	id := poison.CrashID(target.ID, uint64(target.StartedUnixMilli))
 	s.mu.Lock()
 	suspects := slices.Clone(s.running[target.ID])
 	looked := s.looking[id]
@@ -120,21 +120,21 @@
 		if failure.KindOf(err) == failure.KindTargetFailed {
 			// Latest start first, as the evidence weighs them.
 			slices.Reverse(suspects)
-			s.detector.Crashed(s.now(), id, suspects)
+			s.detector.AddCrash(s.now(), id, suspects)
 			wake.Signal(s.news)
 		}
 	})
 }
 
 // Export gives the evidence for other hosts.
-func (s *Suspects) Export() []poison.Crash {
+func (s *CrashEvidence) Export() []poison.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.detector.Export(s.now(), exportCrashes)
 }
 
 // Merge takes the evidence of another host.
-func (s *Suspects) Merge(crashes []poison.Crash) {
+func (s *CrashEvidence) Merge(crashes []poison.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.detector.Merge(s.now(), crashes) {
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -13,7 +13,7 @@
 )
 
 // crashing runs a target that dies of the body "poison" and answers all else.
-func crashing(id string) (*directory.Seen, func() int) {
+func crashing(id string) (*directory.ObservedTarget, func() int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = l.Close() })
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -9,7 +9,7 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/fetch"
 	"filbertdeck/internal/wake"
 )
@@ -21,7 +21,7 @@
 // fetcher gets what was announced and is too long for news, and gives it to
 // others.
 type fetcher struct {
-	published *published.Controller
+	published *recordsync.Controller
 	roles     *roles
 	now       Clock
 	log       *slog.Logger
@@ -32,28 +32,28 @@
 	take   func(peer string, news *filbertv1.PublishedNews, asked time.Time)
 
 	mu    sync.Mutex
-	plan  *fetch.Plan
-	giver fetch.Giver
+	plan  *fetch.PeerSelector
+	giver fetch.UploadLimiter
 	// whole is set when what is held here fits to no peer's changes.
 	whole bool
 }
 
-func newFetcher(p *published.Controller, roles *roles, now Clock, log *slog.Logger) *fetcher {
+func newFetcher(p *recordsync.Controller, roles *roles, now Clock, log *slog.Logger) *fetcher {
 	draw := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &fetcher{
 		published: p, roles: roles, now: now, log: log, wanted: make(chan struct{}, 1),
-		plan: fetch.NewPlan(fetch.Default(), draw),
+		plan: fetch.NewPeerSelector(fetch.DefaultConfig(), draw),
 	}
 }
 
 // announced notes that a peer holds what is published up to a revision.
 func (f *fetcher) announced(peer string, revision uint64) {
-	if _, _, held := f.published.Holds(); revision <= held {
+	if _, _, held := f.published.HeldRevisions(); revision <= held {
 		return
 	}
 	near := f.roles.shares(peer)
 	f.mu.Lock()
-	f.plan.Announced(f.now(), peer, near, revision)
+	f.plan.RecordAnnouncement(f.now(), peer, near, revision)
 	f.mu.Unlock()
 	wake.Signal(f.wanted)
 }
@@ -62,16 +62,16 @@
 func (f *fetcher) run(ctx context.Context, c *gossip.Controller) {
 	for ctx.Err() == nil {
 		rank := f.roles.rankOfSelf()
-		_, _, held := f.published.Holds()
+		_, _, held := f.published.HeldRevisions()
 		f.mu.Lock()
-		peer, timeout, ok := f.plan.Next(f.now(), held, rank)
-		wants := f.plan.Wants()
+		peer, timeout, ok := f.plan.StartTransfer(f.now(), held, rank)
+		wants := f.plan.IsBehind()
 		f.mu.Unlock()
 		switch {
 		case ok:
 			outcome := f.fetch(ctx, c, peer, timeout)
 			f.mu.Lock()
-			f.plan.Done(f.now(), peer, outcome)
+			f.plan.FinishTransfer(f.now(), peer, outcome)
 			f.mu.Unlock()
 		case wants:
 			wake.Sleep(ctx, fetchEvery)
@@ -85,12 +85,12 @@
 }
 
 func (f *fetcher) fetch(ctx context.Context, c *gossip.Controller, peer string, timeout time.Duration) fetch.Outcome {
-	config, records, _ := f.published.Holds()
+	config, records, _ := f.published.HeldRevisions()
 	if f.whole {
 		config = 0
 	}
 	asked := time.Now()
-	reply, err := c.FetchFrom(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: config, Revision: records})
+	reply, err := c.FetchConfig(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: config, Revision: records})
 	if err != nil {
 		f.log.Info("not fetched", "peer", peer, "config", config, "revision", records, "timeout", timeout, "error", err)
 		return fetch.Failed
@@ -101,18 +101,18 @@
 		}
 		return fetch.Busy
 	}
-	f.whole, err = f.published.TakeBulk(peer, published.Bulk{Config: reply.GetDelta(), Records: reply.GetRecords()})
+	f.whole, err = f.published.ApplyBundle(peer, recordsync.DeltaBundle{Config: reply.GetDelta(), Records: reply.GetRecords()})
 	if err != nil {
 		f.log.Warn("what a peer gave can't be read", "peer", peer, "error", err)
 		return fetch.Failed
 	}
 	f.take(peer, reply.GetNews(), asked)
-	return fetch.Taken
+	return fetch.Succeeded
 }
 
 // give answers a peer's fetch.
 func (f *fetcher) give(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply {
-	bulk, err := f.published.Pack(req.GetConfigRevision(), req.GetRevision())
+	bulk, err := f.published.BuildBundle(req.GetConfigRevision(), req.GetRevision())
 	if err != nil {
 		f.log.Error("nothing can be given", "peer", peer, "error", err)
 	}
@@ -123,7 +123,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	others, ok := f.giver.Give(f.now(), peer, bulk.Size())
+	others, ok := f.giver.Admit(f.now(), peer, bulk.Size())
 	if ok {
 		reply.Delta, reply.Records = bulk.Config, bulk.Records
 	} else {
--- a/internal/gatewayhost/fleet.go
+++ b/internal/gatewayhost/fleet.go
@@ -15,10 +15,10 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/poison"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -40,10 +40,10 @@
 
 // fleet carries news between this host and the others.
 type fleet struct {
-	published *published.Controller
+	published *recordsync.Controller
 	roles     *roles
-	loads     *gateway.Loads
-	suspects  *gateway.Suspects
+	loads     *gateway.TargetLoads
+	suspects  *gateway.CrashEvidence
 	fetcher   *fetcher
 	now       Clock
 	urgent    chan struct{}
@@ -54,7 +54,7 @@
 }
 
 func newFleet(
-	p *published.Controller, roles *roles, loads *gateway.Loads, suspects *gateway.Suspects, fetcher *fetcher, now Clock,
+	p *recordsync.Controller, roles *roles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
 ) *fleet {
 	f := &fleet{
 		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
@@ -70,20 +70,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.loads.Changed():
-			if f.loads.ByOwners() {
+		case <-f.loads.LoadsChanged():
+			if f.loads.SendsToOwnersOnly() {
 				continue
 			}
-		case <-f.loads.Alerted():
-		case <-f.published.News():
+		case <-f.loads.AlertsChanged():
+		case <-f.published.NewsReady():
 			if heads := f.roles.others(); len(heads) > 0 {
 				for _, head := range heads {
-					c.Ask(ctx, head)
+					c.ProbeNow(ctx, head)
 				}
 				wake.Sleep(ctx, tellEvery)
 				continue
 			}
-		case <-f.suspects.News():
+		case <-f.suspects.Changed():
 		}
 		wake.Signal(f.urgent)
 		wake.Sleep(ctx, tellEvery)
@@ -103,13 +103,13 @@
 		case <-tick.C:
 		}
 		for peer := range f.takeBehind() {
-			c.Ask(ctx, peer)
+			c.ProbeNow(ctx, peer)
 		}
-		if !f.published.Asks() && !f.roles.unsure() {
+		if !f.published.NeedsPeerNews() && !f.roles.unsure() {
 			continue
 		}
 		if host, ok := f.roles.next(); ok {
-			c.Ask(ctx, host)
+			c.ProbeNow(ctx, host)
 		} else {
 			wake.Signal(f.urgent)
 		}
@@ -127,36 +127,36 @@
 
 func (f *fleet) hooks() gossip.Hooks {
 	return gossip.Hooks{
-		SupplyLoads: f.supplyLoads, TakeLoads: f.takeLoads, SupplyAlerts: f.supplyAlerts, TakeAlerts: f.takeAlerts,
-		SupplyPoison: f.supplyPoison, TakePoison: f.takePoison,
-		SupplyPublished: f.supplyPublished, TakePublished: f.takePublished, GiveBulk: f.fetcher.give, Urgent: f.urgent,
+		SupplyLoads: f.supplyLoads, ReceiveLoads: f.takeLoads, SupplyAlerts: f.supplyAlerts, ReceiveAlerts: f.takeAlerts,
+		SupplyPoison: f.supplyPoison, ReceivePoison: f.takePoison,
+		SupplyPublished: f.supplyPublished, ReceivePublished: f.takePublished, ServeFetch: f.fetcher.give, PushRequests: f.urgent,
 	}
 }
 
 func (f *fleet) supplyLoads(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.News(peer), f.now())
+	return toWire(f.loads.PendingLoads(peer), f.now())
 }
 
 func (f *fleet) takeLoads(peer string, loads []*filbertv1.TargetLoad) {
-	f.loads.Take(peer, fromWire(loads, f.now()))
+	f.loads.MergeLoads(peer, fromWire(loads, f.now()))
 }
 
 func (f *fleet) supplyAlerts(peer string) []*filbertv1.TargetLoad {
-	return toWire(f.loads.Alerts(peer), f.now())
+	return toWire(f.loads.PendingAlerts(peer), f.now())
 }
 
 func (f *fleet) takeAlerts(peer string, alerts []*filbertv1.TargetLoad) {
-	f.loads.TakeAlerts(peer, fromWire(alerts, f.now()))
+	f.loads.MergeAlerts(peer, fromWire(alerts, f.now()))
 }
 
 // toWire gives counts as they are told at a time on the steady clock.
-func toWire(counts []loadshare.Count, now time.Duration) []*filbertv1.TargetLoad {
+func toWire(counts []targetload.HostLoad, now time.Duration) []*filbertv1.TargetLoad {
 	out := make([]*filbertv1.TargetLoad, len(counts))
 	for i, c := range counts {
 		out[i] = &filbertv1.TargetLoad{
-			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.Tokens), Unread: count(c.Unread), Leaving: c.Leaving,
-			StepUs: count(int(c.Step.Microseconds())), Copies: count(c.Copies), Failures: c.Failures,
-			Rate: toWireRate(c.Rate, now),
+			Host: c.Host, Target: c.Target, Version: c.Version, Running: count(c.Running), Tokens: count(c.ReservedTokens), Unread: count(c.UnreadTokens), Leaving: c.Leaving,
+			StepUs: count(int(c.TimePerToken.Microseconds())), Copies: count(c.BackupTokens), Failures: c.FailureSeq,
+			Rate: toWireRate(c.AdvertisedRate, now),
 		}
 	}
 	return out
@@ -179,13 +179,13 @@
 
 func count(n int) uint32 { return uint32(max(n, 0)) }
 
-func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []loadshare.Count {
-	counts := make([]loadshare.Count, len(loads))
+func fromWire(loads []*filbertv1.TargetLoad, now time.Duration) []targetload.HostLoad {
+	counts := make([]targetload.HostLoad, len(loads))
 	for i, l := range loads {
-		counts[i] = loadshare.Count{
+		counts[i] = targetload.HostLoad{
 			Host: l.GetHost(), Target: l.GetTarget(), Version: l.GetVersion(), Leaving: l.GetLeaving(),
-			Step: time.Duration(l.GetStepUs()) * time.Microsecond, Failures: l.GetFailures(), Rate: fromWireRate(l.GetRate(), now),
-			Load: loadshare.Load{Running: int(l.GetRunning()), Tokens: int(l.GetTokens()), Unread: int(l.GetUnread()), Copies: int(l.GetCopies())},
+			TimePerToken: time.Duration(l.GetStepUs()) * time.Microsecond, FailureSeq: l.GetFailures(), AdvertisedRate: fromWireRate(l.GetRate(), now),
+			Load: targetload.Load{Running: int(l.GetRunning()), ReservedTokens: int(l.GetTokens()), UnreadTokens: int(l.GetUnread()), BackupTokens: int(l.GetCopies())},
 		}
 	}
 	return counts
@@ -213,16 +213,16 @@
 func (f *fleet) supplyPublished(peer string) *filbertv1.PublishedNews {
 	n := f.published.NewsFor(peer)
 	out := &filbertv1.PublishedNews{
-		From: n.From, Revision: n.Revision, Withheld: n.Withheld, Reading: n.Reading, Relaying: f.roles.relaying(),
-		StoreRejects: n.StoreRejects,
+		From: n.BaseRevision, Revision: n.Revision, Withheld: n.RecordsWithheld, Reading: n.IsReader, Relaying: f.roles.relaying(),
+		StoreRejects: n.StoreRejectedRecently,
 	}
 	if n.Age >= 0 {
 		// Rounded up: an age cut to whole milliseconds would make the news
 		// younger with each hop.
 		out.CurrentMs = uint64(n.Age.Milliseconds()) + 1
 	}
-	if n.Overdue > 0 {
-		out.OverdueMs = uint64(n.Overdue.Milliseconds()) + 1
+	if n.AnswerOverdue > 0 {
+		out.OverdueMs = uint64(n.AnswerOverdue.Milliseconds()) + 1
 	}
 	for _, r := range n.Records {
 		out.Records = append(out.Records, r)
@@ -237,15 +237,15 @@
 }
 
 func (f *fleet) takePublished(peer string, news *filbertv1.PublishedNews, asked time.Time) {
-	n := published.News{
-		From: news.GetFrom(), Revision: news.GetRevision(), Age: -1, Reading: news.GetReading(),
+	n := recordsync.News{
+		BaseRevision: news.GetFrom(), Revision: news.GetRevision(), Age: -1, IsReader: news.GetReading(),
 		Config: rolloutwire.FromHead(news.GetConfig()),
 	}
 	if ms := news.GetCurrentMs(); ms > 0 {
 		n.Age = time.Duration(ms) * time.Millisecond
 	}
-	n.Overdue = time.Duration(news.GetOverdueMs()) * time.Millisecond
-	f.roles.heard(peer, n.Reading, news.GetRelaying(), news.GetStoreRejects(), n.Age)
+	n.AnswerOverdue = time.Duration(news.GetOverdueMs()) * time.Millisecond
+	f.roles.heard(peer, n.IsReader, news.GetRelaying(), news.GetStoreRejects(), n.Age)
 	for _, r := range news.GetRecords() {
 		n.Records = append(n.Records, json.RawMessage(r))
 	}
@@ -257,7 +257,7 @@
 	if !asked.IsZero() {
 		at = f.now() - time.Since(asked)
 	}
-	if f.published.TakeNews(peer, n, at) {
+	if f.published.ApplyNews(peer, n, at) {
 		f.mu.Lock()
 		f.behind[peer] = true
 		f.mu.Unlock()
@@ -314,6 +314,6 @@
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveLimit)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -13,7 +13,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 	"go.uber.org/fx"
 
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/drain"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
@@ -85,26 +85,26 @@
 	return func() time.Duration { return time.Since(start) }
 }
 
-func newBoard() *published.Board { return &published.Board{} }
+func newBoard() *recordsync.Board { return &recordsync.Board{} }
 
-func newPublished(s *Settings, b *published.Board, roles *roles, now Clock, log *slog.Logger, reg gometrics.Registry) (*published.Controller, error) {
-	c, err := published.New(published.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, Reads: roles.reads}, b)
+func newPublished(s *Settings, b *recordsync.Board, roles *roles, now Clock, log *slog.Logger, reg gometrics.Registry) (*recordsync.Controller, error) {
+	c, err := recordsync.New(recordsync.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, ShouldRead: roles.reads}, b)
 	if err != nil {
 		return nil, err
 	}
-	roles.age, roles.storeRejects = c.Age, c.StoreRejects
+	roles.age, roles.storeRejects = c.Age, c.StoreRejectedRecently
 	return c, nil
 }
 
-func newLoads(s *Settings, now Clock, size *fleetSize) *gateway.Loads {
-	loads := gateway.NewLoads(s.Deployment.ListenPeers, s.DataCentre, now)
+func newLoads(s *Settings, now Clock, size *fleetSize) *gateway.TargetLoads {
+	loads := gateway.NewTargetLoads(s.Deployment.ListenPeers, s.DataCentre, now)
 	c := s.Deployment.Cold
-	loads.BoundCold(gateway.ColdBound{Factor: c.Factor, Extra: c.Extra, Rank: size.rank})
-	loads.CountHosts(size.count)
+	loads.SetColdRateLimit(gateway.ColdRateLimit{Factor: c.Factor, Extra: c.Extra, Rank: size.rank})
+	loads.SetHostCount(size.count)
 	return loads
 }
 
-func newSuspects(now Clock) *gateway.Suspects { return gateway.NewSuspects(now) }
+func newSuspects(now Clock) *gateway.CrashEvidence { return gateway.NewCrashEvidence(now) }
 
 // accountShare is the part of the fixed number of repeated sends that one
 // client account may use up by itself.
@@ -114,23 +114,23 @@
 func newBudget(lc fx.Lifecycle, s *Settings, size *fleetSize) *retrybudget.Budget {
 	r := s.Deployment.Retry
 	budget := retrybudget.New(retrybudget.Config{
-		Share: r.Share, Burst: r.Extra * accountShare, ServiceBurst: r.Extra, Trickle: retrybudget.NoTrickle,
+		RetryRatio: r.Share, Burst: r.Extra * accountShare, ServiceBurst: r.Extra, RefillPerSecond: retrybudget.NoRefill,
 	})
-	budget.ShareAmong(size.hosts())
-	process.Every(lc, sizeEvery, func() { budget.ShareAmong(size.hosts()) })
+	budget.SetHostCount(size.hosts())
+	process.Every(lc, sizeEvery, func() { budget.SetHostCount(size.hosts()) })
 	return budget
 }
 
 func newGateway(
-	s *Settings, b *published.Board, roles *roles, c *published.Controller, loads *gateway.Loads,
-	suspects *gateway.Suspects, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, b *recordsync.Board, roles *roles, c *recordsync.Controller, loads *gateway.TargetLoads,
+	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
 	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDial, Header: answerLimit, Silence: answerLimit})
 	return gateway.New(gateway.Config{
-		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: b, Loads: loads, Suspects: suspects, Budget: budget,
-		Client: client, Migration: migration.Default(), Blind: func() bool { return blind(c, roles) },
-		Age:     func() time.Duration { return knownAge(c) },
-		Current: func() bool { return current(c, s.Deployment.EditWithin) }, Log: log, Metrics: reg, Now: now,
+		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: b, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
+		Client: client, Migration: migration.Default(), Disconnected: func() bool { return blind(c, roles) },
+		ViewAge:     func() time.Duration { return knownAge(c) },
+		ViewCurrent: func() bool { return current(c, s.Deployment.EditWithin) }, Log: log, Metrics: reg, Now: now,
 	})
 }
 
@@ -142,16 +142,16 @@
 // blind tells whether this host may not know what is published by now: the store
 // is suspected to be silent, or this host can't read it and knows no other that
 // does.
-func blind(c *published.Controller, r *roles) bool {
+func blind(c *recordsync.Controller, r *roles) bool {
 	age, known := c.Age()
-	if !known || age > staleAfter || c.Suspects() {
+	if !known || age > staleAfter || c.SuspectsStoreOutage() {
 		return true
 	}
-	return c.Asks() && r.cutOff()
+	return c.NeedsPeerNews() && r.cutOff()
 }
 
 // knownAge is the age of what is known, negative while nothing is.
-func knownAge(c *published.Controller) time.Duration {
+func knownAge(c *recordsync.Controller) time.Duration {
 	if age, known := c.Age(); known {
 		return age
 	}
@@ -163,27 +163,27 @@
 const currentMargin = 500 * time.Millisecond
 
 // current tells whether what is known is new enough to deny what it lacks.
-func current(c *published.Controller, editWithin time.Duration) bool {
+func current(c *recordsync.Controller, editWithin time.Duration) bool {
 	age, known := c.Age()
 	return known && age < editWithin-currentMargin
 }
 
-func newLifecycle(s *Settings, b *published.Board) *lifecycle.Lifecycle {
+func newLifecycle(s *Settings, b *recordsync.Board) *lifecycle.Lifecycle {
 	grace := s.Deployment.StopGrace
 	return lifecycle.NewWithStop(func() error {
 		if view := b.View.Get(); view == nil || view.Config == nil {
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
 		return nil
-	}, drain.StopConfig{
-		AnnounceFor: announceFor, QuietFor: quietFor, AnnounceLimit: grace - finishMargin, OpenWhileBusy: true,
-		LingerFor: lingerFor, FinishLimit: grace,
+	}, drain.ShutdownConfig{
+		MinAnnounce: announceFor, QuietPeriod: quietFor, MaxAnnounce: grace - finishMargin, AcceptWhileBusy: true,
+		LingerDuration: lingerFor, DrainTimeout: grace,
 	})
 }
 
-func runPublished(lc fx.Lifecycle, c *published.Controller) { process.Background(lc, c.Run) }
+func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.Background(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.Run) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
@@ -227,7 +227,7 @@
 			left := s.Deployment.StopGrace - stopMargin
 			ctx, cancel := context.WithTimeout(ctx, left)
 			defer cancel()
-			g.StopBy(time.Now().Add(runsFor), time.Now().Add(left))
+			g.AnnounceShutdown(time.Now().Add(runsFor), time.Now().Add(left))
 			server.SetKeepAlivesEnabled(false)
 			err := life.Stop(ctx)
 			return errors.Join(err, server.Close())
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/controller/recordsync"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/gateway"
 	"filbertdeck/internal/process"
@@ -40,9 +40,9 @@
 // a connection to each of them would take more memory than all its counts.
 type owners struct {
 	self  string
-	loads *gateway.Loads
+	loads *gateway.TargetLoads
 	size  *fleetSize
-	view  *published.Board
+	view  *recordsync.Board
 	now   Clock
 	log   *slog.Logger
 
@@ -59,7 +59,7 @@
 }
 
 func newOwners(
-	s *Settings, loads *gateway.Loads, size *fleetSize, view *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, loads *gateway.TargetLoads, size *fleetSize, view *recordsync.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *owners {
 	return &owners{
 		self: s.Deployment.ListenPeers, loads: loads, size: size, view: view, now: now, log: log,
@@ -70,8 +70,8 @@
 }
 
 func runOwners(lc fx.Lifecycle, o *owners) {
-	o.loads.AskOwners(o.ask)
-	o.loads.BorrowRates(o.borrow)
+	o.loads.SetOwnerQuery(o.ask)
+	o.loads.SetRateBorrower(o.borrow)
 	lc.Append(fx.StartHook(o.listen))
 	process.Background(lc, func(ctx context.Context) {
 		context.AfterFunc(ctx, func() { _ = o.conn.Close() })
@@ -94,13 +94,13 @@
 }
 
 // ask is a gateway.AskOwner.
-func (o *owners) ask(target gateway.Owned, own []loadshare.Count) ([]loadshare.Count, bool) {
+func (o *owners) ask(target gateway.TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool) {
 	owner, known := o.answering(target)
 	if !known {
 		return nil, false
 	}
 	if owner == o.self {
-		return o.loads.Answer(own), true
+		return o.loads.AnswerOwnerQuery(own), true
 	}
 	answer, ok := o.question(owner, &filbertv1.TargetLoads{Loads: toWire(own, o.now())})
 	return fromWire(answer.GetLoads(), o.now()), ok
@@ -146,10 +146,10 @@
 
 // tellChanges tells the owners of targets this host's loads that changed.
 func (o *owners) tellChanges() {
-	if !o.loads.ByOwners() {
+	if !o.loads.SendsToOwnersOnly() {
 		return
 	}
-	o.tell(o.loads.OwnNews(), o.dataCentre)
+	o.tell(o.loads.PendingOwnLoads(), o.dataCentre)
 }
 
 // dataCentre gives a target's data centre, nothing when it isn't known.
@@ -163,7 +163,7 @@
 }
 
 // answering gives the first of a target's owners that is not silent.
-func (o *owners) answering(target gateway.Owned) (string, bool) {
+func (o *owners) answering(target gateway.TargetRef) (string, bool) {
 	owners := o.size.owners(target)
 	if len(owners) == 0 {
 		return "", false
@@ -197,10 +197,10 @@
 
 // tell tells the owners of targets what this host has running there by now. A
 // datagram that is lost leaves them wrong until the load is told again.
-func (o *owners) tell(counts []loadshare.Count, dataCentre func(target string) string) {
-	batches := map[string][]loadshare.Count{}
+func (o *owners) tell(counts []targetload.HostLoad, dataCentre func(target string) string) {
+	batches := map[string][]targetload.HostLoad{}
 	for _, c := range counts {
-		for _, owner := range o.size.owners(gateway.Owned{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
+		for _, owner := range o.size.owners(gateway.TargetRef{ID: c.Target, DataCentre: dataCentre(c.Target)}) {
 			batches[owner] = append(batches[owner], c)
 		}
 	}
@@ -287,14 +287,14 @@
 	}
 	counts := fromWire(message.GetLoads(), o.now())
 	if message.GetQuestion() == 0 {
-		o.loads.Take("", counts)
+		o.loads.MergeLoads("", counts)
 		return
 	}
 	answer := &filbertv1.TargetLoads{Question: message.GetQuestion(), Answer: true}
 	if target := message.GetBorrow(); target != "" {
-		answer.Lent = o.loads.Lend(target)
+		answer.Lent = o.loads.LendRate(target)
 	} else {
-		answer.Loads = toWire(o.loads.Answer(counts), o.now())
+		answer.Loads = toWire(o.loads.AnswerOwnerQuery(counts), o.now())
 	}
 	if err := o.sendTo(from, answer); err != nil {
 		o.log.Debug("question not answered", "from", from, "error", err)
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -14,9 +14,9 @@
 
 	"filbertdeck/internal/call"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
-	"filbertdeck/internal/decide/loadshare"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
+	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
 	"filbertdeck/internal/gateway"
 )
@@ -36,7 +36,7 @@
 }
 
 // startOwners runs the owners of one host that believes in some members.
-func startOwners(t *testing.T, self string, members []string) (*owners, *gateway.Loads) {
+func startOwners(t *testing.T, self string, members []string) (*owners, *gateway.TargetLoads) {
 	t.Helper()
 	board := &gossip.Board{}
 	out, err := board.Members.Claim()
@@ -50,10 +50,10 @@
 	out.Publish(view)
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	loads := gateway.NewLoads(self, "dc-1", now)
+	loads := gateway.NewTargetLoads(self, "dc-1", now)
 	s := &Settings{}
 	s.Deployment.ListenPeers = self
-	o := newOwners(s, loads, newFleetSize(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
+	o := newOwners(s, loads, newFleetSize(s, board, now), &recordsync.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
 	if err := o.listen(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,16 +64,16 @@
 }
 
 // targetOwnedBy gives a target whose owner is a host.
-func targetOwnedBy(t *testing.T, o *owners, host string) gateway.Owned {
+func targetOwnedBy(t *testing.T, o *owners, host string) gateway.TargetRef {
 	t.Helper()
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"} {
-		target := gateway.Owned{ID: id}
+		target := gateway.TargetRef{ID: id}
 		if o.size.owners(target)[0] == host {
 			return target
 		}
 	}
 	t.Fatal("no target is owned by", host)
-	return gateway.Owned{}
+	return gateway.TargetRef{}
 }
 
 // Two hosts choose the same engine within a few milliseconds, before gossip
@@ -85,17 +85,17 @@
 	first, firstLoads := startOwners(t, addresses[1], addresses)
 	second, _ := startOwners(t, addresses[2], addresses)
 	target := targetOwnedBy(t, owner, addresses[0])
-	firstLoads.Hold(target.ID, call.Prompt{Tokens: 3000})
-	own := loadshare.Count{Host: addresses[1], Target: target.ID, Version: 7, Load: loadshare.Load{Running: 1, Tokens: 3000, Unread: 3000}}
-	if _, ok := first.ask(target, []loadshare.Count{own}); !ok {
+	firstLoads.Reserve(target.ID, call.Prompt{Tokens: 3000})
+	own := targetload.HostLoad{Host: addresses[1], Target: target.ID, Version: 7, Load: targetload.Load{Running: 1, ReservedTokens: 3000, UnreadTokens: 3000}}
+	if _, ok := first.ask(target, []targetload.HostLoad{own}); !ok {
 		t.Fatal("the owner did not answer the first host")
 	}
-	counts, ok := second.ask(target, []loadshare.Count{{Host: addresses[2], Target: target.ID, Version: 1, Load: loadshare.Load{Running: 1}}})
+	counts, ok := second.ask(target, []targetload.HostLoad{{Host: addresses[2], Target: target.ID, Version: 1, Load: targetload.Load{Running: 1}}})
 	if !ok {
 		t.Fatal("the owner did not answer the second host")
 	}
 	for _, c := range counts {
-		if c.Host == addresses[1] && c.Running == 1 && c.Unread == 3000 {
+		if c.Host == addresses[1] && c.Running == 1 && c.UnreadTokens == 3000 {
 			return
 		}
 	}
@@ -159,8 +159,8 @@
 // Guards against an advertised rate that grows younger on its way and overrules a
 // newer one.
 func TestRatesKeepTheirAgeBetweenHosts(t *testing.T) {
-	told := toWire([]loadshare.Count{{Target: "i-1", Rate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
-	heard := fromWire(told, time.Minute)[0].Rate
+	told := toWire([]targetload.HostLoad{{Target: "i-1", AdvertisedRate: &targetrate.Advertisement{Limited: true, PerSecond: 3.4, At: 5 * time.Second}}}, 7*time.Second)
+	heard := fromWire(told, time.Minute)[0].AdvertisedRate
 	if heard == nil || !heard.Limited || heard.PerSecond != 3.4 || heard.At != time.Minute-2*time.Second {
 		t.Fatalf("heard %+v, want a rate of 3.4 from two seconds before", heard)
 	}
--- a/internal/gatewayhost/roles.go
+++ b/internal/gatewayhost/roles.go
@@ -35,10 +35,10 @@
 	storeRejects func() bool
 
 	mu      sync.Mutex
-	readers *readers.Readers
+	readers *readers.Selector
 	// relays are those whose news are new enough, stale those that have the role
 	// and nothing new: all of them while the store is away.
-	relays, stale *readers.Readers
+	relays, stale *readers.Selector
 	turn          int
 	// relayed is whether this host was a relay when it was last looked.
 	relayed bool
@@ -60,14 +60,14 @@
 }
 
 func newRoles(s *Settings, members *gossip.Board, now Clock, log *slog.Logger) *roles {
-	relays, stale := readers.Default(), readers.Default()
-	relays.Want, stale.Want = 1, staleRelays
+	relays, stale := readers.DefaultConfig(), readers.DefaultConfig()
+	relays.ReaderCount, stale.ReaderCount = 1, staleRelays
 	d := s.Deployment
 	seed := len(d.Seeds) == 0 || slices.Contains(d.Seeds, d.ListenPeers)
 	return &roles{
 		patient: d.FirstStart && !seed,
 		self:    d.ListenPeers, dataCentre: s.DataCentre, members: members, now: now, log: log,
-		readers: readers.New(readers.Default()), relays: readers.New(relays), stale: readers.New(stale),
+		readers: readers.New(readers.DefaultConfig()), relays: readers.New(relays), stale: readers.New(stale),
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 func (r *roles) rank(view *membership.View) ranks {
-	all := membership.Rank(rankKey, view.Live(""))
+	all := membership.Rank(rankKey, view.LiveAddresses(""))
 	if len(all) <= smallFleet {
 		return ranks{known: true, nearby: all, heads: all, small: true}
 	}
@@ -131,7 +131,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readers.Read(r.now(), r.self, ranked.heads, r.fresh())
+	return r.readers.ShouldRead(r.now(), r.self, ranked.heads, r.fresh())
 }
 
 // relaysBy tells whether this host asks readers for its data centre.
@@ -144,21 +144,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fresh := known && age < staleAfter
-	relays := r.relays.Read(r.now(), r.self, ranked.nearby, fresh)
-	if storeRejects && len(r.relays.Known(r.now(), r.self, ranked.nearby)) > 0 {
+	relays := r.relays.ShouldRead(r.now(), r.self, ranked.nearby, fresh)
+	if storeRejects && len(r.relays.KnownReaders(r.now(), r.self, ranked.nearby)) > 0 {
 		// Another host of the data centre gets news where this one gets none.
 		relays = false
 	}
-	if relays && !r.stale.Among(r.self, ranked.nearby) {
+	if relays && !r.stale.IsPreferred(r.self, ranked.nearby) {
 		// Without news from any of them more than a few would change nothing.
-		relays = len(r.stale.Known(r.now(), r.self, ranked.nearby)) == 0
+		relays = len(r.stale.KnownReaders(r.now(), r.self, ranked.nearby)) == 0
 	}
 	if relays != r.relayed {
 		r.relayed = relays
 		r.log.Info("role of relay changed", "relaying", relays,
 			"rank", slices.Index(ranked.nearby, r.self), "hosts", len(ranked.nearby),
-			"relays", r.relays.Known(r.now(), r.self, ranked.nearby),
-			"readers", r.readers.Known(r.now(), r.self, ranked.heads), "age", age, "known", known)
+			"relays", r.relays.KnownReaders(r.now(), r.self, ranked.nearby),
+			"readers", r.readers.KnownReaders(r.now(), r.self, ranked.heads), "age", age, "known", known)
 	}
 	return relays
 }
@@ -191,14 +191,14 @@
 func (r *roles) heard(host string, reading, relaying, storeRejects bool, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readers.Heard(r.now(), host, reading)
-	r.relays.Heard(r.now(), host, reading || relaying && !storeRejects && age >= 0 && age < relayLostAfter)
-	r.stale.Heard(r.now(), host, reading || relaying)
+	r.readers.RecordReport(r.now(), host, reading)
+	r.relays.RecordReport(r.now(), host, reading || relaying && !storeRejects && age >= 0 && age < relayLostAfter)
+	r.stale.RecordReport(r.now(), host, reading || relaying)
 }
 
 // sources gives what this host's news come from: the hosts in question, and what
 // is known of their roles.
-func (r *roles) sources() ([]string, *readers.Readers) {
+func (r *roles) sources() ([]string, *readers.Selector) {
 	ranked := r.ranked()
 	if r.relaysBy(ranked) {
 		return ranked.heads, r.readers
@@ -217,7 +217,7 @@
 	defer r.mu.Unlock()
 	r.turn++
 	turn := r.turn
-	if !ranked.small && role == r.readers && !r.relays.Among(r.self, ranked.nearby) {
+	if !ranked.small && role == r.readers && !r.relays.IsPreferred(r.self, ranked.nearby) {
 		// Others should be this data centre's relay by their rank. They may be by
 		// now, and a host that asks the heads alone would never hear of it.
 		turn /= 2
@@ -225,11 +225,11 @@
 			return inTurn(r.best(ranked.nearby), turn)
 		}
 	}
-	known := role.Known(r.now(), r.self, hosts)
-	if len(known) < role.Wanted() {
+	known := role.KnownReaders(r.now(), r.self, hosts)
+	if len(known) < role.ReaderCount() {
 		return inTurn(r.best(hosts), turn)
 	}
-	return inTurn(known[:role.Wanted()], turn)
+	return inTurn(known[:role.ReaderCount()], turn)
 }
 
 func inTurn(hosts []string, turn int) (string, bool) {
@@ -259,7 +259,7 @@
 	ranked := r.ranked()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.readers.Among(r.self, ranked.heads) || !ranked.small && !r.relays.Among(r.self, ranked.nearby)
+	return !r.readers.IsPreferred(r.self, ranked.heads) || !ranked.small && !r.relays.IsPreferred(r.self, ranked.nearby)
 }
 
 // cutOff tells whether no other host is known from which news would come.
@@ -267,7 +267,7 @@
 	hosts, role := r.sources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(role.Known(r.now(), r.self, hosts)) == 0
+	return len(role.KnownReaders(r.now(), r.self, hosts)) == 0
 }
 
 // others gives the hosts that are told at once what this one read: the heads of
--- a/internal/gatewayhost/roles_test.go
+++ b/internal/gatewayhost/roles_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
 )
 
@@ -56,7 +56,7 @@
 		s.Deployment.ListenPeers, s.DataCentre = h.address, h.dataCentre
 		h.roles = newRoles(s, board, func() time.Duration { return f.now }, slog.New(slog.DiscardHandler))
 		h.age = func() (time.Duration, bool) { return f.now - h.current, h.current >= 0 }
-		h.storeRejects = func() bool { return f.now-h.failedAt < published.RejectedFor }
+		h.storeRejects = func() bool { return f.now-h.failedAt < recordsync.RejectionTTL }
 		f.hosts = append(f.hosts, h)
 	}
 	version := uint64(0)
--- a/internal/gatewayhost/settings.go
+++ b/internal/gatewayhost/settings.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/settings"
 )
 
@@ -48,7 +48,7 @@
 	// and store.
 	Dialect call.Dialect
 	Engines call.Engines
-	Source  published.Source
+	Source  recordsync.Source
 }
 
 // RetryBound allows, in any window of some seconds, a share of a service's
--- a/internal/gatewayhost/size.go
+++ b/internal/gatewayhost/size.go
@@ -29,7 +29,7 @@
 
 	mu sync.Mutex
 	// owned are the owners that were worked out in the view of a version.
-	owned   map[gateway.Owned][]string
+	owned   map[gateway.TargetRef][]string
 	version uint64
 }
 
@@ -79,7 +79,7 @@
 // are hosts of the target's data centre while it has any: a cut between two
 // data centres then parts a host from an owner only where it parts it from the
 // target as well.
-func (f *fleetSize) owners(target gateway.Owned) []string {
+func (f *fleetSize) owners(target gateway.TargetRef) []string {
 	view := f.members.Members.Get()
 	if view == nil {
 		return nil
@@ -87,7 +87,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.owned == nil || f.version != view.Version || len(f.owned) >= mostOwned {
-		f.owned, f.version = map[gateway.Owned][]string{}, view.Version
+		f.owned, f.version = map[gateway.TargetRef][]string{}, view.Version
 	}
 	owners, known := f.owned[target]
 	if !known {
@@ -97,10 +97,10 @@
 	return owners
 }
 
-func rankOwners(view *membership.View, target gateway.Owned) []string {
-	live := view.Live(target.DataCentre)
+func rankOwners(view *membership.View, target gateway.TargetRef) []string {
+	live := view.LiveAddresses(target.DataCentre)
 	if len(live) == 0 {
-		live = view.Live("")
+		live = view.LiveAddresses("")
 	}
 	ranked := membership.Rank(target.ID, live)
 	return ranked[:min(len(ranked), copiesOfCounts)]
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -28,7 +28,7 @@
 	start time.Time
 
 	mu      sync.Mutex
-	stop    *drain.Stop
+	stop    *drain.Shutdown
 	running int
 }
 
@@ -36,14 +36,14 @@
 // served. notice is how long a stop stays open after it was announced, wait
 // how long it waits for requests in progress, 0 for as long as they last.
 func New(ready func() error, notice, wait time.Duration) *Lifecycle {
-	return NewWithStop(ready, drain.StopConfig{
-		AnnounceFor: notice, QuietFor: notice, AnnounceLimit: 3 * notice, LingerFor: notice, FinishLimit: wait,
+	return NewWithStop(ready, drain.ShutdownConfig{
+		MinAnnounce: notice, QuietPeriod: notice, MaxAnnounce: 3 * notice, LingerDuration: notice, DrainTimeout: wait,
 	})
 }
 
 // NewWithStop is New with the figures of the stop given one by one.
-func NewWithStop(ready func() error, stop drain.StopConfig) *Lifecycle {
-	return &Lifecycle{ready: ready, start: time.Now(), stop: drain.NewStop(stop)}
+func NewWithStop(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
+	return &Lifecycle{ready: ready, start: time.Now(), stop: drain.NewShutdown(stop)}
 }
 
 func (l *Lifecycle) now() time.Duration { return time.Since(l.start) }
@@ -53,8 +53,8 @@
 func (l *Lifecycle) Begin() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stop.Arrived(l.now())
-	if !l.stop.TakesNew() {
+	l.stop.NoteArrival(l.now())
+	if !l.stop.AcceptsNew() {
 		return nil, failure.New(failure.KindStopping, "the process is stopping").After(retryStopping)
 	}
 	l.running++
@@ -112,7 +112,7 @@
 func (l *Lifecycle) cut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stop.Cut()
+	return l.stop.CutWork()
 }
 
 // Healthz answers that the process lives.
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -9,7 +9,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
@@ -33,20 +33,20 @@
 
 // bench is one pool served over gRPC on loopback.
 type bench struct {
-	runner *pool.Runner
+	runner *poolrunner.Runner
 	wire   wire
 	client *admit.Client
 	close  func()
 }
 
 // Runner implements sessions.Pools.
-func (b *bench) Runner(string) (*pool.Runner, uint64, bool) { return b.runner, 1, true }
+func (b *bench) Runner(string) (*poolrunner.Runner, uint64, bool) { return b.runner, 1, true }
 
 // newBench serves a pool of four targets.
 func newBench(ctx context.Context) (*bench, error) {
 	b := &bench{}
 	server := sessions.New(b)
-	b.runner = pool.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: bearsAll}, server.Deliver)
+	b.runner = poolrunner.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: bearsAll}, server.Deliver)
 	l, err := b.wire.listen()
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindInternal, "no free port")
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		b.runner.Confirm(time.Now())
 		for _, t := range targets {
-			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Bears: bearsAll})
+			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Capacity: bearsAll})
 		}
 		time.Sleep(reportEvery)
 	}
@@ -93,7 +93,7 @@
 		return err
 	}
 	time.Sleep(run)
-	lease.Produced(230)
+	lease.SetProduced(230)
 	lease.Settle(filbertv1.Outcome_OUTCOME_DONE, 300*time.Millisecond, run)
 	return nil
 }
--- a/internal/slopes/plan.go
+++ b/internal/slopes/plan.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/table"
 )
 
@@ -24,9 +24,9 @@
 		t = withTargets(t, targetList(size.targets))
 		hosts := hostList(size.hosts)
 		before := ownHeap()
-		plans := pools.Plans(t, hosts)
+		plans := poolmanager.ComputePlans(t, hosts)
 		held := ownHeap() - before
-		cpu := cpuOf(planRounds, func() { pools.Plans(t, hosts) })
+		cpu := cpuOf(planRounds, func() { poolmanager.ComputePlans(t, hosts) })
 		section := poolsSection(plans)
 		text, _ := proto.Marshal(section)
 		encode := cpuOf(planRounds, func() { _, _ = proto.Marshal(poolsSection(plans)) })
@@ -38,7 +38,7 @@
 }
 
 // poolsSection has the fields that a control process sends to its entry.
-func poolsSection(plans []pools.Plan) *filbertv1.PoolsSection {
+func poolsSection(plans []poolmanager.Plan) *filbertv1.PoolsSection {
 	section := &filbertv1.PoolsSection{}
 	for _, p := range plans {
 		section.Pools = append(section.Pools, &filbertv1.Pool{
--- a/internal/slopes/table.go
+++ b/internal/slopes/table.go
@@ -25,7 +25,7 @@
 		parse := cpuOf(tableRounds, func() { _, _ = table.Parse(1, pages) })
 		changed := changedRow(accounts)
 		apply := cpuOf(tableRounds, func() { _, _ = t.Apply(0, 2, changed) })
-		digest := cpuOf(tableRounds, func() { rollout.DigestOf(rowsOf(t)) })
+		digest := cpuOf(tableRounds, func() { rollout.ComputeDigest(rowsOf(t)) })
 		text, _ := proto.Marshal(section(t))
 		send := cpuOf(tableRounds, func() { _, _ = proto.Marshal(section(t)) })
 		take := cpuOf(tableRounds, func() { receive(text) })
--- a/test/faults/callers_test.go
+++ b/test/faults/callers_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/uuid"
 
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
 )
@@ -125,12 +125,12 @@
 	return id.String()
 }
 
-func (c *call) parsedKey() (once.Key, error) {
+func (c *call) parsedKey() (idempotency.Key, error) {
 	if !handle.IsMinted(c.key) {
-		return once.CallerKey(c.key)
+		return idempotency.CallerKey(c.key)
 	}
 	m, err := keyRing.OpenMinted(c.key, c.account)
-	return once.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), once.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.Age0), err
+	return idempotency.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.Age0), err
 }
 
 // sendNext sends the call to the next entry that the load balancer considers
--- a/test/faults/entry_test.go
+++ b/test/faults/entry_test.go
@@ -6,7 +6,7 @@
 
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/delivery"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
 )
@@ -29,7 +29,7 @@
 	})
 	h.sim.reachStep(att.call, stepAccepted, h.process, func() {
 		if att.call.kind.isBooking() {
-			h.handleBooking(att, once.Call{}, att.finish)
+			h.handleBooking(att, idempotency.Call{}, att.finish)
 		} else {
 			h.startGeneration(att)
 		}
@@ -51,7 +51,7 @@
 type generationRun struct {
 	host         *host
 	attempt      *attempt
-	delivery     delivery.Order
+	delivery     delivery.Sequencer
 	conn         *conn
 	lease        *lease
 	target       *engine
@@ -65,7 +65,7 @@
 func (h *host) startGeneration(att *attempt) {
 	mode := delivery.Stream
 	if att.call.kind == kindWhole {
-		mode = delivery.Whole
+		mode = delivery.Buffered
 	}
 	r := &generationRun{host: h, attempt: att, delivery: delivery.New(mode, h.newGenerationID(att))}
 	att.conn.onLost[1] = r.callerLeft
@@ -83,7 +83,7 @@
 		r.delivery = delivery.ResumeFinished(mode, resumePoint.Generation, resumePoint.Offset)
 	}
 	r.target, r.started = h.sim.targetByAddress(resumePoint.Target), true
-	if r.delivery.Conclude() {
+	if r.delivery.MarkComplete() {
 		r.complete()
 		return
 	}
@@ -164,7 +164,7 @@
 
 func (r *generationRun) reconnect() {
 	r.connect(func(c *conn) {
-		id, offset := r.delivery.Generation(), r.delivery.Next()
+		id, offset := r.delivery.Generation(), r.delivery.NextOffset()
 		c.send(1, func() {
 			r.target.resume(id, offset, c, func() {
 				if r.conn == c { // the target is up but does not know the generation
@@ -182,16 +182,16 @@
 	}
 	c.close(0)
 	r.conn = nil
-	if r.delivery.Conclude() {
+	if r.delivery.MarkComplete() {
 		r.complete()
 		return
 	}
 	if r.host.sim.mutation.restartAfterDelivery { // treat a lost connection as a failed request and run it again
 		r.host.settle(r.lease, admission.OutcomeTargetFailed)
-		r.retry(r.delivery.Lost(nil))
+		r.retry(r.delivery.LostError(nil))
 		return
 	}
-	if !r.delivery.Reopen() {
+	if !r.delivery.TryResume() {
 		r.generationLost(admission.OutcomeTargetCrashed)
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	r.host.settle(r.lease, outcome)
 	r.avoidTargets = append(r.avoidTargets, r.target.name)
-	r.retry(r.delivery.Lost(nil))
+	r.retry(r.delivery.LostError(nil))
 }
 
 // retry starts a new generation if that is allowed, and fails otherwise.
@@ -256,7 +256,7 @@
 	switch verdict {
 	case delivery.Pass:
 		r.deliverToken(f, text)
-	case delivery.Gap, delivery.Crossed:
+	case delivery.Gap, delivery.Mismatched:
 		r.targetLost(c)
 	case delivery.Complete:
 		c.close(0)
@@ -265,7 +265,7 @@
 }
 
 func (r *generationRun) complete() {
-	r.delivery.Release()
+	r.delivery.MarkReleased()
 	r.host.settle(r.lease, admission.OutcomeDone)
 	if len(r.buffered) > 0 {
 		tokens := r.buffered
@@ -276,7 +276,7 @@
 
 func (r *generationRun) deliverToken(f delivery.Frame, text string) {
 	if r.lease != nil {
-		r.lease.produced = int(r.delivery.Next())
+		r.lease.produced = int(r.delivery.NextOffset())
 	}
 	t := token{f.Generation, f.Offset, text}
 	if r.attempt.call.kind == kindWhole {
@@ -284,7 +284,7 @@
 	} else {
 		id := string(keyRing.SealTo(nil, handle.Handle{
 			Account: r.attempt.call.account, Service: "reports", Target: r.target.name, Generation: r.delivery.Generation(),
-			Offset: r.delivery.Next(), Finished: r.delivery.Finished(), Expires: simulationEpoch.Add(r.host.sim.now + time.Minute),
+			Offset: r.delivery.NextOffset(), Finished: r.delivery.Finished(), Expires: simulationEpoch.Add(r.host.sim.now + time.Minute),
 		}))
 		r.attempt.conn.send(0, func() { r.attempt.call.receiveTokens(r.attempt, id, t) })
 	}
@@ -303,7 +303,7 @@
 	r.host.inProgress--
 	r.conn.close(0)
 	r.host.settle(r.lease, admission.OutcomeCallerLeft)
-	if r.started && r.delivery.Reached() == 0 {
+	if r.started && r.delivery.DeliveredTokens() == 0 {
 		target, id := r.target, r.delivery.Generation()
 		r.host.sim.sendMessage(r.host.process, target.process, func() { target.cancel(id) }, nil)
 	}
@@ -311,23 +311,23 @@
 
 // handleBooking executes a run-once call, replays its stored answer or forwards
 // it to the owner of its key.
-func (h *host) handleBooking(att *attempt, call once.Call, onReply func(*failure.Error)) {
+func (h *host) handleBooking(att *attempt, call idempotency.Call, onReply func(*failure.Error)) {
 	key, err := att.call.parsedKey()
 	if err != nil {
 		onReply(failure.From(err))
 		return
 	}
-	call.Account, call.Key, call.Fingerprint, call.Wall = att.call.account, key, 1, simulationEpoch.Add(h.sim.now)
+	call.Account, call.Key, call.Fingerprint, call.WallTime = att.call.account, key, 1, simulationEpoch.Add(h.sim.now)
 	if h.sim.mutation.skipOwnership {
 		h.executeBooking(att, key, onReply)
 		return
 	}
 	switch d := h.register.Begin(h.sim.now, call); d.Action {
-	case once.Run:
+	case idempotency.Run:
 		h.executeBooking(att, key, onReply)
-	case once.Replay:
+	case idempotency.Replay:
 		onReply(nil)
-	case once.Forward:
+	case idempotency.Forward:
 		h.forwardBooking(att, d.Owner, onReply)
 	default:
 		onReply(d.Err)
@@ -336,7 +336,7 @@
 
 const forwardTimeout = 8 * time.Second
 
-func (h *host) forwardBooking(att *attempt, to once.Process, onReply func(*failure.Error)) {
+func (h *host) forwardBooking(att *attempt, to idempotency.Process, onReply func(*failure.Error)) {
 	owner := h.sim.hostByName(to.Address)
 	answered := false
 	answer := func(err *failure.Error) {
@@ -345,7 +345,9 @@
 			onReply(err)
 		}
 	}
-	onLost := func() { answer(once.OwnerUnreachable(failure.New(failure.KindOwnerLost, "the owner did not answer"))) }
+	onLost := func() {
+		answer(idempotency.OwnerUnreachable(failure.New(failure.KindOwnerLost, "the owner did not answer")))
+	}
 	c := h.sim.dial(h.process, owner.process, onLost)
 	if c == nil {
 		onLost()
@@ -353,18 +355,18 @@
 	}
 	revision := h.hosts.Revision
 	c.send(1, func() {
-		call := once.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
+		call := idempotency.Call{Forwarded: true, Incarnation: to.Incarnation, HostsRevision: revision}
 		owner.handleBooking(att, call, func(err *failure.Error) { c.send(0, func() { answer(err) }) })
 	})
 	h.sim.runAfter(h.process, forwardTimeout, onLost)
 }
 
-func (h *host) executeBooking(att *attempt, key once.Key, onReply func(*failure.Error)) {
+func (h *host) executeBooking(att *attempt, key idempotency.Key, onReply func(*failure.Error)) {
 	sim, account := h.sim, att.call.account
 	h.admit(att, "orders", nil, func(l *lease, d admission.Decision) {
 		notRun := func(err *failure.Error) {
 			h.settle(l, admission.OutcomeNotRun)
-			h.register.NotRun(account, key)
+			h.register.MarkNotRun(account, key)
 			onReply(err)
 		}
 		if l == nil {
@@ -382,7 +384,7 @@
 			}
 			finished = true
 			h.settle(l, admission.OutcomeTargetFailed)
-			h.register.Lost(account, key)
+			h.register.MarkLost(account, key)
 			err := failure.New(failure.KindOutcomeUnknown, "the target did not answer").Unknown()
 			if sim.mutation.alwaysReportNotRun {
 				err.Executed = failure.ExecutedNo
@@ -410,7 +412,7 @@
 				finished = true
 				c.close(0)
 				h.settle(l, admission.OutcomeDone)
-				h.register.Finish(account, key, &once.Answer{Status: 200})
+				h.register.MarkFinished(account, key, &idempotency.Answer{Status: 200})
 				sim.reachStep(att.call, stepLast, h.process, func() { onReply(nil) })
 			})
 		})
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/decide/admission"
-	"filbertdeck/internal/decide/once"
+	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
 	"filbertdeck/internal/table"
 )
@@ -23,10 +23,10 @@
 	*process
 	sim         *simulation
 	document    *rollout.Document
-	join        *rollout.Join
+	join        *rollout.Readiness
 	ready       bool
-	hosts       once.HostList
-	register    *once.Register
+	hosts       idempotency.HostList
+	register    *idempotency.Registry
 	allocators  map[string]*admission.Allocator
 	pendingAsks map[uint64]func(admission.Decision)
 	leases      map[admission.LeaseID]*lease
@@ -66,9 +66,9 @@
 	sim := h.sim
 	h.incarnation++
 	h.up, h.frozenUntil, h.stopping, h.ready, h.inProgress = true, 0, false, false, 0
-	h.document, h.join = rollout.NewDocument(), rollout.NewJoin(sim.now)
-	h.hosts = once.HostList{}
-	h.register = once.New(once.Config{Self: once.Process{Address: h.name, Incarnation: h.incarnation}})
+	h.document, h.join = rollout.NewDocument(), rollout.NewReadiness(sim.now)
+	h.hosts = idempotency.HostList{}
+	h.register = idempotency.New(idempotency.Config{Self: idempotency.Process{Address: h.name, Incarnation: h.incarnation}})
 	h.allocators, h.pendingAsks, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
 	h.heartbeatAt = map[*host]time.Duration{}
 	h.readConfiguration()
@@ -97,11 +97,11 @@
 
 func (h *host) applyState(state platformState, askedAt time.Duration) {
 	rows := []rollout.Row{{Key: "weight", Text: fmt.Sprintf("%03d", state.weight)}, {Key: "drain", Text: state.drainedCentre}, {Key: "leaving", Text: state.leavingTarget}}
-	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: state.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
+	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: state.revision}, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows}
 	h.applyDelta(delta)
-	h.join.Service()
-	h.hosts = once.HostList{Revision: state.hostsRevision, Live: state.hosts, Confirmed: askedAt}
-	h.register.SetHosts(h.sim.now, h.hosts)
+	h.join.RecordService()
+	h.hosts = idempotency.HostList{Revision: state.hostsRevision, LiveHosts: state.hosts, ConfirmedAt: askedAt}
+	h.register.ConfirmHosts(h.sim.now, h.hosts)
 	h.checkReady()
 	if !h.ready {
 		return // the table may be outdated, so this host must not admit requests yet
@@ -112,11 +112,11 @@
 			if !slices.Contains(p.Owners, h.name) {
 				continue
 			}
-			a = admission.New(admission.Config{LeaseFor: leaseDuration, Seed: h.incarnation<<32 | uint64(len(h.allocators)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
+			a = admission.New(admission.Config{LeaseDuration: leaseDuration, Seed: h.incarnation<<32 | uint64(len(h.allocators)+1)<<20 + uint64(len(h.name))<<16 | uint64(h.name[1])<<8})
 			h.allocators[p.ID] = a
 		}
 		a.SetOwnership(h.sim.now, state.hostsRevision, len(p.Owners) > 0 && p.Owners[0] == h.name)
-		a.Confirm(askedAt)
+		a.ConfirmOwnership(askedAt)
 		a.SetTargets(h.sim.now, p.TargetStates)
 	}
 }
@@ -132,7 +132,7 @@
 	if h.sim.mutation.acceptAnyRevision { // accept any revision that arrives, also an older one
 		h.document = rollout.NewDocument()
 	}
-	if verdict, changed := h.document.Judge(delta); verdict == rollout.VerdictTake {
+	if verdict, changed := h.document.Evaluate(delta); verdict == rollout.VerdictApply {
 		h.document.Commit(delta, changed)
 	}
 }
@@ -142,14 +142,14 @@
 	sim := h.sim
 	h.checkReady()
 	peer := sim.hosts[(slices.Index(sim.hosts, h)+1+int(sim.now/(300*time.Millisecond))%(len(sim.hosts)-1))%len(sim.hosts)]
-	rows := h.document.All()
+	rows := h.document.FullDelta()
 	h.gossipCrashes(peer)
 	sim.sendMessage(h.process, peer.process, func() {
 		peer.applyDelta(rows)
-		peerRows := peer.document.All()
+		peerRows := peer.document.FullDelta()
 		sim.sendMessage(peer.process, h.process, func() {
 			h.applyDelta(peerRows)
-			h.join.Peer(peer.name)
+			h.join.RecordPeer(peer.name)
 			h.checkReady()
 		}, nil)
 	}, nil)
@@ -162,7 +162,7 @@
 		evidence := slices.Clone(h.allocators[id].PoisonEvidence(h.sim.now, 20))
 		h.sim.sendMessage(h.process, peer.process, func() {
 			for _, other := range sorted(peer.allocators) {
-				peer.allocators[other].MergePoison(h.sim.now, evidence)
+				peer.allocators[other].MergePoisonEvidence(h.sim.now, evidence)
 			}
 		}, nil)
 	}
@@ -181,7 +181,7 @@
 }
 
 // poolPlans computes the pools from this host's view of the configuration.
-func (h *host) poolPlans() []pools.Plan {
+func (h *host) poolPlans() []poolmanager.Plan {
 	sim := h.sim
 	reports, orders := &table.Service{Name: "reports", Type: table.ServiceGeneration}, &table.Service{Name: "orders", Type: table.ServiceOnce}
 	leaving := h.rowText("leaving")
@@ -194,13 +194,13 @@
 		t.Drained[h.rowText("drain")] = true
 	}
 	var live []configservice.Host
-	for _, name := range h.hosts.Live {
+	for _, name := range h.hosts.LiveHosts {
 		if i := slices.IndexFunc(sim.hosts, func(other *host) bool { return other.name == name }); i >= 0 {
 			live = append(live, configservice.Host{DataCentre: sim.hosts[i].dataCentre, Control: name, State: configservice.StateLive})
 		}
 	}
-	plans := pools.Plans(t, live)
-	slices.SortFunc(plans, func(a, b pools.Plan) int { return strings.Compare(a.ID, b.ID) })
+	plans := poolmanager.ComputePlans(t, live)
+	slices.SortFunc(plans, func(a, b poolmanager.Plan) int { return strings.Compare(a.ID, b.ID) })
 	return plans
 }
 
@@ -278,7 +278,7 @@
 func (h *host) renewLeases() {
 	for _, id := range sorted(h.leases) {
 		l, askedAt := h.leases[id], h.sim.now
-		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, Produced: l.produced}}
+		renewal := []admission.Renewal{{Lease: l.id, Target: l.target.name, Account: l.account, ProducedTokens: l.produced}}
 		h.sim.sendMessage(h.process, l.owner.process, func() {
 			a := l.owner.allocators[l.pool]
 			if a == nil {
@@ -299,7 +299,7 @@
 		return
 	}
 	delete(h.leases, heldLease.id)
-	s := admission.Settlement{Lease: heldLease.id, Outcome: outcome, Produced: heldLease.produced, Duration: h.sim.now - heldLease.askedAt}
+	s := admission.Settlement{Lease: heldLease.id, Outcome: outcome, ProducedTokens: heldLease.produced, Duration: h.sim.now - heldLease.askedAt}
 	h.sim.sendMessage(h.process, heldLease.owner.process, func() {
 		if a := heldLease.owner.allocators[heldLease.pool]; a != nil {
 			a.Settle(h.sim.now, s)
@@ -404,7 +404,7 @@
 		return
 	}
 	sim.lastID++
-	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(sim.lastID << 20), Target: leastLoaded.name, LeaseFor: leaseDuration}
+	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(sim.lastID << 20), Target: leastLoaded.name, LeaseDuration: leaseDuration}
 	holder := sim.hostByName(ask.Holder.Entry)
 	sim.sendMessage(owner.process, holder.process, func() {
 		if onDecision := holder.pendingAsks[d.Request]; onDecision != nil {
--- a/test/faults/targets_test.go
+++ b/test/faults/targets_test.go
@@ -63,7 +63,7 @@
 
 func (e *engine) report() admission.Report {
 	r := admission.Report{
-		Target: e.name, Incarnation: e.incarnation, Running: len(e.running), Bears: e.capacity(), Stopping: e.stopping,
+		Target: e.name, Incarnation: e.incarnation, Running: len(e.running), Capacity: e.capacity(), Stopping: e.stopping,
 	}
 	if e != e.sim.app {
 		r.MemoryTokens, r.UsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenInterval
