--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -59,8 +59,8 @@
 func hostPort(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
 func (env *environment) serveTarget(rw http.ResponseWriter, r *http.Request) {
-	rw.Header().Set(standin.RequestID, r.Header.Get(standin.RequestID))
-	rw.Header().Set(standin.Seal, "s-1")
+	rw.Header().Set(standin.HeaderRequestID, r.Header.Get(standin.HeaderRequestID))
+	rw.Header().Set(standin.HeaderSeal, "s-1")
 	if strings.HasSuffix(r.URL.Path, "/held") {
 		env.heldCalls <- struct{}{}
 		<-env.release
@@ -93,8 +93,8 @@
 	}
 	dir := GinkgoT().TempDir()
 	settings := filepath.Join(dir, "boot.conf")
-	content := standin.Settings(standin.Place{
-		Host: h.clientAddress, IP: "127.0.0.1", Callers: h.clientAddress, Ready: h.readyAddress, Peers: h.peerAddress, Store: store,
+	content := standin.SettingsFile(standin.ProcessSettings{
+		Host: h.clientAddress, IP: "127.0.0.1", ListenCallers: h.clientAddress, ListenReady: h.readyAddress, ListenPeers: h.peerAddress, StoreAddress: store,
 		Seeds: append([]string{h.peerAddress}, peers...),
 	})
 	Expect(os.WriteFile(settings, []byte(content), 0o600)).To(Succeed())
@@ -102,7 +102,7 @@
 	logFile, err := os.Create(h.logPath)
 	Expect(err).NotTo(HaveOccurred())
 	h.cmd = exec.Command(filepath.Join(binDir, "filbert-gateway"), "--metrics-listen", h.metricsAddress, "--log-format", "json")
-	h.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+settings)
+	h.cmd.Env = append(os.Environ(), platform.SettingsPathVariable+"="+settings)
 	h.cmd.Stdout, h.cmd.Stderr = logFile, logFile
 	Expect(h.cmd.Start()).To(Succeed())
 	go func() { h.exited <- h.cmd.Wait(); close(h.exited) }()
@@ -146,8 +146,8 @@
 	Expect(err).NotTo(HaveOccurred())
 	req.Host, req.Close = "a.example", true
 	req.Header.Set("Authorization", "Bearer "+key)
-	req.Header.Set(standin.RequestID, "r-1")
-	req.Header.Set(standin.Deadline, "20000")
+	req.Header.Set(standin.HeaderRequestID, "r-1")
+	req.Header.Set(standin.HeaderDeadline, "20000")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0
@@ -181,7 +181,7 @@
 		Eventually(h.isReady, stepTimeout).Should(BeTrue())
 		env.store.SetMode(standin.Resetting)
 		env.publishKeys(4, "key-2")
-		env.store.Forget()
+		env.store.DiscardHistory()
 		env.store.SetMode(standin.Serving)
 		Eventually(func() int { return h.post("/b/x", "key-2") }, stepTimeout).Should(Equal(http.StatusOK))
 	})
@@ -241,7 +241,7 @@
 	// must answer 503 and not treat all routes and keys as unknown.
 	It("is not ready and rejects no route or key while it has no configuration", func() {
 		store := standin.New()
-		store.SetMode(standin.Silent)
+		store.SetMode(standin.Unresponsive)
 		DeferCleanup(store.Close)
 		h := startHost(serveStore(store))
 		Eventually(func() int { return h.post("/b/x", "key-1") }, stepTimeout).Should(Equal(http.StatusServiceUnavailable))
