--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -63,9 +63,9 @@
 	Retries uint64 `json:"retries"`
 	Hedges  uint64 `json:"hedges"`
 	Replays uint64 `json:"replays"`
-	// OutOfPlace counts frames from targets that were not forwarded because
+	// MisplacedFrames counts frames from targets that were not forwarded because
 	// they belong to another generation or another position in it.
-	OutOfPlace uint64 `json:"out_of_place"`
+	MisplacedFrames uint64 `json:"out_of_place"`
 
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"output_tokens"`
@@ -75,9 +75,9 @@
 	FirstToken Ratio `json:"first_token"`
 	TokenGap   Ratio `json:"token_gap"`
 	// NoStall counts the token gaps that were not a stall.
-	NoStall Ratio `json:"no_stall"`
-	Whole   Ratio `json:"whole"`
-	Lookup  Ratio `json:"lookup"`
+	NoStall  Ratio `json:"no_stall"`
+	Complete Ratio `json:"whole"`
+	Lookup   Ratio `json:"lookup"`
 
 	RefusedBy map[failure.Kind]uint64 `json:"refused_by,omitempty"`
 }
@@ -104,15 +104,15 @@
 	r.changed = true
 }
 
-// Book holds the rows of one process.
-type Book struct {
+// Recorder holds the rows of one process.
+type Recorder struct {
 	rows sync.Map // rowKey → *row
 }
 
 // New returns a Book without rows.
-func New() *Book { return &Book{} }
+func New() *Recorder { return &Recorder{} }
 
-func (b *Book) row(account, service string) *row {
+func (b *Recorder) row(account, service string) *row {
 	key := rowKey{account, service}
 	if r, ok := b.rows.Load(key); ok {
 		return r.(*row)
@@ -122,25 +122,25 @@
 }
 
 // Begin counts a request as received and in progress.
-func (b *Book) Begin(account, service string) *Entry {
+func (b *Recorder) Begin(account, service string) *RequestRecorder {
 	r := b.row(account, service)
 	r.update(func(c *Counts) {
 		c.Received++
 		c.InProgress++
 	})
-	return &Entry{row: r}
+	return &RequestRecorder{row: r}
 }
 
-// Entry records one request. End may be called on several paths; only the first
+// RequestRecorder records one request. End may be called on several paths; only the first
 // call counts.
-type Entry struct {
+type RequestRecorder struct {
 	row   *row
 	ended atomic.Bool
 }
 
-// End records the outcome of the request from the error it ended with, nil for
+// RecordOutcome records the outcome of the request from the error it ended with, nil for
 // success.
-func (e *Entry) End(err error) {
+func (e *RequestRecorder) RecordOutcome(err error) {
 	if !e.ended.CompareAndSwap(false, true) {
 		return
 	}
@@ -171,15 +171,15 @@
 }
 
 // Update modifies the other counters of the row under its lock.
-func (e *Entry) Update(change func(*Counts)) { e.row.update(change) }
+func (e *RequestRecorder) Update(change func(*Counts)) { e.row.update(change) }
 
-// FirstToken records the time to the first token.
-func (e *Entry) FirstToken(d time.Duration) {
+// RecordFirstToken records the time to the first token.
+func (e *RequestRecorder) RecordFirstToken(d time.Duration) {
 	e.Update(func(c *Counts) { c.FirstToken.add(d <= FirstTokenObjective) })
 }
 
-// Tokens records n tokens that arrived after a gap since the previous ones.
-func (e *Entry) Tokens(n int, gap time.Duration) {
+// RecordTokens records n tokens that arrived after a gap since the previous ones.
+func (e *RequestRecorder) RecordTokens(n int, gap time.Duration) {
 	e.row.update(func(c *Counts) {
 		c.OutputTokens += uint64(n)
 		c.TokenGap.add(gap <= TokenGapObjective)
@@ -190,18 +190,18 @@
 	})
 }
 
-// Whole records whether the response of a generation arrived completely.
-func (e *Entry) Whole(good bool) {
-	e.Update(func(c *Counts) { c.Whole.add(good) })
+// RecordCompleteness records whether the response of a generation arrived completely.
+func (e *RequestRecorder) RecordCompleteness(good bool) {
+	e.Update(func(c *Counts) { c.Complete.add(good) })
 }
 
-// Lookup records the duration of an idempotent call.
-func (e *Entry) Lookup(d time.Duration) {
+// RecordLookup records the duration of an idempotent call.
+func (e *RequestRecorder) RecordLookup(d time.Duration) {
 	e.Update(func(c *Counts) { c.Lookup.add(d <= LookupObjective) })
 }
 
-// Line is one row of a snapshot.
-type Line struct {
+// Row is one row of a snapshot.
+type Row struct {
 	Account string `json:"account"`
 	Service string `json:"service"`
 	Counts
@@ -214,28 +214,28 @@
 	// Incarnation distinguishes restarts of the process on one host: the
 	// counters restart from 0.
 	Incarnation uint64 `json:"incarnation"`
-	Lines       []Line `json:"lines"`
+	Rows        []Row  `json:"lines"`
 	// Unbalanced counts the rows that violate the invariant; any value but 0
 	// indicates a bug in this program.
 	Unbalanced int `json:"unbalanced"`
 }
 
 // Rows copies all rows, sorted by account and service.
-func (b *Book) Rows() []Line {
+func (b *Recorder) Rows() []Row {
 	return b.copyRows(func(r *row) (Counts, bool) { return r.copyCounts(), true })
 }
 
 // ChangedRows copies the rows that changed since its last call, sorted by
 // account and service. It must have a single caller, the one that exports the
 // rows.
-func (b *Book) ChangedRows() []Line { return b.copyRows((*row).copyIfChanged) }
+func (b *Recorder) ChangedRows() []Row { return b.copyRows((*row).copyIfChanged) }
 
-func (b *Book) copyRows(copyRow func(*row) (Counts, bool)) []Line {
-	var lines []Line
+func (b *Recorder) copyRows(copyRow func(*row) (Counts, bool)) []Row {
+	var lines []Row
 	b.rows.Range(func(k, v any) bool {
 		key := k.(rowKey)
 		if counts, ok := copyRow(v.(*row)); ok {
-			lines = append(lines, Line{Account: key.account, Service: key.service, Counts: counts})
+			lines = append(lines, Row{Account: key.account, Service: key.service, Counts: counts})
 		}
 		return true
 	})
@@ -243,7 +243,7 @@
 	return lines
 }
 
-func sortLines(lines []Line) {
+func sortLines(lines []Row) {
 	sort.Slice(lines, func(i, j int) bool {
 		if lines[i].Account != lines[j].Account {
 			return lines[i].Account < lines[j].Account
@@ -253,19 +253,19 @@
 }
 
 // Snapshot copies all rows together with the identity of the process.
-func (b *Book) Snapshot(host, dataCentre string, incarnation uint64) Snapshot {
+func (b *Recorder) Snapshot(host, dataCentre string, incarnation uint64) Snapshot {
 	return snapshotOf(host, dataCentre, incarnation, b.Rows())
 }
 
 // ChangedSnapshot is like Snapshot but contains only the rows that changed
 // since its last call.
-func (b *Book) ChangedSnapshot(host, dataCentre string, incarnation uint64) Snapshot {
+func (b *Recorder) ChangedSnapshot(host, dataCentre string, incarnation uint64) Snapshot {
 	return snapshotOf(host, dataCentre, incarnation, b.ChangedRows())
 }
 
-func snapshotOf(host, dataCentre string, incarnation uint64, lines []Line) Snapshot {
-	s := Snapshot{Host: host, DataCentre: dataCentre, Incarnation: incarnation, Lines: lines}
-	for _, l := range s.Lines {
+func snapshotOf(host, dataCentre string, incarnation uint64, lines []Row) Snapshot {
+	s := Snapshot{Host: host, DataCentre: dataCentre, Incarnation: incarnation, Rows: lines}
+	for _, l := range s.Rows {
 		if !l.Balanced() {
 			s.Unbalanced++
 		}
@@ -274,7 +274,7 @@
 }
 
 // InProgress returns the number of requests in progress over all rows.
-func (b *Book) InProgress() (total uint64) {
+func (b *Recorder) InProgress() (total uint64) {
 	for _, l := range b.Rows() {
 		total += l.InProgress
 	}
--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -39,9 +39,9 @@
 				r := rand.New(rand.NewPCG(uint64(worker), 0))
 				for range 500 {
 					e := book.Begin("school", "reports")
-					e.Tokens(1, time.Duration(r.IntN(100))*time.Millisecond)
+					e.RecordTokens(1, time.Duration(r.IntN(100))*time.Millisecond)
 					for range 1 + r.IntN(2) {
-						e.End(outcomes[r.IntN(len(outcomes))])
+						e.RecordOutcome(outcomes[r.IntN(len(outcomes))])
 					}
 				}
 			})
@@ -59,22 +59,22 @@
 	// changed rows only, so a row lost in transit would stay wrong until its
 	// next change.
 	It("is reassembled exactly from changed rows", func() {
-		book, merged := accounting.New(), accounting.NewMerged()
+		book, merged := accounting.New(), accounting.NewSnapshotMerger()
 		r := rand.New(rand.NewPCG(5, 0))
 		for range 200 {
 			for range r.IntN(4) {
 				e := book.Begin(string(rune('a'+r.IntN(5))), "sites")
-				e.Lookup(time.Duration(r.IntN(500)) * time.Millisecond)
+				e.RecordLookup(time.Duration(r.IntN(500)) * time.Millisecond)
 				if r.IntN(3) > 0 {
-					e.End(outcomes[r.IntN(len(outcomes))])
+					e.RecordOutcome(outcomes[r.IntN(len(outcomes))])
 				}
 			}
 			var received accounting.Snapshot
 			text, err := json.Marshal(book.ChangedSnapshot("h", "d", 1))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(json.Unmarshal(text, &received)).To(Succeed())
-			merged.Take(received)
-			Expect(merged.Snapshot().Lines).To(ConsistOf(book.Rows()))
+			merged.Apply(received)
+			Expect(merged.Snapshot().Rows).To(ConsistOf(book.Rows()))
 		}
 		Expect(book.ChangedRows()).To(BeEmpty())
 	})
@@ -83,7 +83,7 @@
 // BenchmarkChanged measures the export of a few changed rows out of many.
 func BenchmarkChanged(b *testing.B) {
 	book := accounting.New()
-	entries := make([]*accounting.Entry, 11_000)
+	entries := make([]*accounting.RequestRecorder, 11_000)
 	for i := range entries {
 		entries[i] = book.Begin("account-"+strconv.Itoa(i), "reports")
 	}
@@ -91,7 +91,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 8 {
-			entries[i*1000].Tokens(1, time.Millisecond)
+			entries[i*1000].RecordTokens(1, time.Millisecond)
 		}
 		if text, err := json.Marshal(book.ChangedSnapshot("h", "d", 1)); err != nil || len(text) == 0 {
 			b.Fatal(err)
--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -86,7 +86,7 @@
 // host's entries.
 func (s *Source) AccountStatus(name string) (running, waiting int, tokens uint64) {
 	for _, snapshot := range s.State.Accounting() {
-		for _, line := range snapshot.Lines {
+		for _, line := range snapshot.Rows {
 			if line.Account == name {
 				running += int(line.InProgress)
 				tokens += line.PromptTokens + line.OutputTokens
@@ -122,7 +122,7 @@
 		doc.Entries = append(doc.Entries, adminapi.AccountingHost{
 			Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Reached: true,
 		})
-		for _, line := range snapshot.Lines {
+		for _, line := range snapshot.Rows {
 			row := accountingRow(snapshot, line)
 			doc.Rows = append(doc.Rows, row)
 			if !row.Balanced() {
@@ -133,13 +133,13 @@
 	return doc
 }
 
-func accountingRow(snapshot accounting.Snapshot, line accounting.Line) adminapi.AccountingRow {
+func accountingRow(snapshot accounting.Snapshot, line accounting.Row) adminapi.AccountingRow {
 	const microsPerMilli = 1000
 	return adminapi.AccountingRow{
 		Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Account: line.Account, Service: line.Service,
 		Received: line.Received, Refused: line.Refused, Ran: line.Ran, Unknown: line.Unknown, InProgress: line.InProgress,
 		Failed: line.Failed, WaitMS: line.WaitUS / microsPerMilli, StallMS: line.StallUS / microsPerMilli, Tokens: line.OutputTokens,
-		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, OutOfPlace: line.OutOfPlace,
-		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Whole: line.Whole, Lookup: line.Lookup,
+		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, OutOfPlace: line.MisplacedFrames,
+		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Whole: line.Complete, Lookup: line.Lookup,
 	}
 }
--- a/internal/demo/monitoring.go
+++ b/internal/demo/monitoring.go
@@ -12,7 +12,7 @@
 
 func (d *demo) printAccounting(context.Context) error {
 	d.printf("   %-16s %-10s %8s %8s %8s %8s %8s", "account", "service", "received", "refused", "ran", "unknown", "tokens")
-	totals := map[string]*accounting.Line{}
+	totals := map[string]*accounting.Row{}
 	var order []string
 	for _, h := range d.fleet.Hosts {
 		var s accounting.Snapshot
@@ -22,10 +22,10 @@
 		if s.Unbalanced != 0 {
 			return failure.New(failure.KindInternal, "the accounting of %s does not balance", h.Name)
 		}
-		for _, l := range s.Lines {
+		for _, l := range s.Rows {
 			key := l.Account + " " + l.Service
 			if totals[key] == nil {
-				totals[key] = &accounting.Line{Account: l.Account, Service: l.Service}
+				totals[key] = &accounting.Row{Account: l.Account, Service: l.Service}
 				order = append(order, key)
 			}
 			t := totals[key]
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -84,7 +84,7 @@
 	Stream, Chat bool
 	// Resume is set if the caller resumes a generation that is already running.
 	Resume     *handle.Handle
-	Accounting *accounting.Entry
+	Accounting *accounting.RequestRecorder
 	// ArrivedAt is when the request arrived.
 	ArrivedAt time.Time
 }
@@ -115,7 +115,7 @@
 	defer active.sink.close()
 	err := active.serve(ctx)
 	if req.Service.Type == table.ServiceGeneration {
-		req.Accounting.Whole(err == nil)
+		req.Accounting.RecordCompleteness(err == nil)
 	}
 	if err != nil {
 		active.sink.fail(err)
--- a/internal/entry/generation/stream.go
+++ b/internal/entry/generation/stream.go
@@ -116,7 +116,7 @@
 		return false, nil
 	case delivery.Pass:
 	default:
-		a.Accounting.Update(func(c *accounting.Counts) { c.OutOfPlace++ })
+		a.Accounting.Update(func(c *accounting.Counts) { c.MisplacedFrames++ })
 		return false, failure.New(failure.KindFrameOutOfPlace, "the target sent a frame out of order").Unknown()
 	}
 	progress()
@@ -142,8 +142,8 @@
 	now := time.Now()
 	a.lastProgressAt = now
 	if a.order.NextOffset() == uint64(tokens) {
-		a.Accounting.FirstToken(now.Sub(a.ArrivedAt))
+		a.Accounting.RecordFirstToken(now.Sub(a.ArrivedAt))
 	}
-	a.Accounting.Tokens(tokens, now.Sub(a.lastTokenAt))
+	a.Accounting.RecordTokens(tokens, now.Sub(a.lastTokenAt))
 	a.lastTokenAt = now
 }
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -133,7 +133,7 @@
 }
 
 func newAPI(
-	b *state.Board, usage *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
+	b *state.Board, usage *accounting.Recorder, life *lifecycle.Lifecycle, ring *handle.Ring,
 	generations *generation.Relay, idempotent *servicecall.IdempotentRelay, atMostOnce *servicecall.AtMostOnceRelay, s *Settings,
 ) *callerapi.API {
 	return &callerapi.API{
@@ -141,7 +141,7 @@
 	}
 }
 
-func newWatcher(b *state.Board, usage *accounting.Book, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
+func newWatcher(b *state.Board, usage *accounting.Recorder, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
 	controls := s.Control
 	if len(controls) == 0 {
 		controls = []string{defaultControlAddress}
@@ -190,7 +190,7 @@
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, usage *accounting.Book, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, usage *accounting.Recorder, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
--- a/internal/entry/servicecall/call.go
+++ b/internal/entry/servicecall/call.go
@@ -29,7 +29,7 @@
 	Path       string
 	Header     http.Header
 	Body       []byte
-	Accounting *accounting.Entry
+	Accounting *accounting.RequestRecorder
 	ArrivedAt  time.Time
 }
 
--- a/internal/entry/servicecall/idempotent.go
+++ b/internal/entry/servicecall/idempotent.go
@@ -50,7 +50,7 @@
 // caller.
 func (r *IdempotentRelay) Serve(ctx context.Context, w http.ResponseWriter, call Call) error {
 	answer, err := r.sendWithRetries(ctx, call)
-	call.Accounting.Lookup(time.Since(call.ArrivedAt))
+	call.Accounting.RecordLookup(time.Since(call.ArrivedAt))
 	if err != nil {
 		failure.Write(w, err)
 		return err
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -130,7 +130,7 @@
 		var s accounting.Snapshot
 		Expect(deployment.GetJSON("http://"+deployment.Hosts[0].EntryAdmin+"/accounting", &s)).To(Succeed())
 		Expect(s.Unbalanced).To(BeZero())
-		Expect(s.Lines).NotTo(BeEmpty())
+		Expect(s.Rows).NotTo(BeEmpty())
 	})
 })
 
