--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -73,7 +73,7 @@
 		Rollout: fixedSnapshot[configwatch.State]{&configwatch.State{Ready: true, Documents: []configwatch.DocumentState{{
 			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, InForceSince: time.Now(),
 			LatestRefusal: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
-		TargetFigures: fakeSource{}, AccountFigures: fakeSource{}, Accounting: fakeSource{},
+		TargetSource: fakeSource{}, AccountSource: fakeSource{}, AccountingSource: fakeSource{},
 	}
 }
 
@@ -131,7 +131,7 @@
 	It("responds with not ready rather than an empty document", func() {
 		cfg := newConfig()
 		cfg.Table, cfg.Hosts, cfg.Targets = fixedSnapshot[table.Table]{}, fixedSnapshot[configwatch.Hosts]{}, fixedSnapshot[configwatch.Targets]{}
-		cfg.Rollout, cfg.Accounting = fixedSnapshot[configwatch.State]{}, nil
+		cfg.Rollout, cfg.AccountingSource = fixedSnapshot[configwatch.State]{}, nil
 		for _, p := range []string{"hosts", "targets", "accounts", "rollout", "table", "accounting"} {
 			recorder := serveRequest(cfg, "GET", "/admin/v1/"+p, "op")
 			Expect(recorder.Code).To(Equal(http.StatusServiceUnavailable), p)
--- a/internal/adminapi/documents.go
+++ b/internal/adminapi/documents.go
@@ -42,8 +42,8 @@
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Published is live or leaving.
-	Published string `json:"published"`
+	// PublishedState is live or leaving.
+	PublishedState string `json:"published"`
 	// Drained reports whether operators have drained the data centre.
 	Drained bool `json:"drained"`
 	// The fields below come from the pool's allocator; Known is false if this
@@ -51,7 +51,7 @@
 	Known        bool   `json:"known"`
 	Running      int    `json:"running"`
 	Waiting      int    `json:"waiting"`
-	Bears        int    `json:"bears"`
+	Capacity     int    `json:"bears"`
 	MemoryTokens int    `json:"memory_tokens"`
 	UsedTokens   int    `json:"used_tokens"`
 	Preemptions  uint64 `json:"preemptions"`
@@ -100,10 +100,10 @@
 	Digest  string     `json:"digest"`
 	Rows    int        `json:"rows"`
 	Since   *time.Time `json:"since,omitempty"`
-	// Refused is a newer version that failed validation, RefusedReason the
+	// RefusedVersion is a newer version that failed validation, RefusedReason the
 	// cause.
-	Refused       string `json:"refused,omitempty"`
-	RefusedReason string `json:"refused_reason,omitempty"`
+	RefusedVersion string `json:"refused,omitempty"`
+	RefusedReason  string `json:"refused_reason,omitempty"`
 }
 
 // ServiceStatus is the last known state of the configuration service.
@@ -120,10 +120,10 @@
 	Self string `json:"self"`
 	// SinceMS is the time covered by the counters: since the start of the entry
 	// process.
-	SinceMS int64            `json:"since_ms"`
-	Rows    []AccountingRow  `json:"rows"`
-	Faults  []AccountingRow  `json:"unbalanced"`
-	Entries []AccountingHost `json:"entries"`
+	SinceMS    int64            `json:"since_ms"`
+	Rows       []AccountingRow  `json:"rows"`
+	Unbalanced []AccountingRow  `json:"unbalanced"`
+	Entries    []AccountingHost `json:"entries"`
 }
 
 // AccountingHost identifies an entry process whose counters the document
@@ -159,13 +159,13 @@
 	Retries     uint64 `json:"retries"`
 	Resumes     uint64 `json:"resumes"`
 	Replays     uint64 `json:"replays"`
-	// OutOfPlace counts frames from targets that were not forwarded.
-	OutOfPlace uint64 `json:"out_of_place"`
+	// MisplacedFrames counts frames from targets that were not forwarded.
+	MisplacedFrames uint64 `json:"out_of_place"`
 	// Service level objectives: events within the limit out of all events.
 	FirstToken accounting.Ratio `json:"first_token"`
 	TokenGap   accounting.Ratio `json:"token_gap"`
 	NoStall    accounting.Ratio `json:"no_stall"`
-	Whole      accounting.Ratio `json:"whole"`
+	Complete   accounting.Ratio `json:"whole"`
 	Lookup     accounting.Ratio `json:"lookup"`
 }
 
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -49,10 +49,10 @@
 	Rollout SnapshotSource[configwatch.State]
 	Members SnapshotSource[membership.View]
 
-	TargetFigures  TargetSource
-	AccountFigures AccountSource
-	Accounting     AccountingSource
-	Metrics        metrics.Registry
+	TargetSource     TargetSource
+	AccountSource    AccountSource
+	AccountingSource AccountingSource
+	Metrics          metrics.Registry
 }
 
 // handler serves the routes.
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -37,7 +37,7 @@
 func accountingRow(incarnation, tokens, good, total uint64) adminapi.AccountingRow {
 	return adminapi.AccountingRow{
 		Entry: "host-1", Incarnation: incarnation, Account: "big", Service: "reports", Received: total, Ran: total,
-		Tokens: tokens, FirstToken: accounting.Ratio{Good: good, Total: total}, Whole: accounting.Ratio{Good: total, Total: total},
+		Tokens: tokens, FirstToken: accounting.Ratio{Good: good, Total: total}, Complete: accounting.Ratio{Good: total, Total: total},
 	}
 }
 
@@ -118,8 +118,8 @@
 
 	It("reports a target above its limit and unbalanced rows", func() {
 		h := hostReading("1.1", accountingRow(1, 1, 1, 1))
-		h.Targets.Targets = []adminapi.TargetStatus{{Address: "127.0.0.1:9", Known: true, Bears: 2, Running: 3}}
-		h.Accounting.Faults = []adminapi.AccountingRow{{Received: 1}}
+		h.Targets.Targets = []adminapi.TargetStatus{{Address: "127.0.0.1:9", Known: true, Capacity: 2, Running: 3}}
+		h.Accounting.Unbalanced = []adminapi.AccountingRow{{Received: 1}}
 		r := burn.Build([]burn.Sample{sampleAt(0, h)}, nil)
 		Expect(findPromise(r, "just started").Verdict).To(Equal(burn.Broken))
 		Expect(r.UnbalancedRows).To(Equal(1))
--- a/internal/burn/promises.go
+++ b/internal/burn/promises.go
@@ -67,11 +67,11 @@
 }
 
 func (e evidence) wholeAnswersPromise() Promise {
-	ratio := e.total.Whole
+	ratio := e.total.Complete
 	return Promise{
 		"every token once, in order, from one generation", verdictFor(false, ratio.Total),
 		fmt.Sprintf("%d of %d generations ended whole, the others with a typed end; %d frames out of place were not passed on; %d streams resumed",
-			ratio.Good, ratio.Total, e.total.OutOfPlace, e.total.Resumes),
+			ratio.Good, ratio.Total, e.total.MisplacedFrames, e.total.Resumes),
 	}
 }
 
@@ -79,13 +79,13 @@
 	overLimit, reported := 0, uint64(0)
 	var details []string
 	for _, t := range e.uniqueTargets() {
-		if !t.Known || t.Bears == 0 {
+		if !t.Known || t.Capacity == 0 {
 			continue
 		}
 		reported++
-		if t.Running > t.Bears {
+		if t.Running > t.Capacity {
 			overLimit++
-			details = append(details, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Bears))
+			details = append(details, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Capacity))
 		}
 	}
 	text := fmt.Sprintf("%d targets reported what they bear; %d were above it", reported, overLimit)
@@ -139,7 +139,7 @@
 func (e evidence) matchingAnswersPromise() Promise {
 	return Promise{
 		"each caller gets the whole answer to its own request", verdictFor(false, e.total.Ran),
-		fmt.Sprintf("%d requests ran; %d crossed or misnumbered frames were caught", e.total.Ran, e.total.OutOfPlace),
+		fmt.Sprintf("%d requests ran; %d crossed or misnumbered frames were caught", e.total.Ran, e.total.MisplacedFrames),
 	}
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (e evidence) leavingTargetsPromise() Promise {
-	targets, running := e.countRunning(func(t adminapi.TargetStatus) bool { return t.Published == "leaving" })
+	targets, running := e.countRunning(func(t adminapi.TargetStatus) bool { return t.PublishedState == "leaving" })
 	return Promise{
 		"a leaving target receives no new work after a few seconds", verdictFor(false, uint64(targets)),
 		fmt.Sprintf("%d targets are leaving; %d requests still finish there", targets, running),
@@ -183,8 +183,8 @@
 			continue
 		}
 		versions[status.Version]++
-		if status.Refused != "" {
-			refused[status.Refused+": "+status.RefusedReason] = true
+		if status.RefusedVersion != "" {
+			refused[status.RefusedVersion+": "+status.RefusedReason] = true
 		}
 		if i < len(e.firstSample.Hosts) {
 			if firstStatus := tableStatus(e.firstSample.Hosts[i]); firstStatus != nil && olderVersion(status.Version, firstStatus.Version) {
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -92,7 +92,7 @@
 	n := 0
 	for _, h := range s.Hosts {
 		if h.Accounting != nil {
-			n += len(h.Accounting.Faults)
+			n += len(h.Accounting.Unbalanced)
 		}
 	}
 	return n
--- a/internal/burn/totals.go
+++ b/internal/burn/totals.go
@@ -81,11 +81,11 @@
 	a.Retries += b.Retries
 	a.Resumes += b.Resumes
 	a.Replays += b.Replays
-	a.OutOfPlace += b.OutOfPlace
+	a.MisplacedFrames += b.MisplacedFrames
 	a.FirstToken = addRatios(a.FirstToken, b.FirstToken)
 	a.TokenGap = addRatios(a.TokenGap, b.TokenGap)
 	a.NoStall = addRatios(a.NoStall, b.NoStall)
-	a.Whole = addRatios(a.Whole, b.Whole)
+	a.Complete = addRatios(a.Complete, b.Complete)
 	a.Lookup = addRatios(a.Lookup, b.Lookup)
 	return a
 }
--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -76,7 +76,7 @@
 
 func targetStatus(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
-		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Capacity,
+		Known: true, Running: t.Running, Waiting: waiting, Capacity: t.Report.Capacity,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
@@ -117,7 +117,7 @@
 
 // Accounting implements adminapi.AccountingSource.
 func (s *Source) Accounting() adminapi.AccountingDocument {
-	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Faults: []adminapi.AccountingRow{}}
+	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Unbalanced: []adminapi.AccountingRow{}}
 	for _, snapshot := range s.State.Accounting() {
 		doc.Entries = append(doc.Entries, adminapi.AccountingHost{
 			Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Reached: true,
@@ -126,7 +126,7 @@
 			row := accountingRow(snapshot, line)
 			doc.Rows = append(doc.Rows, row)
 			if !row.Balanced() {
-				doc.Faults = append(doc.Faults, row)
+				doc.Unbalanced = append(doc.Unbalanced, row)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 		Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Account: line.Account, Service: line.Service,
 		Received: line.Received, Refused: line.Refused, Ran: line.Ran, Unknown: line.Unknown, InProgress: line.InProgress,
 		Failed: line.Failed, WaitMS: line.WaitUS / microsPerMilli, StallMS: line.StallUS / microsPerMilli, Tokens: line.OutputTokens,
-		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, OutOfPlace: line.MisplacedFrames,
-		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Whole: line.Complete, Lookup: line.Lookup,
+		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, MisplacedFrames: line.MisplacedFrames,
+		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Complete: line.Complete, Lookup: line.Lookup,
 	}
 }
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -150,7 +150,7 @@
 	source := &admin.Source{Self: s.Listen, State: service, Pools: m}
 	return adminapi.New(adminapi.Config{
 		Self: s.Listen, Tokens: tokens, Table: &b.Table, Hosts: &b.Hosts, Targets: &b.Targets, Rollout: &b.Rollout,
-		Members: &gossipBoard.Members, TargetFigures: source, AccountFigures: source, Accounting: source, Metrics: reg,
+		Members: &gossipBoard.Members, TargetSource: source, AccountSource: source, AccountingSource: source, Metrics: reg,
 	}), nil
 }
 
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -65,7 +65,7 @@
 				fault = true
 			}
 			seenVersions[d.Document] = versionDigest
-			fault = fault || d.Refused != ""
+			fault = fault || d.RefusedVersion != ""
 			rows = append(rows, []any{a.Control, d.Document, d.Version, formatSince(d.Since), documentState(a.Value, d), d.RefusedReason})
 		}
 	}
@@ -87,8 +87,8 @@
 // documentState describes the state of one document on a host.
 func documentState(r *adminapi.RolloutDocument, d adminapi.DocumentStatus) string {
 	switch {
-	case d.Refused != "":
-		return "refused " + d.Refused
+	case d.RefusedVersion != "":
+		return "refused " + d.RefusedVersion
 	case r.Service.Reader && r.Service.Behind:
 		return "in force; service behind"
 	case !r.Ready:
@@ -136,8 +136,8 @@
 			// the queried hosts admits to are listed once, from the first
 			// control process.
 			if t.Known || i == 0 {
-				rows = append(rows, []any{t.Service, t.Address, t.DataCentre, t.Published, t.Drained, a.Control,
-					t.Known, t.Running, t.Waiting, t.Bears, fmt.Sprintf("%d/%d", t.UsedTokens, t.MemoryTokens), t.Preemptions})
+				rows = append(rows, []any{t.Service, t.Address, t.DataCentre, t.PublishedState, t.Drained, a.Control,
+					t.Known, t.Running, t.Waiting, t.Capacity, fmt.Sprintf("%d/%d", t.UsedTokens, t.MemoryTokens), t.Preemptions})
 			}
 		}
 	}
