--- a/internal/burn/html.go
+++ b/internal/burnreport/html.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	_ "embed" // embeds the page template
--- a/internal/burn/report.go
+++ b/internal/burnreport/report.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"time"
@@ -115,8 +115,8 @@
 	return 1 / lowest
 }
 
-// Breach reports whether a promise was broken or a row does not balance.
-func (r Report) Breach() bool {
+// HasBreach reports whether a promise was broken or a row does not balance.
+func (r Report) HasBreach() bool {
 	for _, p := range r.Promises {
 		if p.Verdict == Broken {
 			return true
--- a/internal/burn/sample.go
+++ b/internal/burnreport/sample.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"context"
@@ -31,10 +31,10 @@
 
 // Collector reads the administration APIs of the control processes.
 type Collector struct {
-	Controls []string
-	Key      string
-	Scheme   string
-	Client   *http.Client
+	ControlAddresses []string
+	AdminKey         string
+	Scheme           string
+	Client           *http.Client
 }
 
 // maxDocumentBytes limits the size of one response.
@@ -42,9 +42,9 @@
 
 // Collect reads all control processes in parallel.
 func (c *Collector) Collect(ctx context.Context) Sample {
-	s := Sample{Time: time.Now(), Hosts: make([]Host, len(c.Controls))}
+	s := Sample{Time: time.Now(), Hosts: make([]Host, len(c.ControlAddresses))}
 	var wg sync.WaitGroup
-	for i, address := range c.Controls {
+	for i, address := range c.ControlAddresses {
 		wg.Go(func() { s.Hosts[i] = c.fetchHost(ctx, address) })
 	}
 	wg.Wait()
@@ -78,7 +78,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindSettingInvalid, "address %q", address)
 	}
-	req.Header.Set("Authorization", "Bearer "+c.Key)
+	req.Header.Set("Authorization", "Bearer "+c.AdminKey)
 	resp, err := c.Client.Do(req)
 	if err != nil {
 		return failure.Wrap(err, failure.KindControlLost, "%s does not answer", address)
--- a/internal/demo/monitoring.go
+++ b/internal/demo/monitoring.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"filbertdeck/internal/accounting"
-	"filbertdeck/internal/burn"
+	"filbertdeck/internal/burnreport"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/fleet"
 )
@@ -50,15 +50,15 @@
 
 func (d *demo) printObjectives(ctx context.Context) error {
 	time.Sleep(counterReportDelay)
-	c := &burn.Collector{Key: fleet.MonitorKey, Scheme: "http", Client: d.village.http}
+	c := &burnreport.Collector{AdminKey: fleet.MonitorKey, Scheme: "http", Client: d.village.http}
 	for _, h := range d.fleet.Hosts {
-		c.Controls = append(c.Controls, h.ControlAdmin)
+		c.ControlAddresses = append(c.ControlAddresses, h.ControlAdmin)
 	}
-	r := burn.Build([]burn.Sample{c.Collect(ctx)}, nil)
+	r := burnreport.Build([]burnreport.Sample{c.Collect(ctx)}, nil)
 	for _, p := range r.Promises {
 		d.printf("   %-75s %s", p.Text, p.Verdict)
 	}
-	if !r.Complete() || r.Breach() {
+	if !r.Complete() || r.HasBreach() {
 		return failure.New(failure.KindInternal, "an objective is violated, or a host could not be read")
 	}
 	return nil
