--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -24,11 +24,11 @@
 	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// Patience is the client's timeout, counted from the request's arrival; 0
+	// ClientTimeout is the client's timeout, counted from the request's arrival; 0
 	// when the client sets none.
-	Patience time.Duration
-	Arrived  time.Time
-	Prompt   Prompt
+	ClientTimeout time.Duration
+	ArrivedAt     time.Time
+	Prompt        Prompt
 	// ResumeAfter is the id of the last event that the client received in an
 	// earlier attempt; empty for a new request.
 	ResumeAfter string
@@ -39,45 +39,45 @@
 	Model string
 	// The number of tokens of the prompt, and the maximum number of generated
 	// tokens.
-	Tokens, MaxOutput int
+	Tokens, MaxOutputTokens int
 	// LengthHint is the client's estimate of the number of generated tokens, 0
 	// when it gives none. It is accurate at the median, but single estimates
 	// are often far off.
 	LengthHint int
-	// Parts are the leading segments that the prompt may share with others, in
+	// Segments are the leading segments that the prompt may share with others, in
 	// their order.
-	Parts []Part
+	Segments []PromptSegment
 }
 
-// Part is a segment of a prompt that targets may have in their caches.
-type Part struct {
+// PromptSegment is a segment of a prompt that targets may have in their caches.
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// Handoff locates the KV cache of a generation that is moved to another
+// CacheCopy locates the KV cache of a generation that is moved to another
 // target.
-type Handoff struct {
-	// From is the target (ip:port) that made the copy or, for a backup, the one
+type CacheCopy struct {
+	// Source is the target (ip:port) that made the copy or, for a backup, the one
 	// that stores it.
-	From string
+	Source string
 	// Handle identifies the copy; for a backup it is the request's id.
 	Handle string
 }
 
-// Send is one attempt to send a request to a target.
-type Send struct {
+// Attempt is one attempt to send a request to a target.
+type Attempt struct {
 	*Request
 	Target  directory.Target
 	Account string
-	// Left is the time that remains for the target to respond.
-	Left time.Duration
+	// TimeRemaining is the time that remains for the target to respond.
+	TimeRemaining time.Duration
 	// Priority is from 0 (highest) to 9; negative when none is set.
 	Priority int
 	// Resume is set to continue a generation at another target. The event id in
 	// the next field is the last one that the client has.
-	Resume *Handoff
-	After  string
+	Resume      *CacheCopy
+	LastEventID string
 	// Backup is the target (ip:port) that continuously receives a copy of the
 	// generation's KV cache; empty for none.
 	Backup string
@@ -86,25 +86,25 @@
 // Load is the load that a target reports.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is the parsed header of a target's response.
-type Answer struct {
+// ResponseHeader is the parsed header of a target's response.
+type ResponseHeader struct {
 	Status int
-	// Echo is the id of the request that this response belongs to.
-	Echo string
+	// RequestID is the id of the request that this response belongs to.
+	RequestID string
 	// Sealed is set when the response has the target's seal. A success status
 	// without it does not count as a success.
 	Sealed bool
-	// NotRun is set when the target states that it did not execute the request
+	// NotExecuted is set when the target states that it did not execute the request
 	// and never will. No other failure proves that.
-	NotRun bool
-	// OtherTarget is set when the address now belongs to another target.
-	OtherTarget bool
-	// Leaving is set when the target may be about to shut down.
-	Leaving bool
-	Load    *Load
-	// Rate is the number of requests per second that the target accepts from
+	NotExecuted bool
+	// WrongTarget is set when the address now belongs to another target.
+	WrongTarget bool
+	// ShuttingDown is set when the target may be about to shut down.
+	ShuttingDown bool
+	Load         *Load
+	// RequestsPerSecond is the number of requests per second that the target accepts from
 	// all hosts together; nil when it gives none.
-	Rate *float64
+	RequestsPerSecond *float64
 	// RetryAfter is 0 when the target gives no delay.
 	RetryAfter time.Duration
 }
@@ -116,22 +116,22 @@
 	Events int
 }
 
-// Run is one generation in an engine's report.
-type Run struct {
+// GenerationProgress is one generation in an engine's report.
+type GenerationProgress struct {
 	ID     string
 	Tokens int
 	Events int
 }
 
-// Report is an engine's report of its own state, a few hundred milliseconds
+// EngineReport is an engine's report of its own state, a few hundred milliseconds
 // old.
-type Report struct {
+type EngineReport struct {
 	Running, Waiting       int
 	MemoryUsed, MemorySize int
-	Leaving                bool
-	// LeavesIn is the time until the engine shuts down, 0 when it gives none.
-	LeavesIn time.Duration
-	Runs     []Run
+	ShuttingDown           bool
+	// ShutdownIn is the time until the engine shuts down, 0 when it gives none.
+	ShutdownIn  time.Duration
+	Generations []GenerationProgress
 }
 
 // Health is the result of a health check of a target.
@@ -143,24 +143,24 @@
 	Busy bool
 }
 
-// Dialect translates between the wire format and the types of this package. It
+// Codec translates between the wire format and the types of this package. It
 // makes no decisions.
-type Dialect interface {
-	// ReadRequest parses a caller's request, whose body has been read already.
-	ReadRequest(r *http.Request, body []byte, arrived time.Time) (*Request, error)
-	// WriteSend builds the HTTP request for a target.
-	WriteSend(ctx context.Context, s *Send) (*http.Request, error)
-	// ReadAnswer parses the header of a target's response.
-	ReadAnswer(resp *http.Response) Answer
-	// CopyHeader copies the response headers that a caller may receive.
-	CopyHeader(to, from http.Header)
-	// WriteFailure responds to a request that the gateway itself fails.
-	WriteFailure(w http.ResponseWriter, id string, err error)
+type Codec interface {
+	// ParseRequest parses a caller's request, whose body has been read already.
+	ParseRequest(r *http.Request, body []byte, arrived time.Time) (*Request, error)
+	// BuildRequest builds the HTTP request for a target.
+	BuildRequest(ctx context.Context, s *Attempt) (*http.Request, error)
+	// ParseResponseHeader parses the header of a target's response.
+	ParseResponseHeader(resp *http.Response) ResponseHeader
+	// CopyResponseHeader copies the response headers that a caller may receive.
+	CopyResponseHeader(to, from http.Header)
+	// WriteError responds to a request that the gateway itself fails.
+	WriteError(w http.ResponseWriter, id string, err error)
 }
 
-// Engines calls the management interfaces of model engines, and the health
+// EngineClient calls the management interfaces of model engines, and the health
 // checks of targets.
-type Engines interface {
+type EngineClient interface {
 	// Move copies a generation's KV cache from one engine to another. With
 	// last, the generation is stopped first, and its stream ends without its
 	// closing event.
@@ -168,7 +168,7 @@
 	// Drop frees a copy that Move made.
 	Drop(ctx context.Context, from string, handle string) error
 	// Report fetches an engine's report.
-	Report(ctx context.Context, at string) (Report, error)
+	Report(ctx context.Context, at string) (EngineReport, error)
 	// Health checks a target at the health path of its service.
 	Health(ctx context.Context, at, path string) (Health, error)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -64,8 +64,8 @@
 
 // Config holds the settings and dependencies of a gateway.
 type Config struct {
-	Dialect     call.Dialect
-	Engines     call.Engines
+	Dialect     call.Codec
+	Engines     call.EngineClient
 	Board       *recordsync.Board
 	Loads       *TargetLoads
 	RetryBudget *retrybudget.Budget
@@ -149,7 +149,7 @@
 		g.refuse(w, nil, err)
 		return
 	}
-	req, err := g.cfg.Dialect.ReadRequest(r, body, arrived)
+	req, err := g.cfg.Dialect.ParseRequest(r, body, arrived)
 	if err != nil {
 		g.refuse(w, nil, err)
 		return
@@ -204,14 +204,14 @@
 	if x.service, found = x.view.Service(name); !found {
 		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
 	}
-	timeout := x.Patience
+	timeout := x.ClientTimeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
 	if x.route.Timeout > 0 {
 		timeout = min(timeout, x.route.Timeout)
 	}
-	x.deadline = x.Arrived.Add(timeout - deadlineMargin)
+	x.deadline = x.ArrivedAt.Add(timeout - deadlineMargin)
 	x.fingerprint = fingerprint(x)
 	if g.cfg.CrashEvidence.isPoison(x.fingerprint) {
 		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").After(poisonRetryAfter)
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -133,7 +133,7 @@
 		}
 		gen.setTarget(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
-			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
+			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutputTokens, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
 			"running", reservation.candidate.Running, "promised", reservation.candidate.ReservedTokens, "unread", reservation.candidate.UnreadTokens, "step", reservation.candidate.TimePerToken)
 		stream, err := gen.openStream(gen.newSend(target), target, reservation, selection)
 		if err == nil {
@@ -187,12 +187,12 @@
 
 // openStream sends the request to an engine and waits for the header of the
 // answer.
-func (gen *generation) openStream(s *call.Send, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStream(s *call.Attempt, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	return gen.openStreamWithin(0, s, target, reservation, selection)
 }
 
 // openStreamWithin is openStream with a time limit; 0 means none.
-func (gen *generation) openStreamWithin(limit time.Duration, s *call.Send, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStreamWithin(limit time.Duration, s *call.Attempt, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	ctx, cancel := context.WithCancel(gen.ctx)
 	if limit > 0 {
 		timer := time.AfterFunc(limit, cancel)
@@ -201,7 +201,7 @@
 	newBackup := gen.placeBackup(s, target)
 	end := gen.g.cfg.CrashEvidence.beginRequest(target, gen.fingerprint)
 	resp, answer, err := gen.g.send(ctx, s, selection)
-	if answer.Leaving && gen.movable() {
+	if answer.ShuttingDown && gen.movable() {
 		gen.g.checkClosingTarget(target)
 	}
 	if err == nil && answer.Status != http.StatusOK {
@@ -221,7 +221,7 @@
 // readFailedAnswer reads an engine's own failure answer, which is passed to the
 // caller when no other engine serves the request. Once a caller has events, no
 // other answer can follow them.
-func (gen *generation) readFailedAnswer(resp *http.Response, answer call.Answer) error {
+func (gen *generation) readFailedAnswer(resp *http.Response, answer call.ResponseHeader) error {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
@@ -230,7 +230,7 @@
 	if gen.headerSent {
 		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).Unknown()
 	}
-	gen.failedAnswer = &completeAnswer{Answer: answer, header: resp.Header, body: body}
+	gen.failedAnswer = &completeAnswer{ResponseHeader: answer, header: resp.Header, body: body}
 	return errEngineAnswered
 }
 
@@ -271,7 +271,7 @@
 	if f, ok := gen.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	gen.gaps.record(time.Since(gen.Arrived))
+	gen.gaps.record(time.Since(gen.ArrivedAt))
 	gaps := gen.gaps
 	gen.progress.Store(&gaps)
 	if block.ID != nil {
@@ -287,7 +287,7 @@
 	}
 	gen.headerSent = true
 	h := gen.w.Header()
-	gen.g.cfg.Dialect.CopyHeader(h, resp.Header)
+	gen.g.cfg.Dialect.CopyResponseHeader(h, resp.Header)
 	h.Del("Content-Length")
 	gen.w.WriteHeader(resp.StatusCode)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -141,7 +141,7 @@
 }
 
 // startGatewayWithDialect is startGatewayWithLogs with a given dialect.
-func startGatewayWithDialect(dialect call.Dialect, logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
+func startGatewayWithDialect(dialect call.Codec, logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
 	board := &recordsync.Board{}
 	views, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -21,7 +21,7 @@
 
 // Refuse answers a request that was not admitted, for example during shutdown.
 func (g *Gateway) Refuse(w http.ResponseWriter, r *http.Request, err error) {
-	req, readErr := g.cfg.Dialect.ReadRequest(r, nil, time.Now())
+	req, readErr := g.cfg.Dialect.ParseRequest(r, nil, time.Now())
 	if readErr != nil {
 		g.cfg.Log.Debug("cannot parse the refused request", "error", readErr)
 	}
@@ -39,16 +39,16 @@
 	}
 	g.metrics.countRefused(f.Kind)
 	g.cfg.Log.Info("request refused", "request", id, "kind", f.Kind, "executed", f.Executed, "retry_after", f.RetryAfter, "cause", f.Error())
-	g.cfg.Dialect.WriteFailure(w, id, f)
+	g.cfg.Dialect.WriteError(w, id, f)
 }
 
 // capRetryAfter shortens a retry delay so that the client has time for another
 // try.
 func capRetryAfter(retry time.Duration, req *call.Request) time.Duration {
-	if req.Patience == 0 {
+	if req.ClientTimeout == 0 {
 		return retry
 	}
-	return min(retry, max(req.Patience-time.Since(req.Arrived), 0)/maxRetryAfterDivisor)
+	return min(retry, max(req.ClientTimeout-time.Since(req.ArrivedAt), 0)/maxRetryAfterDivisor)
 }
 
 // withExecutedStatus returns a failure whose status agrees with what is known
