--- a/internal/configservice/client.go
+++ b/internal/configservice/client.go
@@ -42,11 +42,11 @@
 	Key string `json:"key"`
 	// Revision is the revision of the store at the last write of the value.
 	Revision uint64 `json:"revision"`
-	Text     string `json:"value"`
+	Content  string `json:"value"`
 }
 
-// Answer is the result of a read or watch.
-type Answer struct {
+// Response is the result of a read or watch.
+type Response struct {
 	// Revision is the revision of the store. It is lower than before if the
 	// service was restored from a backup or a stale replica responds.
 	Revision uint64 `json:"revision"`
@@ -89,14 +89,14 @@
 
 // Read returns the values under prefix that changed after the given revision;
 // revision 0 returns all values.
-func (c *Client) Read(ctx context.Context, prefix string, after uint64) (Answer, error) {
+func (c *Client) Read(ctx context.Context, prefix string, after uint64) (Response, error) {
 	return c.Watch(ctx, prefix, after, 0)
 }
 
 // Watch is like Read but waits up to wait for a change. It fails with
 // KindOverloaded and a retry delay if the service's rate limit is exceeded, and
 // with KindConfigUnreadable otherwise.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Answer, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
 	requestURL := c.base
@@ -107,14 +107,14 @@
 	requestURL.RawQuery = query.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, requestURL.String(), nil)
 	if err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindInternal, "request to the configuration service")
+		return Response{}, failure.Wrap(err, failure.KindInternal, "request to the configuration service")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		// An HTTP/1 connection that no longer responds does not return to the
 		// pool until it is closed; close all idle connections as well.
 		c.http.CloseIdleConnections()
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "configuration service unreachable")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "configuration service unreachable")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return decodeResponse(resp)
@@ -123,23 +123,23 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func decodeResponse(resp *http.Response) (Answer, error) {
+func decodeResponse(resp *http.Response) (Response, error) {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Answer{}, failure.New(failure.KindOverloaded, "rate limit of the configuration service exceeded").After(parseRetryAfter(resp.Header))
+		return Response{}, failure.New(failure.KindOverloaded, "rate limit of the configuration service exceeded").After(parseRetryAfter(resp.Header))
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "configuration service responded with status %d", resp.StatusCode)
+		return Response{}, failure.New(failure.KindConfigUnreadable, "configuration service responded with status %d", resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "reading the response of the configuration service failed")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "reading the response of the configuration service failed")
 	}
 	if len(body) > maxResponseBytes {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "response of the configuration service exceeds %d bytes", maxResponseBytes)
+		return Response{}, failure.New(failure.KindConfigUnreadable, "response of the configuration service exceeds %d bytes", maxResponseBytes)
 	}
-	var answer Answer
+	var answer Response
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "response of the configuration service is not valid JSON")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "response of the configuration service is not valid JSON")
 	}
 	return answer, nil
 }
--- a/internal/configservice/configservice_test.go
+++ b/internal/configservice/configservice_test.go
@@ -39,8 +39,8 @@
 		})
 		a, err := c.Watch(context.Background(), "table/", 4, 250*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a).To(Equal(configservice.Answer{Revision: 5, Keys: []string{"table/0001"},
-			Values: []configservice.Value{{Key: "table/0001", Revision: 5, Text: "x"}}}))
+		Expect(a).To(Equal(configservice.Response{Revision: 5, Keys: []string{"table/0001"},
+			Values: []configservice.Value{{Key: "table/0001", Revision: 5, Content: "x"}}}))
 	})
 
 	DescribeTable("returns the error kind and retry delay of each failure", func(handler http.HandlerFunc, kind failure.Kind, after time.Duration) {
@@ -105,8 +105,8 @@
 			strings.Replace(host, "10.0.0.1:80", "h1:80", 1), strings.Replace(host, "live", "gone", 1),
 			strings.Replace(host, "north", "a\\tb", 1)}, ",") + `]}`)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(dropped).To(Equal(configservice.Dropped(4)))
-		parsedHost, ok := configservice.HostFromRow(hosts[0].Row())
+		Expect(dropped).To(Equal(configservice.DroppedEntries(4)))
+		parsedHost, ok := configservice.ParseHostRow(hosts[0].Row())
 		Expect(ok).To(BeTrue())
 		Expect(parsedHost).To(Equal(hosts[0]))
 	})
@@ -121,11 +121,11 @@
 	It("parses targets and the drain list", func() {
 		targets, dropped, err := configservice.ParseTargets(`{"targets":[{"service":"s","address":"10.0.0.2:1","data_centre":"north","state":"leaving"},{"service":"s","address":"x"}]}`)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(dropped).To(Equal(configservice.Dropped(1)))
-		parsedTarget, ok := configservice.TargetFromRow(targets[0].Row())
+		Expect(dropped).To(Equal(configservice.DroppedEntries(1)))
+		parsedTarget, ok := configservice.ParseTargetRow(targets[0].Row())
 		Expect(ok).To(BeTrue())
 		Expect(parsedTarget).To(Equal(targets[0]))
-		Expect(configservice.ParseDrain("\ufeffnorth\r\n\r\n south \n")).To(Equal([]string{"north", "south"}))
+		Expect(configservice.ParseDrainList("\ufeffnorth\r\n\r\n south \n")).To(Equal([]string{"north", "south"}))
 	})
 })
 
@@ -134,13 +134,13 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		hosts, _, _ := configservice.ParseHosts(text)
 		for _, host := range hosts {
-			if parsed, ok := configservice.HostFromRow(host.Row()); !ok || parsed != host {
+			if parsed, ok := configservice.ParseHostRow(host.Row()); !ok || parsed != host {
 				t.Fatalf("%+v was parsed back as %+v", host, parsed)
 			}
 		}
 		targets, _, _ := configservice.ParseTargets(text)
 		for _, target := range targets {
-			if parsed, ok := configservice.TargetFromRow(target.Row()); !ok || parsed != target {
+			if parsed, ok := configservice.ParseTargetRow(target.Row()); !ok || parsed != target {
 				t.Fatalf("%+v was parsed back as %+v", target, parsed)
 			}
 		}
--- a/internal/configservice/documents.go
+++ b/internal/configservice/documents.go
@@ -48,9 +48,9 @@
 	State      State  `json:"state"`
 }
 
-// Dropped is the number of entries of a document that were skipped because they
+// DroppedEntries is the number of entries of a document that were skipped because they
 // are invalid (for example a malformed address), duplicates or above the limit.
-type Dropped int
+type DroppedEntries int
 
 // Limits on the entries of a list and on the bytes of a name.
 const (
@@ -61,7 +61,7 @@
 // ParseHosts parses the list of hosts. Invalid entries are skipped and counted:
 // rejecting the whole list because of one would keep leaving hosts in use. A
 // list without any valid host is rejected, because it would remove every owner.
-func ParseHosts(text string) ([]Host, Dropped, error) {
+func ParseHosts(text string) ([]Host, DroppedEntries, error) {
 	var doc struct {
 		Hosts []Host `json:"hosts"`
 	}
@@ -79,7 +79,7 @@
 
 // ParseTargets parses the list of targets in the same way as ParseHosts, except
 // that an empty list is valid.
-func ParseTargets(text string) ([]Target, Dropped, error) {
+func ParseTargets(text string) ([]Target, DroppedEntries, error) {
 	var doc struct {
 		Targets []Target `json:"targets"`
 	}
@@ -92,8 +92,8 @@
 	return targets, dropped, nil
 }
 
-// ParseDrain parses the list of drained data centres, one per line.
-func ParseDrain(text string) []string {
+// ParseDrainList parses the list of drained data centres, one per line.
+func ParseDrainList(text string) []string {
 	var names []string
 	for line := range strings.Lines(strings.TrimPrefix(text, "\ufeff")) {
 		if name := strings.TrimSpace(line); name != "" {
@@ -112,7 +112,7 @@
 
 // filterEntries returns the valid entries without duplicate keys; the first
 // entry of a key is retained.
-func filterEntries[T any](entries []T, key func(T) (string, bool)) ([]T, Dropped) {
+func filterEntries[T any](entries []T, key func(T) (string, bool)) ([]T, DroppedEntries) {
 	kept := make([]T, 0, min(len(entries), maxEntries))
 	seen := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -123,7 +123,7 @@
 		seen[k] = true
 		kept = append(kept, e)
 	}
-	return kept, Dropped(len(entries) - len(kept))
+	return kept, DroppedEntries(len(entries) - len(kept))
 }
 
 func validAddress(address string) bool {
@@ -152,8 +152,8 @@
 	return strings.Join([]string{h.Name, h.DataCentre, h.Entry, h.Control, string(h.State)}, rowFieldSeparator)
 }
 
-// HostFromRow parses a host's row. It returns false if the row is malformed.
-func HostFromRow(row string) (Host, bool) {
+// ParseHostRow parses a host's row. It returns false if the row is malformed.
+func ParseHostRow(row string) (Host, bool) {
 	f := strings.Split(row, rowFieldSeparator)
 	if len(f) != 5 {
 		return Host{}, false
@@ -169,9 +169,9 @@
 	return strings.Join([]string{t.Service, t.Address, t.DataCentre, string(t.State)}, rowFieldSeparator)
 }
 
-// TargetFromRow parses a target's row. It returns false if the row is
+// ParseTargetRow parses a target's row. It returns false if the row is
 // malformed.
-func TargetFromRow(row string) (Target, bool) {
+func ParseTargetRow(row string) (Target, bool) {
 	f := strings.Split(row, rowFieldSeparator)
 	if len(f) != 4 {
 		return Target{}, false
--- a/internal/controller/configwatch/store.go
+++ b/internal/controller/configwatch/store.go
@@ -152,9 +152,9 @@
 	case SectionTable:
 		return s.applyTableRows(delta, changed)
 	case SectionHosts:
-		return updateParsedRows(s.hosts, changed, configservice.HostFromRow)
+		return updateParsedRows(s.hosts, changed, configservice.ParseHostRow)
 	case SectionTargets:
-		return updateParsedRows(s.targets, changed, configservice.TargetFromRow)
+		return updateParsedRows(s.targets, changed, configservice.ParseTargetRow)
 	}
 	return nil
 }
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -33,7 +33,7 @@
 
 // Source is the configuration service; *configservice.Client implements it.
 type Source interface {
-	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Response, error)
 }
 
 // Watcher reads the configuration service into the store while this process is
