--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -150,7 +150,7 @@
 			c.Ran++
 			return
 		}
-		c.addFailure(failure.From(err))
+		c.addFailure(failure.FromError(err))
 	})
 }
 
--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -23,8 +23,8 @@
 var outcomes = []error{
 	nil,
 	failure.New(failure.KindOverloaded, "full"),
-	failure.New(failure.KindTargetLost, "lost").Unknown(),
-	failure.New(failure.KindTargetFailed, "failed").Ran(),
+	failure.New(failure.KindTargetLost, "lost").WithExecutionUnknown(),
+	failure.New(failure.KindTargetFailed, "failed").WithExecuted(),
 }
 
 var _ = Describe("the accounting", func() {
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -134,5 +134,5 @@
 // notReady returns the error for data that is not available yet. An empty list
 // would wrongly state that there are no entries.
 func notReady(resource string) error {
-	return failure.New(failure.KindNotReady, "%s is not available yet", resource).After(notReadyRetryAfter)
+	return failure.New(failure.KindNotReady, "%s is not available yet", resource).WithRetryAfter(notReadyRetryAfter)
 }
--- a/internal/configservice/client.go
+++ b/internal/configservice/client.go
@@ -125,7 +125,7 @@
 
 func decodeResponse(resp *http.Response) (Response, error) {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Response{}, failure.New(failure.KindOverloaded, "rate limit of the configuration service exceeded").After(parseRetryAfter(resp.Header))
+		return Response{}, failure.New(failure.KindOverloaded, "rate limit of the configuration service exceeded").WithRetryAfter(parseRetryAfter(resp.Header))
 	}
 	if resp.StatusCode != http.StatusOK {
 		return Response{}, failure.New(failure.KindConfigUnreadable, "configuration service responded with status %d", resp.StatusCode)
--- a/internal/configservice/configservice_test.go
+++ b/internal/configservice/configservice_test.go
@@ -46,7 +46,7 @@
 	DescribeTable("returns the error kind and retry delay of each failure", func(handler http.HandlerFunc, kind failure.Kind, after time.Duration) {
 		_, err := newClient(handler).Read(context.Background(), "", 0)
 		Expect(failure.KindOf(err)).To(Equal(kind))
-		Expect(failure.From(err).RetryAfter).To(Equal(after))
+		Expect(failure.FromError(err).RetryAfter).To(Equal(after))
 	},
 		// Guards against retries without a delay: they keep the service above
 		// its rate limit, so that no reader learns of an edit any more.
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -123,7 +123,7 @@
 			return
 		}
 		w.store.updateServiceState(func(s *ServiceState) { s.LastFailure = string(failure.KindOf(err)) })
-		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.From(err).RetryAfter)
+		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.FromError(err).RetryAfter)
 		wake.Sleep(ctx, wait)
 		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -99,7 +99,7 @@
 		defer end()
 		t := a.Board.Table.Get()
 		if t == nil || !a.Board.Ready() {
-			a.refuse(w, unknownName, unknownName, failure.New(failure.KindNotReady, "the table has not been read yet").After(notReadyRetryAfter))
+			a.refuse(w, unknownName, unknownName, failure.New(failure.KindNotReady, "the table has not been read yet").WithRetryAfter(notReadyRetryAfter))
 			return
 		}
 		account, err := authenticate(t, r)
@@ -198,7 +198,7 @@
 		return err
 	}
 	if h.Service != req.Service.Name || !req.Stream {
-		return failure.New(failure.KindHandleInvalid, "the handle belongs to a stream of another service").Unknown()
+		return failure.New(failure.KindHandleInvalid, "the handle belongs to a stream of another service").WithExecutionUnknown()
 	}
 	req.Resume = &h
 	return nil
--- a/internal/entry/generation/sink.go
+++ b/internal/entry/generation/sink.go
@@ -194,7 +194,7 @@
 		failure.Write(s.w, err)
 		return
 	}
-	body, marshalErr := json.Marshal(failure.From(err).Problem())
+	body, marshalErr := json.Marshal(failure.FromError(err).Problem())
 	if marshalErr != nil {
 		return
 	}
--- a/internal/entry/servicecall/at_most_once.go
+++ b/internal/entry/servicecall/at_most_once.go
@@ -228,7 +228,7 @@
 		return err
 	}
 	if r.now() >= validUntil {
-		return failure.New(failure.KindKeyUnvouched, "the process was paused before the call was sent").Unknown()
+		return failure.New(failure.KindKeyUnvouched, "the process was paused before the call was sent").WithExecutionUnknown()
 	}
 	return nil
 }
@@ -246,7 +246,7 @@
 	switch {
 	case err == nil:
 		r.registry.MarkFinished(account, key, answer)
-	case failure.From(err).Executed == failure.ExecutedNo:
+	case failure.FromError(err).Executed == failure.ExecutedNo:
 		r.registry.MarkNotRun(account, key)
 	default:
 		r.registry.MarkLost(account, key)
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -83,10 +83,10 @@
 	RetryAfter time.Duration
 	// Detail is for human readers; it never contains secrets or bodies.
 	Detail string
-	// Delivered is the number of tokens that the caller received before the
+	// DeliveredTokens is the number of tokens that the caller received before the
 	// error.
-	Delivered int
-	cause     error
+	DeliveredTokens int
+	cause           error
 }
 
 // New returns an error for a request that was not executed.
@@ -102,14 +102,14 @@
 	return e
 }
 
-// Unknown marks the request as possibly executed.
-func (e *Error) Unknown() *Error { e.Executed = ExecutedUnknown; return e }
+// WithExecutionUnknown marks the request as possibly executed.
+func (e *Error) WithExecutionUnknown() *Error { e.Executed = ExecutedUnknown; return e }
 
-// Ran marks the request as executed.
-func (e *Error) Ran() *Error { e.Executed = ExecutedYes; return e }
+// WithExecuted marks the request as executed.
+func (e *Error) WithExecuted() *Error { e.Executed = ExecutedYes; return e }
 
-// After sets the delay after which a retry makes sense.
-func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
+// WithRetryAfter sets the delay after which a retry makes sense.
+func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
 func (e *Error) Error() string {
@@ -145,14 +145,14 @@
 	return KindInternal
 }
 
-// From converts err to an Error. An error without a kind becomes
+// FromError converts err to an Error. An error without a kind becomes
 // KindInternal, and whether its request was executed is unknown.
-func From(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return Wrap(err, KindInternal, "unexpected error").Unknown()
+	return Wrap(err, KindInternal, "unexpected error").WithExecutionUnknown()
 }
 
 var statusByKind = map[Kind]int{
--- a/internal/failure/problem.go
+++ b/internal/failure/problem.go
@@ -23,27 +23,27 @@
 	Executed Executed `json:"executed"`
 	// RetryAfterMS is in milliseconds; the Retry-After header rounds it up to
 	// whole seconds.
-	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	Delivered    int   `json:"delivered_tokens,omitempty"`
+	RetryAfterMS    int64 `json:"retry_after_ms,omitempty"`
+	DeliveredTokens int   `json:"delivered_tokens,omitempty"`
 }
 
 // Problem returns the error as a problem document. It omits the cause, which
 // may name internal hosts and paths.
 func (e *Error) Problem() Problem {
 	return Problem{
-		Type:         typePrefix + string(e.Kind),
-		Title:        string(e.Kind),
-		Status:       e.Status(),
-		Detail:       e.Detail,
-		Executed:     e.Executed,
-		RetryAfterMS: e.RetryAfter.Milliseconds(),
-		Delivered:    e.Delivered,
+		Type:            typePrefix + string(e.Kind),
+		Title:           string(e.Kind),
+		Status:          e.Status(),
+		Detail:          e.Detail,
+		Executed:        e.Executed,
+		RetryAfterMS:    e.RetryAfter.Milliseconds(),
+		DeliveredTokens: e.DeliveredTokens,
 	}
 }
 
 // Write responds to a request with err's problem document.
 func Write(w http.ResponseWriter, err error) {
-	e := From(err)
+	e := FromError(err)
 	if e.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 	}
@@ -71,7 +71,7 @@
 		kind = KindInternal
 	}
 	return &Error{
-		Kind: kind, Executed: p.Executed, Detail: p.Detail, Delivered: p.Delivered,
+		Kind: kind, Executed: p.Executed, Detail: p.Detail, DeliveredTokens: p.DeliveredTokens,
 		RetryAfter: time.Duration(p.RetryAfterMS) * time.Millisecond,
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -188,7 +188,7 @@
 // reason to refuse it.
 func (g *Gateway) admit(x *exchange) error {
 	if x.view == nil || x.view.Config == nil {
-		return failure.New(failure.KindNotReady, "no configuration is known yet").After(noConfigRetryAfter)
+		return failure.New(failure.KindNotReady, "no configuration is known yet").WithRetryAfter(noConfigRetryAfter)
 	}
 	var found bool
 	if x.route, found = x.view.Route(x.Host, x.Path); !found {
@@ -202,7 +202,7 @@
 	g.metrics.countReceived(x.route.Kind)
 	name := x.route.PickService(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
-		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
+		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).WithRetryAfter(noTargetRetryAfter)
 	}
 	timeout := x.ClientTimeout
 	if timeout == 0 {
@@ -214,10 +214,10 @@
 	x.deadline = x.ArrivedAt.Add(timeout - deadlineMargin)
 	x.fingerprint = fingerprint(x)
 	if g.cfg.CrashEvidence.isPoison(x.fingerprint) {
-		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").After(poisonRetryAfter)
+		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").WithRetryAfter(poisonRetryAfter)
 	}
 	if x.route.Kind == directory.Generation && g.exitsBeforeEnd(x) {
-		return failure.New(failure.KindStopping, "the process is expected to exit before the generation ends").After(stoppingRetryAfter)
+		return failure.New(failure.KindStopping, "the process is expected to exit before the generation ends").WithRetryAfter(stoppingRetryAfter)
 	}
 	return nil
 }
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -93,7 +93,7 @@
 	errGenerationMoved = failure.New(failure.KindInternal, "the generation was moved")
 	// errEngineAnswered marks that the engine's own failure is the answer to
 	// the caller.
-	errEngineAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").Ran()
+	errEngineAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").WithExecuted()
 )
 
 // relayGeneration relays a generation.
@@ -225,10 +225,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.KindTargetLost, "reading the engine's answer failed").Unknown()
+		return failure.Wrap(err, failure.KindTargetLost, "reading the engine's answer failed").WithExecutionUnknown()
 	}
 	if gen.headerSent {
-		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).Unknown()
+		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).WithExecutionUnknown()
 	}
 	gen.failedAnswer = &completeAnswer{ResponseHeader: answer, header: resp.Header, body: body}
 	return errEngineAnswered
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -74,9 +74,9 @@
 // noTargetError returns the failure of a request that no target accepts.
 func (g *Gateway) noTargetError(req PlacementRequest) error {
 	if wait, limited := g.cfg.Loads.RateWait(g.view(), req); limited {
-		return failure.New(failure.KindOverloaded, "all targets of %s are at their advertised rate limits", req.Service).After(wait)
+		return failure.New(failure.KindOverloaded, "all targets of %s are at their advertised rate limits", req.Service).WithRetryAfter(wait)
 	}
-	return failure.New(failure.KindNoTarget, "no target of %s accepts the request", req.Service).After(noTargetRetryAfter)
+	return failure.New(failure.KindNoTarget, "no target of %s accepts the request", req.Service).WithRetryAfter(noTargetRetryAfter)
 }
 
 // retryMayHelp reports whether another target may give a better answer.
@@ -130,7 +130,7 @@
 	if counts.sent >= x.route.MaxAttempts {
 		return false
 	}
-	notRun := err != nil && failure.From(err).Executed == failure.ExecutedNo
+	notRun := err != nil && failure.FromError(err).Executed == failure.ExecutedNo
 	repeatable := x.route.Kind == directory.Repeatable || x.route.Resumable
 	if !notRun && !repeatable {
 		return false
@@ -161,9 +161,9 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		err = failure.Wrap(err, failure.KindTargetLost, "reading the answer failed").Unknown()
+		err = failure.Wrap(err, failure.KindTargetLost, "reading the answer failed").WithExecutionUnknown()
 	} else if len(body) > maxAnswerBytes {
-		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxAnswerBytes).Unknown()
+		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxAnswerBytes).WithExecutionUnknown()
 	}
 	if err != nil {
 		return nil, err
@@ -217,11 +217,11 @@
 	case a.WrongTarget:
 		return failure.New(failure.KindFenced, "the address of target %s belongs to another target", s.Target.ID)
 	case a.NotExecuted && a.Status >= http.StatusBadRequest:
-		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).After(max(a.RetryAfter, engineFullRetryAfter))
+		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).WithRetryAfter(max(a.RetryAfter, engineFullRetryAfter))
 	case a.RequestID != s.ID:
-		return failure.New(failure.KindFrameOutOfPlace, "target %s answered with another request's id", s.Target.ID).Unknown()
+		return failure.New(failure.KindFrameOutOfPlace, "target %s answered with another request's id", s.Target.ID).WithExecutionUnknown()
 	case a.Status < http.StatusMultipleChoices && !a.Sealed:
-		return failure.New(failure.KindTargetFailed, "target %s answered without a seal", s.Target.ID).Unknown()
+		return failure.New(failure.KindTargetFailed, "target %s answered without a seal", s.Target.ID).WithExecutionUnknown()
 	}
 	return nil
 }
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -16,7 +16,7 @@
 	if g.cfg.ViewCurrent() {
 		return denial
 	}
-	return failure.Wrap(denial, failure.KindNotReady, "the configuration of this host may be out of date").After(notReadyRetryAfter)
+	return failure.Wrap(denial, failure.KindNotReady, "the configuration of this host may be out of date").WithRetryAfter(notReadyRetryAfter)
 }
 
 // Refuse answers a request that was not admitted, for example during shutdown.
@@ -31,7 +31,7 @@
 // refuse answers a request with a failure of the gateway's own. A status that
 // means that the request has not run is only sent where that is certain.
 func (g *Gateway) refuse(w http.ResponseWriter, req *call.Request, err error) {
-	f := withExecutedStatus(failure.From(err))
+	f := withExecutedStatus(failure.FromError(err))
 	id := ""
 	if req != nil {
 		id = req.ID
@@ -58,9 +58,9 @@
 func withExecutedStatus(f *failure.Error) *failure.Error {
 	switch {
 	case impliesNotExecuted(f.Status()) && f.Executed != failure.ExecutedNo:
-		return failure.Wrap(f, failure.KindOutcomeUnknown, "the request may have run").Unknown()
+		return failure.Wrap(f, failure.KindOutcomeUnknown, "the request may have run").WithExecutionUnknown()
 	case !impliesNotExecuted(f.Status()) && f.Executed == failure.ExecutedNo && !isClientError(f.Kind):
-		return failure.Wrap(f, failure.KindNoTarget, "the request did not run").After(unreachedRetryAfter)
+		return failure.Wrap(f, failure.KindNoTarget, "the request did not run").WithRetryAfter(unreachedRetryAfter)
 	}
 	return f
 }
--- a/internal/handle/handle.go
+++ b/internal/handle/handle.go
@@ -68,7 +68,7 @@
 		return Handle{}, invalidHandle()
 	}
 	if now.After(h.Expires) {
-		return Handle{}, failure.New(failure.KindHandleExpired, "resume handle has expired").Ran()
+		return Handle{}, failure.New(failure.KindHandleExpired, "resume handle has expired").WithExecuted()
 	}
 	return h, nil
 }
@@ -76,7 +76,7 @@
 // invalidHandle returns an error that leaves the execution unknown: the caller
 // of an invalid handle may have a request that was executed.
 func invalidHandle() error {
-	return failure.New(failure.KindHandleInvalid, "resume handle is not valid").Unknown()
+	return failure.New(failure.KindHandleInvalid, "resume handle is not valid").WithExecutionUnknown()
 }
 
 func appendString(dst []byte, s string) []byte {
--- a/internal/handle/handle_test.go
+++ b/internal/handle/handle_test.go
@@ -62,7 +62,7 @@
 		expectInvalid := func(text, account string) {
 			_, err := r.Open(text, account, issuedAt)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
-			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+			Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 			messages[err.Error()] = true
 		}
 		for i := range raw {
--- a/internal/handle/minted.go
+++ b/internal/handle/minted.go
@@ -72,5 +72,5 @@
 // rotation that dropped a ring key too early, the key of a call that was
 // executed can't be opened either.
 func invalidKey() error {
-	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid").Unknown()
+	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid").WithExecutionUnknown()
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -57,7 +57,7 @@
 	defer l.mu.Unlock()
 	l.stop.NoteArrival(l.now())
 	if !l.stop.AcceptsNew() {
-		return nil, failure.New(failure.KindStopping, "the process is stopping").After(stoppingRetryAfter)
+		return nil, failure.New(failure.KindStopping, "the process is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	l.inProgress++
 	return l.end, nil
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -130,7 +130,7 @@
 }
 
 func connectionLost(err error) error {
-	return failure.Wrap(err, kindConnectionLost, "connection to the entry was lost").Unknown()
+	return failure.Wrap(err, kindConnectionLost, "connection to the entry was lost").WithExecutionUnknown()
 }
 
 // fetch sends a request and reads the complete response body. Statuses of 300
@@ -161,7 +161,7 @@
 func parseRefusal(resp *http.Response, body []byte) error {
 	var problem failure.Problem
 	if json.Unmarshal(body, &problem) != nil || problem.Type == "" {
-		return failure.New(failure.KindInternal, "status %d without a problem document", resp.StatusCode).Unknown()
+		return failure.New(failure.KindInternal, "status %d without a problem document", resp.StatusCode).WithExecutionUnknown()
 	}
 	return failure.FromProblem(problem)
 }
@@ -201,7 +201,7 @@
 // call-timeout failure. Other errors are returned unchanged.
 func timeoutError(ctx context.Context, err error) error {
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return failure.Wrap(err, kindCallTimeout, "call took longer than its timeout").Unknown()
+		return failure.Wrap(err, kindCallTimeout, "call took longer than its timeout").WithExecutionUnknown()
 	}
 	return err
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -140,7 +140,7 @@
 	body, _ := io.ReadAll(r.Body)
 	switch {
 	case r.Header.Get("Authorization") != "Bearer KEY" || f.fault == "refuse":
-		failure.Write(w, failure.New(failure.KindOverloaded, "full").After(time.Second))
+		failure.Write(w, failure.New(failure.KindOverloaded, "full").WithRetryAfter(time.Second))
 	case f.fault == "drop":
 		panic(http.ErrAbortHandler)
 	case f.fault == "hang plain" && !f.hung && strings.HasPrefix(r.URL.Path, "/v1/services/"):
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -183,7 +183,7 @@
 		r.counts.Violated++
 		r.violations[o.violation]++
 	case o.err != nil:
-		problem := failure.From(o.err)
+		problem := failure.FromError(o.err)
 		r.counts.Refused++
 		if problem.Executed == failure.ExecutedNo && problem.RetryAfter == 0 {
 			r.counts.RefusedWithoutRetryAfter++
--- a/internal/load/stream.go
+++ b/internal/load/stream.go
@@ -90,7 +90,7 @@
 func parseStreamError(data []byte) error {
 	var problem failure.Problem
 	if json.Unmarshal(data, &problem) != nil {
-		return failure.New(failure.KindInternal, "stream failed without a problem document").Unknown()
+		return failure.New(failure.KindInternal, "stream failed without a problem document").WithExecutionUnknown()
 	}
 	return failure.FromProblem(problem)
 }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -67,7 +67,7 @@
 	for {
 		chunk, err := s.in.ReadSlice('\n')
 		if len(s.buf)+len(chunk) > s.limit {
-			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", s.limit).Unknown()
+			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", s.limit).WithExecutionUnknown()
 		}
 		s.buf = append(s.buf, chunk...)
 		switch {
@@ -78,9 +78,9 @@
 		case errors.Is(err, io.EOF) && len(s.buf) == 0:
 			return io.EOF
 		case errors.Is(err, io.EOF):
-			return failure.New(failure.KindTargetLost, "stream ended within an event").Unknown()
+			return failure.New(failure.KindTargetLost, "stream ended within an event").WithExecutionUnknown()
 		default:
-			return failure.Wrap(err, failure.KindTargetLost, "reading the stream failed").Unknown()
+			return failure.Wrap(err, failure.KindTargetLost, "reading the stream failed").WithExecutionUnknown()
 		}
 	}
 }
--- a/internal/targetclient/once.go
+++ b/internal/targetclient/once.go
@@ -89,7 +89,7 @@
 	case g.conn == conn:
 		return nil
 	case g.conn != nil:
-		return failure.New(failure.KindInternal, "the call was already sent on another connection").Unknown()
+		return failure.New(failure.KindInternal, "the call was already sent on another connection").WithExecutionUnknown()
 	case g.closed:
 		return failure.New(failure.KindInternal, "the call was cancelled before it was sent")
 	case g.checkErr != nil:
@@ -159,7 +159,7 @@
 	}
 	e := failure.Wrap(err, kind, "%s", text)
 	if sent {
-		return e.Unknown()
+		return e.WithExecutionUnknown()
 	}
 	return e
 }
--- a/internal/targetclient/targetclient_test.go
+++ b/internal/targetclient/targetclient_test.go
@@ -131,7 +131,7 @@
 				err := drainBody(send(target.request(method, "booking", header)))
 				Expect(target.executions("booking")).To(Equal(1), name)
 				if name == "ordinary" {
-					Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+					Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 				} else {
 					Expect(err).NotTo(HaveOccurred(), "a new connection must not fail")
 				}
@@ -219,11 +219,11 @@
 			}
 			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(req, beforeWrite))
 			Expect(failure.KindOf(err)).To(Equal(kind))
-			Expect(failure.From(err).Executed).To(Equal(executed))
+			Expect(failure.FromError(err).Executed).To(Equal(executed))
 			Expect(target.executions("booking")).To(Equal(runs))
 		},
 		Entry("nothing listens at the address", nil, nil, true, failure.KindTargetFailed, failure.ExecutedNo, 0),
-		Entry("beforeWrite fails", func() error { return failure.Wrap(errRevoked, failure.KindKeyUnvouched, "late").Unknown() },
+		Entry("beforeWrite fails", func() error { return failure.Wrap(errRevoked, failure.KindKeyUnvouched, "late").WithExecutionUnknown() },
 			nil, false, failure.KindKeyUnvouched, failure.ExecutedUnknown, 0),
 		Entry("the target runs the call, then drops the connection", nil, func(net.Conn) {}, false, failure.KindTargetLost, failure.ExecutedUnknown, 1),
 		Entry("the target runs the call, then hangs", nil, hang, false, failure.KindTargetTimeout, failure.ExecutedUnknown, 1),
@@ -274,7 +274,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			go cancel()
 			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(target.request("POST", body, "").WithContext(ctx), nil))
-			if err != nil && failure.From(err).Executed == failure.ExecutedNo {
+			if err != nil && failure.FromError(err).Executed == failure.ExecutedNo {
 				notExecuted = append(notExecuted, body)
 			}
 		}
--- a/test/faults/callers_test.go
+++ b/test/faults/callers_test.go
@@ -141,7 +141,7 @@
 		return
 	}
 	if c.attempts++; c.attempts > maxAttempts {
-		c.finalError = failure.New(failure.KindDeadline, "the caller exhausted its attempts").Unknown()
+		c.finalError = failure.New(failure.KindDeadline, "the caller exhausted its attempts").WithExecutionUnknown()
 		return
 	}
 	var entry *host
--- a/test/faults/entry_test.go
+++ b/test/faults/entry_test.go
@@ -75,7 +75,7 @@
 	}
 	resumePoint, err := keyRing.Open(att.resumeHandle, att.call.account, simulationEpoch.Add(h.sim.now))
 	if err != nil {
-		att.finish(failure.From(err))
+		att.finish(failure.FromError(err))
 		return
 	}
 	r.delivery = delivery.Resume(mode, resumePoint.Generation, resumePoint.Offset)
@@ -117,7 +117,7 @@
 	if d.Reason == admission.RefusedPoison {
 		kind = failure.KindPoison
 	}
-	return failure.New(kind, "refused with reason %d", d.Reason).After(d.RetryAfter)
+	return failure.New(kind, "refused with reason %d", d.Reason).WithRetryAfter(d.RetryAfter)
 }
 
 func (r *generationRun) start(l *lease) {
@@ -233,7 +233,7 @@
 // generation the error must not say that it was not executed.
 func (r *generationRun) fail(err *failure.Error) {
 	if r.started && err.Executed == failure.ExecutedNo && !r.host.sim.mutation.alwaysReportNotRun {
-		err = err.Unknown()
+		err = err.WithExecutionUnknown()
 	}
 	if r.host.sim.mutation.alwaysReportNotRun {
 		err.Executed = failure.ExecutedNo
@@ -314,7 +314,7 @@
 func (h *host) handleBooking(att *attempt, call idempotency.Call, onReply func(*failure.Error)) {
 	key, err := att.call.parsedKey()
 	if err != nil {
-		onReply(failure.From(err))
+		onReply(failure.FromError(err))
 		return
 	}
 	call.Account, call.Key, call.Fingerprint, call.WallTime = att.call.account, key, 1, simulationEpoch.Add(h.sim.now)
@@ -374,7 +374,7 @@
 			return
 		}
 		if sim.now >= l.deadline {
-			notRun(failure.New(failure.KindLeaseLost, "the lease expired before the request was sent").After(time.Second))
+			notRun(failure.New(failure.KindLeaseLost, "the lease expired before the request was sent").WithRetryAfter(time.Second))
 			return
 		}
 		finished := false
@@ -385,7 +385,7 @@
 			finished = true
 			h.settle(l, admission.OutcomeTargetFailed)
 			h.register.MarkLost(account, key)
-			err := failure.New(failure.KindOutcomeUnknown, "the target did not answer").Unknown()
+			err := failure.New(failure.KindOutcomeUnknown, "the target did not answer").WithExecutionUnknown()
 			if sim.mutation.alwaysReportNotRun {
 				err.Executed = failure.ExecutedNo
 			}
@@ -393,7 +393,7 @@
 		}
 		c := sim.dial(h.process, l.target.process, onLost)
 		if c == nil {
-			notRun(failure.New(failure.KindTargetFailed, "cannot connect to the target").After(time.Second))
+			notRun(failure.New(failure.KindTargetFailed, "cannot connect to the target").WithRetryAfter(time.Second))
 			return
 		}
 		if !sim.mutation.skipOwnership {
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -281,7 +281,7 @@
 		})).To(BeFalse())
 		Expect(r.problem.Title).To(Equal(string(failure.KindTargetLost)))
 		Expect(r.problem.Executed).To(Equal(failure.ExecutedYes))
-		Expect(r.problem.Delivered).To(Equal(len(r.words)))
+		Expect(r.problem.DeliveredTokens).To(Equal(len(r.words)))
 		r.expectTokens(len(r.words))
 
 		d = startDeployment()
