--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -18,7 +18,7 @@
 }
 
 func (d *demo) hostURL(host int, path string) string {
-	return "http://" + d.fleet.Hosts[host].Callers + path
+	return "http://" + d.fleet.Hosts[host].ClientAddress + path
 }
 
 func (d *demo) streamReport(ctx context.Context) error {
--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -17,7 +17,7 @@
 
 func (d *demo) editTable(ctx context.Context) error {
 	start := time.Now()
-	if err := d.fleet.Put("table/0001", tableText(3)); err != nil {
+	if err := d.fleet.PutValue("table/0001", tableText(3)); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
@@ -40,7 +40,7 @@
 func (d *demo) waitState(ctx context.Context, h *fleet.Host, start time.Time, reached func(entryState) bool) (time.Duration, error) {
 	for time.Since(start) < propagationTimeout && ctx.Err() == nil {
 		var s entryState
-		if err := d.fleet.GetJSON("http://"+h.EntryAdmin+"/state", &s); err == nil && reached(s) {
+		if err := d.fleet.GetJSON("http://"+h.EntryAdminAddress+"/state", &s); err == nil && reached(s) {
 			return time.Since(start), nil
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -82,7 +82,7 @@
 
 func (d *demo) drainSouth(ctx context.Context) error {
 	start := time.Now()
-	if err := d.fleet.Put("drain", "south\n"); err != nil {
+	if err := d.fleet.PutValue("drain", "south\n"); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
@@ -141,7 +141,7 @@
 
 func (d *demo) undrainSouth(ctx context.Context) error {
 	start := time.Now()
-	if err := d.fleet.Put("drain", ""); err != nil {
+	if err := d.fleet.PutValue("drain", ""); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
--- a/internal/demo/monitoring.go
+++ b/internal/demo/monitoring.go
@@ -16,7 +16,7 @@
 	var order []string
 	for _, h := range d.fleet.Hosts {
 		var s accounting.Snapshot
-		if err := d.fleet.GetJSON("http://"+h.EntryAdmin+"/accounting", &s); err != nil {
+		if err := d.fleet.GetJSON("http://"+h.EntryAdminAddress+"/accounting", &s); err != nil {
 			return err
 		}
 		if s.Unbalanced != 0 {
@@ -52,7 +52,7 @@
 	time.Sleep(counterReportDelay)
 	c := &burnreport.Collector{AdminKey: fleet.MonitorKey, Scheme: "http", Client: d.village.http}
 	for _, h := range d.fleet.Hosts {
-		c.ControlAddresses = append(c.ControlAddresses, h.ControlAdmin)
+		c.ControlAddresses = append(c.ControlAddresses, h.ControlAdminAddress)
 	}
 	r := burnreport.Build([]burnreport.Sample{c.Collect(ctx)}, nil)
 	for _, p := range r.Promises {
--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -8,9 +8,9 @@
 	"filbertdeck/internal/failure"
 )
 
-// Build compiles every program of the module into dir, for tests that run the
+// BuildPrograms compiles every program of the module into dir, for tests that run the
 // programs as processes.
-func Build(dir string) error {
+func BuildPrograms(dir string) error {
 	goMod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "cannot locate go.mod")
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -12,7 +12,7 @@
 // PublishAll writes the table, the host list and the target list to the
 // platform's configuration service.
 func (f *Fleet) PublishAll() error {
-	if err := f.Put("table/0001", f.spec.Table); err != nil {
+	if err := f.PutValue("table/0001", f.spec.Table); err != nil {
 		return err
 	}
 	if err := f.PublishHosts(nil); err != nil {
@@ -38,7 +38,7 @@
 	doc := hostsDocument{Revision: f.revision}
 	for _, h := range f.Hosts {
 		doc.Hosts = append(doc.Hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: listedState(leaving[h.Name]),
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.PeerAddress, Control: h.ControlAddress, State: listedState(leaving[h.Name]),
 		})
 	}
 	return f.putJSON(configservice.KeyHosts, doc)
@@ -75,22 +75,22 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "cannot encode document %s", key)
 	}
-	return f.Put(key, string(body))
+	return f.PutValue(key, string(body))
 }
 
-// Put writes a value to the platform stand-in, as an operator does through the
+// PutValue writes a value to the platform stand-in, as an operator does through the
 // configuration service.
-func (f *Fleet) Put(key, value string) error {
+func (f *Fleet) PutValue(key, value string) error {
 	return f.sendAdmin(http.MethodPut, "http://"+f.Platform.Address+"/admin/values/"+key, []byte(value))
 }
 
-// Fault makes a target stand-in inject the fault that the JSON body describes.
-func (f *Fleet) Fault(t *Target, body string) error {
+// SetFault makes a target stand-in inject the fault that the JSON body describes.
+func (f *Fleet) SetFault(t *Target, body string) error {
 	return f.sendAdmin(http.MethodPost, "http://"+t.Address+"/admin/fault", []byte(body))
 }
 
-// PlatformMode sets the failure mode of the platform stand-in from a JSON body.
-func (f *Fleet) PlatformMode(body string) error {
+// SetPlatformMode sets the failure mode of the platform stand-in from a JSON body.
+func (f *Fleet) SetPlatformMode(body string) error {
 	return f.sendAdmin(http.MethodPost, "http://"+f.Platform.Address+"/admin/mode", []byte(body))
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -72,9 +72,9 @@
 	OperatorKey = "demo-operator-key"
 )
 
-// Digest returns the hex-encoded SHA-256 digest under which the table lists an
+// KeyDigest returns the hex-encoded SHA-256 digest under which the table lists an
 // API key.
-func Digest(key string) string {
+func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -11,17 +11,17 @@
 
 // Host is one host of the deployment with its entry and its control process.
 type Host struct {
-	Name, DataCentre          string
-	Callers, Peer, EntryAdmin string
-	Control, ControlAdmin     string
-	Entry, ControlProcess     *Process
-	entryArgs, controlArgs    []string
+	Name, DataCentre                              string
+	ClientAddress, PeerAddress, EntryAdminAddress string
+	ControlAddress, ControlAdminAddress           string
+	EntryProcess, ControlProcess                  *Process
+	entryArgs, controlArgs                        []string
 }
 
 func (f *Fleet) allocateHosts() error {
 	for i, dataCentre := range f.spec.Hosts {
 		h := &Host{Name: "host-" + strconv.Itoa(i+1), DataCentre: dataCentre}
-		for _, address := range []*string{&h.Callers, &h.Peer, &h.EntryAdmin, &h.Control, &h.ControlAdmin} {
+		for _, address := range []*string{&h.ClientAddress, &h.PeerAddress, &h.EntryAdminAddress, &h.ControlAddress, &h.ControlAdminAddress} {
 			freeAddress, err := FreeLoopbackAddress()
 			if err != nil {
 				return err
@@ -39,14 +39,14 @@
 func (f *Fleet) buildArgs(h *Host) {
 	commonArgs := append(f.transportArgs(), "--host", h.Name, "--data-centre", h.DataCentre, "--stop-notice", "200ms")
 	h.controlArgs = append(append(append([]string{}, commonArgs...),
-		"--listen", h.Control, "--admin-listen", h.ControlAdmin, "--platform", f.Platform.Address,
-		"--operator-key-sha256", Digest(OperatorKey), "--monitor-key-sha256", Digest(MonitorKey)), f.spec.ControlArgs...)
+		"--listen", h.ControlAddress, "--admin-listen", h.ControlAdminAddress, "--platform", f.Platform.Address,
+		"--operator-key-sha256", KeyDigest(OperatorKey), "--monitor-key-sha256", KeyDigest(MonitorKey)), f.spec.ControlArgs...)
 	h.entryArgs = append(append([]string{}, commonArgs...),
-		"--listen", h.Callers, "--peer-listen", h.Peer, "--admin-listen", h.EntryAdmin, "--key-ring", f.keyRingPath,
-		"--control", h.Control)
+		"--listen", h.ClientAddress, "--peer-listen", h.PeerAddress, "--admin-listen", h.EntryAdminAddress, "--key-ring", f.keyRingPath,
+		"--control", h.ControlAddress)
 	for _, other := range f.Hosts {
 		if other != h && other.DataCentre == h.DataCentre {
-			h.entryArgs = append(h.entryArgs, "--control", other.Control)
+			h.entryArgs = append(h.entryArgs, "--control", other.ControlAddress)
 		}
 	}
 	h.entryArgs = append(h.entryArgs, f.spec.EntryArgs...)
@@ -86,7 +86,7 @@
 		return err
 	}
 	f.track(p)
-	h.Entry = p
+	h.EntryProcess = p
 	return nil
 }
 
@@ -107,7 +107,7 @@
 
 func (f *Fleet) waitEntryReady(ctx context.Context, h *Host) error {
 	for {
-		resp, err := f.httpClient.Get(f.scheme() + "://" + h.Callers + "/readyz")
+		resp, err := f.httpClient.Get(f.scheme() + "://" + h.ClientAddress + "/readyz")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusNoContent {
@@ -116,9 +116,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.KindNotReady, "%s did not become ready in time\nentry: %s\ncontrol: %s", h.Name, h.Entry.LogTail(), h.ControlProcess.LogTail())
-		case <-h.Entry.Exited():
-			return failure.New(failure.KindInternal, "entry of %s exited before it was ready: %s", h.Name, h.Entry.LogTail())
+			return failure.New(failure.KindNotReady, "%s did not become ready in time\nentry: %s\ncontrol: %s", h.Name, h.EntryProcess.LogTail(), h.ControlProcess.LogTail())
+		case <-h.EntryProcess.Exited():
+			return failure.New(failure.KindInternal, "entry of %s exited before it was ready: %s", h.Name, h.EntryProcess.LogTail())
 		case <-time.After(readyPollInterval):
 		}
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -59,8 +59,8 @@
 // valid once the process has exited.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Pid returns the process ID.
-func (p *Process) Pid() int { return p.cmd.Process.Pid }
+// PID returns the process ID.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // LogTail returns the end of what the process wrote to standard error.
 func (p *Process) LogTail() string { return p.logTail.String() }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -430,7 +430,7 @@
 var _ = Describe("a trial", func() {
 	It("starts a deployment, injects faults and compares it with direct calls", func() {
 		dir := GinkgoT().TempDir()
-		Expect(fleet.Build(dir)).To(Succeed())
+		Expect(fleet.BuildPrograms(dir)).To(Succeed())
 		var out, errOut bytes.Buffer
 		code := Main([]string{"trial", "--bin-dir", dir, "--hosts", "2", "--engines", "2", "--apps", "1", "--rate", "60",
 			"--duration", "700ms", "--length-scale", "0.01", "--direct", "--engine-args=--base-step 2ms",
--- a/internal/load/trial.go
+++ b/internal/load/trial.go
@@ -122,7 +122,7 @@
 	var table strings.Builder
 	table.WriteString(tableHeader)
 	for i := range s.Accounts {
-		fmt.Fprintf(&table, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.Digest(accountAPIKey(i)))
+		fmt.Fprintf(&table, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.KeyDigest(accountAPIKey(i)))
 	}
 	for _, k := range oneKindPerService(profile.Kinds) {
 		serviceType, delivery, maxTokens := "generation", "stream", strconv.Itoa(k.Output.Max)
@@ -196,7 +196,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	cfg.Client.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.Callers })
+	cfg.Client.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.ClientAddress })
 	if direct {
 		cfg = directConfig(cfg, f)
 	}
@@ -282,7 +282,7 @@
 // injectFault applies a fault to the platform, a target or a process.
 func injectFault(f *fleet.Fleet, fault scheduledFault) error {
 	if fault.name == "platform" {
-		return f.PlatformMode(fault.action)
+		return f.SetPlatformMode(fault.action)
 	}
 	for _, t := range append(append([]*fleet.Target{}, f.Engines...), f.Apps...) {
 		if t.Name == fault.name {
@@ -292,7 +292,7 @@
 	for _, h := range f.Hosts {
 		switch fault.name {
 		case h.Name + "-entry":
-			return applyProcessAction(h.Entry, fault.action, func() error { return f.StartEntry(h) })
+			return applyProcessAction(h.EntryProcess, fault.action, func() error { return f.StartEntry(h) })
 		case h.Name + "-control":
 			return applyProcessAction(h.ControlProcess, fault.action, func() error { return f.StartControl(h) })
 		}
@@ -302,7 +302,7 @@
 
 func injectTargetFault(f *fleet.Fleet, t *fleet.Target, action string) error {
 	if strings.HasPrefix(action, "{") {
-		return f.Fault(t, action)
+		return f.SetFault(t, action)
 	}
 	return applyProcessAction(t.Process, action, func() error { return f.RestartTarget(t) })
 }
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -119,18 +119,18 @@
 	hosts := hostList(at.OtherHosts)
 	for _, h := range f.Hosts {
 		hosts = append(hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: configservice.StateLive,
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.PeerAddress, Control: h.ControlAddress, State: configservice.StateLive,
 		})
 	}
-	if err := f.Put(configservice.KeyHosts, jsonText(hostsDocument{2, hosts})); err != nil {
+	if err := f.PutValue(configservice.KeyHosts, jsonText(hostsDocument{2, hosts})); err != nil {
 		return err
 	}
 	targets := append(targetList(at.OtherTargets), polled...)
-	if err := f.Put(configservice.KeyTargets, jsonText(targetsDocument{2, targets})); err != nil {
+	if err := f.PutValue(configservice.KeyTargets, jsonText(targetsDocument{2, targets})); err != nil {
 		return err
 	}
 	for i, page := range tablePages(at.Accounts, 0) {
-		if err := f.Put(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
+		if err := f.PutValue(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 	defer ticker.Stop()
 	for i := range count {
 		<-ticker.C
-		if err := f.Put("table/0001", string(tablePages(at.Accounts, i+1)[0])); err != nil {
+		if err := f.PutValue("table/0001", string(tablePages(at.Accounts, i+1)[0])); err != nil {
 			return err
 		}
 	}
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -22,7 +22,7 @@
 const parkKey = "fault-test-park"
 
 var tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
-	"account,park,1,,,," + fleet.Digest(parkKey) + ",,,,,,\n" +
+	"account,park,1,,,," + fleet.KeyDigest(parkKey) + ",,,,,,\n" +
 	"service,reports,,,,,,,generation,stream,20000,30000,200\n" +
 	"service,summaries,,,,,,,generation,whole,20000,30000,200\n" +
 	"service,orders,,,,,,,once,,,5000,500\n"
@@ -44,7 +44,7 @@
 }
 
 func (d deployment) request(ctx context.Context, host int, path, body string, header ...string) *http.Request {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Hosts[host].Callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Hosts[host].ClientAddress+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+parkKey)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -228,7 +228,7 @@
 
 var _ = BeforeSuite(func() {
 	binDir = GinkgoT().TempDir()
-	Expect(fleet.Build(binDir)).To(Succeed())
+	Expect(fleet.BuildPrograms(binDir)).To(Succeed())
 })
 
 var _ = Describe("real processes", func() {
@@ -238,7 +238,7 @@
 		d, r := startDeployment(), &streamCaller{}
 		Expect(r.readStream(d, 0, 300, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGKILL)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGKILL)
 			}
 		})).To(BeFalse())
 		Expect(len(r.words)).To(BeNumerically(">=", 60))
@@ -254,12 +254,12 @@
 		d, r := startDeployment(), &streamCaller{}
 		Expect(r.readStream(d, 0, 900, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGSTOP)
 			}
 		})).To(BeFalse())
 		Expect(r.readStream(d, 1, 900, func(n int) {
 			if n == 600 {
-				d.Hosts[0].Entry.Signal(syscall.SIGCONT)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGCONT)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
 		r.expectTokens(900)
@@ -276,7 +276,7 @@
 		d, r := startDeployment(), &streamCaller{}
 		Expect(r.readStream(d, 0, 600, func(n int) {
 			if n == 60 {
-				Expect(d.Fault(d.engineOf(r.generation), `{"kind":"crash"}`)).To(Or(Succeed(), HaveOccurred()))
+				Expect(d.SetFault(d.engineOf(r.generation), `{"kind":"crash"}`)).To(Or(Succeed(), HaveOccurred()))
 			}
 		})).To(BeFalse())
 		Expect(r.problem.Title).To(Equal(string(failure.KindTargetLost)))
@@ -289,7 +289,7 @@
 			defer GinkgoRecover()
 			var busy *fleet.Target
 			Eventually(func() *fleet.Target { busy = d.busyEngine(); return busy }, "10s", "20ms").ShouldNot(BeNil())
-			_ = d.Fault(busy, `{"kind":"crash"}`)
+			_ = d.SetFault(busy, `{"kind":"crash"}`)
 		}()
 		status, problem, text := d.post(0, "/v1/completions", `{"model":"summaries","prompt":"Lease. [tokens=200]","max_tokens":400}`)
 		Expect(status).To(Equal(200), "%+v", problem)
@@ -326,7 +326,7 @@
 	It("report unknown after a booking whose answer was lost, and never run it again", func() {
 		d := startDeployment()
 		key := d.mintKey(0)
-		Expect(d.Fault(d.Apps[0], `{"kind":"drop_after_run","count":1}`)).To(Succeed())
+		Expect(d.SetFault(d.Apps[0], `{"kind":"drop_after_run","count":1}`)).To(Succeed())
 		for _, host := range []int{0, 1, 2} {
 			_, problem, _ := d.post(host, ordersPath, "order", "Idempotency-Key", key)
 			Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
@@ -339,7 +339,7 @@
 	It("never run a minted key's booking once its owner is gone", func() {
 		d := startDeployment()
 		key := d.mintKey(0)
-		d.Hosts[0].Entry.Kill()
+		d.Hosts[0].EntryProcess.Kill()
 		status, problem, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 		Expect(status).To(Equal(502))
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
@@ -360,13 +360,13 @@
 	It("report unknown while a minted key's owner is suspended, and run it once afterwards", func() {
 		d := startDeployment()
 		key := d.mintKey(0)
-		d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
+		d.Hosts[0].EntryProcess.Signal(syscall.SIGSTOP)
 		_, problem, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
 		Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
 		Expect(problem.RetryAfterMS).To(BeNumerically(">", 0))
 		Expect(d.bookingCount()).To(BeZero())
-		d.Hosts[0].Entry.Signal(syscall.SIGCONT)
+		d.Hosts[0].EntryProcess.Signal(syscall.SIGCONT)
 		Eventually(func() int {
 			status, _, _ := d.post(1, ordersPath, "order", "Idempotency-Key", key)
 			return status
@@ -381,7 +381,7 @@
 		d, r := startDeployment(), &streamCaller{}
 		d.waitForCallerKeys()
 		before := d.bookingCount()
-		Expect(d.PlatformMode(`{"mode":"down"}`)).To(Succeed())
+		Expect(d.SetPlatformMode(`{"mode":"down"}`)).To(Succeed())
 		Eventually(func() string {
 			_, problem, _ := d.post(0, ordersPath, "order", "Idempotency-Key", newUUID())
 			return problem.Title
@@ -393,7 +393,7 @@
 		Expect(bookedWhileDown).To(BeNumerically(">=", before))
 		Expect(r.readStream(d, 2, 50, nil)).To(BeTrue())
 		r.expectTokens(50)
-		Expect(d.PlatformMode(`{"mode":"normal"}`)).To(Succeed())
+		Expect(d.SetPlatformMode(`{"mode":"normal"}`)).To(Succeed())
 		d.waitForCallerKeys()
 	})
 
@@ -405,7 +405,7 @@
 		completed := r.readStream(d, 0, 900, func(n int) {
 			switch {
 			case n == 60:
-				Expect(d.Put("drain", "a\n")).To(Succeed())
+				Expect(d.PutValue("drain", "a\n")).To(Succeed())
 				drainedAt = time.Now()
 			case n > 60 && n%20 == 0:
 				before := d.startedGenerations(inDrainedCentre)
@@ -429,13 +429,13 @@
 		d, r := startDeployment(), &streamCaller{}
 		Expect(r.readStream(d, 0, 400, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGTERM)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGTERM)
 				d.Hosts[0].ControlProcess.Signal(syscall.SIGTERM)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
 		r.expectTokens(400)
-		Eventually(d.Hosts[0].Entry.Exited(), "10s").Should(BeClosed())
-		Expect(d.Hosts[0].Entry.ExitCode()).To(BeZero())
+		Eventually(d.Hosts[0].EntryProcess.Exited(), "10s").Should(BeClosed())
+		Expect(d.Hosts[0].EntryProcess.ExitCode()).To(BeZero())
 	})
 })
 
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 
 var _ = BeforeSuite(func() {
 	binDir = GinkgoT().TempDir()
-	Expect(fleet.Build(binDir)).To(Succeed())
+	Expect(fleet.BuildPrograms(binDir)).To(Succeed())
 })
 
 // stepTimeout is longer than any step takes on a busy machine. A passing test
--- a/test/process/ctl_test.go
+++ b/test/process/ctl_test.go
@@ -32,7 +32,7 @@
 	BeforeEach(func() {
 		controlFlags = nil
 		for _, h := range deployment.Hosts {
-			controlFlags = append(controlFlags, "--control", h.ControlAdmin)
+			controlFlags = append(controlFlags, "--control", h.ControlAdminAddress)
 		}
 	})
 
@@ -43,7 +43,7 @@
 
 	It("show hosts, targets, accounts and the rollout of a running deployment", func() {
 		for command, expected := range map[string]string{
-			"hosts": deployment.Hosts[0].Control, "targets": deployment.Engines[0].Address, "accounts": "school", "table rollout": "table",
+			"hosts": deployment.Hosts[0].ControlAddress, "targets": deployment.Engines[0].Address, "accounts": "school", "table rollout": "table",
 		} {
 			code, out := runCtl(strings.Fields(command)...)
 			Expect(code).To(Equal(0), out)
@@ -67,8 +67,8 @@
 		code, out := runProgram("filbertctl", "table", "check", file)
 		Expect(code).To(Equal(1), out)
 		Expect(out).To(And(ContainSubstring("weight"), ContainSubstring("-1")))
-		DeferCleanup(func() { Expect(deployment.Put("table/0001", tableText)).To(Succeed()) })
-		Expect(deployment.Put("table/0001", invalidTable)).To(Succeed())
+		DeferCleanup(func() { Expect(deployment.PutValue("table/0001", tableText)).To(Succeed()) })
+		Expect(deployment.PutValue("table/0001", invalidTable)).To(Succeed())
 		Eventually(func() string { _, out := runCtl("table", "rollout"); return out }).
 			WithTimeout(10 * time.Second).Should(ContainSubstring("weight"))
 		status, _, body := sendRequest(request{method: "GET", path: "/v1/services/sites/x", key: schoolKey})
--- a/test/process/secrets_test.go
+++ b/test/process/secrets_test.go
@@ -32,7 +32,7 @@
 		}
 		Expect(outputs).To(HaveLen(4))
 		for _, h := range deployment.Hosts {
-			outputs = append(outputs, h.Entry.LogTail(), h.ControlProcess.LogTail())
+			outputs = append(outputs, h.EntryProcess.LogTail(), h.ControlProcess.LogTail())
 		}
 		for _, text := range outputs {
 			for _, secret := range []string{schoolKey, clinicKey, fleet.OperatorKey, fleet.MonitorKey, prompt} {
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -39,7 +39,7 @@
 
 	postCompletion := func() (*http.Response, error) {
 		body := strings.NewReader(completionBody("reports", "x [tokens=5]", ""))
-		req, err := http.NewRequest(http.MethodPost, "https://"+tlsDeployment.Hosts[1].Callers+"/v1/completions", body)
+		req, err := http.NewRequest(http.MethodPost, "https://"+tlsDeployment.Hosts[1].ClientAddress+"/v1/completions", body)
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+schoolKey)
 		req.Close = true // a new TLS handshake per call
@@ -57,7 +57,7 @@
 	// to obtain leases on targets or to read the table with its accounts. Only
 	// holders of a certificate from the deployment's authority may connect.
 	It("rejects a process without a client certificate", func() {
-		conn, err := rpc.Dial(tlsDeployment.Hosts[0].Control, rpc.Credentials{})
+		conn, err := rpc.Dial(tlsDeployment.Hosts[0].ControlAddress, rpc.Credentials{})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
