--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -41,7 +41,7 @@
 	Board       *state.Board
 	Accounting  *accounting.Recorder
 	Lifecycle   *lifecycle.Lifecycle
-	KeyRing     *handle.Ring
+	KeyRing     *handle.KeyRing
 	Generations *generation.Relay
 	Idempotent  *servicecall.IdempotentRelay
 	AtMostOnce  *servicecall.AtMostOnceRelay
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -54,7 +54,7 @@
 type Relay struct {
 	admission   *admit.Client
 	engine      engineClient
-	keyRing     *handle.Ring
+	keyRing     *handle.KeyRing
 	picker      Picker
 	lookupPool  PoolLookup
 	retryBudget *retrybudget.Budget
@@ -62,7 +62,7 @@
 }
 
 // NewRelay returns a relay that sends requests to targets through client.
-func NewRelay(admission *admit.Client, client Doer, keyRing *handle.Ring, picker Picker, lookupPool PoolLookup, retryBudget *retrybudget.Budget) *Relay {
+func NewRelay(admission *admit.Client, client Doer, keyRing *handle.KeyRing, picker Picker, lookupPool PoolLookup, retryBudget *retrybudget.Budget) *Relay {
 	return &Relay{
 		admission: admission, engine: engineClient{http: client}, keyRing: keyRing, picker: picker, lookupPool: lookupPool,
 		retryBudget: retryBudget, startTime: time.Now(),
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -54,21 +54,21 @@
 // keyRingReloadInterval is how often the key ring file is checked for changes.
 const keyRingReloadInterval = 2 * time.Second
 
-func newKeyRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.Ring, error) {
+func newKeyRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.KeyRing, error) {
 	if s.KeyRing == "" {
 		log.Warn("no key ring is set; resume handles and minted keys are valid in this process only")
-		return handle.NewRing(handle.RandomSecrets())
+		return handle.NewKeyRing(handle.RandomSecret())
 	}
 	file, err := handle.OpenFile(s.KeyRing)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--key-ring (FILBERT_ENTRY_KEY_RING) is %q", s.KeyRing)
 	}
 	process.Every(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
-	return file.Ring, nil
+	return file.KeyRing, nil
 }
 
-func reloadKeyRing(file *handle.File, log *slog.Logger) {
-	switch changed, err := file.Refresh(); {
+func reloadKeyRing(file *handle.KeyRingFile, log *slog.Logger) {
+	switch changed, err := file.ReloadIfChanged(); {
 	case err != nil:
 		log.Warn("key ring refused; keeping the current key ring", "error", err)
 	case changed:
@@ -105,7 +105,7 @@
 func newRetryBudget() *retrybudget.Budget { return retrybudget.New(retrybudget.Config{}) }
 
 func newGenerationRelay(
-	admission *admit.Client, client *targetclient.Client, ring *handle.Ring, b *state.Board, picker *state.Picker, budget *retrybudget.Budget,
+	admission *admit.Client, client *targetclient.Client, ring *handle.KeyRing, b *state.Board, picker *state.Picker, budget *retrybudget.Budget,
 ) *generation.Relay {
 	return generation.NewRelay(admission, client, ring, picker, b.PoolOf, budget)
 }
@@ -123,7 +123,7 @@
 	return p
 }
 
-func newAtMostOnceRelay(admission *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, picker *state.Picker, p *servicecall.PeerForwarder) *servicecall.AtMostOnceRelay {
+func newAtMostOnceRelay(admission *admit.Client, ring *handle.KeyRing, self idempotency.Process, b *state.Board, picker *state.Picker, p *servicecall.PeerForwarder) *servicecall.AtMostOnceRelay {
 	o := &servicecall.AtMostOnceRelay{
 		Admission: admission, Client: targetclient.NewOnce(targetclient.Settings{}), Picker: picker,
 		KeyRing: ring, Self: self, Board: b, Forwarder: p,
@@ -133,7 +133,7 @@
 }
 
 func newAPI(
-	b *state.Board, usage *accounting.Recorder, life *lifecycle.Lifecycle, ring *handle.Ring,
+	b *state.Board, usage *accounting.Recorder, life *lifecycle.Lifecycle, ring *handle.KeyRing,
 	generations *generation.Relay, idempotent *servicecall.IdempotentRelay, atMostOnce *servicecall.AtMostOnceRelay, s *Settings,
 ) *callerapi.API {
 	return &callerapi.API{
--- a/internal/entry/servicecall/at_most_once.go
+++ b/internal/entry/servicecall/at_most_once.go
@@ -40,7 +40,7 @@
 	Admission *admit.Client
 	Client    AtMostOnceDoer
 	Picker    Picker
-	KeyRing   *handle.Ring
+	KeyRing   *handle.KeyRing
 	Self      idempotency.Process
 	Board     *state.Board
 	Forwarder Forwarder
@@ -64,9 +64,9 @@
 	r.mu.Lock()
 	sequence := r.registry.NextSequence()
 	r.mu.Unlock()
-	return r.KeyRing.Mint(handle.Minted{
+	return r.KeyRing.Mint(handle.MintedKey{
 		Account: account, Owner: r.Self.Address, Incarnation: r.Self.Incarnation,
-		Age0: r.now(), Sequence: sequence,
+		OwnerUptimeAtMint: r.now(), Sequence: sequence,
 	})
 }
 
@@ -93,7 +93,7 @@
 	}
 	owner := idempotency.Process{Address: minted.Owner, Incarnation: minted.Incarnation}
 	id := owner.Address + "/" + strconv.FormatUint(minted.Incarnation, 16) + "/" + strconv.FormatUint(minted.Sequence, 16)
-	return idempotency.MintedKey(id, owner, minted.Age0), nil
+	return idempotency.MintedKey(id, owner, minted.OwnerUptimeAtMint), nil
 }
 
 // Serve relays the call. It has already written the error that it returns to the
--- a/internal/handle/file.go
+++ b/internal/handle/file.go
@@ -8,10 +8,10 @@
 	"filbertdeck/internal/failure"
 )
 
-// File is a ring whose keys are read from a file. Operators edit the file to
+// KeyRingFile is a ring whose keys are read from a file. Operators edit the file to
 // rotate the keys while processes run.
-type File struct {
-	*Ring
+type KeyRingFile struct {
+	*KeyRing
 	path string
 
 	mu     sync.Mutex
@@ -19,7 +19,7 @@
 }
 
 // OpenFile reads a key ring file. Its errors are of KindSettingInvalid.
-func OpenFile(path string) (*File, error) {
+func OpenFile(path string) (*KeyRingFile, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "key ring %s", path)
@@ -28,18 +28,18 @@
 	if err != nil {
 		return nil, err
 	}
-	ring, err := NewRing(secrets)
+	ring, err := NewKeyRing(secrets)
 	if err != nil {
 		return nil, err
 	}
-	return &File{Ring: ring, path: path, digest: sha256.Sum256(content)}, nil
+	return &KeyRingFile{KeyRing: ring, path: path, digest: sha256.Sum256(content)}, nil
 }
 
-// Refresh reloads the file if its content changed and reports whether it did.
+// ReloadIfChanged reloads the file if its content changed and reports whether it did.
 // An invalid file leaves the keys unchanged: otherwise a file that is read
 // while it is being written would invalidate every handle and minted key. Call
 // it every few seconds.
-func (f *File) Refresh() (changed bool, err error) {
+func (f *KeyRingFile) ReloadIfChanged() (changed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	content, err := os.ReadFile(f.path)
--- a/internal/handle/handle.go
+++ b/internal/handle/handle.go
@@ -26,10 +26,10 @@
 	Issued, Expires time.Time
 }
 
-// SealTo appends the handle's sealed text to dst and returns the extended
+// AppendSealed appends the handle's sealed text to dst and returns the extended
 // slice. It does not allocate if dst has enough capacity (about 700 bytes for
 // names of usual length).
-func (r *Ring) SealTo(dst []byte, h Handle) []byte {
+func (r *KeyRing) AppendSealed(dst []byte, h Handle) []byte {
 	keys := r.keys.Load()
 	maxSize := 1 + 3*binary.MaxVarintLen64 + 3*binary.MaxVarintLen32 + len(h.Service) + len(h.Target) + len(h.Generation)
 	return r.seal(dst, keys, keys.handleAEAD, h.Account, maxSize, h.appendTo)
@@ -51,7 +51,7 @@
 // Open decrypts a handle that was sealed for account. A text that is malformed,
 // was altered or belongs to another account fails with KindHandleInvalid, an
 // expired one with KindHandleExpired.
-func (r *Ring) Open(text, account string, now time.Time) (Handle, error) {
+func (r *KeyRing) Open(text, account string, now time.Time) (Handle, error) {
 	plaintext, ok := r.open(text, account, purposeHandle)
 	if !ok {
 		return Handle{}, invalidHandle()
--- a/internal/handle/handle_test.go
+++ b/internal/handle/handle_test.go
@@ -35,19 +35,19 @@
 	return handle.Secret{ID: id, Bytes: bytes.Repeat([]byte{byte(id)}, 32)}
 }
 
-func newRing(ids ...uint32) *handle.Ring {
+func newRing(ids ...uint32) *handle.KeyRing {
 	var secrets []handle.Secret
 	for _, id := range ids {
 		secrets = append(secrets, testSecret(id))
 	}
-	r, err := handle.NewRing(secrets)
+	r, err := handle.NewKeyRing(secrets)
 	Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
 var _ = Describe("a resume handle", func() {
 	It("opens on any entry that has the key, for its own account only", func() {
-		text := string(newRing(1).SealTo([]byte("id: "), sampleHandle()))[len("id: "):]
+		text := string(newRing(1).AppendSealed([]byte("id: "), sampleHandle()))[len("id: "):]
 		Expect(newRing(2, 1).Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
 		Expect(text).NotTo(ContainSubstring("10.0.0.7"))
 	})
@@ -56,7 +56,7 @@
 	// which handles exist.
 	It("fails with the same error whatever is wrong", func() {
 		r := newRing(1)
-		text := string(r.SealTo(nil, sampleHandle()))
+		text := string(r.AppendSealed(nil, sampleHandle()))
 		raw, _ := base64.RawURLEncoding.DecodeString(text)
 		var messages = map[string]bool{}
 		expectInvalid := func(text, account string) {
@@ -74,15 +74,15 @@
 		expectInvalid(text+"A", "foundation")
 		expectInvalid("", "foundation")
 		expectInvalid(strings.Repeat("A", 1<<20), "foundation")
-		expectInvalid(string(newRing(9).SealTo(nil, sampleHandle())), "foundation")
-		minted := r.Mint(handle.Minted{Account: "foundation", Owner: "10.0.0.1:1"})
+		expectInvalid(string(newRing(9).AppendSealed(nil, sampleHandle())), "foundation")
+		minted := r.Mint(handle.MintedKey{Account: "foundation", Owner: "10.0.0.1:1"})
 		expectInvalid(strings.TrimPrefix(minted, "fdk1."), "foundation")
 		Expect(messages).To(HaveLen(1))
 	})
 
 	It("expires", func() {
 		r := newRing(1)
-		text := string(r.SealTo(nil, sampleHandle()))
+		text := string(r.AppendSealed(nil, sampleHandle()))
 		_, err := r.Open(text, "foundation", issuedAt.Add(10*time.Minute+time.Second))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleExpired))
 	})
@@ -91,10 +91,10 @@
 	// with the old key must open for as long as that key is in the ring.
 	It("opens after a rotation while the old key is in the ring", func() {
 		r := newRing(1)
-		text := string(r.SealTo(nil, sampleHandle()))
+		text := string(r.AppendSealed(nil, sampleHandle()))
 		Expect(r.Replace([]handle.Secret{testSecret(2), testSecret(1)})).To(Succeed())
 		Expect(r.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
-		Expect(newRing(2).Open(string(r.SealTo(nil, sampleHandle())), "foundation", issuedAt)).To(Equal(sampleHandle()))
+		Expect(newRing(2).Open(string(r.AppendSealed(nil, sampleHandle())), "foundation", issuedAt)).To(Equal(sampleHandle()))
 		Expect(r.Replace([]handle.Secret{testSecret(2)})).To(Succeed())
 		_, err := r.Open(text, "foundation", issuedAt)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
@@ -107,7 +107,7 @@
 		for range 3 {
 			r := newRing(1)
 			for range 100 {
-				raw, _ := base64.RawURLEncoding.DecodeString(string(r.SealTo(nil, sampleHandle())))
+				raw, _ := base64.RawURLEncoding.DecodeString(string(r.AppendSealed(nil, sampleHandle())))
 				nonce := string(raw[:28])
 				Expect(seen[nonce]).To(BeFalse())
 				seen[nonce] = true
@@ -117,7 +117,7 @@
 })
 
 var _ = Describe("a minted key", func() {
-	minted := handle.Minted{Account: "park", Owner: "10.0.0.1:7001", Incarnation: 77, Age0: 90 * time.Second, Sequence: 5}
+	minted := handle.MintedKey{Account: "park", Owner: "10.0.0.1:7001", Incarnation: 77, OwnerUptimeAtMint: 90 * time.Second, Sequence: 5}
 
 	It("identifies its owner on every entry and opens for its own account only", func() {
 		text := newRing(1).Mint(minted)
@@ -174,34 +174,34 @@
 		write("1:" + validKey)
 		file, err := handle.OpenFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		text := string(file.SealTo(nil, sampleHandle()))
-		Expect(file.Refresh()).To(BeFalse())
+		text := string(file.AppendSealed(nil, sampleHandle()))
+		Expect(file.ReloadIfChanged()).To(BeFalse())
 		write("2:" + validKey[:10])
-		_, err = file.Refresh()
+		_, err = file.ReloadIfChanged()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		Expect(file.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
 		write("2:" + validKey + "\n1:" + validKey)
-		Expect(file.Refresh()).To(BeTrue())
+		Expect(file.ReloadIfChanged()).To(BeTrue())
 		Expect(file.Open(text, "foundation", issuedAt)).To(Equal(sampleHandle()))
 		Expect(os.Remove(path)).To(Succeed())
-		_, err = file.Refresh()
+		_, err = file.ReloadIfChanged()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		_, err = handle.OpenFile(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 	})
 	It("must have at least one key, and keys of full length", func() {
-		_, err := handle.NewRing([]handle.Secret{{ID: 1, Bytes: []byte("short")}})
+		_, err := handle.NewKeyRing([]handle.Secret{{ID: 1, Bytes: []byte("short")}})
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		Expect(newRing(1).Replace(nil)).NotTo(Succeed())
-		_, err = handle.NewRing(handle.RandomSecrets())
+		_, err = handle.NewKeyRing(handle.RandomSecret())
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
 
 func FuzzOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
-	f.Add(string(r.SealTo(nil, sampleHandle())), "foundation")
-	f.Add(r.Mint(handle.Minted{Account: "a", Owner: "o"}), "a")
+	r, _ := handle.NewKeyRing([]handle.Secret{testSecret(1)})
+	f.Add(string(r.AppendSealed(nil, sampleHandle())), "foundation")
+	f.Add(r.Mint(handle.MintedKey{Account: "a", Owner: "o"}), "a")
 	f.Fuzz(func(t *testing.T, text, account string) {
 		if h, err := r.Open(text, account, issuedAt); err == nil && (account != "foundation" || h != sampleHandle()) {
 			t.Fatalf("opened %q for %q as %+v", text, account, h)
@@ -213,7 +213,7 @@
 }
 
 func FuzzSealOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
+	r, _ := handle.NewKeyRing([]handle.Secret{testSecret(1)})
 	f.Add("a", "s", "t", "g", uint64(0), int64(0))
 	f.Fuzz(func(t *testing.T, account, service, target, generation string, offset uint64, issued int64) {
 		if len(service)+len(target)+len(generation) > 1000 {
@@ -221,7 +221,7 @@
 		}
 		want := handle.Handle{Account: account, Service: service, Target: target, Generation: generation,
 			Offset: offset, Issued: time.Unix(issued%(1<<40), 0), Expires: time.Unix(1<<41, 0)}
-		got, err := r.Open(string(r.SealTo(nil, want)), account, issuedAt)
+		got, err := r.Open(string(r.AppendSealed(nil, want)), account, issuedAt)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("want %+v got %+v %v", want, got, err)
 		}
@@ -229,20 +229,20 @@
 }
 
 func BenchmarkSealTo(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
+	r, _ := handle.NewKeyRing([]handle.Secret{testSecret(1)})
 	h := sampleHandle()
 	buf := make([]byte, 0, 1024)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Offset++
-		buf = r.SealTo(buf[:0], h)
+		buf = r.AppendSealed(buf[:0], h)
 	}
 	b.ReportMetric(float64(len(buf)), "bytes/handle")
 }
 
 func BenchmarkOpen(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{testSecret(1)})
-	text := string(r.SealTo(nil, sampleHandle()))
+	r, _ := handle.NewKeyRing([]handle.Secret{testSecret(1)})
+	text := string(r.AppendSealed(nil, sampleHandle()))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := r.Open(text, "foundation", issuedAt); err != nil {
--- a/internal/handle/ring.go
+++ b/internal/handle/ring.go
@@ -109,18 +109,18 @@
 	return Secret{ID: uint32(id), Bytes: key}, nil
 }
 
-// RandomSecrets returns a single random key. Texts that are sealed with it can
+// RandomSecret returns a single random key. Texts that are sealed with it can
 // be opened in this process only, which is enough for tests and for a single
 // host.
-func RandomSecrets() []Secret {
+func RandomSecret() []Secret {
 	key := make([]byte, secretSize)
 	_, _ = rand.Read(key) // never fails, see crypto/rand
 	return []Secret{{ID: 1, Bytes: key}}
 }
 
-// Ring seals and opens texts. It is safe for concurrent use, and Replace may
+// KeyRing seals and opens texts. It is safe for concurrent use, and Replace may
 // be called while requests are in progress (read-copy-update).
-type Ring struct {
+type KeyRing struct {
 	salt    [saltSize]byte
 	counter atomic.Uint64
 	keys    atomic.Pointer[ringKeys]
@@ -137,9 +137,9 @@
 	mintedAEAD cipher.AEAD
 }
 
-// NewRing returns a ring with the given keys, of which the first one seals.
-func NewRing(secrets []Secret) (*Ring, error) {
-	r := &Ring{}
+// NewKeyRing returns a ring with the given keys, of which the first one seals.
+func NewKeyRing(secrets []Secret) (*KeyRing, error) {
+	r := &KeyRing{}
 	_, _ = rand.Read(r.salt[:]) // never fails, see crypto/rand
 	if err := r.Replace(secrets); err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 }
 
 // Replace replaces the ring's keys. On error the keys stay unchanged.
-func (r *Ring) Replace(secrets []Secret) error {
+func (r *KeyRing) Replace(secrets []Secret) error {
 	if len(secrets) == 0 {
 		return failure.New(failure.KindSettingInvalid, "key ring contains no key")
 	}
@@ -189,7 +189,7 @@
 // seal appends to dst the sealed text of the plaintext that appendPlaintext
 // appends. It uses the spare capacity of dst as scratch space, so that a caller
 // that reuses dst does not allocate.
-func (r *Ring) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, maxPlaintextSize int, appendPlaintext func([]byte) []byte) []byte {
+func (r *KeyRing) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, maxPlaintextSize int, appendPlaintext func([]byte) []byte) []byte {
 	maxRawSize := headerSize + maxPlaintextSize + tagSize
 	maxTextSize := encoding.EncodedLen(maxRawSize)
 	start := len(dst)
@@ -217,7 +217,7 @@
 }
 
 // open decrypts a text that seal made for this account.
-func (r *Ring) open(text, account, purpose string) ([]byte, bool) {
+func (r *KeyRing) open(text, account, purpose string) ([]byte, bool) {
 	if len(text) > maxSealedSize {
 		return nil, false
 	}
--- a/test/faults/callers_test.go
+++ b/test/faults/callers_test.go
@@ -110,7 +110,7 @@
 	}
 	if k == kindMinted {
 		h := sim.hosts[first]
-		c.key = keyRing.Mint(handle.Minted{Account: c.account, Owner: h.name, Incarnation: h.incarnation, Age0: sim.now, Sequence: sim.lastID})
+		c.key = keyRing.Mint(handle.MintedKey{Account: c.account, Owner: h.name, Incarnation: h.incarnation, OwnerUptimeAtMint: sim.now, Sequence: sim.lastID})
 	}
 	return c
 }
@@ -130,7 +130,7 @@
 		return idempotency.CallerKey(c.key)
 	}
 	m, err := keyRing.OpenMinted(c.key, c.account)
-	return idempotency.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.Age0), err
+	return idempotency.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.OwnerUptimeAtMint), err
 }
 
 // sendNext sends the call to the next entry that the load balancer considers
--- a/test/faults/entry_test.go
+++ b/test/faults/entry_test.go
@@ -14,7 +14,7 @@
 var simulationEpoch = time.Unix(1_800_000_000, 0)
 
 // keyRing is shared by all entries, as in a deployment.
-var keyRing, _ = handle.NewRing(handle.RandomSecrets())
+var keyRing, _ = handle.NewKeyRing(handle.RandomSecret())
 
 // receiveRequest handles a request that arrives at the entry and sends a
 // keep-alive to the caller every second until it is finished.
@@ -282,7 +282,7 @@
 	if r.attempt.call.kind == kindWhole {
 		r.buffered = append(r.buffered, t)
 	} else {
-		id := string(keyRing.SealTo(nil, handle.Handle{
+		id := string(keyRing.AppendSealed(nil, handle.Handle{
 			Account: r.attempt.call.account, Service: "reports", Target: r.target.name, Generation: r.delivery.Generation(),
 			Offset: r.delivery.NextOffset(), Finished: r.delivery.Finished(), Expires: simulationEpoch.Add(r.host.sim.now + time.Minute),
 		}))
