--- a/internal/entry/callerapi/api.go
+++ b/internal/entry/callerapi/api.go
@@ -91,7 +91,7 @@
 // withAccount counts the request as in progress, authenticates it, and calls h.
 func (a *API) withAccount(h requestHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		end, err := a.Lifecycle.Begin()
+		end, err := a.Lifecycle.BeginRequest()
 		if err != nil {
 			a.refuse(w, unknownName, unknownName, err)
 			return
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -179,14 +179,14 @@
 // registerGauges registers gauges for the requests in progress and for the
 // number and size of recorded idempotency keys.
 func registerGauges(reg gometrics.Registry, o *servicecall.AtMostOnceRelay, life *lifecycle.Lifecycle) {
-	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.Running()) })
+	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.InProgress()) })
 	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.RecordSize(); return int64(keys) })
 	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.RecordSize(); return int64(bytes) })
 }
 
 func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *servicecall.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
-	filbertv1.RegisterForwardServer(server, &servicecall.ForwardServer{Relay: o, Board: b, Begin: life.Begin})
+	filbertv1.RegisterForwardServer(server, &servicecall.ForwardServer{Relay: o, Board: b, Begin: life.BeginRequest})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -179,7 +179,7 @@
 
 func newLifecycle(s *Settings, board *recordsync.Board) *lifecycle.Lifecycle {
 	grace := s.Deployment.StopGrace
-	return lifecycle.NewWithStop(func() error {
+	return lifecycle.NewWithStopConfig(func() error {
 		if view := board.View.Get(); view == nil || view.Config == nil {
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
@@ -250,7 +250,7 @@
 // them.
 func trackRequests(g *gateway.Gateway, state *lifecycle.Lifecycle) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		finish, err := state.Begin()
+		finish, err := state.BeginRequest()
 		if err != nil {
 			g.Refuse(w, r, err)
 			return
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -37,22 +37,22 @@
 // after it reports not ready. wait limits how long a stop waits for requests in
 // progress; 0 means no limit.
 func New(ready func() error, notice, wait time.Duration) *Lifecycle {
-	return NewWithStop(ready, drain.ShutdownConfig{
+	return NewWithStopConfig(ready, drain.ShutdownConfig{
 		MinAnnounce: notice, QuietPeriod: notice, MaxAnnounce: 3 * notice, LingerDuration: notice, DrainTimeout: wait,
 	})
 }
 
-// NewWithStop is New with each duration of the stop set separately.
-func NewWithStop(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
+// NewWithStopConfig is New with each duration of the stop set separately.
+func NewWithStopConfig(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
 	return &Lifecycle{checkReady: ready, startedAt: time.Now(), stop: drain.NewShutdown(stop)}
 }
 
 func (l *Lifecycle) now() time.Duration { return time.Since(l.startedAt) }
 
-// Begin registers a request in progress. The caller must call the returned
+// BeginRequest registers a request in progress. The caller must call the returned
 // function when the request ends. It fails while the process rejects new
 // requests.
-func (l *Lifecycle) Begin() (end func(), err error) {
+func (l *Lifecycle) BeginRequest() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stop.NoteArrival(l.now())
@@ -69,8 +69,8 @@
 	l.inProgress--
 }
 
-// Running returns the number of requests in progress.
-func (l *Lifecycle) Running() int {
+// InProgress returns the number of requests in progress.
+func (l *Lifecycle) InProgress() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inProgress
@@ -97,11 +97,11 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return failure.Wrap(ctx.Err(), failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
+			return failure.Wrap(ctx.Err(), failure.KindStopping, "%d requests were in progress at the end of the stop", l.InProgress())
 		}
 	}
 	if l.interrupted() {
-		return failure.New(failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
+		return failure.New(failure.KindStopping, "%d requests were in progress at the end of the stop", l.InProgress())
 	}
 	return nil
 }
