--- a/internal/load/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,4 +1,4 @@
-// Package load implements the program filbert-load, an open-loop load generator
+// Package loadgen implements the program filbert-load, an open-loop load generator
 // that measures what the callers of a running system receive.
 //
 // A workload is a deployment's mix of calls (see Profiles). Arrivals follow a
@@ -10,4 +10,4 @@
 // Every answer is verified: each token arrives exactly once, in order, with the
 // expected text and from a single generation; each answer belongs to its call;
 // and each call with an idempotency key ran once.
-package load
+package loadgen
