--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -12,7 +12,7 @@
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
-	"filbertdeck/internal/prefix"
+	"filbertdeck/internal/promptprefix"
 )
 
 func (a *activeRequest) serve(ctx context.Context) error {
@@ -70,8 +70,8 @@
 
 // attempt runs one generation on one target.
 func (a *activeRequest) attempt(ctx context.Context) error {
-	chain := prefix.Chain(a.Prompt)
-	fingerprint := prefix.Fingerprint(a.Service.Name, a.Prompt, a.MaxTokens)
+	chain := promptprefix.BlockHashes(a.Prompt)
+	fingerprint := promptprefix.Fingerprint(a.Service.Name, a.Prompt, a.MaxTokens)
 	choice, err := a.picker.Pick(a.poolRequest(chain, fingerprint))
 	if err != nil {
 		return err
--- a/internal/prefix/prefix.go
+++ b/internal/promptprefix/promptprefix.go
@@ -1,8 +1,8 @@
-// Package prefix computes the hashes with which engines identify the prompt
+// Package promptprefix computes the hashes with which engines identify the prompt
 // prefixes in their caches. It uses the engines' published scheme
 // (docs/protocols.md): xxhash64 over blocks of 64 bytes, where each hash covers
 // the previous one, so that equal hashes mean equal prefixes.
-package prefix
+package promptprefix
 
 import (
 	"encoding/binary"
@@ -19,9 +19,9 @@
 	MaxBlocks = 32
 )
 
-// Chain returns the hashes of the prompt's complete leading blocks, at most
+// BlockHashes returns the hashes of the prompt's complete leading blocks, at most
 // MaxBlocks of them.
-func Chain(prompt string) []uint64 {
+func BlockHashes(prompt string) []uint64 {
 	n := min(len(prompt)/BlockSize, MaxBlocks)
 	chain := make([]uint64, 0, n)
 	var previous uint64
