--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -159,25 +159,25 @@
 // knows of other readers.
 func runWatcher(lc fx.Lifecycle, w *configwatch.Watcher) {
 	w.SetReader(true)
-	process.Background(lc, w.Run)
+	process.RunInBackground(lc, w.Run)
 }
 
 func runQuota(lc fx.Lifecycle, c *quota.Controller, peers *quota.Peers) {
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		defer peers.Close()
 		c.Run(ctx)
 	})
 }
 
-func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.Background(lc, m.Run) }
+func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.RunInBackground(lc, m.Run) }
 
-func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.Background(lc, n.Run) }
+func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.RunInBackground(lc, n.Run) }
 
 // leaveTimeout bounds the time for announcing a planned stop to the neighbours.
 const leaveTimeout = time.Second
 
 func runGossip(lc fx.Lifecycle, c *gossip.Controller) {
-	process.Background(lc, c.Run)
+	process.RunInBackground(lc, c.Run)
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--key-ring (FILBERT_ENTRY_KEY_RING) is %q", s.KeyRing)
 	}
-	process.Every(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
+	process.RunPeriodically(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
 	return file.KeyRing, nil
 }
 
@@ -165,7 +165,7 @@
 	return body
 }
 
-func runWatcher(lc fx.Lifecycle, w *state.Watcher) { process.Background(lc, w.Run) }
+func runWatcher(lc fx.Lifecycle, w *state.Watcher) { process.RunInBackground(lc, w.Run) }
 
 // hostListRefreshInterval is how often the registry of idempotency keys reads
 // the host list. It is well below the time for which a confirmed list counts as
@@ -173,7 +173,7 @@
 const hostListRefreshInterval = 500 * time.Millisecond
 
 func runHostListRefresh(lc fx.Lifecycle, o *servicecall.AtMostOnceRelay) {
-	process.Every(lc, hostListRefreshInterval, o.RefreshHosts)
+	process.RunPeriodically(lc, hostListRefreshInterval, o.RefreshHosts)
 }
 
 // registerGauges registers gauges for the requests in progress and for the
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -125,7 +125,7 @@
 		RetryRatio: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, RefillPerSecond: retrybudget.NoRefill,
 	})
 	budget.SetHostCount(fleet.assumedHostCount())
-	process.Every(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
+	process.RunPeriodically(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
 	return budget
 }
 
@@ -190,9 +190,9 @@
 	})
 }
 
-func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.Background(lc, c.Run) }
+func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.RunInBackground(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.RunInBackground(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
--- a/internal/process/background.go
+++ b/internal/process/background.go
@@ -10,9 +10,9 @@
 	"google.golang.org/grpc"
 )
 
-// Background starts run in a goroutine when the program starts. When the
+// RunInBackground starts run in a goroutine when the program starts. When the
 // program stops, it cancels the context and waits for run to return.
-func Background(lc fx.Lifecycle, run func(context.Context)) {
+func RunInBackground(lc fx.Lifecycle, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
@@ -31,9 +31,9 @@
 	})
 }
 
-// Every runs a job periodically from the program's start to its stop.
-func Every(lc fx.Lifecycle, interval time.Duration, job func()) {
-	Background(lc, func(ctx context.Context) {
+// RunPeriodically runs a job periodically from the program's start to its stop.
+func RunPeriodically(lc fx.Lifecycle, interval time.Duration, job func()) {
+	RunInBackground(lc, func(ctx context.Context) {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -45,8 +45,8 @@
 	// Prepare, if given, completes the parsed settings, for example from a file
 	// that the deployment writes.
 	Prepare func() error
-	// LogTo receives the log lines; standard error by default.
-	LogTo io.Writer
+	// LogOutput receives the log lines; standard error by default.
+	LogOutput io.Writer
 	// Options returns the fx options of the application. It is called after the
 	// settings were parsed.
 	Options func() []fx.Option
@@ -66,10 +66,10 @@
 		fmt.Fprintln(os.Stderr, err)
 		return settings.ExitUsage
 	}
-	if p.LogTo == nil {
-		p.LogTo = os.Stderr
+	if p.LogOutput == nil {
+		p.LogOutput = os.Stderr
 	}
-	out := NewLogWriter(p.LogTo)
+	out := NewLogWriter(p.LogOutput)
 	defer func() { _ = out.Close() }()
 	log := NewLogger(out, p.Common).With("program", p.Name, "host", p.Common.Host)
 	return run(p, log)
