--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -27,8 +27,8 @@
 	"filbertdeck/internal/metrics"
 	"filbertdeck/internal/process"
 	"filbertdeck/internal/rpc"
-	"filbertdeck/internal/secure"
 	"filbertdeck/internal/targetclient"
+	"filbertdeck/internal/tlsidentity"
 )
 
 // Options returns the modules that build the program from its settings.
@@ -36,7 +36,7 @@
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newConfigBoard, newStore, newWatcher, newGossipBoard, newGossip,
+			tlsidentity.New, (*tlsidentity.Identity).Credentials, newConfigBoard, newStore, newWatcher, newGossipBoard, newGossip,
 			newManager, newNewsStore, newSessions, newState, newAdmin, newQuotaPeers, newQuota,
 		),
 		fx.Invoke(setMemoryLimit, serveAdmin, serveRPC, runManager, runWatcher, runGossip, runQuota, runNewsStore),
@@ -185,7 +185,7 @@
 	}))
 }
 
-func serveRPC(lc fx.Lifecycle, s *Settings, id *secure.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
+func serveRPC(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
 	server := rpc.NewServer(creds)
 	filbertv1.RegisterAdmissionServer(server, service)
 	filbertv1.RegisterQuotaServer(server, q)
@@ -193,7 +193,7 @@
 	process.ServeRPC(lc, server, id.Listen, s.Listen)
 }
 
-func serveAdmin(lc fx.Lifecycle, s *Settings, id *secure.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
+func serveAdmin(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
 	r := admin.Router(api, store.IsReady)
 	metrics.Mount(r, reg)
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -29,8 +29,8 @@
 	"filbertdeck/internal/metrics"
 	"filbertdeck/internal/process"
 	"filbertdeck/internal/rpc"
-	"filbertdeck/internal/secure"
 	"filbertdeck/internal/targetclient"
+	"filbertdeck/internal/tlsidentity"
 )
 
 // Options returns the fx options that build the program from its settings.
@@ -38,7 +38,7 @@
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newProcessIdentity, newKeyRing, state.NewBoard, accounting.New, newLifecycle,
+			tlsidentity.New, (*tlsidentity.Identity).Credentials, newProcessIdentity, newKeyRing, state.NewBoard, accounting.New, newLifecycle,
 			newAdmissionClient, newTargetClient, newPicker, newRetryBudget, newGenerationRelay, newIdempotentRelay, newAtMostOnceRelay, newPeerForwarder, newAPI, newWatcher,
 		),
 		fx.Invoke(registerGauges, runWatcher, servePeers, serveAdmin, serveCallers, runHostListRefresh),
@@ -184,13 +184,13 @@
 	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.RecordSize(); return int64(bytes) })
 }
 
-func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *servicecall.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
+func servePeers(lc fx.Lifecycle, id *tlsidentity.Identity, creds rpc.Credentials, o *servicecall.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
 	filbertv1.RegisterForwardServer(server, &servicecall.ForwardServer{Relay: o, Board: b, Begin: life.BeginRequest})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, usage *accounting.Recorder, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *tlsidentity.Identity, reg gometrics.Registry, usage *accounting.Recorder, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
@@ -205,7 +205,7 @@
 
 // serveCallers starts last and stops first. On stop it reports "not ready",
 // waits for the requests in progress, and then shuts the HTTP server down.
-func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callerapi.API, life *lifecycle.Lifecycle, s *Settings) {
+func serveCallers(lc fx.Lifecycle, id *tlsidentity.Identity, api *callerapi.API, life *lifecycle.Lifecycle, s *Settings) {
 	server := callerapi.NewServer(api.Handler())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return process.StartHTTP(server, id.ListenHTTP, s.Listen) },
--- a/internal/secure/secure.go
+++ b/internal/tlsidentity/tlsidentity.go
@@ -1,6 +1,6 @@
-// Package secure creates a process's TLS identity and listeners from its
+// Package tlsidentity creates a process's TLS identity and listeners from its
 // settings.
-package secure
+package tlsidentity
 
 import (
 	"crypto/tls"
