--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -239,7 +239,7 @@
 	gen.writeHeader(stream.resp)
 	split := sse.NewSplitter(stream.resp.Body, 0)
 	var window enginespeed.Window
-	var block sse.Block
+	var block sse.RawEvent
 	for {
 		if err := split.Next(&block); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -259,13 +259,13 @@
 
 // deliver passes one event to the caller, unless the generation has switched to
 // another engine, which produces the event again.
-func (gen *generation) deliver(block *sse.Block) error {
+func (gen *generation) deliver(block *sse.RawEvent) error {
 	gen.deliveryMu.Lock()
 	defer gen.deliveryMu.Unlock()
 	if gen.nextStream != nil {
 		return errGenerationMoved
 	}
-	if _, err := gen.w.Write(block.Raw); err != nil {
+	if _, err := gen.w.Write(block.Bytes); err != nil {
 		return failure.Wrap(err, failure.KindTargetLost, "writing to the caller failed")
 	}
 	if f, ok := gen.w.(http.Flusher); ok {
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -9,11 +9,11 @@
 	"filbertdeck/internal/failure"
 )
 
-// Block is the raw bytes of one event. Its slices point into the splitter's
+// RawEvent is the raw bytes of one event. Its slices point into the splitter's
 // buffer and are valid until the next call of Next.
-type Block struct {
-	// Raw includes the blank line that ends the event.
-	Raw []byte
+type RawEvent struct {
+	// Bytes includes the blank line that ends the event.
+	Bytes []byte
 	// ID is the event's id, nil when it has none.
 	ID []byte
 }
@@ -39,8 +39,8 @@
 // between two events, an error of KindTargetLost when it ended within an event
 // or the connection broke, and one of KindTargetFailed when an event exceeds
 // the limit.
-func (s *Splitter) Next(b *Block) error {
-	*b = Block{}
+func (s *Splitter) Next(b *RawEvent) error {
+	*b = RawEvent{}
 	s.buf = s.buf[:0]
 	id := span{}
 	for {
@@ -54,7 +54,7 @@
 			id = span{start + len(line) - len(value), start + len(line)}
 		}
 		if len(line) == 0 && start > 0 {
-			b.Raw = s.buf
+			b.Bytes = s.buf
 			if id.end > 0 {
 				b.ID = id.slice(s.buf)
 			}
