--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -57,7 +57,7 @@
 	keyHash := strings.Repeat(digestByte, 32)
 	t, faults := table.Parse(7, [][]byte{[]byte("kind,name,weight,key_sha256\nservice,reports,,\naccount,clinic,2," + keyHash + "\n")})
 	Expect(faults).To(BeEmpty())
-	t = t.With([]string{"south"}, nil)
+	t = t.WithDrainAndTargets([]string{"south"}, nil)
 	return adminapi.Config{
 		Self:   "10.0.0.1:81",
 		Tokens: []adminapi.Token{newToken("operator:", "op"), newToken("monitor:", "mon")},
--- a/internal/adminapi/resources.go
+++ b/internal/adminapi/resources.go
@@ -165,7 +165,7 @@
 	if role != RoleOperator {
 		t = withoutKeyHashes(t)
 	}
-	return csvDocument(bytes.Join(table.Encode(t), nil)), nil
+	return csvDocument(bytes.Join(table.EncodePages(t), nil)), nil
 }
 
 func withoutKeyHashes(t *table.Table) *table.Table {
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -157,11 +157,11 @@
 		section.Drained = append(section.Drained, name)
 	}
 	if previous == nil {
-		section.Pages = table.Encode(t)
+		section.Pages = table.EncodePages(t)
 		return section
 	}
 	section.Delta = true
-	for _, c := range table.Changes(previous, t) {
+	for _, c := range table.ChangedRows(previous, t) {
 		section.Changes = append(section.Changes, &filbertv1.RowChange{Key: c.Key, Text: c.Text})
 	}
 	return section
--- a/internal/controller/configwatch/observed.go
+++ b/internal/controller/configwatch/observed.go
@@ -175,10 +175,10 @@
 	parsed, problems := table.Parse(newest, pages)
 	if err := problems.Err(); err != nil {
 		obs.invalid = err
-		obs.delta.Version = rollout.Version{Epoch: table.EpochOf(pages), Revision: newest}
+		obs.delta.Version = rollout.Version{Epoch: table.ParseEpoch(pages), Revision: newest}
 		return obs, true
 	}
-	lines := parsed.Lines()
+	lines := parsed.EncodeRows()
 	rows := make([]rollout.Row, len(lines))
 	for i, line := range lines {
 		rows[i] = rollout.Row(line)
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -125,7 +125,7 @@
 
 func (a *activeRequest) prepare(w http.ResponseWriter) {
 	mode := delivery.Stream
-	if a.Service.Delivery == table.DeliveryWhole || !a.Stream {
+	if a.Service.Delivery == table.DeliveryBuffered || !a.Stream {
 		mode = delivery.Buffered
 	}
 	id := uuid.NewString()
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -29,7 +29,7 @@
 		list := tablePages(accounts, 0)
 		Expect(list).To(HaveLen(pages))
 		for _, page := range list {
-			Expect(len(page)).To(BeNumerically("<=", table.MaxPage))
+			Expect(len(page)).To(BeNumerically("<=", table.MaxPageBytes))
 		}
 		before, faults := table.Parse(1, list)
 		Expect(faults).To(BeEmpty())
@@ -39,8 +39,8 @@
 		after, faults := before.Apply(0, 2, changed)
 		Expect(faults).To(BeEmpty())
 		edited, _ := table.Parse(2, tablePages(accounts, 1))
-		Expect(after.Lines()).To(Equal(edited.Lines()))
-		Expect(after.Lines()).NotTo(Equal(before.Lines()))
+		Expect(after.EncodeRows()).To(Equal(edited.EncodeRows()))
+		Expect(after.EncodeRows()).NotTo(Equal(before.EncodeRows()))
 	},
 		Entry("today's", 10, 1), Entry("a full page", pageRows, 1), Entry("the target size", TargetAccounts, 3),
 	)
--- a/internal/table/apply.go
+++ b/internal/table/apply.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Change is one row that differs between two revisions. Text is empty if the
+// RowChange is one row that differs between two revisions. Text is empty if the
 // row is removed.
-type Change struct {
+type RowChange struct {
 	Key  string
 	Text string
 }
@@ -18,12 +18,12 @@
 // modified. Only the changed rows are parsed; the others are shared with t. The
 // rules that span rows (a key belongs to one account only, referenced services
 // exist) are checked on the result; if one is violated, Apply returns no table.
-func (t *Table) Apply(epoch, revision uint64, changes []Change) (*Table, Faults) {
+func (t *Table) Apply(epoch, revision uint64, changes []RowChange) (*Table, Faults) {
 	b := &builder{
 		table: &Table{
 			Epoch: epoch, Revision: revision,
 			Accounts: maps.Clone(t.Accounts), Services: maps.Clone(t.Services),
-			Drained: t.Drained, ByKey: maps.Clone(t.ByKey),
+			Drained: t.Drained, AccountByKeyHash: maps.Clone(t.AccountByKeyHash),
 		},
 		positionByKey: map[string]position{}, accountPositions: map[*Account]position{},
 	}
@@ -49,11 +49,11 @@
 }
 
 // remove deletes a row. It reports whether a service ceases to exist.
-func (b *builder) remove(c Change) bool {
+func (b *builder) remove(c RowChange) bool {
 	if name, ok := strings.CutPrefix(c.Key, accountPrefix); ok {
 		if old := b.table.Accounts[name]; old != nil {
 			for _, k := range old.KeyHashes {
-				delete(b.table.ByKey, k)
+				delete(b.table.AccountByKeyHash, k)
 			}
 			delete(b.table.Accounts, name)
 		}
@@ -65,7 +65,7 @@
 	return false
 }
 
-func (b *builder) addChanged(line int, c Change, faults *Faults) {
+func (b *builder) addChanged(line int, c RowChange, faults *Faults) {
 	if c.Text == "" {
 		return
 	}
@@ -94,9 +94,9 @@
 	}
 }
 
-// With returns the table with the drain list and the targets of the services
+// WithDrainAndTargets returns the table with the drain list and the targets of the services
 // filled in. Rows are shared with t.
-func (t *Table) With(drained []string, targets map[string][]Target) *Table {
+func (t *Table) WithDrainAndTargets(drained []string, targets map[string][]Target) *Table {
 	result := *t
 	result.Drained = newSet(drained...)
 	result.Services = make(map[string]*Service, len(t.Services))
@@ -108,9 +108,9 @@
 	return &result
 }
 
-// Newer reports whether t comes after other in the order of edits: by epoch,
+// IsNewerThan reports whether t comes after other in the order of edits: by epoch,
 // then by recognised restores, then by revision of the configuration service.
-func (t *Table) Newer(other *Table) bool {
+func (t *Table) IsNewerThan(other *Table) bool {
 	if other == nil {
 		return true
 	}
--- a/internal/table/build.go
+++ b/internal/table/build.go
@@ -18,7 +18,7 @@
 	return &builder{
 		table: &Table{
 			Revision: revision, Accounts: map[string]*Account{}, Services: map[string]*Service{},
-			Drained: map[string]bool{}, ByKey: map[[32]byte]*Account{},
+			Drained: map[string]bool{}, AccountByKeyHash: map[[32]byte]*Account{},
 		},
 		positionByKey: map[string]position{}, accountPositions: map[*Account]position{},
 	}
@@ -61,11 +61,11 @@
 	b.table.Accounts[a.Name] = a
 	b.accountPositions[a] = r.pos
 	for _, k := range a.KeyHashes {
-		if other, exists := b.table.ByKey[k]; exists {
+		if other, exists := b.table.AccountByKeyHash[k]; exists {
 			r.fault(colKeyHashes, "", "a key of one account only; account "+other.Name+" has it too")
 			continue
 		}
-		b.table.ByKey[k] = a
+		b.table.AccountByKeyHash[k] = a
 	}
 }
 
@@ -120,7 +120,7 @@
 		QueueLimit: r.integer(colQueueLimit, defaultQueueLimit, 0, maxQueueLimit),
 	}
 	if s.Type == ServiceGeneration {
-		s.Delivery = enumValue(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryWhole)
+		s.Delivery = enumValue(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryBuffered)
 		s.MaxTokens = r.integer(colMaxTokens, defaultMaxTokens, 1, maxTokensLimit)
 		return s
 	}
--- a/internal/table/columns.go
+++ b/internal/table/columns.go
@@ -70,6 +70,6 @@
 	defaultQueueLimit     = 256
 )
 
-// MaxPage is the maximum size of a page in bytes: the limit of the
+// MaxPageBytes is the maximum size of a page in bytes: the limit of the
 // configuration service for one value.
-const MaxPage = 1 << 20
+const MaxPageBytes = 1 << 20
--- a/internal/table/diff.go
+++ b/internal/table/diff.go
@@ -75,7 +75,7 @@
 }
 
 func textByKey(t *Table) map[string]string {
-	lines := t.Lines()
+	lines := t.EncodeRows()
 	m := make(map[string]string, len(lines))
 	for _, l := range lines {
 		m[l.Key] = l.Text
--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -32,9 +32,9 @@
 	Text string
 }
 
-// Lines returns the rows of the table in canonical form and order. The drain
+// EncodeRows returns the rows of the table in canonical form and order. The drain
 // list and the targets are not part of them.
-func (t *Table) Lines() []EncodedRow {
+func (t *Table) EncodeRows() []EncodedRow {
 	lines := make([]EncodedRow, 0, len(t.Accounts)+len(t.Services)+1)
 	enc := newLineEncoder()
 	if t.Epoch > 0 {
@@ -49,14 +49,14 @@
 	return lines
 }
 
-// Encode returns the table as canonical pages of at most MaxPage bytes each;
+// EncodePages returns the table as canonical pages of at most MaxPage bytes each;
 // the first contains the header. Parse reads them back to an equal table.
-func Encode(t *Table) [][]byte {
+func EncodePages(t *Table) [][]byte {
 	page := bytes.NewBuffer(nil)
 	page.WriteString(strings.Join(columns, ",") + "\n")
 	var pages [][]byte
-	for _, l := range t.Lines() {
-		if page.Len()+len(l.Text)+1 > MaxPage {
+	for _, l := range t.EncodeRows() {
+		if page.Len()+len(l.Text)+1 > MaxPageBytes {
 			pages = append(pages, page.Bytes())
 			page = bytes.NewBuffer(nil)
 		}
--- a/internal/table/parse.go
+++ b/internal/table/parse.go
@@ -30,9 +30,9 @@
 	return p.builder.table, nil
 }
 
-// EpochOf returns the epoch in the pages, even if they have faults elsewhere.
+// ParseEpoch returns the epoch in the pages, even if they have faults elsewhere.
 // It returns 0 if they contain no epoch.
-func EpochOf(pages [][]byte) uint64 { return parse(0, pages).builder.table.Epoch }
+func ParseEpoch(pages [][]byte) uint64 { return parse(0, pages).builder.table.Epoch }
 
 func parse(revision uint64, pages [][]byte) *parser {
 	p := &parser{builder: newBuilder(revision)}
@@ -65,7 +65,7 @@
 }
 
 func (p *parser) readPage(page []byte) {
-	if len(page) > MaxPage {
+	if len(page) > MaxPageBytes {
 		p.faults.add(Fault{Page: p.page, Column: colKind, Value: strconv.Itoa(len(page)) + " bytes", Allowed: "at most 1 MiB in a page"})
 	}
 	page = bytes.TrimPrefix(page, byteOrderMark)
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -39,8 +39,8 @@
 const (
 	// DeliveryStream sends each token immediately.
 	DeliveryStream Delivery = "stream"
-	// DeliveryWhole buffers the tokens until the generation is complete.
-	DeliveryWhole Delivery = "whole"
+	// DeliveryBuffered buffers the tokens until the generation is complete.
+	DeliveryBuffered Delivery = "whole"
 )
 
 // Account is the row of a client account.
@@ -62,8 +62,8 @@
 	Services []string
 }
 
-// Limited reports whether the row sets a fleet-wide limit.
-func (a *Account) Limited() bool { return a.MaxRunning > 0 || a.TokensPerSecond > 0 }
+// HasFleetLimit reports whether the row sets a fleet-wide limit.
+func (a *Account) HasFleetLimit() bool { return a.MaxRunning > 0 || a.TokensPerSecond > 0 }
 
 // Service is the row of a service.
 type Service struct {
@@ -105,6 +105,6 @@
 	Services map[string]*Service
 	// Drained is the set of data centres that operators have drained.
 	Drained map[string]bool
-	// ByKey maps the digest of a bearer key to its account.
-	ByKey map[[32]byte]*Account
+	// AccountByKeyHash maps the digest of a bearer key to its account.
+	AccountByKeyHash map[[32]byte]*Account
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -61,10 +61,10 @@
 		a := t.Accounts["clinic-north"]
 		Expect([]any{a.Weight, a.MaxRunning, a.TokensPerSecond, a.Priority}).To(Equal([]any{2.5, 40, 900.0, 3}))
 		Expect(a.Services).To(Equal([]string{"reports", "bookings"}))
-		Expect(t.ByKey[a.KeyHashes[1]]).To(BeIdenticalTo(a))
+		Expect(t.AccountByKeyHash[a.KeyHashes[1]]).To(BeIdenticalTo(a))
 		Expect(t.Accounts["radio"].Weight).To(Equal(1.0))
 		Expect(*t.Services["reports"]).To(Equal(table.Service{Name: "reports", Type: table.ServiceGeneration,
-			Delivery: table.DeliveryWhole, MaxTokens: 8000, MaxWait: time.Minute, QueueLimit: 500}))
+			Delivery: table.DeliveryBuffered, MaxTokens: 8000, MaxWait: time.Minute, QueueLimit: 500}))
 		Expect(t.Services["bookings"].Type).To(Equal(table.ServiceOnce))
 	})
 
@@ -73,7 +73,7 @@
 			want, _ := parseTable(sampleCSV())
 			got, faults := parseTable(text)
 			Expect(faults).To(BeEmpty())
-			Expect(table.Encode(got)).To(Equal(table.Encode(want)))
+			Expect(table.EncodePages(got)).To(Equal(table.EncodePages(want)))
 		},
 		Entry("byte order mark and CRLF", "\ufeff"+strings.ReplaceAll(sampleCSV(), "\n", "\r\n")),
 		Entry("quoted cells", strings.ReplaceAll(sampleCSV(), "clinic-north", `"clinic-north"`)),
@@ -136,32 +136,32 @@
 		Entry("unknown column", "kind,name,colour\naccount,a,red\n"),
 		Entry("duplicate column", "kind,name,name\naccount,a,b\n"),
 		Entry("different header on the second page", header+"account,a,,,,,,,,,,,\n", "kind,name\naccount,b\n"),
-		Entry("a page above the size limit", header+strings.Repeat("\n", table.MaxPage)))
+		Entry("a page above the size limit", header+strings.Repeat("\n", table.MaxPageBytes)))
 
 	It("splits 11,000 accounts into pages below 1 MiB and reads them back", func() {
 		_, faults := parseTable(accountsCSV(11_000))
 		Expect(faults).To(HaveLen(1), "one page would be too large")
-		pages := table.Encode(newTable(11_000))
+		pages := table.EncodePages(newTable(11_000))
 		Expect(len(pages)).To(BeNumerically(">", 1))
 		for _, p := range pages {
-			Expect(len(p)).To(BeNumerically("<=", table.MaxPage))
+			Expect(len(p)).To(BeNumerically("<=", table.MaxPageBytes))
 		}
 		reparsed, faults := table.Parse(8, pages)
 		Expect(faults).To(BeEmpty())
-		Expect(table.Encode(reparsed)).To(Equal(pages))
+		Expect(table.EncodePages(reparsed)).To(Equal(pages))
 	})
 })
 
 var _ = Describe("Apply", func() {
-	newChange := func(key, text string) table.Change { return table.Change{Key: key, Text: text} }
+	newChange := func(key, text string) table.RowChange { return table.RowChange{Key: key, Text: text} }
 
 	It("returns the same table as parsing the edited table", func() {
 		base, _ := parseTable(sampleCSV())
 		edited, faults := parseTable(strings.Replace(sampleCSV(), "radio,,", "radio,9,", 1) + "account,new,,,,,,,,,,,\n")
 		Expect(faults).To(BeEmpty())
-		var changes []table.Change
+		var changes []table.RowChange
 		for _, d := range table.Diff(base, edited) {
-			changes = append(changes, table.Change{Key: d.Key, Text: d.Text})
+			changes = append(changes, table.RowChange{Key: d.Key, Text: d.Text})
 		}
 		Expect(changes).To(HaveLen(2))
 		got, faults := base.Apply(0, 7, changes)
@@ -180,32 +180,32 @@
 			next, faults := parseTable(edited)
 			Expect(faults).To(BeEmpty())
 			for _, pair := range [][2]*table.Table{{base, next}, {next, base}} {
-				got, faults := pair[0].Apply(pair[1].Epoch, 7, table.Changes(pair[0], pair[1]))
+				got, faults := pair[0].Apply(pair[1].Epoch, 7, table.ChangedRows(pair[0], pair[1]))
 				Expect(faults).To(BeEmpty())
 				Expect(got).To(Equal(pair[1]))
 			}
 		}
-		edited, _ := base.Apply(0, 8, []table.Change{newChange("account/radio", "account,radio,3,0,0,0,,,,,,,")})
-		Expect(table.Changes(base, edited.With(nil, nil))).To(HaveLen(1))
+		edited, _ := base.Apply(0, 8, []table.RowChange{newChange("account/radio", "account,radio,3,0,0,0,,,,,,,")})
+		Expect(table.ChangedRows(base, edited.WithDrainAndTargets(nil, nil))).To(HaveLen(1))
 	})
 
 	It("allows a key to move between accounts within one edit", func() {
 		base, _ := parseTable(sampleCSV())
-		got, faults := base.Apply(0, 8, []table.Change{
+		got, faults := base.Apply(0, 8, []table.RowChange{
 			newChange("account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
 			newChange("account/clinic-north", "account,clinic-north,1,0,0,0,"+keyB+",,,,,,"),
 		})
 		Expect(faults).To(BeEmpty())
-		Expect(got.ByKey[got.Accounts["radio"].KeyHashes[0]].Name).To(Equal("radio"))
+		Expect(got.AccountByKeyHash[got.Accounts["radio"].KeyHashes[0]].Name).To(Equal("radio"))
 	})
 
 	DescribeTable("rejects changes that violate table-wide rules and leaves the table unmodified",
 		func(key, text string) {
 			base, _ := parseTable(sampleCSV())
-			before := table.Encode(base)
-			_, faults := base.Apply(0, 8, []table.Change{newChange(key, text)})
+			before := table.EncodePages(base)
+			_, faults := base.Apply(0, 8, []table.RowChange{newChange(key, text)})
 			Expect(faults).NotTo(BeEmpty())
-			Expect(table.Encode(base)).To(Equal(before))
+			Expect(table.EncodePages(base)).To(Equal(before))
 		},
 		Entry("removal of a service in use", "service/reports", ""),
 		Entry("duplicate key", "account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
@@ -275,12 +275,12 @@
 		if parsed == nil {
 			return
 		}
-		pages := table.Encode(parsed)
+		pages := table.EncodePages(parsed)
 		reparsed, faults := table.Parse(1, pages)
 		if len(faults) > 0 {
 			t.Fatalf("canonical form rejected: %v", faults)
 		}
-		if fmt.Sprint(table.Encode(reparsed)) != fmt.Sprint(pages) {
+		if fmt.Sprint(table.EncodePages(reparsed)) != fmt.Sprint(pages) {
 			t.Fatal("canonical form is not stable")
 		}
 	})
@@ -288,7 +288,7 @@
 
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
-		pages := table.Encode(newTable(n))
+		pages := table.EncodePages(newTable(n))
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -300,10 +300,10 @@
 
 func BenchmarkChangesOfOneRow(b *testing.B) {
 	t := newTable(11_000)
-	next, _ := t.Apply(0, 2, []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}})
+	next, _ := t.Apply(0, 2, []table.RowChange{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if n := len(table.Changes(t, next)); n != 1 {
+		if n := len(table.ChangedRows(t, next)); n != 1 {
 			b.Fatal(n)
 		}
 	}
@@ -312,7 +312,7 @@
 func BenchmarkApplyOneRow(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
 		t := newTable(n)
-		change := []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}}
+		change := []table.RowChange{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}}
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
