--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -125,7 +125,7 @@
 
 func newAtMostOnceRelay(admission *admit.Client, ring *handle.KeyRing, self idempotency.Process, b *state.Board, picker *state.Picker, p *servicecall.PeerForwarder) *servicecall.AtMostOnceRelay {
 	o := &servicecall.AtMostOnceRelay{
-		Admission: admission, Client: targetclient.NewOnce(targetclient.Settings{}), Picker: picker,
+		Admission: admission, Client: targetclient.NewAtMostOnceClient(targetclient.Settings{}), Picker: picker,
 		KeyRing: ring, Self: self, Board: b, Forwarder: p,
 	}
 	o.Init()
--- a/internal/entry/servicecall/at_most_once.go
+++ b/internal/entry/servicecall/at_most_once.go
@@ -25,7 +25,7 @@
 const atMostOnceTimeout = 30 * time.Second
 
 // AtMostOnceDoer sends a request at most once and calls before right before the
-// first byte is sent; targetclient.Once implements it.
+// first byte is sent; targetclient.AtMostOnceClient implements it.
 type AtMostOnceDoer interface {
 	Do(req *http.Request, before func() error) (*http.Response, error)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 	RetryBudget *retrybudget.Budget
 	// CrashEvidence records the requests that crash targets.
 	CrashEvidence *CrashEvidence
-	Client        *targetclient.Once
+	Client        *targetclient.AtMostOnceClient
 	// Migration decides how generations are moved off an engine that stops.
 	Migration migration.Config
 	Log       *slog.Logger
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -151,7 +151,7 @@
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
 		Loads: gw.loads, CrashEvidence: gw.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
+		Client: targetclient.NewAtMostOnceClient(targetclient.Settings{ResponseHeaderTimeout: time.Minute, ReadIdleTimeout: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	gw.gateway = g
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -133,7 +133,7 @@
 	s *Settings, board *recordsync.Board, roles *readerRoles, c *recordsync.Controller, loads *gateway.TargetLoads,
 	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
-	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDialTimeout, Header: responseTimeout, Silence: responseTimeout})
+	client := targetclient.NewAtMostOnceClient(targetclient.Settings{DialTimeout: targetDialTimeout, ResponseHeaderTimeout: responseTimeout, ReadIdleTimeout: responseTimeout})
 	return gateway.New(gateway.Config{
 		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
 		Client: client, Migration: migration.Default(), Disconnected: func() bool { return mayMissChanges(c, roles) },
--- a/internal/targetclient/client.go
+++ b/internal/targetclient/client.go
@@ -21,15 +21,15 @@
 // Settings holds the timeouts and limits of calls to a target. The zero value
 // of a field means its default.
 type Settings struct {
-	// Dial is the timeout for connecting, including the TLS handshake.
-	Dial time.Duration
-	// Header is the timeout for the response header after the request was
+	// DialTimeout is the timeout for connecting, including the TLS handshake.
+	DialTimeout time.Duration
+	// ResponseHeaderTimeout is the timeout for the response header after the request was
 	// written.
-	Header time.Duration
-	// Silence is the read idle timeout of a response. A connection whose state
+	ResponseHeaderTimeout time.Duration
+	// ReadIdleTimeout is the read idle timeout of a response. A connection whose state
 	// a middlebox has dropped stays open forever without data; only this timeout
 	// ends it.
-	Silence time.Duration
+	ReadIdleTimeout time.Duration
 	// MaxIdleConnsPerTarget is the maximum number of idle connections that a Client
 	// keeps per target.
 	MaxIdleConnsPerTarget int
@@ -64,14 +64,14 @@
 const maxHeaderBytes = 64 << 10
 
 func (s Settings) withDefaults() Settings {
-	if s.Dial == 0 {
-		s.Dial = DefaultDialTimeout
+	if s.DialTimeout == 0 {
+		s.DialTimeout = DefaultDialTimeout
 	}
-	if s.Header == 0 {
-		s.Header = DefaultResponseHeaderTimeout
+	if s.ResponseHeaderTimeout == 0 {
+		s.ResponseHeaderTimeout = DefaultResponseHeaderTimeout
 	}
-	if s.Silence == 0 {
-		s.Silence = DefaultReadIdleTimeout
+	if s.ReadIdleTimeout == 0 {
+		s.ReadIdleTimeout = DefaultReadIdleTimeout
 	}
 	if s.MaxIdleConnsPerTarget == 0 {
 		s.MaxIdleConnsPerTarget = DefaultMaxIdleConnsPerTarget
@@ -86,9 +86,9 @@
 // dial connects and completes the TLS handshake, so that everything that is
 // written to the connection afterwards belongs to the request.
 func (s Settings) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.Dial)
+	ctx, cancel := context.WithTimeout(ctx, s.DialTimeout)
 	defer cancel()
-	conn, err := Dial(ctx, network, address, s.Dial)
+	conn, err := Dial(ctx, network, address, s.DialTimeout)
 	if err != nil || s.TLS == nil {
 		return conn, err
 	}
@@ -116,7 +116,7 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    s.MaxIdleConnsPerTarget,
 		IdleConnTimeout:        30 * time.Second,
-		ResponseHeaderTimeout:  s.Header,
+		ResponseHeaderTimeout:  s.ResponseHeaderTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &readTimeoutConn{Conn: conn, timeout: s.Silence + s.Header}, nil
+	return &readTimeoutConn{Conn: conn, timeout: s.ReadIdleTimeout + s.ResponseHeaderTimeout}, nil
 }
 
 // Do sends the request once. It returns redirects like any other response.
--- a/internal/targetclient/once.go
+++ b/internal/targetclient/once.go
@@ -18,15 +18,17 @@
 // not run a call.
 const ExecutedHeader = "Filbert-Executed"
 
-// Once is a client for calls that may run at most once. It is safe for
+// AtMostOnceClient is a client for calls that may run at most once. It is safe for
 // concurrent use.
-type Once struct {
+type AtMostOnceClient struct {
 	settings Settings
 }
 
-// NewOnce returns a client that sends each request at most once, on a new
+// NewAtMostOnceClient returns a client that sends each request at most once, on a new
 // connection per call, so that no retry on a reused connection can happen.
-func NewOnce(s Settings) *Once { return &Once{settings: s.withDefaults()} }
+func NewAtMostOnceClient(s Settings) *AtMostOnceClient {
+	return &AtMostOnceClient{settings: s.withDefaults()}
+}
 
 // Do sends the request. beforeWrite, if given, runs once the connection is
 // established, right before the first byte is written. When it returns an
@@ -37,7 +39,7 @@
 // Errors state whether the call ran: ExecutedNo before the first byte was
 // written, ExecutedUnknown afterwards. A target can state in its response that
 // it did not run the call, see ReportsNotExecuted.
-func (o *Once) Do(req *http.Request, beforeWrite func() error) (*http.Response, error) {
+func (o *AtMostOnceClient) Do(req *http.Request, beforeWrite func() error) (*http.Response, error) {
 	gate := &writeGate{beforeWrite: beforeWrite}
 	t := o.settings.transport()
 	// The connection is closed after the response, but without a "Connection:
--- a/internal/targetclient/targetclient_test.go
+++ b/internal/targetclient/targetclient_test.go
@@ -122,7 +122,7 @@
 
 			for name, send := range map[string]func(*http.Request) (*http.Response, error){
 				"once": func(req *http.Request) (*http.Response, error) {
-					return targetclient.NewOnce(targetclient.Settings{}).Do(req, nil)
+					return targetclient.NewAtMostOnceClient(targetclient.Settings{}).Do(req, nil)
 				},
 				"ordinary": targetclient.New(targetclient.Settings{}).Do,
 			} {
@@ -154,7 +154,7 @@
 		target := newRecordingTarget(0, redirect)
 		_ = drainBody((&http.Client{}).Do(target.request("POST", "naive", "")))
 		Expect(target.executions("naive")).To(BeNumerically(">", 1))
-		resp, err := targetclient.NewOnce(targetclient.Settings{}).Do(target.request("POST", "once", ""), nil)
+		resp, err := targetclient.NewAtMostOnceClient(targetclient.Settings{}).Do(target.request("POST", "once", ""), nil)
 		Expect(drainBody(resp, err)).To(Succeed())
 		Expect(resp.StatusCode).To(Equal(307))
 		Expect(target.executions("once")).To(Equal(1))
@@ -200,7 +200,7 @@
 }
 
 var _ = Describe("the execution state in an error", func() {
-	shortTimeouts := targetclient.Settings{Dial: 200 * time.Millisecond, Header: 100 * time.Millisecond, Silence: 100 * time.Millisecond}
+	shortTimeouts := targetclient.Settings{DialTimeout: 200 * time.Millisecond, ResponseHeaderTimeout: 100 * time.Millisecond, ReadIdleTimeout: 100 * time.Millisecond}
 	hang := func(net.Conn) { time.Sleep(time.Second) }
 	errRevoked := errors.New("permission was revoked")
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,7 +217,7 @@
 			if unreachable {
 				req.URL.Host = unusedAddress
 			}
-			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(req, beforeWrite))
+			err := drainBody(targetclient.NewAtMostOnceClient(shortTimeouts).Do(req, beforeWrite))
 			Expect(failure.KindOf(err)).To(Equal(kind))
 			Expect(failure.FromError(err).Executed).To(Equal(executed))
 			Expect(target.executions("booking")).To(Equal(runs))
@@ -237,7 +237,7 @@
 		func(code int, header string, want bool) {
 			answer := fmt.Sprintf("HTTP/1.1 %d X\r\nFilbert-Executed: %s\r\nContent-Length: 0\r\n\r\n", code, header)
 			target := newRecordingTarget(0, func(c net.Conn) { _, _ = io.WriteString(c, answer) })
-			resp, err := targetclient.NewOnce(shortTimeouts).Do(target.request("POST", "x", ""), nil)
+			resp, err := targetclient.NewAtMostOnceClient(shortTimeouts).Do(target.request("POST", "x", ""), nil)
 			Expect(drainBody(resp, err)).To(Succeed())
 			Expect(targetclient.ReportsNotExecuted(resp)).To(Equal(want))
 		},
@@ -253,7 +253,9 @@
 		})
 		for _, send := range []func(*http.Request) (*http.Response, error){
 			targetclient.New(shortTimeouts).Do,
-			func(r *http.Request) (*http.Response, error) { return targetclient.NewOnce(shortTimeouts).Do(r, nil) },
+			func(r *http.Request) (*http.Response, error) {
+				return targetclient.NewAtMostOnceClient(shortTimeouts).Do(r, nil)
+			},
 		} {
 			resp, err := send(target.request("POST", "x", ""))
 			Expect(err).NotTo(HaveOccurred())
@@ -273,7 +275,7 @@
 			body := fmt.Sprint("call ", i)
 			ctx, cancel := context.WithCancel(context.Background())
 			go cancel()
-			err := drainBody(targetclient.NewOnce(shortTimeouts).Do(target.request("POST", body, "").WithContext(ctx), nil))
+			err := drainBody(targetclient.NewAtMostOnceClient(shortTimeouts).Do(target.request("POST", body, "").WithContext(ctx), nil))
 			if err != nil && failure.FromError(err).Executed == failure.ExecutedNo {
 				notExecuted = append(notExecuted, body)
 			}
