--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -84,9 +84,11 @@
 
 func (r *run) say(format string, args ...any) { fmt.Fprintf(r.out, format+"\n", args...) }
 
-func (r *run) entryUsage() (usage.Usage, error) { return usage.Of(r.fleet.Hosts[0].EntryProcess.PID()) }
+func (r *run) entryUsage() (usage.Usage, error) {
+	return usage.ForProcess(r.fleet.Hosts[0].EntryProcess.PID())
+}
 func (r *run) controlUsage() (usage.Usage, error) {
-	return usage.Of(r.fleet.Hosts[0].ControlProcess.PID())
+	return usage.ForProcess(r.fleet.Hosts[0].ControlProcess.PID())
 }
 
 // idle watches the control process while nothing happens.
@@ -105,7 +107,7 @@
 		return err
 	}
 	share := float64(after.CPU-before.CPU) / float64(r.Idle) * 100
-	r.say("idle control process: %.2f%% of a core over %v, %.1f MB resident", share, r.Idle, mb(after.Resident))
+	r.say("idle control process: %.2f%% of a core over %v, %.1f MB resident", share, r.Idle, mb(after.ResidentBytes))
 	return nil
 }
 
@@ -310,8 +312,8 @@
 	}
 	cancel()
 	<-done
-	each := float64(after.Resident-before.Resident) / float64(r.Open) / 1024
-	r.say("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB a stream", r.Open, mb(before.Resident), mb(after.Resident), each)
+	each := float64(after.ResidentBytes-before.ResidentBytes) / float64(r.Open) / 1024
+	r.say("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB a stream", r.Open, mb(before.ResidentBytes), mb(after.ResidentBytes), each)
 	return nil
 }
 
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -100,8 +100,8 @@
 	out.line("%s: %d hosts run, %d accounts, %d targets polled, %d hosts and %d targets published",
 		at.Name, at.Hosts, at.Accounts, at.Polled, at.OtherHosts+at.Hosts, at.OtherTargets+at.Polled)
 	out.line("  unchanged: control %.2f%% of a core, %.1f MB resident, %.1f MB heap; entry %.2f%%, %.1f MB resident",
-		share(idle.control.CPU, idle.over)/n, megabytes(idle.control.Resident)/n, idle.counters["runtime.MemStats.HeapAlloc"]/n/(1<<20),
-		share(idle.entry.CPU, idle.over)/n, megabytes(idle.entry.Resident)/n)
+		share(idle.control.CPU, idle.over)/n, megabytes(idle.control.ResidentBytes)/n, idle.counters["runtime.MemStats.HeapAlloc"]/n/(1<<20),
+		share(idle.entry.CPU, idle.over)/n, megabytes(idle.entry.ResidentBytes)/n)
 	out.line("  gossip %.0f bytes/s a host, sent and received; configuration %.1f calls/s in all; %.1f polls/s in all, %.0f payload bytes and %.1f segments a poll",
 		(idle.counters["gossip.bytes_sent"]+idle.counters["gossip.bytes_received"])/n/span, idle.counters["configwatch.calls"]/span,
 		idle.polls/span, idle.payload/max(idle.polls, 1), idle.segments/max(idle.polls, 1))
@@ -111,7 +111,7 @@
 	over := busy.over.Seconds()
 	out.line("  %d edits in %.1fs: control %.2f ms and entry %.2f ms processor time an edit and host above that (control %.1f%% of a core); %.1f and %.1f MB resident; gossip %.0f bytes/s a host",
 		edits, over, above(busy.control.CPU, idle.control.CPU, over), above(busy.entry.CPU, idle.entry.CPU, over), share(busy.control.CPU, busy.over)/n,
-		megabytes(busy.control.Resident)/n, megabytes(busy.entry.Resident)/n,
+		megabytes(busy.control.ResidentBytes)/n, megabytes(busy.entry.ResidentBytes)/n,
 		(busy.counters["gossip.bytes_sent"]+busy.counters["gossip.bytes_received"])/n/over)
 }
 
--- a/internal/slopes/watch.go
+++ b/internal/slopes/watch.go
@@ -70,7 +70,7 @@
 
 // addUsage adds a process's usage to a sum.
 func addUsage(sum *usage.Usage, pid int) error {
-	one, err := usage.Of(pid)
+	one, err := usage.ForProcess(pid)
 	if err != nil {
 		return err
 	}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -15,13 +15,13 @@
 type Usage struct {
 	// CPU is the user and system time since the process started.
 	CPU time.Duration
-	// Resident is the resident memory in bytes.
-	Resident int64
+	// ResidentBytes is the resident memory in bytes.
+	ResidentBytes int64
 }
 
 // Add returns the sum of two usages.
 func (u Usage) Add(v Usage) Usage {
-	return Usage{CPU: u.CPU + v.CPU, Resident: u.Resident + v.Resident}
+	return Usage{CPU: u.CPU + v.CPU, ResidentBytes: u.ResidentBytes + v.ResidentBytes}
 }
 
 // clockTick is the unit of CPU times in /proc on Linux (1/USER_HZ).
@@ -34,21 +34,21 @@
 	fieldResidentPages = 21
 )
 
-// Of returns the usage of a process.
-func Of(pid int) (Usage, error) {
+// ForProcess returns the usage of a process.
+func ForProcess(pid int) (Usage, error) {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return Usage{}, failure.Wrap(err, failure.KindInternal, "cannot read the usage of process %d", pid)
 	}
-	u, ok := Parse(string(stat))
+	u, ok := ParseStat(string(stat))
 	if !ok {
 		return Usage{}, failure.New(failure.KindInternal, "cannot parse the usage of process %d", pid)
 	}
 	return u, nil
 }
 
-// Parse parses the content of /proc/PID/stat.
-func Parse(stat string) (Usage, bool) {
+// ParseStat parses the content of /proc/PID/stat.
+func ParseStat(stat string) (Usage, bool) {
 	// The program name may contain spaces and parentheses; the last closing
 	// parenthesis ends it.
 	end := strings.LastIndex(stat, ") ")
@@ -63,5 +63,5 @@
 	system, errSystem := strconv.ParseInt(fields[fieldSystemTime], 10, 64)
 	pages, errPages := strconv.ParseInt(fields[fieldResidentPages], 10, 64)
 	ok := errUser == nil && errSystem == nil && errPages == nil
-	return Usage{CPU: time.Duration(user+system) * clockTick, Resident: pages * int64(os.Getpagesize())}, ok
+	return Usage{CPU: time.Duration(user+system) * clockTick, ResidentBytes: pages * int64(os.Getpagesize())}, ok
 }
