--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -3,9 +3,9 @@
 //
 // All hosts read the same records at the same time, and the store refuses some
 // hosts or is down while keys of client accounts are revoked and targets leave.
-// A host that relied on the store alone would act on an old version while its
-// neighbours have the new one: requests would be refused or served against an
-// edit that has been in force elsewhere for seconds.
+// A host that relied on the store alone would use old records while its
+// neighbours have the new ones: for seconds it would still accept a revoked key,
+// refuse a new one or send requests to a target that leaves.
 //
 // The store numbers all its changes with one counter, so the record with the
 // higher revision is the newer one, wherever it came from. A removal is a
@@ -27,12 +27,13 @@
 // field that is zero takes its default.
 type Config struct {
 	// RecoveryGrace is how long after the store's recovery a target whose entry
-	// is gone is still taken for alive: entries lapse while the store is down
-	// and come back within about two seconds.
+	// is missing is still considered alive: entries expire while the store is
+	// down, because targets cannot renew them, and are written again within
+	// about two seconds of the recovery.
 	RecoveryGrace time.Duration
-	// MinLapseOutage is how long the store must have been down for the entries
-	// of live targets to lapse.
-	MinLapseOutage time.Duration
+	// MinOutageForExpiry is the shortest outage of the store after which the
+	// entries of live targets can have expired.
+	MinOutageForExpiry time.Duration
 	// RemovalRetention is how long a removal is kept. It must be longer than a
 	// process can continue to send the removed record to others.
 	RemovalRetention time.Duration
@@ -40,12 +41,13 @@
 
 // Defaults of Config.
 const (
-	// DefaultRecoveryGrace allows for entries to be back within about two
-	// seconds.
+	// DefaultRecoveryGrace is slightly longer than the two seconds within which
+	// targets write their entries again.
 	DefaultRecoveryGrace = 2200 * time.Millisecond
-	// DefaultMinLapseOutage: an entry lapses after three heartbeats, of 1.2 s,
-	// without one; the last may have come just before the store went down.
-	DefaultMinLapseOutage = 2400 * time.Millisecond
+	// DefaultMinOutageForExpiry is two heartbeats of 1.2 s. An entry expires
+	// after three without a renewal, and the last renewal may have come up to
+	// one heartbeat before the store went down.
+	DefaultMinOutageForExpiry = 2400 * time.Millisecond
 	// DefaultRemovalRetention covers any partition after which hosts rejoin by
 	// gossip alone; the full snapshots of a reader cover longer ones.
 	DefaultRemovalRetention = 5 * time.Minute
@@ -68,7 +70,7 @@
 	// and not yet collected by the caller.
 	departed []string
 	// recoveredAt is when the store last answered after having been down for
-	// long enough for entries to lapse.
+	// long enough for entries to expire.
 	recoveredAt time.Duration
 	storeDown   bool
 	// upToDateAt is the latest time at which nothing newer than the known
@@ -89,8 +91,8 @@
 	if cfg.RecoveryGrace == 0 {
 		cfg.RecoveryGrace = DefaultRecoveryGrace
 	}
-	if cfg.MinLapseOutage == 0 {
-		cfg.MinLapseOutage = DefaultMinLapseOutage
+	if cfg.MinOutageForExpiry == 0 {
+		cfg.MinOutageForExpiry = DefaultMinOutageForExpiry
 	}
 	if cfg.RemovalRetention == 0 {
 		cfg.RemovalRetention = DefaultRemovalRetention
@@ -105,9 +107,9 @@
 func (m *Mirror) StoreFailed() { m.storeDown = true }
 
 // StoreAnswered records that the store answered. If the store had been down for
-// long enough, it starts the grace period for lapsed entries.
+// long enough, it starts the grace period for expired entries.
 func (m *Mirror) StoreAnswered(now time.Duration) {
-	if m.storeDown && now-m.upToDateAt >= m.cfg.MinLapseOutage {
+	if m.storeDown && now-m.upToDateAt >= m.cfg.MinOutageForExpiry {
 		m.recoveredAt = now
 	}
 	m.storeDown = false
@@ -117,13 +119,13 @@
 // at the time at, because the store had answered some host.
 func (m *Mirror) ConfirmUpToDate(at time.Duration) { m.upToDateAt = max(m.upToDateAt, at) }
 
-// ApplySnapshot applies a full snapshot whose read began at the revision at. A record
-// that it lacks was removed by then; the exception is the configuration, which
-// peers send separately. It reports whether anything changed that matters to
-// requests.
-func (m *Mirror) ApplySnapshot(now time.Duration, records []directory.Record, at uint64) bool {
-	if at > m.revision {
-		m.removalFloor = at
+// ApplySnapshot applies a full snapshot whose read began at readRevision. A
+// record that the snapshot lacks had been removed by that revision, except for
+// the configuration, which peers send separately. ApplySnapshot reports whether
+// anything changed that matters to requests.
+func (m *Mirror) ApplySnapshot(now time.Duration, records []directory.Record, readRevision uint64) bool {
+	if readRevision > m.revision {
+		m.removalFloor = readRevision
 	}
 	present := make(map[string]bool, len(records))
 	for _, r := range records {
@@ -131,31 +133,31 @@
 	}
 	changed := false
 	for key, e := range m.records {
-		if key != directory.ConfigKey && !present[key] && !e.Deleted && e.Revision <= at {
-			changed = m.put(now, directory.Record{Key: key, Revision: at, Deleted: true}) || changed
+		if key != directory.ConfigKey && !present[key] && !e.Deleted && e.Revision <= readRevision {
+			changed = m.put(now, directory.Record{Key: key, Revision: readRevision, Deleted: true}) || changed
 		}
 	}
-	return m.ApplyChanges(now, records, at) || changed
+	return m.ApplyChanges(now, records, readRevision) || changed
 }
 
-// ApplyChanges applies records; at is the revision up to which they complete the
-// known records, or 0 if that is unknown. It reports whether anything changed
-// that matters to requests.
-func (m *Mirror) ApplyChanges(now time.Duration, records []directory.Record, at uint64) bool {
+// ApplyChanges applies records. With them, all changes up to completeRevision
+// are known here; it is 0 if the sender does not know such a revision.
+// ApplyChanges reports whether anything changed that matters to requests.
+func (m *Mirror) ApplyChanges(now time.Duration, records []directory.Record, completeRevision uint64) bool {
 	changed := false
 	for _, r := range records {
 		changed = m.put(now, r) || changed
 	}
-	m.revision = max(m.revision, at)
+	m.revision = max(m.revision, completeRevision)
 	return changed
 }
 
-// MergeFromPeer applies records that another process passed on. It also marks them for
-// passing on in turn, even those that change nothing here: that process may
-// have known states in between that this one never did, such as a target that
-// came and went.
-func (m *Mirror) MergeFromPeer(now time.Duration, records []directory.Record, at uint64) bool {
-	changed := m.ApplyChanges(now, records, at)
+// MergeFromPeer applies records received from another process and marks them to
+// be forwarded, even those that change nothing here: the other process may have
+// seen intermediate states that this one never did, such as a target that
+// started and stopped.
+func (m *Mirror) MergeFromPeer(now time.Duration, records []directory.Record, completeRevision uint64) bool {
+	changed := m.ApplyChanges(now, records, completeRevision)
 	for _, r := range records {
 		if e := m.records[r.Key]; e.Revision == r.Revision {
 			e.routingRevision = r.Revision
@@ -178,11 +180,11 @@
 		// stays in force.
 		r.Config = old.Config
 	}
-	r.Target = m.keepLeaving(r.Target)
+	r.Target = m.preserveLeaving(r.Target)
 	e := entry{r, now, old.routingRevision}
 	changed := m.apply(now, r, old.Record)
-	// A removal is passed on even if it changes nothing here, because peers may
-	// hold the record that this process never had.
+	// A removal is forwarded even if it changes nothing here, because peers may
+	// hold a record that this process never had.
 	if changed || r.Deleted {
 		e.routingRevision = r.Revision
 	}
@@ -220,10 +222,10 @@
 	return r.Key != directory.ConfigKey && !r.Deleted && r.Revision <= m.revision
 }
 
-// keepLeaving returns t, marked as leaving if the target is known to leave
+// preserveLeaving returns t, marked as leaving if the target is known to leave
 // since its last start. The store may carry out a write of an earlier state
 // after that of a later one.
-func (m *Mirror) keepLeaving(t *directory.Target) *directory.Target {
+func (m *Mirror) preserveLeaving(t *directory.Target) *directory.Target {
 	if t == nil || t.Leaving {
 		return t
 	}
@@ -319,24 +321,25 @@
 			drained = append(drained, e.DrainedDataCentre)
 		}
 	}
-	for id, s := range m.targets {
-		targets[id] = m.withListed(now, s)
+	for id, t := range m.targets {
+		targets[id] = m.withPublished(now, t)
 	}
 	slices.SortFunc(drained, strings.Compare)
 	return directory.NewViewFromIndex(m.revision, m.index, targets, drained)
 }
 
-// withListed returns a target with Listed set if its entry exists. An entry
-// that was removed while the store was down counts as existing for the grace
-// period after the recovery.
-func (m *Mirror) withListed(now time.Duration, s *directory.ObservedTarget) *directory.ObservedTarget {
-	e := m.records[directory.TargetKey(s.ID)]
+// withPublished returns a target with Published set if its entry exists. An
+// entry whose removal arrives within the grace period after the store's recovery
+// counts as existing until the end of that period, because it may have expired
+// only because the store was down.
+func (m *Mirror) withPublished(now time.Duration, t *directory.ObservedTarget) *directory.ObservedTarget {
+	e := m.records[directory.TargetKey(t.ID)]
 	if e.Target != nil && !e.Deleted {
-		return s
+		return t
 	}
-	out := *s
-	lapsedWithStore := e.Deleted && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.RecoveryGrace
-	out.Published = lapsedWithStore && now < m.recoveredAt+m.cfg.RecoveryGrace
+	out := *t
+	removedDuringRecovery := e.Deleted && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.RecoveryGrace
+	out.Published = removedDuringRecovery && now < m.recoveredAt+m.cfg.RecoveryGrace
 	return &out
 }
 
--- a/internal/decide/mirror/mirror_test.go
+++ b/internal/decide/mirror/mirror_test.go
@@ -57,9 +57,8 @@
 		}
 	})
 
-	// A target writes every second that it is alive. If each of these writes
-	// rebuilt the view of every request and were sent to all other hosts, the
-	// hosts would do nothing else.
+	// A target writes a heartbeat every second. If each heartbeat rebuilt the
+	// view and were sent to all other hosts, the hosts would do nothing else.
 	It("does not report a heartbeat as a change", func() {
 		m := mirror.New(mirror.Config{})
 		Expect(m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil)}, 3)).To(BeTrue())
@@ -76,10 +75,10 @@
 		Expect(acceptsRequests(m, 0, "i-2")).To(BeTrue())
 	})
 
-	// The store was down and the entries of live targets lapsed with it. If
-	// they counted as removed at once, callers would lose every target for two
+	// The store was down and the entries of live targets expired meanwhile. If
+	// they counted as removed at once, no target would be available for two
 	// seconds.
-	It("takes targets whose entries lapsed with the store for alive during the grace period", func() {
+	It("considers targets alive during the grace period if their entries expired while the store was down", func() {
 		m := mirror.New(mirror.Config{})
 		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil)}, 4)
 		m.StoreFailed()
