--- a/internal/decide/storeoutage/storeoutage.go
+++ b/internal/decide/storeoutage/storeoutage.go
@@ -45,15 +45,15 @@
 	hasOverdue   bool
 }
 
-// RecordAnswer records the time that an answer took beyond the requested wait.
-func (d *Detector) RecordAnswer(took time.Duration) {
-	took = max(took, 0)
+// RecordAnswer records the delay of an answer beyond the requested wait.
+func (d *Detector) RecordAnswer(delay time.Duration) {
+	delay = max(delay, 0)
 	if !d.measured {
-		d.mean, d.deviation, d.measured = took, took/2, true
+		d.mean, d.deviation, d.measured = delay, delay/2, true
 		return
 	}
-	d.deviation += time.Duration(deviationGain * float64((took-d.mean).Abs()-d.deviation))
-	d.mean += time.Duration(meanGain * float64(took-d.mean))
+	d.deviation += time.Duration(deviationGain * float64((delay-d.mean).Abs()-d.deviation))
+	d.mean += time.Duration(meanGain * float64(delay-d.mean))
 }
 
 // AnswerTimeout returns the time beyond the requested wait after which an answer is
@@ -80,20 +80,21 @@
 // was ever overdue.
 func (d *Detector) LastOverdue() (time.Duration, bool) { return d.overdueSince, d.hasOverdue }
 
-// IsSuspect reports whether the store may have stopped answering, given the start
-// of the last call that it is known to have answered at any host.
-func (d *Detector) IsSuspect(answered time.Duration) bool {
-	return d.hasOverdue && answered < d.overdueSince
+// IsSuspect reports whether the store may have stopped answering, given when
+// the latest call that it is known to have answered, from any host, was started.
+func (d *Detector) IsSuspect(lastAnsweredCallStart time.Duration) bool {
+	return d.hasOverdue && lastAnsweredCallStart < d.overdueSince
 }
 
 // askersPerLaterRound is the mean number of hosts that ask a target in each
 // round but the first.
 const askersPerLaterRound = 2
 
-// ShouldAsk reports whether a host asks a target in a round, given the number of
-// hosts that have something running there; sample is a random number in [0, 1).
+// ShouldAsk reports whether a host asks a target in a round. activeHosts is the
+// number of hosts that have requests running at the target, sample a random
+// number in [0, 1).
 // All hosts ask in the first round: with a random choice there, a third of the
-// targets would not be asked, and their notice may already be running.
-func ShouldAsk(first bool, hosts int, sample float64) bool {
-	return first || sample*float64(hosts) < askersPerLaterRound
+// targets would not be asked, and their notice period may already have begun.
+func ShouldAsk(firstRound bool, activeHosts int, sample float64) bool {
+	return firstRound || sample*float64(activeHosts) < askersPerLaterRound
 }
--- a/internal/decide/storeoutage/storeoutage_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -11,7 +11,7 @@
 	"filbertdeck/internal/decide/storeoutage"
 )
 
-func TestSilence(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "silence")
 }
@@ -19,7 +19,7 @@
 var _ = Describe("the detection of a store that stopped answering", func() {
 	// Guards against a fixed timeout that is too long for a store that answers
 	// within milliseconds.
-	It("takes tenths of a second where answers come in milliseconds", func() {
+	It("has a timeout of tenths of a second if answers come within milliseconds", func() {
 		var d storeoutage.Detector
 		for range 20 {
 			d.RecordAnswer(8 * time.Millisecond)
