--- a/internal/decide/failurereports/failurereports.go
+++ b/internal/decide/failurereports/failurereports.go
@@ -1,14 +1,15 @@
 // Package failurereports evaluates other hosts' reports of failing targets.
 //
-// One target of a plain service breaks each connection while its health answers
-// say that it is well, and many hosts send it a few requests a second between
-// them. If each host had to find out by a request of its own, which may not be
-// sent again, a few requests would be lost per host, hundreds together.
+// A faulty target of a plain service can break every connection while its health
+// checks succeed, and many hosts together send it a few requests a second. If
+// each host detected the fault only from its own requests, and those must not be
+// retried, each host would lose a few requests, and the fleet hundreds.
 //
-// Therefore hosts tell each other which targets broke a request of theirs. The
-// report of a single host proves nothing: that host may be cut off from healthy
-// targets, and all others would overload the rest. A target that two other
-// hosts report within a few seconds is avoided while there are better ones.
+// Therefore hosts report to each other which targets failed their requests. The
+// report of a single host is not sufficient: that host may be cut off from
+// healthy targets, and if all others avoided those, they would overload the
+// rest. A target that two other hosts report within a few seconds is avoided
+// while there are better ones.
 //
 // The package is not safe for concurrent use; times are on the monotonic clock.
 package failurereports
@@ -38,19 +39,19 @@
 	receivedAt time.Duration
 }
 
-// New returns an empty set of reports.
+// New returns a tracker without reports.
 func New() *Tracker { return &Tracker{byTarget: map[string]map[string]failureReport{}} }
 
-// RecordFailures records a host's report of its failures at a target: a number that
-// changes with each failure, or 0 for none.
-func (b *Tracker) RecordFailures(now time.Duration, host, target string, failures uint32) {
+// RecordFailures records a host's report of its failures at a target. failures is
+// a number that changes with each failure, or 0 for none.
+func (t *Tracker) RecordFailures(now time.Duration, host, target string, failures uint32) {
 	if failures == 0 {
 		return
 	}
-	hosts := b.byTarget[target]
+	hosts := t.byTarget[target]
 	if hosts == nil {
 		hosts = map[string]failureReport{}
-		b.byTarget[target] = hosts
+		t.byTarget[target] = hosts
 	}
 	if hosts[host].failures != failures {
 		hosts[host] = failureReport{failures, now}
@@ -58,9 +59,9 @@
 }
 
 // Penalty returns what the reports add to a target's load fraction.
-func (b *Tracker) Penalty(now time.Duration, target string) float64 {
+func (t *Tracker) Penalty(now time.Duration, target string) float64 {
 	hosts := 0
-	for _, report := range b.byTarget[target] {
+	for _, report := range t.byTarget[target] {
 		if now-report.receivedAt < reportTTL {
 			hosts++
 		}
@@ -72,10 +73,10 @@
 }
 
 // Retain removes the targets that are no longer known.
-func (b *Tracker) Retain(known func(target string) bool) {
-	for target := range b.byTarget {
+func (t *Tracker) Retain(known func(target string) bool) {
+	for target := range t.byTarget {
 		if !known(target) {
-			delete(b.byTarget, target)
+			delete(t.byTarget, target)
 		}
 	}
 }
--- a/internal/decide/failurereports/failurereports_test.go
+++ b/internal/decide/failurereports/failurereports_test.go
@@ -12,15 +12,15 @@
 	"filbertdeck/internal/decide/failurereports"
 )
 
-func TestAccusers(t *testing.T) {
+func TestFailureReports(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "accusers")
 }
 
 var _ = Describe("failure reports of a target", func() {
 	// A host is cut off from some healthy targets and reports its failures to
-	// all others. If its report alone were believed, all would overload the
-	// other targets.
+	// all others. If its report alone were sufficient, all hosts would avoid
+	// these targets and overload the rest.
 	It("count only when two hosts send them", func() {
 		b := failurereports.New()
 		for n := range uint32(9) {
@@ -49,10 +49,10 @@
 		Expect(b.Penalty(0, "app-1")).To(BeZero())
 	})
 
-	// One of four targets breaks each connection for six seconds, and its
-	// health is good. Callers whose bookings go there must start again; in a
-	// fleet in which each host finds out by itself, each host loses one booking
-	// or more.
+	// One of four targets breaks each connection for six seconds while its
+	// health checks succeed. Callers whose bookings go there must start again.
+	// If each host detects the fault only from its own requests, each loses at
+	// least one booking.
 	It("keep the hosts of a fleet from failing at the same target one after the other", func() {
 		const hosts, targets, requestsPerSecond, reportDelay = 84, 4, 150, 200 * time.Millisecond
 		countLost := func(shareReports bool) int {
@@ -72,8 +72,8 @@
 			for n := range 6 * requestsPerSecond {
 				now := time.Duration(n) * time.Second / requestsPerSecond
 				for shareReports && len(undelivered) > 0 && undelivered[0].deliverAt <= now {
-					for _, b := range trackers {
-						b.RecordFailures(now, undelivered[0].host, "bad", undelivered[0].failures)
+					for _, tracker := range trackers {
+						tracker.RecordFailures(now, undelivered[0].host, "bad", undelivered[0].failures)
 					}
 					undelivered = undelivered[1:]
 				}
