--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -9,12 +9,12 @@
 // needs, answers would be delayed and more copies sent; requests and urgent
 // updates would wait behind them for seconds.
 //
-// Therefore documents are announced, and fetched by hosts that lack them from
-// one peer at a time. A host uploads no more at once than its link carries, and
-// refers further peers to others that have the document by then, so the number
-// of uploading hosts doubles with each round. Peers in the same part of the
-// fleet, usually the same data centre, come first: a document crosses between
-// data centres only where a part has no holder of its own.
+// Therefore documents are announced, and a host that lacks one fetches it from
+// one peer at a time. A host limits its uploads to the rate of its link and
+// refers further peers to hosts that it has already sent the document, so the
+// number of uploading hosts doubles with each round. The fleet is divided into
+// parts, usually one per data centre, and a host prefers peers of its own part:
+// a document is sent between data centres only if no host of a part has it.
 //
 // No type of the package is safe for concurrent use; times are on the monotonic
 // clock.
@@ -35,12 +35,12 @@
 	// give it to the others.
 	RemoteDelay, RemoteRankDelay time.Duration
 	MaxRemoteRank                int
-	// BusyBackoff is the time until a peer that was busy is asked again,
-	// FailureBackoff until one that did not answer is.
+	// BusyBackoff is the time until a peer that was busy is asked again;
+	// FailureBackoff is that time for a peer that did not answer.
 	BusyBackoff, FailureBackoff time.Duration
 	// InitialTimeout bounds the first transfer. Each transfer that fails
-	// doubles the next one's timeout, up to MaxTimeout: otherwise a document
-	// that is in transfer over a slow link would be restarted without end.
+	// doubles the next one's timeout, up to MaxTimeout: otherwise a transfer
+	// over a slow link would time out and restart indefinitely.
 	InitialTimeout, MaxTimeout time.Duration
 	// StaleAfter is the time without an announcement after which a peer is
 	// asked only if there is no other: it may be paused or cut off.
@@ -63,10 +63,10 @@
 
 // The outcomes of a transfer.
 const (
-	// Succeeded means that the peer's document was applied, or was already known by
-	// then.
+	// Succeeded means that the peer's document was applied, or was known here by
+	// the time it arrived.
 	Succeeded Outcome = iota + 1
-	// Busy means that the peer uploads to as many others as it can.
+	// Busy means that the peer's upload limit was reached.
 	Busy
 	// Failed means that the peer did not answer, or that what it sent can't be
 	// used.
@@ -80,8 +80,8 @@
 	sources map[string]*source
 	timeout time.Duration
 	// heldRevision is the newest revision that the host was known to hold, and
-	// behindSince the time since when it lacks something newer. That is not the
-	// time of the newest announcement, or a host would wait for as long as new
+	// behindSince the time since which it has lacked a newer one. Counted from
+	// the latest announcement instead, the wait would never end while new
 	// revisions keep being announced.
 	heldRevision uint64
 	behindSince  time.Duration
@@ -103,8 +103,8 @@
 	return &PeerSelector{cfg: cfg, rng: rng, sources: map[string]*source{}, timeout: cfg.InitialTimeout}
 }
 
-// RecordAnnouncement records that a peer holds a revision; local is set if the peer
-// belongs to this host's part of the fleet.
+// RecordAnnouncement records that a peer holds a revision; local is set if the
+// peer belongs to this host's part of the fleet.
 func (p *PeerSelector) RecordAnnouncement(now time.Duration, peer string, local bool, revision uint64) {
 	if len(p.sources) == 0 {
 		p.behindSince = now
@@ -117,10 +117,10 @@
 	s.revision, s.local, s.lastAnnouncedAt = max(s.revision, revision), local, now
 }
 
-// StartTransfer returns the peer to fetch from and the timeout of the transfer, given
-// the revision that this host holds and its rank in its part of the fleet, 0
-// for the first. It returns false if there is no peer to ask now. The transfer
-// counts as in progress until it is reported as done.
+// StartTransfer returns the peer to fetch from and the timeout of the transfer.
+// held is the revision that this host holds, and rank its rank in its part of
+// the fleet, 0 for the first. ok is false if there is no peer to ask now. The
+// transfer counts as in progress until FinishTransfer.
 func (p *PeerSelector) StartTransfer(now time.Duration, held uint64, rank int) (peer string, timeout time.Duration, ok bool) {
 	p.dropOutdated(held)
 	if p.heldRevision > 0 && held > p.heldRevision {
@@ -172,7 +172,7 @@
 // it last chose a peer.
 func (p *PeerSelector) IsBehind() bool { return len(p.sources) > 0 }
 
-// dropOutdated removes peers that hold nothing newer than a revision.
+// dropOutdated removes the peers that hold nothing newer than held.
 func (p *PeerSelector) dropOutdated(held uint64) {
 	for name, s := range p.sources {
 		if s.revision <= held {
