--- a/internal/decide/ownership/tenure.go
+++ b/internal/decide/ownership/tenure.go
@@ -39,8 +39,10 @@
 const (
 	defaultConfirmationTTL = 4 * time.Second
 	defaultActionTTL       = 3 * time.Second
-	// maxConfirmationGap must be less than the sum of the validity of a
-	// confirmation and the delay of an action.
+	// maxConfirmationGap is the longest time without a confirmation in which
+	// this process cannot have missed a list under which another one became
+	// exclusive. It must be less than the sum of ConfirmationTTL and ActionTTL,
+	// which is how long a new owner waits.
 	maxConfirmationGap = defaultConfirmationTTL
 )
 
@@ -55,16 +57,16 @@
 	everConfirmed bool
 }
 
-// SetOwner records whether the list of the given revision names this process. It is
-// called for each list that is read, even if the answer stays the same, and
-// before that list is confirmed.
+// SetOwner records whether the list of the given revision names this process. It
+// must be called for each list that is read, even if the owner stays the same,
+// and before that list is confirmed.
 //
 // The tenure starts again if the list changed and the previous one was not
 // confirmed recently: a list in between that this process never read may have
 // named another process, whose action may still be in flight. The effect would
 // be a cold target with one request too many after two changes of the list. A
-// gap of less than maxConfirmationGap can't hide such an owner, since it had no
-// time to become the only one. Revisions can't show a missed list, because
+// gap of at most maxConfirmationGap can't hide such an owner, since it was too
+// short for that owner's own wait to end. Revisions can't show a missed list, because
 // changes of the service's other values raise them too.
 func (t *Tenure) SetOwner(now time.Duration, revision uint64, owner bool) {
 	mayHaveMissedList := revision != t.revision && (!t.everConfirmed || now-t.confirmedAt > maxConfirmationGap)
@@ -92,9 +94,9 @@
 func (t *Tenure) StartedAt() time.Duration { return t.startedAt }
 
 // ExclusiveFrom returns the time from which no action of an earlier owner takes
-// effect. An earlier owner acts for at most the validity of its last
+// effect. An earlier owner acts for at most ConfirmationTTL after its last
 // confirmation, which came before this tenure began, and its last action takes
-// effect within the delay of an action.
+// effect within ActionTTL.
 func (t *Tenure) ExclusiveFrom(cfg Config) time.Duration {
 	return t.startedAt + cmp.Or(cfg.ConfirmationTTL, defaultConfirmationTTL) + cmp.Or(cfg.ActionTTL, defaultActionTTL)
 }
