--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -1,7 +1,7 @@
 // Package readers decides which hosts read the store.
 //
-// Every host needs what is published within a second, and the store answers a
-// limited number of calls a second for all of them together. If each host
+// Every host needs each update within a second of its publication, and the store
+// limits the calls per second of all hosts together. If each host
 // watched the store itself, the calls would grow with the fleet. With a fixed
 // set of readers, the fleet would get no updates when just these are cut off.
 //
@@ -21,8 +21,8 @@
 
 // Config holds the settings of the selection.
 type Config struct {
-	// ReaderCount is the number of readers for the hosts that share them. With two,
-	// the loss of one has no effect.
+	// ReaderCount is the number of readers for the hosts that share them. With
+	// two, the loss of one has no effect.
 	ReaderCount int
 	// ReportTTL is how long a host's report is valid. Hosts ask the readers in
 	// turn, every 200 ms; two requests to each may fail.
@@ -49,21 +49,24 @@
 	reading    bool
 }
 
-// New returns the state of a host that has heard from no other: it reads.
+// New returns the selector of a host that has received no reports. Such a host
+// reads the store itself.
 func New(cfg Config) *Selector { return &Selector{cfg: cfg, reports: map[string]report{}} }
 
-// RecordReport records whether a host reported that it reads the store successfully.
-func (r *Selector) RecordReport(now time.Duration, host string, reading bool) {
-	r.reports[host] = report{now, reading}
+// RecordReport records whether a host reported that it reads the store
+// successfully.
+func (s *Selector) RecordReport(now time.Duration, host string, reading bool) {
+	s.reports[host] = report{now, reading}
 }
 
-// ShouldRead reports whether self is to read, given the live hosts in the order of
-// their rank; fresh is set when self's data is recent enough. While a fleet
-// starts, hosts know few others and hear of no higher-ranked reader, so most of
-// them would take the role in turn. Therefore a host that has just started and
-// does not rank among the first reads only while its data is out of date.
-func (r *Selector) ShouldRead(now time.Duration, self string, ranked []string, fresh bool) bool {
-	if now < r.cfg.StartupPeriod && fresh && !r.IsPreferred(self, ranked) {
+// ShouldRead reports whether self is to read the store. ranked lists the live
+// hosts by rank, and fresh is set when self's data is recent enough. While a
+// fleet starts, hosts know few others and hear of no higher-ranked reader, so
+// most of them would take the role in turn. Therefore a host that has just
+// started and is not among the first ReaderCount hosts reads only while its data
+// is out of date.
+func (s *Selector) ShouldRead(now time.Duration, self string, ranked []string, fresh bool) bool {
+	if now < s.cfg.StartupPeriod && fresh && !s.IsPreferred(self, ranked) {
 		return false
 	}
 	higherRanked := 0
@@ -71,33 +74,33 @@
 		if host == self {
 			break
 		}
-		if r.isReading(now, host) {
+		if s.isReading(now, host) {
 			higherRanked++
 		}
 	}
-	return higherRanked < r.ReaderCount()
+	return higherRanked < s.ReaderCount()
 }
 
 // ReaderCount returns the configured number of readers.
-func (r *Selector) ReaderCount() int { return r.cfg.ReaderCount }
+func (s *Selector) ReaderCount() int { return s.cfg.ReaderCount }
 
 // IsPreferred reports whether self is one of the hosts that read in normal operation.
-func (r *Selector) IsPreferred(self string, ranked []string) bool {
-	return slices.Contains(ranked[:min(len(ranked), r.ReaderCount())], self)
+func (s *Selector) IsPreferred(self string, ranked []string) bool {
+	return slices.Contains(ranked[:min(len(ranked), s.ReaderCount())], self)
 }
 
 // KnownReaders returns the other hosts that are known to read, in the order of ranked.
-func (r *Selector) KnownReaders(now time.Duration, self string, ranked []string) []string {
+func (s *Selector) KnownReaders(now time.Duration, self string, ranked []string) []string {
 	var out []string
 	for _, host := range ranked {
-		if host != self && r.isReading(now, host) {
+		if host != self && s.isReading(now, host) {
 			out = append(out, host)
 		}
 	}
 	return out
 }
 
-func (r *Selector) isReading(now time.Duration, host string) bool {
-	last, known := r.reports[host]
-	return known && last.reading && now-last.receivedAt < r.cfg.ReportTTL
+func (s *Selector) isReading(now time.Duration, host string) bool {
+	last, known := s.reports[host]
+	return known && last.reading && now-last.receivedAt < s.cfg.ReportTTL
 }
