--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -37,10 +37,10 @@
 	defaultLeaseDuration = 3 * time.Second
 	defaultQueueLimit    = 1024
 
-	// PromptTokenCharge and OutputTokenCharge are the service charged per
-	// token. An output token takes a slot in a batch step and a prompt token a
-	// part of one; the scheme that package fairqueue cites has the same
-	// charges of 1 and 2.
+	// PromptTokenCharge and OutputTokenCharge are the amounts charged to an
+	// account per token. An output token takes a slot in a batch step and a
+	// prompt token a part of one; the scheme that package fairqueue cites has
+	// the same charges of 1 and 2.
 	PromptTokenCharge = 1.0
 	OutputTokenCharge = 2.0
 	// callCharge is charged for a call of a plain service, which has no tokens.
@@ -120,7 +120,7 @@
 		cfg:           cfg,
 		random:        rand.New(rand.NewPCG(cfg.Seed, firstID(cfg.Seed))),
 		outputLengths: newOutputLengthModel(),
-		queue:         fairqueue.New[Ask](cfg.QueueLimit, fairqueue.DefaultLookAhead),
+		queue:         fairqueue.New[Ask](cfg.QueueLimit, fairqueue.DefaultLookAheadTokens),
 		shares:        map[string]Share{},
 		quotas:        quotaTable{byAccount: map[string]*quotaState{}},
 		targets:       map[string]*target{},
@@ -154,7 +154,7 @@
 func (a *Allocator) SetShare(_ time.Duration, s Share) {
 	a.shares[s.Account] = s
 	if a.queue.Lookup(s.Account) != nil {
-		a.queueAccount(s.Account)
+		a.upsertAccount(s.Account)
 	}
 }
 
@@ -162,11 +162,11 @@
 func (a *Allocator) RemoveShare(_ time.Duration, account string) {
 	delete(a.shares, account)
 	if a.queue.Lookup(account) != nil {
-		a.queueAccount(account)
+		a.upsertAccount(account)
 	}
 }
 
-func (a *Allocator) queueAccount(name string) *fairqueue.Account[Ask] {
+func (a *Allocator) upsertAccount(name string) *fairqueue.Account[Ask] {
 	s := a.shares[name]
 	return a.queue.UpsertAccount(name, s.Weight, a.runningLimit(name, s))
 }
@@ -343,7 +343,7 @@
 	s := Snapshot{Waiting: a.queue.Len(), Running: len(a.leases.byID), Accounts: a.queue.AccountCount()}
 	for _, t := range a.targetOrder {
 		s.Targets = append(s.Targets, TargetSnapshot{
-			Address: t.address, State: t.gate.State(now), Running: len(t.leases),
+			Address: t.address, State: t.slowStart.State(now), Running: len(t.leases),
 			PredictedTokens: int(t.load.InUse()), Report: t.report,
 		})
 	}
--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -435,7 +435,7 @@
 			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, ProducedTokens: 9, FirstToken: time.Duration(i) * 50 * ms})
 			for _, t := range r.targetOrder {
 				Expect(r.health.Status(r.now, t.address)).To(Equal(health.Healthy))
-				Expect(t.gate.State(r.now)).To(Equal(slowstart.Warm))
+				Expect(t.slowStart.State(r.now)).To(Equal(slowstart.Warm))
 			}
 		}
 	})
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -51,7 +51,7 @@
 		a.refuse(&ask, reason, retry)
 		return
 	}
-	account := a.queueAccount(ask.Account)
+	account := a.upsertAccount(ask.Account)
 	wait := a.predictWait(account, account.Waiting())
 	if allowed := maxPredictedWait(ask.MaxWait); wait > allowed {
 		a.refuse(&ask, overloadReason(account, RefusedDeadline), a.retryAfter(wait-allowed))
@@ -234,7 +234,7 @@
 	}
 	l := a.leases.create()
 	l.fingerprint, l.service = ask.Fingerprint, ask.Service
-	account := a.queueAccount(ask.Account)
+	account := a.upsertAccount(ask.Account)
 	a.queue.AddRunning(account, 0)
 	gen := memoryforecast.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
 	a.addLease(now, l, ask.Holder, account, t, gen)
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -38,18 +38,18 @@
 	var best *target
 	bestScore := 0.0
 	for _, t := range a.targetOrder {
-		standing := a.health.Status(now, t.address)
-		if standing == health.Ejected || t.leaving || slices.Contains(avoid, t.address) {
+		status := a.health.Status(now, t.address)
+		if status == health.Ejected || t.leaving || slices.Contains(avoid, t.address) {
 			continue
 		}
 		if !t.allows(restriction) || t.freeSlots(now, a.ownership.owner) <= 0 {
 			continue
 		}
-		room, fits := a.headroom(t, ask, &growth)
+		freeFraction, fits := a.headroom(t, ask, &growth)
 		if !fits {
 			continue
 		}
-		score := room + a.cacheAffinity(t, ask) + tieBreakJitter*a.random.Float64() + standingBonus(standing)
+		score := freeFraction + a.cacheAffinity(t, ask) + tieBreakJitter*a.random.Float64() + healthBonus(status)
 		if best == nil || score > bestScore {
 			best, bestScore = t, score
 		}
@@ -57,22 +57,23 @@
 	return best
 }
 
-// standingBonus ranks a target's health standing above the rest of its score,
-// which lies between -2 and 2. A target on trial is preferred for one request,
-// so that a recovered target returns to service; a doubtful target is used only
-// if no good one has capacity.
-func standingBonus(standing health.Status) float64 {
-	switch standing {
+// healthBonus ranks a target's health status above the rest of its score, which lies
+// between -2 and 2. A target on trial is preferred for one request, so that a
+// recovered target returns to service; a degraded target is used only if no
+// healthy one has capacity.
+func healthBonus(status health.Status) float64 {
+	switch status {
 	case health.Trial:
-		return standingWeight
+		return healthWeight
 	case health.Degraded:
-		return -standingWeight
+		return -healthWeight
 	default:
 		return 0
 	}
 }
 
-const standingWeight = 10.0
+// healthWeight exceeds the range of the rest of the score.
+const healthWeight = 10.0
 
 // effectiveAvoidList returns the targets to avoid. A list that names all
 // targets is ignored, because the request could otherwise never run.
@@ -88,18 +89,19 @@
 	return nil
 }
 
-// headroom returns the part of the target that remains free with the ask on it.
-func (a *Allocator) headroom(t *target, ask *Ask, growth *memoryforecast.Forecast) (room float64, fits bool) {
+// headroom returns the fraction of the target's capacity that remains free if the
+// ask runs there, and whether the ask fits.
+func (a *Allocator) headroom(t *target, ask *Ask, growth *memoryforecast.Forecast) (freeFraction float64, fits bool) {
 	if t.report.MemoryTokens == 0 {
 		used := len(t.leases) + t.unknownRequests
 		return 1 - float64(used+1)/float64(t.capacity()), true
 	}
 	size := float64(t.report.MemoryTokens)
-	room = a.cfg.Memory.Headroom(&t.load, growth, t.unattributedTokens, size)
+	freeFraction = a.cfg.Memory.Headroom(&t.load, growth, t.unattributedTokens, size)
 	// An empty engine takes any prompt that fits: the memory rule must not
 	// exclude a request for ever because its output could be long.
 	empty := len(t.leases) == 0 && t.unknownRequests == 0 && t.unattributedTokens < 1
-	return room, room >= 0 || empty && float64(ask.PromptTokens+1) <= a.cfg.Memory.Watermark*size
+	return freeFraction, freeFraction >= 0 || empty && float64(ask.PromptTokens+1) <= a.cfg.Memory.Watermark*size
 }
 
 // cacheAffinity returns the score for the part of the prompt in the target's
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -168,7 +168,7 @@
 		}
 	}
 	for l := s.allocator.leases.first; l != nil; l = l.next {
-		if listed++; l.expires <= s.now || l.next != nil && l.next.expires < l.expires {
+		if listed++; l.expiresAt <= s.now || l.next != nil && l.next.expiresAt < l.expiresAt {
 			s.t.Fatal("leases are not in order of expiry")
 		}
 	}
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -10,17 +10,17 @@
 
 // lease is one active admission.
 type lease struct {
-	id      LeaseID
-	holder  Holder
-	account *fairqueue.Account[Ask]
-	target  *target
-	service string
-	gen     memoryforecast.Generation
-	growth  memoryforecast.Forecast
-	granted time.Duration
+	id        LeaseID
+	holder    Holder
+	account   *fairqueue.Account[Ask]
+	target    *target
+	service   string
+	gen       memoryforecast.Generation
+	growth    memoryforecast.Forecast
+	grantedAt time.Duration
 	// progressAt is when gen.Produced was last reported.
 	progressAt time.Duration
-	expires    time.Duration
+	expiresAt  time.Duration
 	// charged is the service charged so far, in tokens.
 	charged     float64
 	fingerprint uint64
@@ -117,7 +117,7 @@
 // addLease registers a lease with its target.
 func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memoryforecast.Generation) {
 	l.holder, l.account, l.target, l.gen = holder, account, t, gen
-	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseDuration
+	l.grantedAt, l.progressAt, l.expiresAt = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
 	l.growth.Predict(a.outputLengths.forService(l.service), gen)
 	t.add(now, l)
@@ -140,7 +140,7 @@
 		}
 		a.leases.unlink(l)
 		a.leases.append(l)
-		l.expires = now + a.cfg.LeaseDuration
+		l.expiresAt = now + a.cfg.LeaseDuration
 		a.recordProgress(now, l, r.ProducedTokens, false)
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	l := a.leases.insert(r.Lease)
 	l.service = r.Service
-	account := a.queueAccount(r.Account)
+	account := a.upsertAccount(r.Account)
 	a.queue.AddRunning(account, 0)
 	a.addLease(now, l, holder, account, t, memoryforecast.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
 	if r.ProducedTokens > 0 {
@@ -169,7 +169,7 @@
 	if l.gen.Produced == 0 {
 		l.target.recordFirstToken(now, l)
 	}
-	l.target.gate.RecordProgress(now, uint64(l.id))
+	l.target.slowStart.RecordProgress(now, uint64(l.id))
 	survived := produced
 	if endOfOutput {
 		survived--
@@ -201,7 +201,7 @@
 		a.outputLengths.recordFinished(l.service, s.ProducedTokens)
 	}
 	if finished {
-		a.leases.recordFinished(now-l.granted, l.charged)
+		a.leases.recordFinished(now-l.grantedAt, l.charged)
 	}
 	// The charge of a request that did not run is refunded.
 	if s.Outcome == OutcomeNotRun {
@@ -220,7 +220,7 @@
 		a.poison.requestFinished(now, l.fingerprint)
 	case OutcomeTargetCrashed:
 		a.poison.targetCrashed(now, t)
-		t.gate.MarkSuspect(now)
+		t.slowStart.MarkSuspect(now)
 	case OutcomeNotRun:
 		// The request did not reach the target and is no evidence of its health.
 		return
@@ -248,7 +248,7 @@
 	// The time to the first token is not passed to slow start, which takes a
 	// late one for a cold start: every long prompt or slow call would make a
 	// warm target cold for seconds.
-	l.target.gate.RecordEnd(now, uint64(l.id), finished, 0)
+	l.target.slowStart.RecordEnd(now, uint64(l.id), finished, 0)
 	l.target.remove(now, l, finished)
 	a.poison.leaseEnded(l.fingerprint)
 	a.leases.remove(l)
@@ -259,7 +259,7 @@
 // failed or is disconnected. Requests that still run at the target appear in
 // its reports.
 func (a *Allocator) expireLeases(now time.Duration) {
-	for l := a.leases.first; l != nil && l.expires <= now; l = a.leases.first {
+	for l := a.leases.first; l != nil && l.expiresAt <= now; l = a.leases.first {
 		a.endLease(now, l, false)
 	}
 }
--- a/internal/decide/admission/ownership.go
+++ b/internal/decide/admission/ownership.go
@@ -15,13 +15,13 @@
 	received    bool
 }
 
-// applyTo passes the ownership on to a target's slow-start gate.
-func (o *ownership) applyTo(g *slowstart.Limiter) {
+// applyTo passes the ownership on to a target's slow-start limiter.
+func (o *ownership) applyTo(limiter *slowstart.Limiter) {
 	if !o.received {
 		return
 	}
-	g.SetOwner(o.observedAt, o.revision, o.owner)
-	g.Confirm(o.confirmedAt)
+	limiter.SetOwner(o.observedAt, o.revision, o.owner)
+	limiter.Confirm(o.confirmedAt)
 }
 
 // SetOwnership records whether the published host list of the given revision
@@ -30,23 +30,23 @@
 func (a *Allocator) SetOwnership(now time.Duration, revision uint64, owner bool) {
 	a.ownership.owner, a.ownership.revision, a.ownership.observedAt, a.ownership.received = owner, revision, now, true
 	for _, t := range a.targetOrder {
-		t.gate.SetOwner(now, revision, owner)
+		t.slowStart.SetOwner(now, revision, owner)
 	}
 }
 
-// ConfirmOwnership records that the host list in force here was the newest one at the
-// time at. Without a confirmation every two seconds, cold targets receive work
-// only as far as it leaves capacity for other allocators that may believe they
-// own the pool; see package slowstart.
+// ConfirmOwnership records that the host list in force here was the newest one at
+// the time at. Without a confirmation every two seconds, cold targets receive
+// only as much work as leaves capacity for other allocators that may also
+// consider themselves owner of the pool; see package slowstart.
 func (a *Allocator) ConfirmOwnership(at time.Duration) {
 	a.ownership.confirmedAt = max(a.ownership.confirmedAt, at)
 	for _, t := range a.targetOrder {
-		t.gate.Confirm(at)
+		t.slowStart.Confirm(at)
 	}
 }
 
-// SetConfirmedOwner records and confirms the ownership from a list that was read just
-// now and carries no revision.
+// SetConfirmedOwner records and confirms the ownership from a list that was read
+// just now and carries no revision.
 func (a *Allocator) SetConfirmedOwner(now time.Duration, owner bool) {
 	a.SetOwnership(now, a.ownership.revision, owner)
 	a.ConfirmOwnership(now)
--- a/internal/decide/admission/poison.go
+++ b/internal/decide/admission/poison.go
@@ -57,15 +57,15 @@
 
 // restrictionFor returns how a request may run now. A request with fingerprint
 // 0 is not restricted.
-func (s *poisonGuard) restrictionFor(now time.Duration, fingerprint uint64) poisonRestriction {
+func (g *poisonGuard) restrictionFor(now time.Duration, fingerprint uint64) poisonRestriction {
 	if fingerprint == 0 {
 		return poisonRestriction{}
 	}
-	r := s.detector.Assess(now, fingerprint)
+	r := g.detector.Assess(now, fingerprint)
 	suspected := r.Verdict == poison.Isolated || r.Verdict == poison.Exclusive
 	// Identical suspects run one at a time: run on two targets at once they
 	// could crash both before the first crash is known.
-	duplicateRunning := suspected && s.runningByFingerprint[fingerprint] > 0
+	duplicateRunning := suspected && g.runningByFingerprint[fingerprint] > 0
 	return poisonRestriction{
 		rejected: r.Verdict == poison.Blocked, wait: r.Delay, mustWait: r.Delay > 0 || duplicateRunning,
 		exclusive: r.Verdict == poison.Exclusive, separate: r.Verdict == poison.Isolated,
@@ -73,40 +73,40 @@
 }
 
 // leaseStarted and leaseEnded count the leases of a fingerprint.
-func (s *poisonGuard) leaseStarted(fingerprint uint64) {
+func (g *poisonGuard) leaseStarted(fingerprint uint64) {
 	if fingerprint != 0 {
-		s.runningByFingerprint[fingerprint]++
+		g.runningByFingerprint[fingerprint]++
 	}
 }
 
-func (s *poisonGuard) leaseEnded(fingerprint uint64) {
+func (g *poisonGuard) leaseEnded(fingerprint uint64) {
 	if fingerprint == 0 {
 		return
 	}
-	if s.runningByFingerprint[fingerprint]--; s.runningByFingerprint[fingerprint] == 0 {
-		delete(s.runningByFingerprint, fingerprint)
+	if g.runningByFingerprint[fingerprint]--; g.runningByFingerprint[fingerprint] == 0 {
+		delete(g.runningByFingerprint, fingerprint)
 	}
 }
 
-func (s *poisonGuard) requestFinished(now time.Duration, fingerprint uint64) {
+func (g *poisonGuard) requestFinished(now time.Duration, fingerprint uint64) {
 	if fingerprint != 0 {
-		s.detector.AddCompletion(now, fingerprint)
+		g.detector.AddCompletion(now, fingerprint)
 	}
 }
 
 // targetCrashed records the crash of a target with all requests that ran there,
 // the latest start first. It is called for each lease of the target; the first
 // call records all of them, and later calls have the same crash ID.
-func (s *poisonGuard) targetCrashed(now time.Duration, t *target) {
+func (g *poisonGuard) targetCrashed(now time.Duration, t *target) {
 	running := slices.Clone(t.leases)
-	slices.SortFunc(running, func(a, b *lease) int { return cmp.Compare(b.granted, a.granted) })
+	slices.SortFunc(running, func(a, b *lease) int { return cmp.Compare(b.grantedAt, a.grantedAt) })
 	var fingerprints []uint64
 	for _, l := range running {
 		if l.fingerprint != 0 {
 			fingerprints = append(fingerprints, l.fingerprint)
 		}
 	}
-	s.detector.AddCrash(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
+	g.detector.AddCrash(now, poison.CrashID(t.address, t.report.Incarnation), fingerprints)
 }
 
 // PoisonEvidence returns the latest crashes for gossip, at most limit of them.
@@ -122,27 +122,27 @@
 
 // reserveTarget reserves the least loaded target for the request. At most one
 // reservation exists at a time.
-func (s *poisonGuard) reserveTarget(targets []*target, r *fairqueue.Request[Ask]) {
-	if s.reservedFor != nil {
+func (g *poisonGuard) reserveTarget(targets []*target, r *fairqueue.Request[Ask]) {
+	if g.reservedFor != nil {
 		return
 	}
 	for _, t := range targets {
-		if !t.leaving && (s.reservedTarget == nil || len(t.leases) < len(s.reservedTarget.leases)) {
-			s.reservedTarget = t
+		if !t.leaving && (g.reservedTarget == nil || len(t.leases) < len(g.reservedTarget.leases)) {
+			g.reservedTarget = t
 		}
 	}
-	if s.reservedTarget != nil {
-		s.reservedFor, s.reservedTarget.reserved = r, true
+	if g.reservedTarget != nil {
+		g.reservedFor, g.reservedTarget.reserved = r, true
 	}
 }
 
 // releaseReservation ends the reservation of a request that no longer waits.
-func (s *poisonGuard) releaseReservation(r *fairqueue.Request[Ask]) {
-	if s.reservedFor != r {
+func (g *poisonGuard) releaseReservation(r *fairqueue.Request[Ask]) {
+	if g.reservedFor != r {
 		return
 	}
-	if s.reservedTarget != nil {
-		s.reservedTarget.reserved = false
+	if g.reservedTarget != nil {
+		g.reservedTarget.reserved = false
 	}
-	s.reservedFor, s.reservedTarget = nil, nil
+	g.reservedFor, g.reservedTarget = nil, nil
 }
--- a/internal/decide/admission/quota.go
+++ b/internal/decide/admission/quota.go
@@ -12,12 +12,12 @@
 	Account string
 	// MayStart is false while no request of the account may start.
 	MayStart bool
-	// MaxRunning bounds the account's leases here; 0 means that the account has no
-	// such limit.
+	// MaxRunning bounds the account's leases in this pool. 0 means that the
+	// account has no such limit.
 	MaxRunning int
-	// ExpiresAt is when the quota grant expires. A process that was paused beyond
-	// that time must not use it, because other pools have received the
-	// account's limit by then.
+	// ExpiresAt is when the quota grant expires. A process that was paused
+	// beyond that time must not use it, because the quota has been granted to
+	// other pools by then.
 	ExpiresAt time.Duration
 }
 
@@ -44,35 +44,35 @@
 }
 
 func (t *quotaTable) getOrCreate(account string) *quotaState {
-	p := t.byAccount[account]
-	if p == nil {
-		p = &quotaState{}
-		t.byAccount[account] = p
+	state := t.byAccount[account]
+	if state == nil {
+		state = &quotaState{}
+		t.byAccount[account] = state
 	}
-	return p
+	return state
 }
 
 func (t *quotaTable) addProduced(account string, tokens int) {
-	if p := t.byAccount[account]; p != nil {
-		p.producedTokens += tokens
+	if state := t.byAccount[account]; state != nil {
+		state.producedTokens += tokens
 	}
 }
 
 // SetQuotaGrant puts a quota grant in force. Before the first one and after its
 // expiry the account's requests wait.
-func (a *Allocator) SetQuotaGrant(now time.Duration, p QuotaGrant) {
-	p.MayStart = p.MayStart && now < p.ExpiresAt
-	a.quotas.getOrCreate(p.Account).QuotaGrant = p
-	if p.MayStart && (a.quotas.nextExpiry == 0 || p.ExpiresAt < a.quotas.nextExpiry) {
-		a.quotas.nextExpiry = p.ExpiresAt
+func (a *Allocator) SetQuotaGrant(now time.Duration, grant QuotaGrant) {
+	grant.MayStart = grant.MayStart && now < grant.ExpiresAt
+	a.quotas.getOrCreate(grant.Account).QuotaGrant = grant
+	if grant.MayStart && (a.quotas.nextExpiry == 0 || grant.ExpiresAt < a.quotas.nextExpiry) {
+		a.quotas.nextExpiry = grant.ExpiresAt
 	}
-	a.updateLimit(p.Account)
+	a.updateLimit(grant.Account)
 }
 
 // updateLimit applies the current limit to the account, if the queue keeps it.
 func (a *Allocator) updateLimit(account string) {
 	if a.queue.Lookup(account) != nil {
-		a.queueAccount(account)
+		a.upsertAccount(account)
 	}
 }
 
@@ -82,14 +82,14 @@
 	if !s.SharedLimits {
 		return s.MaxRunning
 	}
-	p := a.quotas.getOrCreate(account)
+	state := a.quotas.getOrCreate(account)
 	switch {
-	case !p.MayStart || s.MaxRunning > 0 && p.MaxRunning == 0:
+	case !state.MayStart || s.MaxRunning > 0 && state.MaxRunning == 0:
 		return fairqueue.ZeroLimit
 	case s.MaxRunning == 0:
 		return 0
 	default:
-		return min(p.MaxRunning, s.MaxRunning)
+		return min(state.MaxRunning, s.MaxRunning)
 	}
 }
 
@@ -99,17 +99,17 @@
 		return
 	}
 	a.quotas.nextExpiry = 0
-	for account, p := range a.quotas.byAccount {
-		if !p.MayStart {
+	for account, state := range a.quotas.byAccount {
+		if !state.MayStart {
 			continue
 		}
-		if now >= p.ExpiresAt {
-			p.MayStart = false
+		if now >= state.ExpiresAt {
+			state.MayStart = false
 			a.updateLimit(account)
 			continue
 		}
-		if a.quotas.nextExpiry == 0 || p.ExpiresAt < a.quotas.nextExpiry {
-			a.quotas.nextExpiry = p.ExpiresAt
+		if a.quotas.nextExpiry == 0 || state.ExpiresAt < a.quotas.nextExpiry {
+			a.quotas.nextExpiry = state.ExpiresAt
 		}
 	}
 }
@@ -119,18 +119,18 @@
 // valid quota grant.
 func (a *Allocator) TakeQuotaUsage(now time.Duration) []QuotaUsage {
 	a.expireQuotas(now)
-	var uses []QuotaUsage
-	for account, p := range a.quotas.byAccount {
-		u := QuotaUsage{Account: account, ProducedTokens: p.producedTokens}
-		p.producedTokens = 0
-		if q := a.queue.Lookup(account); q != nil {
-			u.Running, u.Waiting = q.Running(), q.Waiting()
+	var usages []QuotaUsage
+	for account, state := range a.quotas.byAccount {
+		usage := QuotaUsage{Account: account, ProducedTokens: state.producedTokens}
+		state.producedTokens = 0
+		if queueAccount := a.queue.Lookup(account); queueAccount != nil {
+			usage.Running, usage.Waiting = queueAccount.Running(), queueAccount.Waiting()
 		}
-		if u != (QuotaUsage{Account: account}) {
-			uses = append(uses, u)
-		} else if !p.MayStart {
+		if usage != (QuotaUsage{Account: account}) {
+			usages = append(usages, usage)
+		} else if !state.MayStart {
 			delete(a.quotas.byAccount, account)
 		}
 	}
-	return uses
+	return usages
 }
--- a/internal/decide/admission/steptime.go
+++ b/internal/decide/admission/steptime.go
@@ -19,32 +19,32 @@
 
 // normalize returns the step time that the target would have with the pool's
 // mean batch size. A step time of 0 is not reported and stays 0.
-func (p *stepTimeModel) normalize(step time.Duration, batch int) time.Duration {
+func (m *stepTimeModel) normalize(step time.Duration, batch int) time.Duration {
 	if step <= 0 {
 		return 0
 	}
 	x, y := float64(batch), float64(step)
-	p.sumWeights = stepTimeDecay*p.sumWeights + 1
-	p.sumX = stepTimeDecay*p.sumX + x
-	p.sumY = stepTimeDecay*p.sumY + y
-	p.sumXX = stepTimeDecay*p.sumXX + x*x
-	p.sumXY = stepTimeDecay*p.sumXY + x*y
-	expected, mean := p.predict(x)
+	m.sumWeights = stepTimeDecay*m.sumWeights + 1
+	m.sumX = stepTimeDecay*m.sumX + x
+	m.sumY = stepTimeDecay*m.sumY + y
+	m.sumXX = stepTimeDecay*m.sumXX + x*x
+	m.sumXY = stepTimeDecay*m.sumXY + x*y
+	expected, mean := m.predict(x)
 	return time.Duration(y / expected * mean)
 }
 
 // predict returns the fitted step time at batch size x and at the mean batch
 // size. Neither the slope nor the intercept is negative, because every step
 // takes time.
-func (p *stepTimeModel) predict(x float64) (atBatch, mean float64) {
-	meanX, meanY := p.sumX/p.sumWeights, p.sumY/p.sumWeights
+func (m *stepTimeModel) predict(x float64) (atBatch, mean float64) {
+	meanX, meanY := m.sumX/m.sumWeights, m.sumY/m.sumWeights
 	slope := 0.0
-	if variance := p.sumXX/p.sumWeights - meanX*meanX; variance > 1 {
-		slope = max(0, (p.sumXY/p.sumWeights-meanX*meanY)/variance)
+	if variance := m.sumXX/m.sumWeights - meanX*meanX; variance > 1 {
+		slope = max(0, (m.sumXY/m.sumWeights-meanX*meanY)/variance)
 	}
 	if meanX > 0 {
 		slope = min(slope, meanY/meanX)
 	}
-	const minFraction = 0.1
-	return max(meanY+slope*(x-meanX), minFraction*meanY), meanY
+	const minPredictedFraction = 0.1
+	return max(meanY+slope*(x-meanX), minPredictedFraction*meanY), meanY
 }
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -25,17 +25,17 @@
 // endedLease is a lease that ended after the last report was taken; a report
 // that was taken before its end still counts it.
 type endedLease struct {
-	granted, ended time.Duration
-	tokens         int
+	grantedAt, endedAt time.Duration
+	tokens             int
 }
 
 // target is the allocator's state of one target: its last report and the leases
 // and memory that are known to be in use there.
 type target struct {
-	address string
-	leaving bool
-	gate    *slowstart.Limiter
-	report  Report
+	address   string
+	leaving   bool
+	slowStart *slowstart.Limiter
+	report    Report
 	// reportTakenAt is when the report was taken, by the allocator's clock.
 	reportTakenAt time.Duration
 	reported      bool
@@ -54,9 +54,9 @@
 	unconfirmed int
 	// confirmed counts those granted after the report that have since produced
 	// output or finished.
-	confirmed     int
-	recentlyEnded []endedLease
-	cache         prefixCache
+	confirmed           int
+	recentlyEndedLeases []endedLease
+	cache               prefixCache
 	// exclusiveLeases and suspectLeases count the leases that the poison rules
 	// restrict.
 	exclusiveLeases, suspectLeases int
@@ -95,9 +95,9 @@
 }
 
 func (a *Allocator) newTarget(address string) *target {
-	t := &target{address: address, gate: slowstart.New(a.cfg.SlowStart), cache: newPrefixCache()}
+	t := &target{address: address, slowStart: slowstart.New(a.cfg.SlowStart), cache: newPrefixCache()}
 	t.reportTakenAt = -1
-	a.ownership.applyTo(t.gate)
+	a.ownership.applyTo(t.slowStart)
 	a.targets[address] = t
 	return t
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	step := a.stepTimes.normalize(r.StepTime, r.Running)
-	t.gate.Observe(now, slowstart.Report{
+	t.slowStart.Observe(now, slowstart.Report{
 		Age: r.Age, Incarnation: r.Incarnation, Capacity: r.Capacity,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
@@ -153,7 +153,7 @@
 	if l.gen.Produced == 0 {
 		t.unconfirmed++
 	}
-	t.gate.RecordGrant(now, uint64(l.id))
+	t.slowStart.RecordGrant(now, uint64(l.id))
 }
 
 func (t *target) remove(now time.Duration, l *lease, finished bool) {
@@ -172,7 +172,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(finished)
 	}
-	t.recentlyEnded = append(t.recentlyEnded, endedLease{granted: l.granted, ended: now, tokens: l.gen.Prompt + l.gen.Produced})
+	t.recentlyEndedLeases = append(t.recentlyEndedLeases, endedLease{grantedAt: l.grantedAt, endedAt: now, tokens: l.gen.Prompt + l.gen.Produced})
 }
 
 // recordFirstToken records the first token of a lease.
@@ -180,7 +180,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(true)
 	}
-	t.gate.RecordStart(now, uint64(l.id))
+	t.slowStart.RecordStart(now, uint64(l.id))
 }
 
 // confirm removes a lease from the unconfirmed ones; served tells whether the
@@ -193,7 +193,7 @@
 }
 
 func (t *target) isUnconfirmed(l *lease) bool {
-	return l.gen.Produced == 0 && l.granted >= t.reportTakenAt
+	return l.gen.Produced == 0 && l.grantedAt >= t.reportTakenAt
 }
 
 // refresh recomputes the predicted load, from the progress that each generation
@@ -211,24 +211,24 @@
 		if t.isUnconfirmed(l) {
 			t.unconfirmed++
 		}
-		if l.granted < t.reportTakenAt {
+		if l.grantedAt < t.reportTakenAt {
 			atReport := t.extrapolate(l, t.reportTakenAt)
 			usedAtReport += atReport.Prompt + atReport.Produced
 			runningAtReport++
 		}
 	}
-	kept := t.recentlyEnded[:0]
-	for _, r := range t.recentlyEnded {
-		if r.ended < t.reportTakenAt {
+	kept := t.recentlyEndedLeases[:0]
+	for _, r := range t.recentlyEndedLeases {
+		if r.endedAt < t.reportTakenAt {
 			continue
 		}
 		kept = append(kept, r)
-		if r.granted < t.reportTakenAt {
+		if r.grantedAt < t.reportTakenAt {
 			usedAtReport += r.tokens
 			runningAtReport++
 		}
 	}
-	t.recentlyEnded = kept
+	t.recentlyEndedLeases = kept
 	t.unattributedTokens = float64(max(0, t.report.UsedTokens-usedAtReport))
 	t.unknownRequests = max(0, t.report.Running+t.report.Waiting-runningAtReport)
 	t.predictUnknownRequests(o)
@@ -282,9 +282,9 @@
 // warm target, and for a small settled one at its owner, the allocator's own
 // count decides, because reports lag by many times the length of a short call.
 func (t *target) freeSlots(now time.Duration, owner bool) int {
-	state := t.gate.State(now)
+	state := t.slowStart.State(now)
 	if state != slowstart.Warm && (state != slowstart.Settled || !owner) {
-		return t.gate.Room(now)
+		return t.slowStart.Room(now)
 	}
 	capacity := t.capacity()
 	free := capacity - len(t.leases) - t.unknownRequests
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -3,8 +3,12 @@
 // asks, renewals, settlements, target reports and ticks are its inputs and
 // decisions its outputs. Time is an argument, measured from any fixed origin.
 //
-// An Allocator owns the targets of one service in one data centre (a pool). The
-// control process runs each Allocator on a single goroutine.
+// An Allocator owns the targets of one service in one data centre (a pool). A
+// target is an inference engine, which reports its memory in tokens, or an
+// instance of a plain service, which has neither tokens nor memory reports.
+// Entry processes accept the clients' requests, ask the allocator for admission
+// and hold the leases that it grants. The control process runs each Allocator on
+// a single goroutine.
 package admission
 
 import "time"
--- a/internal/decide/fairqueue/account.go
+++ b/internal/decide/fairqueue/account.go
@@ -101,6 +101,6 @@
 	lengthElement[T any] struct{ *Account[T] }
 )
 
-func (p readyElement[T]) heapIndex() *int  { return &p.readyIndex }
-func (p lengthElement[T]) heapIndex() *int { return &p.lengthIndex }
+func (e readyElement[T]) heapIndex() *int  { return &e.readyIndex }
+func (e lengthElement[T]) heapIndex() *int { return &e.lengthIndex }
 func (r *Request[T]) heapIndex() *int      { return &r.deadlineIndex }
--- a/internal/decide/fairqueue/drain.go
+++ b/internal/decide/fairqueue/drain.go
@@ -55,12 +55,13 @@
 }
 
 // EstimateWait estimates how long a request of account a waits when ahead
-// requests of the same account are before it. typicalCost is the cost of a
+// requests of the same account are before it. poolRate is the drain rate of the
+// whole pool. typicalCost is the cost of a
 // request, in charged tokens, assumed while the account has no mean of its own.
-// While the drain rate is unknown the estimate is 0, so that no caller is
+// While poolRate is unknown the estimate is 0, so that no caller is
 // refused without evidence of overload.
-func (q *Queue[T]) EstimateWait(d *DrainRate, a *Account[T], ahead int, typicalCost float64) time.Duration {
-	rate, known := d.Rate()
+func (q *Queue[T]) EstimateWait(poolRate *DrainRate, a *Account[T], ahead int, typicalCost float64) time.Duration {
+	rate, known := poolRate.Rate()
 	if !known {
 		return 0
 	}
--- a/internal/decide/fairqueue/queue.go
+++ b/internal/decide/fairqueue/queue.go
@@ -26,11 +26,11 @@
 import "time"
 
 const (
-	// DefaultLookAhead is in charged tokens for each running request: what a
-	// generation is charged in about five seconds at 25 tokens per second. A
-	// fairness window of 30 seconds holds several such periods;
-	// docs/measurements has the measurement of the oscillation.
-	DefaultLookAhead = 256
+	// DefaultLookAheadTokens is added to an account's scheduling key for each
+	// running request: what a generation is charged in about five seconds at 25
+	// tokens per second. A fairness window of 30 seconds holds several such
+	// periods; docs/measurements has the measurement of the oscillation.
+	DefaultLookAheadTokens = 256
 	// meanCostDecay is the weight of the old mean cost at each finished
 	// request.
 	meanCostDecay = 0.97
@@ -307,15 +307,15 @@
 // updateReady adds the account to the ready heap, removes it or restores its
 // position, according to its current state.
 func (q *Queue[T]) updateReady(a *Account[T]) {
-	p := readyElement[T]{a}
+	element := readyElement[T]{a}
 	switch eligible := a.waiting > 0 && !a.AtLimit() && !a.skipped; {
 	case eligible && a.readyIndex < 0:
 		q.forfeitCredit(a)
-		q.ready.push(p)
+		q.ready.push(element)
 	case eligible:
-		q.ready.fix(p)
+		q.ready.fix(element)
 	case a.readyIndex >= 0:
-		q.ready.remove(p)
+		q.ready.remove(element)
 	}
 }
 
--- a/internal/decide/fairqueue/queue_test.go
+++ b/internal/decide/fairqueue/queue_test.go
@@ -117,7 +117,7 @@
 
 var _ = Describe("service over weight", func() {
 	DescribeTable("stays within 5% over 30 seconds", func(weights []float64, lengths []int) {
-		Expect(maxDeviation(weights, lengths, DefaultLookAhead, false)).To(BeNumerically("<", 0.05))
+		Expect(maxDeviation(weights, lengths, DefaultLookAheadTokens, false)).To(BeNumerically("<", 0.05))
 	},
 		Entry("equal lengths", []float64{1, 1, 1, 1}, []int{200, 200, 200, 200}),
 		Entry("long and short outputs", []float64{1, 1, 1}, []int{20, 300, 900}),
@@ -127,13 +127,13 @@
 	// In order of arrival, an account with long outputs gets most of the pool
 	// and the other accounts wait behind its requests.
 	It("is unequal in order of arrival", func() {
-		Expect(maxDeviation([]float64{1, 1, 1}, []int{20, 300, 900}, DefaultLookAhead, true)).To(BeNumerically(">", 0.5))
+		Expect(maxDeviation([]float64{1, 1, 1}, []int{20, 300, 900}, DefaultLookAheadTokens, true)).To(BeNumerically(">", 0.5))
 	})
 
 	// Scheduled by past service alone, an account that is behind takes every
 	// free slot, and holds too many for as long as its long outputs last.
 	It("oscillates without the look-ahead term", func() {
-		damped := maxDeviation([]float64{1, 1, 1}, []int{20, 300, 900}, DefaultLookAhead, false)
+		damped := maxDeviation([]float64{1, 1, 1}, []int{20, 300, 900}, DefaultLookAheadTokens, false)
 		Expect(maxDeviation([]float64{1, 1, 1}, []int{20, 300, 900}, 0, false)).To(BeNumerically(">", 2*damped))
 	})
 })
@@ -302,10 +302,12 @@
 	}
 }
 
-func BenchmarkPick(b *testing.B) {
+// BenchmarkQueue measures a request's whole path through a queue with a backlog
+// of two requests per account.
+func BenchmarkQueue(b *testing.B) {
 	for _, accounts := range []int{100, 11_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
-			q := New[int](4*accounts, DefaultLookAhead)
+			q := New[int](4*accounts, DefaultLookAheadTokens)
 			handles := make([]*Account[int], accounts)
 			for i := range handles {
 				handles[i] = q.UpsertAccount(fmt.Sprint(i), 1+float64(i%7), 0)
