--- a/internal/decide/membership/gossip.go
+++ b/internal/decide/membership/gossip.go
@@ -9,17 +9,17 @@
 )
 
 // queueBroadcast queues a member's state for sending to peers.
-func (c *Node) queueBroadcast(m Member) { c.broadcasts[m.Address] = &broadcast{Member: m} }
+func (n *Node) queueBroadcast(m Member) { n.broadcasts[m.Address] = &broadcast{Member: m} }
 
 // selectUpdates returns the updates for one message, the least transmitted
 // first. The entry of the receiver itself is always included when it is not
 // alive, so that the receiver can refute it.
-func (c *Node) selectUpdates(to string) []Member {
-	limit := c.transmitLimit()
-	pending := make([]*broadcast, 0, len(c.broadcasts))
-	for address, b := range c.broadcasts {
+func (n *Node) selectUpdates(to string) []Member {
+	limit := n.transmitLimit()
+	pending := make([]*broadcast, 0, len(n.broadcasts))
+	for address, b := range n.broadcasts {
 		if b.transmits >= limit {
-			delete(c.broadcasts, address)
+			delete(n.broadcasts, address)
 			continue
 		}
 		pending = append(pending, b)
@@ -28,11 +28,11 @@
 		return cmp.Or(cmp.Compare(a.transmits, b.transmits), cmp.Compare(a.Address, b.Address))
 	})
 	var out []Member
-	if r := c.records[to]; r != nil && r.confirmed && r.State != Alive {
+	if r := n.records[to]; r != nil && r.confirmed && r.State != Alive {
 		out = append(out, r.Member)
 	}
 	for _, b := range pending {
-		if len(out) >= c.cfg.MaxUpdates {
+		if len(out) >= n.cfg.MaxUpdates {
 			break
 		}
 		if b.Address == to {
@@ -44,24 +44,24 @@
 	return out
 }
 
-func (c *Node) transmitLimit() int {
-	return transmitMultiplier * int(math.Ceil(math.Log10(float64(len(c.records)+2))))
+func (n *Node) transmitLimit() int {
+	return transmitMultiplier * int(math.Ceil(math.Log10(float64(len(n.records)+2))))
 }
 
 // refreshView rebuilds the neighbours and the view after a change.
-func (c *Node) refreshView() {
-	if !c.viewStale && c.view != nil {
+func (n *Node) refreshView() {
+	if !n.viewStale && n.view != nil {
 		return
 	}
-	c.viewStale = false
-	c.neighbours = c.pickNeighbours()
-	c.viewVersion++
-	v := &View{Version: c.viewVersion, Self: c.self, Leaving: map[string]bool{}, Neighbours: c.neighbours}
-	v.Members = append(v.Members, c.self)
-	if c.selfLeaving {
-		v.Leaving[c.self.Address] = true
+	n.viewStale = false
+	n.neighbours = n.pickNeighbours()
+	n.viewVersion++
+	v := &View{Version: n.viewVersion, Self: n.self, Leaving: map[string]bool{}, Neighbours: n.neighbours}
+	v.Members = append(v.Members, n.self)
+	if n.selfLeaving {
+		v.Leaving[n.self.Address] = true
 	}
-	for address, r := range c.records {
+	for address, r := range n.records {
 		if r.confirmed {
 			v.Members = append(v.Members, r.Member)
 		}
@@ -70,17 +70,17 @@
 		}
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Address, b.Address) })
-	c.view = v
+	n.view = v
 }
 
 // pickNeighbours returns this process's successor on each ring.
-func (c *Node) pickNeighbours() []string {
-	own := ringHashes(c.self.Address, c.cfg.RingCount)
+func (n *Node) pickNeighbours() []string {
+	own := ringHashes(n.self.Address, n.cfg.RingCount)
 	anyMember := func(string, *record) bool { return true }
 	picked := map[string]bool{}
-	for ring := range c.cfg.RingCount {
+	for ring := range n.cfg.RingCount {
 		// The unsigned difference wraps around at the end of the ring.
-		if s := c.nearest(func(r *record) uint64 { return r.ringHashes[ring] - own[ring] }, anyMember); s != "" {
+		if s := n.nearest(func(r *record) uint64 { return r.ringHashes[ring] - own[ring] }, anyMember); s != "" {
 			picked[s] = true
 		}
 	}
@@ -92,24 +92,24 @@
 // process's nor the target's. When two data centres lose the link between them,
 // relays in either of them can't help, and healthy members would be declared
 // dead.
-func (c *Node) relaysTo(target string) []string {
-	targetRecord := c.records[target]
+func (n *Node) relaysTo(target string) []string {
+	targetRecord := n.records[target]
 	inThirdDataCentre := func(r *record) bool {
-		return r.DataCentre != c.self.DataCentre && r.DataCentre != targetRecord.DataCentre
+		return r.DataCentre != n.self.DataCentre && r.DataCentre != targetRecord.DataCentre
 	}
 	inAnyDataCentre := func(*record) bool { return true }
-	out := c.appendPredecessors(nil, targetRecord, target, thirdPartyRelayCount, inThirdDataCentre)
-	return c.appendPredecessors(out, targetRecord, target, relayCount, inAnyDataCentre)
+	out := n.appendPredecessors(nil, targetRecord, target, thirdPartyRelayCount, inThirdDataCentre)
+	return n.appendPredecessors(out, targetRecord, target, relayCount, inAnyDataCentre)
 }
 
 // appendPredecessors appends to out the processes that precede the target on a
 // ring and that accept allows, until out has limit elements.
-func (c *Node) appendPredecessors(out []string, targetRecord *record, target string, limit int, accept func(*record) bool) []string {
-	for ring := range c.cfg.RingCount {
+func (n *Node) appendPredecessors(out []string, targetRecord *record, target string, limit int, accept func(*record) bool) []string {
+	for ring := range n.cfg.RingCount {
 		if len(out) >= limit {
 			break
 		}
-		predecessor := c.nearest(func(r *record) uint64 { return targetRecord.ringHashes[ring] - r.ringHashes[ring] }, func(address string, r *record) bool {
+		predecessor := n.nearest(func(r *record) uint64 { return targetRecord.ringHashes[ring] - r.ringHashes[ring] }, func(address string, r *record) bool {
 			return address != target && accept(r)
 		})
 		if predecessor != "" && !slices.Contains(out, predecessor) {
@@ -121,9 +121,9 @@
 
 // nearest returns the member at the smallest distance that is not gone and that
 // accept allows.
-func (c *Node) nearest(distance func(*record) uint64, accept func(string, *record) bool) string {
+func (n *Node) nearest(distance func(*record) uint64, accept func(string, *record) bool) string {
 	best, bestDistance := "", uint64(math.MaxUint64)
-	for address, r := range c.records {
+	for address, r := range n.records {
 		if r.isGone() || !accept(address, r) {
 			continue
 		}
--- a/internal/decide/membership/graph_test.go
+++ b/internal/decide/membership/graph_test.go
@@ -128,10 +128,10 @@
 	})
 })
 
-// BenchmarkCore reports, for a process that knows a whole fleet, the time to
+// BenchmarkNode reports, for a process that knows a whole fleet, the time to
 // apply one member's change and rebuild the view, and the heap size of the
 // member list.
-func BenchmarkCore(b *testing.B) {
+func BenchmarkNode(b *testing.B) {
 	for _, n := range []int{8, 100, 1000, 3300} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -410,7 +410,7 @@
 	})
 })
 
-func FuzzCore(f *testing.F) {
+func FuzzNode(f *testing.F) {
 	f.Add(uint64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/decide/membership/core.go
+++ b/internal/decide/membership/node.go
@@ -75,98 +75,98 @@
 // New returns a state machine that knows only its own process.
 func New(cfg Config) *Node {
 	cfg = cfg.withDefaults()
-	c := &Node{
+	n := &Node{
 		cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, hash("seed", cfg.Self.Address))),
 		records: map[string]*record{}, broadcasts: map[string]*broadcast{},
 		probes: map[uint64]*probe{}, peerDigests: map[string]digestPair{}, viewStale: true,
 	}
-	c.self.State = Alive
-	c.digest = hashMember(c.self)
-	c.queueBroadcast(c.self)
-	return c
+	n.self.State = Alive
+	n.digest = hashMember(n.self)
+	n.queueBroadcast(n.self)
+	return n
 }
 
 // Self returns this process's own entry, as sent to peers.
-func (c *Node) Self() Member { return c.self }
+func (n *Node) Self() Member { return n.self }
 
 // Digest returns the digest of the confirmed members that are alive or suspect.
-func (c *Node) Digest() uint64 { return c.digest }
+func (n *Node) Digest() uint64 { return n.digest }
 
 // View returns the member list as of the last tick.
-func (c *Node) View() *View {
-	if c.view == nil {
-		c.refreshView()
+func (n *Node) View() *View {
+	if n.view == nil {
+		n.refreshView()
 	}
-	return c.view
+	return n.view
 }
 
-// SetPublishedPeers takes the platform's list of hosts, or the seed addresses from the
-// settings at startup. It adds a record for each listed peer, which is then
-// probed. The list alone neither makes a member alive nor removes a confirmed
-// one.
-func (c *Node) SetPublishedPeers(now time.Duration, peers []Peer) {
+// SetPublishedPeers takes the platform's list of hosts or, at startup, the seed
+// addresses from the settings. It adds a record for each listed peer, which is
+// then probed. The list alone neither makes a member alive nor removes a
+// confirmed one.
+func (n *Node) SetPublishedPeers(now time.Duration, peers []Peer) {
 	listed := make(map[string]Peer, len(peers))
 	for _, p := range peers {
-		if p.Address == c.self.Address {
-			c.selfLeaving = p.Leaving
+		if p.Address == n.self.Address {
+			n.selfLeaving = p.Leaving
 			continue
 		}
 		listed[p.Address] = p
-		if c.records[p.Address] == nil {
-			c.addRecord(Member{Address: p.Address, DataCentre: p.DataCentre})
+		if n.records[p.Address] == nil {
+			n.addRecord(Member{Address: p.Address, DataCentre: p.DataCentre})
 		}
 	}
-	for address, r := range c.records {
+	for address, r := range n.records {
 		p, published := listed[address]
 		if !published && !r.confirmed {
-			c.removeRecord(address)
+			n.removeRecord(address)
 			continue
 		}
 		if r.published && !published {
-			r.expiresAt = max(r.expiresAt, now+c.cfg.DeadRetention)
+			r.expiresAt = max(r.expiresAt, now+n.cfg.DeadRetention)
 		}
 		r.published, r.leaving = published, p.Leaving
 	}
-	c.viewStale = true
+	n.viewStale = true
 }
 
 // Leave marks this process as stopped by plan and returns the messages that
 // announce it to the neighbours.
-func (c *Node) Leave() []Action {
-	c.digest -= hashMember(c.self)
-	c.self.State = Left
-	c.queueBroadcast(c.self)
-	c.viewStale = true
-	c.pushAll()
-	out := c.actions
-	c.actions = nil
+func (n *Node) Leave() []Action {
+	n.digest -= hashMember(n.self)
+	n.self.State = Left
+	n.queueBroadcast(n.self)
+	n.viewStale = true
+	n.pushAll()
+	out := n.actions
+	n.actions = nil
 	return out
 }
 
 // Merge applies the member updates that came with a message, and queues those
 // that are new for broadcast.
-func (c *Node) Merge(now time.Duration, members []Member) {
+func (n *Node) Merge(now time.Duration, members []Member) {
 	for _, m := range members {
-		c.applyUpdate(now, m, true)
+		n.applyUpdate(now, m, true)
 	}
 }
 
 // MergeFullList applies a peer's full member list. Its updates are not queued for
-// broadcast: this process lacked them, but the rest of the fleet need not.
-// Otherwise a process that joins 3,300 others would fill its messages with them
+// broadcast: that this process lacked them does not mean that others do. A
+// process that joins 3,300 others would otherwise fill its messages with them
 // for half an hour. If a whole side of a partition lacks them, the other
 // processes on that side find the difference by comparing digests.
-func (c *Node) MergeFullList(now time.Duration, members []Member) {
+func (n *Node) MergeFullList(now time.Duration, members []Member) {
 	for _, m := range members {
-		c.applyUpdate(now, m, false)
+		n.applyUpdate(now, m, false)
 	}
 }
 
 // FullList returns this process and all confirmed members, the recently dead
 // included, for an exchange of full lists.
-func (c *Node) FullList() []Member {
-	out := []Member{c.self}
-	for _, r := range c.records {
+func (n *Node) FullList() []Member {
+	out := []Member{n.self}
+	for _, r := range n.records {
 		if r.confirmed {
 			out = append(out, r.Member)
 		}
@@ -176,24 +176,24 @@
 
 // applyUpdate applies a member's state and, if propagate is set, queues a
 // change for broadcast.
-func (c *Node) applyUpdate(now time.Duration, m Member, propagate bool) {
+func (n *Node) applyUpdate(now time.Duration, m Member, propagate bool) {
 	if m.Address == "" || m.Incarnation == 0 || m.Incarnation >= maxIncarnation || m.State < Alive || m.State > Left {
 		return
 	}
-	if m.Address == c.self.Address {
-		c.refute(m)
+	if m.Address == n.self.Address {
+		n.refute(m)
 		return
 	}
-	r := c.records[m.Address]
+	r := n.records[m.Address]
 	if r == nil {
 		if m.State >= Dead {
 			// A member that is dead or has left needs no record.
 			return
 		}
-		r = c.addRecord(m)
+		r = n.addRecord(m)
 		r.confirmed = true
-		c.digest += hashMember(r.Member)
-		c.recordChanged(now, r, propagate)
+		n.digest += hashMember(r.Member)
+		n.recordChanged(now, r, propagate)
 		return
 	}
 	if r.confirmed && !m.supersedes(r.Member) {
@@ -202,77 +202,77 @@
 	if !r.confirmed && m.State >= Dead {
 		return
 	}
-	c.replaceMember(now, r, m, propagate)
+	n.replaceMember(now, r, m, propagate)
 }
 
 // replaceMember replaces the state that a record holds.
-func (c *Node) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
+func (n *Node) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
 	// A member that goes or comes back changes ownership, so its update is
 	// pushed at once. A member that joins owns nothing yet, so its update can
 	// wait for the next probe.
-	c.pushPending = c.pushPending || propagate && r.confirmed && r.isGone() != (m.State >= Dead)
+	n.pushPending = n.pushPending || propagate && r.confirmed && r.isGone() != (m.State >= Dead)
 	if r.inDigest() {
-		c.digest -= hashMember(r.Member)
+		n.digest -= hashMember(r.Member)
 	}
 	if m.DataCentre == "" {
 		m.DataCentre = r.DataCentre
 	}
 	r.Member, r.confirmed = m, true
 	if r.inDigest() {
-		c.digest += hashMember(r.Member)
+		n.digest += hashMember(r.Member)
 	}
-	c.recordChanged(now, r, propagate)
+	n.recordChanged(now, r, propagate)
 }
 
-func (c *Node) recordChanged(now time.Duration, r *record, propagate bool) {
+func (n *Node) recordChanged(now time.Duration, r *record, propagate bool) {
 	switch r.State {
 	case Suspect:
-		r.expiresAt = now + c.suspicionTimeout()
+		r.expiresAt = now + n.suspicionTimeout()
 	case Dead, Left:
-		r.expiresAt = now + c.cfg.DeadRetention
+		r.expiresAt = now + n.cfg.DeadRetention
 	}
 	if propagate {
-		c.queueBroadcast(r.Member)
+		n.queueBroadcast(r.Member)
 	}
-	c.viewStale = true
+	n.viewStale = true
 }
 
 // refute raises this process's incarnation above that of a peer's newer entry
 // for it. A process that was paused, or that replaced another at the same
 // address, would otherwise stay dead to the fleet while it runs.
-func (c *Node) refute(m Member) {
-	if c.self.State == Left || !m.supersedes(c.self) {
+func (n *Node) refute(m Member) {
+	if n.self.State == Left || !m.supersedes(n.self) {
 		return
 	}
-	c.digest -= hashMember(c.self)
-	c.self.Incarnation = m.Incarnation + 1
-	c.digest += hashMember(c.self)
-	c.queueBroadcast(c.self)
-	c.viewStale = true
+	n.digest -= hashMember(n.self)
+	n.self.Incarnation = m.Incarnation + 1
+	n.digest += hashMember(n.self)
+	n.queueBroadcast(n.self)
+	n.viewStale = true
 }
 
 // suspicionTimeout is the time in which a suspect may refute. It grows with the
 // logarithm of the fleet size.
-func (c *Node) suspicionTimeout() time.Duration {
-	scale := max(1, math.Log10(float64(len(c.records)+1)))
-	return time.Duration(scale * float64(c.cfg.SuspicionTimeout))
+func (n *Node) suspicionTimeout() time.Duration {
+	scale := max(1, math.Log10(float64(len(n.records)+1)))
+	return time.Duration(scale * float64(n.cfg.SuspicionTimeout))
 }
 
-func (c *Node) addRecord(m Member) *record {
-	r := &record{Member: m, ringHashes: ringHashes(m.Address, c.cfg.RingCount)}
-	c.records[m.Address] = r
-	c.viewStale = true
+func (n *Node) addRecord(m Member) *record {
+	r := &record{Member: m, ringHashes: ringHashes(m.Address, n.cfg.RingCount)}
+	n.records[m.Address] = r
+	n.viewStale = true
 	return r
 }
 
-func (c *Node) removeRecord(address string) {
-	if r := c.records[address]; r != nil && r.inDigest() {
-		c.digest -= hashMember(r.Member)
+func (n *Node) removeRecord(address string) {
+	if r := n.records[address]; r != nil && r.inDigest() {
+		n.digest -= hashMember(r.Member)
 	}
-	delete(c.records, address)
-	delete(c.broadcasts, address)
-	delete(c.peerDigests, address)
-	c.viewStale = true
+	delete(n.records, address)
+	delete(n.broadcasts, address)
+	delete(n.peerDigests, address)
+	n.viewStale = true
 }
 
 // isGone reports whether the member is dead or has left.
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -8,21 +8,21 @@
 
 // Tick advances the state machine to now and returns the actions that are due.
 // Call it several times within a probe timeout.
-func (c *Node) Tick(now time.Duration) []Action {
-	c.extendDeadlines(now)
-	c.expireProbes(now)
-	c.expireMembers(now)
-	c.refreshView()
-	if now >= c.nextProbeAt && c.self.State != Left {
-		c.nextProbeAt = now + c.cfg.ProbeInterval
-		c.startProbe(now)
-	}
-	if c.pushPending && now >= c.nextPushAt {
-		c.pushPending, c.nextPushAt = false, now+minPushInterval
-		c.pushAll()
-	}
-	out := c.actions
-	c.actions = nil
+func (n *Node) Tick(now time.Duration) []Action {
+	n.extendDeadlines(now)
+	n.expireProbes(now)
+	n.expireMembers(now)
+	n.refreshView()
+	if now >= n.nextProbeAt && n.self.State != Left {
+		n.nextProbeAt = now + n.cfg.ProbeInterval
+		n.startProbe(now)
+	}
+	if n.pushPending && now >= n.nextPushAt {
+		n.pushPending, n.nextPushAt = false, now+minPushInterval
+		n.pushAll()
+	}
+	out := n.actions
+	n.actions = nil
 	return out
 }
 
@@ -30,54 +30,54 @@
 // not run. A process that was paused finds every probe unanswered and every
 // suspicion expired; without this it would declare its peers dead on resuming,
 // although only it was away.
-func (c *Node) extendDeadlines(now time.Duration) {
-	gap := now - c.lastTick
-	c.lastTick = now
+func (n *Node) extendDeadlines(now time.Duration) {
+	gap := now - n.lastTick
+	n.lastTick = now
 	if gap < pauseThreshold {
 		return
 	}
-	for _, p := range c.probes {
+	for _, p := range n.probes {
 		p.deadline += gap
 	}
-	for _, r := range c.records {
+	for _, r := range n.records {
 		r.expiresAt += gap
 	}
 }
 
 // pushAll sends the queued updates to every neighbour without waiting for the
 // next probe.
-func (c *Node) pushAll() {
-	for _, n := range c.neighbours {
-		c.actions = append(c.actions, Action{Kind: ActionProbe, To: n, Updates: c.selectUpdates(n), Timeout: c.cfg.ProbeTimeout})
+func (n *Node) pushAll() {
+	for _, neighbour := range n.neighbours {
+		n.actions = append(n.actions, Action{Kind: ActionProbe, To: neighbour, Updates: n.selectUpdates(neighbour), Timeout: n.cfg.ProbeTimeout})
 	}
 }
 
 // startProbe probes the next neighbour or, once in deadProbeCycle probes, a
 // member that is believed dead.
-func (c *Node) startProbe(now time.Duration) {
-	c.probeRound++
+func (n *Node) startProbe(now time.Duration) {
+	n.probeRound++
 	target := ""
-	if c.probeRound%deadProbeCycle == 0 || len(c.neighbours) == 0 {
-		target = c.randomDeadMember()
+	if n.probeRound%deadProbeCycle == 0 || len(n.neighbours) == 0 {
+		target = n.randomDeadMember()
 	}
-	if target == "" && len(c.neighbours) > 0 {
-		target = c.neighbours[c.probeRound%len(c.neighbours)]
+	if target == "" && len(n.neighbours) > 0 {
+		target = n.neighbours[n.probeRound%len(n.neighbours)]
 	}
 	if target == "" {
 		return
 	}
-	c.lastProbeID++
-	c.probes[c.lastProbeID] = &probe{target: target, deadline: now + c.cfg.ProbeTimeout}
-	c.actions = append(c.actions, Action{
-		Kind: ActionProbe, ProbeID: c.lastProbeID, To: target, Updates: c.selectUpdates(target), Timeout: c.cfg.ProbeTimeout,
+	n.lastProbeID++
+	n.probes[n.lastProbeID] = &probe{target: target, deadline: now + n.cfg.ProbeTimeout}
+	n.actions = append(n.actions, Action{
+		Kind: ActionProbe, ProbeID: n.lastProbeID, To: target, Updates: n.selectUpdates(target), Timeout: n.cfg.ProbeTimeout,
 	})
 }
 
 // randomDeadMember returns a random member that is believed dead or that never
 // answered.
-func (c *Node) randomDeadMember() string {
+func (n *Node) randomDeadMember() string {
 	var dead []string
-	for address, r := range c.records {
+	for address, r := range n.records {
 		if r.State == Dead && !r.leaving {
 			dead = append(dead, address)
 		}
@@ -86,77 +86,78 @@
 		return ""
 	}
 	slices.Sort(dead)
-	return dead[c.rng.IntN(len(dead))]
+	return dead[n.rng.IntN(len(dead))]
 }
 
-// HandleProbeAck handles the answer to a probe: the member that answered, its updates,
-// and the digest of its member list.
-func (c *Node) HandleProbeAck(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
-	p := c.probes[id]
-	delete(c.probes, id)
-	c.applyUpdate(now, from, true)
-	c.Merge(now, updates)
+// HandleProbeAck handles the answer to a probe: the member that answered, its
+// updates and the digest of its member list.
+func (n *Node) HandleProbeAck(now time.Duration, id uint64, from Member, updates []Member, digest uint64) {
+	p := n.probes[id]
+	delete(n.probes, id)
+	n.applyUpdate(now, from, true)
+	n.Merge(now, updates)
 	if p != nil {
-		c.compareDigests(now, p.target, digest)
+		n.compareDigests(now, p.target, digest)
 	}
 }
 
-// HandleProbeFailure handles a probe that failed before its deadline, and starts the
-// indirect probe at once.
-func (c *Node) HandleProbeFailure(now time.Duration, id uint64) {
-	if p := c.probes[id]; p != nil && !p.indirect {
-		c.startIndirectProbe(now, id, p)
+// HandleProbeFailure handles a probe that failed before its deadline, and starts
+// the indirect probe at once.
+func (n *Node) HandleProbeFailure(now time.Duration, id uint64) {
+	if p := n.probes[id]; p != nil && !p.indirect {
+		n.startIndirectProbe(now, id, p)
 	}
 }
 
-// HandleIndirectProbeAck handles the answer of a relay that reached the target of a probe.
-func (c *Node) HandleIndirectProbeAck(id uint64) { delete(c.probes, id) }
+// HandleIndirectProbeAck handles the answer of a relay that reached the target of
+// a probe.
+func (n *Node) HandleIndirectProbeAck(id uint64) { delete(n.probes, id) }
 
 // HandleProbe handles another process's probe and returns the updates to answer
 // with.
-func (c *Node) HandleProbe(now time.Duration, from Member, updates []Member) []Member {
-	c.applyUpdate(now, from, true)
-	c.Merge(now, updates)
-	return c.selectUpdates(from.Address)
+func (n *Node) HandleProbe(now time.Duration, from Member, updates []Member) []Member {
+	n.applyUpdate(now, from, true)
+	n.Merge(now, updates)
+	return n.selectUpdates(from.Address)
 }
 
-func (c *Node) expireProbes(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(c.probes)) {
-		p := c.probes[id]
+func (n *Node) expireProbes(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(n.probes)) {
+		p := n.probes[id]
 		if p.deadline > now {
 			continue
 		}
 		if !p.indirect {
-			c.startIndirectProbe(now, id, p)
+			n.startIndirectProbe(now, id, p)
 			continue
 		}
-		delete(c.probes, id)
-		c.markSuspect(now, p.target)
+		delete(n.probes, id)
+		n.markSuspect(now, p.target)
 	}
 }
 
 // startIndirectProbe asks relays to probe the target. A link that is broken
 // only between this process and the target must not make the target a suspect.
-func (c *Node) startIndirectProbe(now time.Duration, id uint64, p *probe) {
+func (n *Node) startIndirectProbe(now time.Duration, id uint64, p *probe) {
 	p.indirect = true
-	p.deadline = now + c.cfg.ProbeTimeout
-	if r := c.records[p.target]; r == nil || r.isGone() || !r.confirmed {
+	p.deadline = now + n.cfg.ProbeTimeout
+	if r := n.records[p.target]; r == nil || r.isGone() || !r.confirmed {
 		// A relay's answer would change nothing for a member that does not
 		// count as alive.
-		delete(c.probes, id)
-		c.markSuspect(now, p.target)
+		delete(n.probes, id)
+		n.markSuspect(now, p.target)
 		return
 	}
-	for _, relay := range c.relaysTo(p.target) {
-		c.actions = append(c.actions, Action{
-			Kind: ActionIndirectProbe, ProbeID: id, To: relay, Target: p.target, Timeout: c.cfg.ProbeTimeout,
+	for _, relay := range n.relaysTo(p.target) {
+		n.actions = append(n.actions, Action{
+			Kind: ActionIndirectProbe, ProbeID: id, To: relay, Target: p.target, Timeout: n.cfg.ProbeTimeout,
 		})
 	}
 }
 
 // markSuspect records that a member was not reached.
-func (c *Node) markSuspect(now time.Duration, address string) {
-	r := c.records[address]
+func (n *Node) markSuspect(now time.Duration, address string) {
+	r := n.records[address]
 	if r == nil || r.isGone() {
 		return
 	}
@@ -164,30 +165,30 @@
 		// The member is known only from the published list: probe it as often
 		// as dead members.
 		r.State = Dead
-		c.viewStale = true
+		n.viewStale = true
 		return
 	}
 	if r.State == Alive {
 		m := r.Member
 		m.State = Suspect
-		c.replaceMember(now, r, m, true)
+		n.replaceMember(now, r, m, true)
 	}
 }
 
-func (c *Node) expireMembers(now time.Duration) {
-	if now < c.nextExpiryAt {
+func (n *Node) expireMembers(now time.Duration) {
+	if now < n.nextExpiryAt {
 		return
 	}
-	c.nextExpiryAt = now + c.cfg.ProbeTimeout
-	for address, r := range c.records {
+	n.nextExpiryAt = now + n.cfg.ProbeTimeout
+	for address, r := range n.records {
 		switch {
 		case r.expiresAt > now || !r.confirmed:
 		case r.State == Suspect:
 			m := r.Member
 			m.State = Dead
-			c.replaceMember(now, r, m, true)
+			n.replaceMember(now, r, m, true)
 		case r.State == Left || (r.State == Dead && !r.published):
-			c.removeRecord(address)
+			n.removeRecord(address)
 		}
 	}
 }
@@ -201,21 +202,21 @@
 // starts, lists change all the time, and updates of hundreds of members at a
 // dozen a message take a minute to spread: hosts that each know a different
 // part of the fleet select different relays and owners.
-func (c *Node) compareDigests(now time.Duration, peer string, remoteDigest uint64) {
-	pair := digestPair{c.digest, remoteDigest}
-	settled := c.peerDigests[peer] == pair
-	c.peerDigests[peer] = pair
+func (n *Node) compareDigests(now time.Duration, peer string, remoteDigest uint64) {
+	pair := digestPair{n.digest, remoteDigest}
+	settled := n.peerDigests[peer] == pair
+	n.peerDigests[peer] = pair
 	if pair.local == pair.remote {
-		c.everSynced = true
+		n.everSynced = true
 		return
 	}
 	interval := minSyncInterval
 	if now < joinPeriod {
 		settled, interval = true, minJoinSyncInterval
 	}
-	if c.everSynced && (!settled || now-c.lastSyncAt < interval) {
+	if n.everSynced && (!settled || now-n.lastSyncAt < interval) {
 		return
 	}
-	c.everSynced, c.lastSyncAt = true, now
-	c.actions = append(c.actions, Action{Kind: ActionSync, To: peer, Timeout: c.cfg.ProbeTimeout})
+	n.everSynced, n.lastSyncAt = true, now
+	n.actions = append(n.actions, Action{Kind: ActionSync, To: peer, Timeout: n.cfg.ProbeTimeout})
 }
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// ReadersPerDataCentre is the number of processes in a data centre that watch the
-// configuration service. Three survive two failures at once; more would use up
+// ReadersPerDataCentre is the number of processes in a data centre that watch
+// the configuration service. Three survive two failures at once; more would use up
 // calls of a rate limit that grows more slowly than the fleet.
 const ReadersPerDataCentre = 3
 
