--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -59,9 +59,9 @@
 func newFleet(n int) *fleet {
 	f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 	for i := range n {
-		c := newNode(i, 1000)
-		c.SetPublishedPeers(0, peers(n))
-		f.nodes = append(f.nodes, c)
+		node := newNode(i, 1000)
+		node.SetPublishedPeers(0, peers(n))
+		f.nodes = append(f.nodes, node)
 	}
 	return f
 }
--- a/internal/decide/storeoutage/storeoutage_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -33,11 +33,11 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		falseTimeouts := 0
 		for i := range 200 {
-			took := time.Duration(200+rng.IntN(80)) * time.Millisecond
-			if i > 20 && took > d.AnswerTimeout() {
+			delay := time.Duration(200+rng.IntN(80)) * time.Millisecond
+			if i > 20 && delay > d.AnswerTimeout() {
 				falseTimeouts++
 			}
-			d.RecordAnswer(took)
+			d.RecordAnswer(delay)
 		}
 		Expect(falseTimeouts).To(BeNumerically("<=", 2))
 	})
