--- a/internal/decide/fetch/fetch_test.go
+++ b/internal/decide/fetch/fetch_test.go
@@ -238,9 +238,9 @@
 	}
 }
 
-// Operators add some fourteen hundred routes, 100 KB when compressed, and one
-// host in each data centre reads them. Callers of the new routes are refused by
-// every host that lacks them after the promised time.
+// Operators add about 1,400 routes, 100 KB when compressed, and one host in each
+// data centre reads them from the store. A host that does not have them within
+// two seconds refuses the callers of the new routes.
 var _ = Describe("the distribution of a large configuration", func() {
 	const documentBytes, timeLimit = 100 << 10, 2 * second
 
