--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -47,63 +47,63 @@
 // newHarness returns an allocator with engines e0, e1, ... that have 10,000
 // tokens of memory and can run 64 requests.
 func newHarness(engines int, cfg Config) *harness {
-	r := &harness{Allocator: New(cfg), now: 10 * sec, granted: map[uint64]Decision{}, refused: map[uint64]Decision{}}
-	r.SetConfirmedOwner(0, true)
+	h := &harness{Allocator: New(cfg), now: 10 * sec, granted: map[uint64]Decision{}, refused: map[uint64]Decision{}}
+	h.SetConfirmedOwner(0, true)
 	targets := make([]Target, engines)
 	for i := range targets {
 		targets[i].Address = fmt.Sprint("e", i)
 	}
-	r.SetTargets(r.now, targets)
+	h.SetTargets(h.now, targets)
 	for _, t := range targets {
-		r.report(t.Address, Report{Capacity: 64, MemoryTokens: 10_000})
+		h.report(t.Address, Report{Capacity: 64, MemoryTokens: 10_000})
 	}
-	return r
+	return h
 }
 
-func (r *harness) report(target string, rep Report) {
+func (h *harness) report(target string, rep Report) {
 	rep.Target = target
 	if rep.Incarnation == 0 {
 		rep.Incarnation = 1
 	}
-	r.Report(r.now, rep)
+	h.Report(h.now, rep)
 }
 
 // ask queues a request and returns its number.
-func (r *harness) ask(account string, change func(*Ask)) uint64 {
-	r.lastRequest++
-	ask := Ask{Holder: testHolder, Request: r.lastRequest, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
+func (h *harness) ask(account string, change func(*Ask)) uint64 {
+	h.lastRequest++
+	ask := Ask{Holder: testHolder, Request: h.lastRequest, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
 	if change != nil {
 		change(&ask)
 	}
-	r.Ask(r.now, ask)
-	return r.lastRequest
+	h.Ask(h.now, ask)
+	return h.lastRequest
 }
 
-func (r *harness) askMany(n int, account string, change func(*Ask)) (ids []uint64) {
+func (h *harness) askMany(n int, account string, change func(*Ask)) (ids []uint64) {
 	for range n {
-		ids = append(ids, r.ask(account, change))
+		ids = append(ids, h.ask(account, change))
 	}
 	return ids
 }
 
-func (r *harness) decide() {
-	for _, d := range r.Decide(r.now) {
-		r.decisions++
+func (h *harness) decide() {
+	for _, d := range h.Decide(h.now) {
+		h.decisions++
 		if d.Granted() {
-			r.granted[d.Request] = d
+			h.granted[d.Request] = d
 		} else {
-			r.refused[d.Request] = d
+			h.refused[d.Request] = d
 		}
 	}
 }
 
-func (r *harness) advance(d time.Duration) {
-	r.now += d
-	r.decide()
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.decide()
 }
 
-func (r *harness) settle(id uint64, o Outcome, produced int) {
-	r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: o, ProducedTokens: produced})
+func (h *harness) settle(id uint64, o Outcome, produced int) {
+	h.Settle(h.now, Settlement{Lease: h.granted[id].Lease, Outcome: o, ProducedTokens: produced})
 }
 
 var _ = Describe("the allocator", func() {
@@ -356,28 +356,28 @@
 	})
 })
 
-func (r *harness) renewAll() {
-	for _, d := range r.granted {
-		if r.leases.byID[d.Lease] != nil {
-			r.Renew(r.now, testHolder, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a"}})
+func (h *harness) renewAll() {
+	for _, d := range h.granted {
+		if h.leases.byID[d.Lease] != nil {
+			h.Renew(h.now, testHolder, []Renewal{{Lease: d.Lease, Target: d.Target, Account: "a"}})
 		}
 	}
 }
 
 // crashTarget settles everything that runs on a target as lost in a crash, and
 // restarts the target.
-func (r *harness) crashTarget(target string) {
+func (h *harness) crashTarget(target string) {
 	crashed := 0
-	for id, d := range r.granted {
+	for id, d := range h.granted {
 		if d.Target == target {
-			r.settle(id, OutcomeTargetCrashed, 0)
-			delete(r.granted, id)
+			h.settle(id, OutcomeTargetCrashed, 0)
+			delete(h.granted, id)
 			crashed++
 		}
 	}
-	r.targets[target].report.Incarnation++
-	r.now += 500 * ms
-	r.report(target, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[target].report.Incarnation})
+	h.targets[target].report.Incarnation++
+	h.now += 500 * ms
+	h.report(target, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: h.targets[target].report.Incarnation})
 }
 
 var _ = Describe("a request that crashes its targets", func() {
@@ -447,17 +447,17 @@
 	It("are refused at once when too many are ahead", func() {
 		r := newHarness(2, Config{})
 		r.leases.recordFinished(10*sec, 100)
-		askInnocent := func(fingerprint uint64) {
+		askWithFingerprint := func(fingerprint uint64) {
 			r.ask("a", func(a *Ask) { a.Fingerprint, a.MaxWait = fingerprint, 20*sec })
 			r.advance(10 * ms)
 		}
 		for fingerprint := range uint64(12) {
-			askInnocent(fingerprint + 1)
+			askWithFingerprint(fingerprint + 1)
 		}
 		r.crashTarget("e0")
 		r.crashTarget("e1")
 		for fingerprint := range uint64(12) {
-			askInnocent(fingerprint + 1)
+			askWithFingerprint(fingerprint + 1)
 		}
 		r.advance(150 * ms)
 		Expect(len(r.refused)).To(BeNumerically(">", 3))
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -32,8 +32,8 @@
 	if restriction.mustWait {
 		return nil
 	}
-	var growth memoryforecast.Forecast
-	growth.Predict(a.outputLengths.forService(ask.Service), memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
+	var forecast memoryforecast.Forecast
+	forecast.Predict(a.outputLengths.forService(ask.Service), memoryforecast.Generation{Prompt: ask.PromptTokens, Max: ask.MaxTokens})
 	avoid := a.effectiveAvoidList(ask)
 	var best *target
 	bestScore := 0.0
@@ -45,7 +45,7 @@
 		if !t.allows(restriction) || t.freeSlots(now, a.ownership.owner) <= 0 {
 			continue
 		}
-		freeFraction, fits := a.headroom(t, ask, &growth)
+		freeFraction, fits := a.headroom(t, ask, &forecast)
 		if !fits {
 			continue
 		}
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -186,7 +186,7 @@
 		total += len(t.leases)
 		sum, suspects, unconfirmed := 0.0, 0, 0
 		for _, l := range t.leases {
-			sum += l.growth.InUse()
+			sum += l.forecast.InUse()
 			if l.suspect {
 				suspects++
 			}
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -10,22 +10,22 @@
 
 // lease is one active admission.
 type lease struct {
-	id        LeaseID
-	holder    Holder
-	account   *fairqueue.Account[Ask]
-	target    *target
-	service   string
-	gen       memoryforecast.Generation
-	growth    memoryforecast.Forecast
-	grantedAt time.Duration
-	// progressAt is when gen.Produced was last reported.
+	id         LeaseID
+	holder     Holder
+	account    *fairqueue.Account[Ask]
+	target     *target
+	service    string
+	generation memoryforecast.Generation
+	forecast   memoryforecast.Forecast
+	grantedAt  time.Duration
+	// progressAt is when generation.Produced was last reported.
 	progressAt time.Duration
 	expiresAt  time.Duration
 	// charged is the service charged so far, in tokens.
 	charged     float64
 	fingerprint uint64
-	// exclusive is set if the request must run without any other on its target,
-	// suspect if crash evidence restricts it at all.
+	// exclusive is set if the request must run without any other on its target;
+	// suspect is set if crash evidence restricts it in any way.
 	exclusive, suspect bool
 	// index is the lease's position in the target's leases.
 	index          int
@@ -116,10 +116,10 @@
 
 // addLease registers a lease with its target.
 func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memoryforecast.Generation) {
-	l.holder, l.account, l.target, l.gen = holder, account, t, gen
+	l.holder, l.account, l.target, l.generation = holder, account, t, gen
 	l.grantedAt, l.progressAt, l.expiresAt = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
-	l.growth.Predict(a.outputLengths.forService(l.service), gen)
+	l.forecast.Predict(a.outputLengths.forService(l.service), gen)
 	t.add(now, l)
 	a.poison.leaseStarted(l.fingerprint)
 }
@@ -163,10 +163,10 @@
 // recordProgress charges what a lease produced since its last progress report.
 // endOfOutput tells whether the last token ended the output.
 func (a *Allocator) recordProgress(now time.Duration, l *lease, produced int, endOfOutput bool) {
-	if produced <= l.gen.Produced {
+	if produced <= l.generation.Produced {
 		return
 	}
-	if l.gen.Produced == 0 {
+	if l.generation.Produced == 0 {
 		l.target.recordFirstToken(now, l)
 	}
 	l.target.slowStart.RecordProgress(now, uint64(l.id))
@@ -174,10 +174,10 @@
 	if endOfOutput {
 		survived--
 	}
-	a.outputLengths.recordProgress(l.service, l.gen.Produced, survived)
-	a.quotas.addProduced(l.account.Name, produced-l.gen.Produced)
-	a.charge(l, OutputTokenCharge*float64(produced-l.gen.Produced))
-	l.gen.Produced, l.progressAt = produced, now
+	a.outputLengths.recordProgress(l.service, l.generation.Produced, survived)
+	a.quotas.addProduced(l.account.Name, produced-l.generation.Produced)
+	a.charge(l, OutputTokenCharge*float64(produced-l.generation.Produced))
+	l.generation.Produced, l.progressAt = produced, now
 }
 
 func (a *Allocator) charge(l *lease, tokens float64) {
@@ -195,7 +195,7 @@
 	finished := s.Outcome == OutcomeDone
 	// An output that was cut off at its limit gives only a lower bound of the
 	// length.
-	endOfOutput := finished && s.ProducedTokens > 0 && (l.gen.Max == 0 || s.ProducedTokens < l.gen.Max)
+	endOfOutput := finished && s.ProducedTokens > 0 && (l.generation.Max == 0 || s.ProducedTokens < l.generation.Max)
 	a.recordProgress(now, l, s.ProducedTokens, endOfOutput)
 	if endOfOutput {
 		a.outputLengths.recordFinished(l.service, s.ProducedTokens)
--- a/internal/decide/admission/ownership.go
+++ b/internal/decide/admission/ownership.go
@@ -8,11 +8,14 @@
 
 // ownership is what the published host list says about this allocator.
 type ownership struct {
-	owner       bool
-	revision    uint64
+	owner    bool
+	revision uint64
+	// observedAt is when the list was read, confirmedAt when it was last known
+	// to be the newest.
 	observedAt  time.Duration
 	confirmedAt time.Duration
-	received    bool
+	// received is set once the owner is known, from a list or from Config.
+	received bool
 }
 
 // applyTo passes the ownership on to a target's slow-start limiter.
--- a/internal/decide/admission/quota_test.go
+++ b/internal/decide/admission/quota_test.go
@@ -30,8 +30,8 @@
 	)
 
 	// A control process is paused for longer than its quota grant is valid.
-	// Other pools have received the quota grant by then; if it were still used,
-	// the account would run more than its limit.
+	// The quota has been granted to other pools by then; if the old grant were
+	// still used, the account would run more requests than its limit.
 	It("expires by the allocator's clock, before the next decision", func() {
 		r := startWithQuota(2, 3)
 		for _, d := range r.granted {
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -13,11 +13,11 @@
 	// start considers a target warm.
 	defaultServiceCapacity = 16
 	// minUnconfirmedGrants and unconfirmedGrantDivisor bound the grants to a
-	// warm target that neither a report nor a first token has confirmed: the
-	// maximum that a target receives if it has just turned cold without this
-	// being known yet. Each request that it serves meanwhile allows two more,
-	// so that short calls, hundreds of which can pass between two reports, soon
-	// use its full capacity.
+	// warm target that neither a report nor a first token has confirmed. They
+	// limit what a target receives if it has just become cold and this is not
+	// known yet. Each request that it serves meanwhile allows two more, so that
+	// short calls, hundreds of which can pass between two reports, soon use its
+	// full capacity.
 	minUnconfirmedGrants    = 4
 	unconfirmedGrantDivisor = 4
 )
@@ -60,7 +60,9 @@
 	// exclusiveLeases and suspectLeases count the leases that the poison rules
 	// restrict.
 	exclusiveLeases, suspectLeases int
-	reserved                       bool
+	// reserved is set while poisonGuard reserves the target for a request that
+	// must run exclusively.
+	reserved bool
 }
 
 // SetTargets replaces the pool's targets. Leases on removed targets end.
@@ -143,14 +145,14 @@
 func (t *target) add(now time.Duration, l *lease) {
 	l.index = len(t.leases)
 	t.leases = append(t.leases, l)
-	t.load.Add(&l.growth)
+	t.load.Add(&l.forecast)
 	if l.exclusive {
 		t.exclusiveLeases++
 	}
 	if l.suspect {
 		t.suspectLeases++
 	}
-	if l.gen.Produced == 0 {
+	if l.generation.Produced == 0 {
 		t.unconfirmed++
 	}
 	t.slowStart.RecordGrant(now, uint64(l.id))
@@ -162,7 +164,7 @@
 	t.leases[l.index].index = l.index
 	t.leases[last] = nil
 	t.leases = t.leases[:last]
-	t.load.Remove(&l.growth)
+	t.load.Remove(&l.forecast)
 	if l.exclusive {
 		t.exclusiveLeases--
 	}
@@ -172,7 +174,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(finished)
 	}
-	t.recentlyEndedLeases = append(t.recentlyEndedLeases, endedLease{grantedAt: l.grantedAt, endedAt: now, tokens: l.gen.Prompt + l.gen.Produced})
+	t.recentlyEndedLeases = append(t.recentlyEndedLeases, endedLease{grantedAt: l.grantedAt, endedAt: now, tokens: l.generation.Prompt + l.generation.Produced})
 }
 
 // recordFirstToken records the first token of a lease.
@@ -193,7 +195,7 @@
 }
 
 func (t *target) isUnconfirmed(l *lease) bool {
-	return l.gen.Produced == 0 && l.grantedAt >= t.reportTakenAt
+	return l.generation.Produced == 0 && l.grantedAt >= t.reportTakenAt
 }
 
 // refresh recomputes the predicted load, from the progress that each generation
@@ -206,8 +208,8 @@
 	t.unconfirmed = 0
 	usedAtReport, runningAtReport := 0, 0
 	for _, l := range t.leases {
-		l.growth.Predict(o.forService(l.service), t.extrapolate(l, now))
-		t.load.Add(&l.growth)
+		l.forecast.Predict(o.forService(l.service), t.extrapolate(l, now))
+		t.load.Add(&l.forecast)
 		if t.isUnconfirmed(l) {
 			t.unconfirmed++
 		}
@@ -251,7 +253,7 @@
 // extrapolate estimates the progress of a generation at a time: one token per
 // step since its last progress report.
 func (t *target) extrapolate(l *lease, at time.Duration) memoryforecast.Generation {
-	gen := l.gen
+	gen := l.generation
 	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
 		gen.Produced += int((at - l.progressAt) / step)
 	}
@@ -278,9 +280,11 @@
 const defaultEngineCapacity = 256
 
 // freeSlots returns how many more requests the target may be given now, by
-// count. For a target that started recently, slow start alone decides. For a
-// warm target, and for a small settled one at its owner, the allocator's own
-// count decides, because reports lag by many times the length of a short call.
+// their number and regardless of memory. For a target that started recently,
+// slow start alone decides. For a warm target, and for a settled one (a small
+// target whose capacity no longer grows) if this allocator owns the pool, the
+// allocator's own count decides, because reports lag by many times the length of
+// a short call. Package slowstart defines the states.
 func (t *target) freeSlots(now time.Duration, owner bool) int {
 	state := t.slowStart.State(now)
 	if state != slowstart.Warm && (state != slowstart.Settled || !owner) {
