--- a/internal/decide/membership/gossip.go
+++ b/internal/decide/membership/gossip.go
@@ -119,12 +119,12 @@
 	return out
 }
 
-// nearest returns the member at the smallest distance that is not gone and that
-// accept allows.
+// nearest returns the member at the smallest distance that is neither dead nor
+// left and that accept allows, or "" if there is none.
 func (n *Node) nearest(distance func(*record) uint64, accept func(string, *record) bool) string {
 	best, bestDistance := "", uint64(math.MaxUint64)
 	for address, r := range n.records {
-		if r.isGone() || !accept(address, r) {
+		if r.isDeadOrLeft() || !accept(address, r) {
 			continue
 		}
 		if d := distance(r); d < bestDistance || best == "" {
--- a/internal/decide/membership/graph_test.go
+++ b/internal/decide/membership/graph_test.go
@@ -52,9 +52,9 @@
 }
 
 // broadcastReach counts the members that an update from origin reaches without
-// passing through those that are gone, and the hops to the last one.
-func broadcastReach(graph [][]int, origin int, gone []bool) (count, hops int) {
-	seen := slices.Clone(gone)
+// passing through those that failed, and the hops to the last one.
+func broadcastReach(graph [][]int, origin int, failed []bool) (count, hops int) {
+	seen := slices.Clone(failed)
 	seen[origin] = true
 	frontier := []int{origin}
 	for count = 1; ; hops++ {
@@ -100,7 +100,7 @@
 
 	// A data centre and many more hosts fail at once, before any process has
 	// selected new neighbours. Processes that an update does not reach would
-	// keep an old table. With a third of the fleet gone, a process loses all
+	// keep an old table. If a third of the fleet fails, a process loses all
 	// twelve of its links once in 500,000 cases, that is one process in some
 	// 240 such events; it selects new neighbours once it has found its old ones
 	// dead.
@@ -108,12 +108,12 @@
 		links, unreached := undirectedGraph(targetSize, 6), 0
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			gone := make([]bool, targetSize)
+			failed := make([]bool, targetSize)
 			for _, i := range rng.Perm(targetSize)[:targetSize/3] {
-				gone[i] = true
+				failed[i] = true
 			}
-			from := slices.Index(gone, false)
-			count, _ := broadcastReach(links, from, gone)
+			from := slices.Index(failed, false)
+			count, _ := broadcastReach(links, from, failed)
 			Expect(count).To(BeNumerically(">=", targetSize-targetSize/3-1), "seed %d", seed)
 			unreached += targetSize - targetSize/3 - count
 		}
@@ -121,9 +121,9 @@
 	})
 
 	It("would be partitioned by three failures on a single ring", func() {
-		gone := make([]bool, targetSize)
-		gone[1], gone[100], gone[1000] = true, true, true
-		count, _ := broadcastReach(undirectedGraph(targetSize, 1), 0, gone)
+		failed := make([]bool, targetSize)
+		failed[1], failed[100], failed[1000] = true, true, true
+		count, _ := broadcastReach(undirectedGraph(targetSize, 1), 0, failed)
 		Expect(count).To(BeNumerically("<", targetSize-3))
 	})
 })
--- a/internal/decide/membership/node.go
+++ b/internal/decide/membership/node.go
@@ -207,10 +207,10 @@
 
 // replaceMember replaces the state that a record holds.
 func (n *Node) replaceMember(now time.Duration, r *record, m Member, propagate bool) {
-	// A member that goes or comes back changes ownership, so its update is
-	// pushed at once. A member that joins owns nothing yet, so its update can
+	// A known member that fails, leaves or returns changes ownership, so its
+	// update is pushed at once. A new member owns nothing yet, so its update can
 	// wait for the next probe.
-	n.pushPending = n.pushPending || propagate && r.confirmed && r.isGone() != (m.State >= Dead)
+	n.pushPending = n.pushPending || propagate && r.confirmed && r.isDeadOrLeft() != (m.State >= Dead)
 	if r.inDigest() {
 		n.digest -= hashMember(r.Member)
 	}
@@ -275,11 +275,11 @@
 	n.viewStale = true
 }
 
-// isGone reports whether the member is dead or has left.
-func (r *record) isGone() bool { return r.State >= Dead }
+// isDeadOrLeft reports whether the member is dead or has left.
+func (r *record) isDeadOrLeft() bool { return r.State >= Dead }
 
 // inDigest reports whether the member is included in the digest.
-func (r *record) inDigest() bool { return r.confirmed && !r.isGone() }
+func (r *record) inDigest() bool { return r.confirmed && !r.isDeadOrLeft() }
 
 // hashMember covers the address and the incarnation, but not the difference
 // between alive and suspect, which resolves by itself.
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -141,7 +141,7 @@
 func (n *Node) startIndirectProbe(now time.Duration, id uint64, p *probe) {
 	p.indirect = true
 	p.deadline = now + n.cfg.ProbeTimeout
-	if r := n.records[p.target]; r == nil || r.isGone() || !r.confirmed {
+	if r := n.records[p.target]; r == nil || r.isDeadOrLeft() || !r.confirmed {
 		// A relay's answer would change nothing for a member that does not
 		// count as alive.
 		delete(n.probes, id)
@@ -158,7 +158,7 @@
 // markSuspect records that a member was not reached.
 func (n *Node) markSuspect(now time.Duration, address string) {
 	r := n.records[address]
-	if r == nil || r.isGone() {
+	if r == nil || r.isDeadOrLeft() {
 		return
 	}
 	if !r.confirmed {
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -8,7 +8,7 @@
 )
 
 // Rank orders members by rendezvous hashing: all processes with the same list
-// agree on the order for a key, and a member that joins or goes moves only the
+// agree on the order for a key, and a member that joins or leaves moves only the
 // keys that it takes over or held.
 func Rank(key string, members []string) []string {
 	type scored struct {
--- a/internal/decide/membership/types.go
+++ b/internal/decide/membership/types.go
@@ -26,8 +26,8 @@
 	Address string
 	// Incarnation starts at the wall clock's milliseconds when the process
 	// starts, so that a process that replaces another at the same address
-	// supersedes it. If the clock went back, the process hears of the higher
-	// incarnation and raises its own above it.
+	// supersedes it. If the clock was set back, the process learns the higher
+	// incarnation from its peers and raises its own above it.
 	Incarnation uint64
 	State       State
 	DataCentre  string
@@ -72,8 +72,8 @@
 	// it.
 	SuspicionTimeout time.Duration
 	// RingCount is the number of hash rings, and so of neighbours. With six, an
-	// update reaches 3,300 members in at most six hops, and with a third of
-	// them gone at once it still reaches all but one in the worst of 20 random
+	// update reaches 3,300 members in at most six hops, and if a third of
+	// them fail at once it still reaches all but one in the worst of 20 random
 	// draws (graph_test.go).
 	RingCount int
 	// MaxUpdates bounds the member updates in one message.
@@ -111,7 +111,7 @@
 	// taken to have been paused.
 	pauseThreshold = time.Second
 	// minPushInterval bounds how often urgent updates are sent between probes.
-	// When a data centre fails, hundreds of members go within seconds; two
+	// When a data centre fails, hundreds of members fail within seconds; two
 	// messages a second to each neighbour carry them in batches.
 	minPushInterval = 500 * time.Millisecond
 	// minSyncInterval bounds how often full member lists are exchanged.
