--- a/internal/decide/admission/quota_test.go
+++ b/internal/decide/admission/quota_test.go
@@ -62,7 +62,7 @@
 	})
 
 	// Requests of a limited account wait at an engine that is nearly idle. If
-	// its rate were taken for its capacity, a request of another account would
+	// its rate were mistaken for its capacity, a request of another account would
 	// be refused with a retry delay of a minute.
 	It("does not make an idle pool appear slow", func() {
 		r := newHarness(1, Config{})
--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -47,9 +47,9 @@
 	StaleAfter time.Duration
 }
 
-// DefaultConfig returns the settings in use. A host asks for updates every 200 ms, so
-// it hears of a peer of its own part that has the document before it may ask
-// another part.
+// DefaultConfig returns the settings in use. A host asks for updates every
+// 200 ms, so before it may ask another part it learns of any peer of its own part
+// that has the document.
 func DefaultConfig() Config {
 	return Config{
 		RemoteDelay: 250 * time.Millisecond, RemoteRankDelay: 500 * time.Millisecond, MaxRemoteRank: 3,
--- a/internal/decide/readers/readers.go
+++ b/internal/decide/readers/readers.go
@@ -8,7 +8,7 @@
 // All hosts rank the hosts in the same order, and a host reads while fewer
 // hosts than the configured number rank above it and are known to read
 // successfully. A host that can't reach the store reports it and no longer
-// counts; neither does a host that has not been heard from for a while. Two
+// counts; neither does a host that has sent no report for a while. Two
 // hosts that disagree for a moment cost only a few extra calls.
 //
 // The package is not safe for concurrent use; times are on the monotonic clock.
@@ -61,8 +61,8 @@
 
 // ShouldRead reports whether self is to read the store. ranked lists the live
 // hosts by rank, and fresh is set when self's data is recent enough. While a
-// fleet starts, hosts know few others and hear of no higher-ranked reader, so
-// most of them would take the role in turn. Therefore a host that has just
+// fleet starts, hosts know few others and have no report of a higher-ranked
+// reader, so most of them would read. Therefore a host that has just
 // started and is not among the first ReaderCount hosts reads only while its data
 // is out of date.
 func (s *Selector) ShouldRead(now time.Duration, self string, ranked []string, fresh bool) bool {
--- a/internal/decide/readers/readers_test.go
+++ b/internal/decide/readers/readers_test.go
@@ -33,7 +33,7 @@
 
 	// The store refuses just the hosts that read it. If they kept the role, the
 	// whole fleet would use old data while the store answers all other hosts.
-	It("replaces readers that can't read or have not been heard from", func() {
+	It("replaces readers that can't read or have sent no recent report", func() {
 		selector := readers.New(readers.DefaultConfig())
 		selector.RecordReport(0, "a", true)
 		selector.RecordReport(0, "b", true)
--- a/internal/decide/storeoutage/storeoutage_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -27,7 +27,7 @@
 		Expect(d.AnswerTimeout()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
-	// Guards against a slow store that is taken for a failed one at each call.
+	// Guards against a slow store that is suspected of an outage at each call.
 	It("does not suspect a store that is always slow", func() {
 		var d storeoutage.Detector
 		rng := rand.New(rand.NewPCG(1, 2))
