--- a/internal/decide/storeoutage/storeoutage.go
+++ b/internal/decide/storeoutage/storeoutage.go
@@ -18,9 +18,9 @@
 import "time"
 
 const (
-	// The weights of a new sample in the mean and in the mean deviation, and
-	// the number of deviations after which an answer is late, as for
-	// retransmission timeouts (RFC 6298).
+	// meanGain and deviationGain are the weights of a new sample in the mean and
+	// in the mean deviation, deviationMultiplier the number of deviations after
+	// which an answer is late, as for retransmission timeouts (RFC 6298).
 	meanGain            = 0.125
 	deviationGain       = 0.25
 	deviationMultiplier = 4
