--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -168,7 +168,7 @@
 		}
 	}
 	for l := s.allocator.leases.first; l != nil; l = l.next {
-		if listed++; l.expires <= s.now || l.next != nil && l.next.expires < l.expires {
+		if listed++; l.expiresAt <= s.now || l.next != nil && l.next.expiresAt < l.expiresAt {
 			s.t.Fatal("leases are not in order of expiry")
 		}
 	}
@@ -186,7 +186,7 @@
 		total += len(t.leases)
 		sum, suspects, unconfirmed := 0.0, 0, 0
 		for _, l := range t.leases {
-			sum += l.growth.InUse()
+			sum += l.forecast.InUse()
 			if l.suspect {
 				suspects++
 			}
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -10,22 +10,22 @@
 
 // lease is one active admission.
 type lease struct {
-	id      LeaseID
-	holder  Holder
-	account *fairqueue.Account[Ask]
-	target  *target
-	service string
-	gen     memoryforecast.Generation
-	growth  memoryforecast.Forecast
-	granted time.Duration
-	// progressAt is when gen.Produced was last reported.
+	id         LeaseID
+	holder     Holder
+	account    *fairqueue.Account[Ask]
+	target     *target
+	service    string
+	generation memoryforecast.Generation
+	forecast   memoryforecast.Forecast
+	grantedAt  time.Duration
+	// progressAt is when generation.Produced was last reported.
 	progressAt time.Duration
-	expires    time.Duration
+	expiresAt  time.Duration
 	// charged is the service charged so far, in tokens.
 	charged     float64
 	fingerprint uint64
-	// exclusive is set if the request must run without any other on its target,
-	// suspect if crash evidence restricts it at all.
+	// exclusive is set if the request must run without any other on its target;
+	// suspect is set if crash evidence restricts it in any way.
 	exclusive, suspect bool
 	// index is the lease's position in the target's leases.
 	index          int
@@ -116,10 +116,10 @@
 
 // addLease registers a lease with its target.
 func (a *Allocator) addLease(now time.Duration, l *lease, holder Holder, account *fairqueue.Account[Ask], t *target, gen memoryforecast.Generation) {
-	l.holder, l.account, l.target, l.gen = holder, account, t, gen
-	l.granted, l.progressAt, l.expires = now, now, now+a.cfg.LeaseDuration
+	l.holder, l.account, l.target, l.generation = holder, account, t, gen
+	l.grantedAt, l.progressAt, l.expiresAt = now, now, now+a.cfg.LeaseDuration
 	a.leases.append(l)
-	l.growth.Predict(a.outputLengths.forService(l.service), gen)
+	l.forecast.Predict(a.outputLengths.forService(l.service), gen)
 	t.add(now, l)
 	a.poison.leaseStarted(l.fingerprint)
 }
@@ -140,7 +140,7 @@
 		}
 		a.leases.unlink(l)
 		a.leases.append(l)
-		l.expires = now + a.cfg.LeaseDuration
+		l.expiresAt = now + a.cfg.LeaseDuration
 		a.recordProgress(now, l, r.ProducedTokens, false)
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	l := a.leases.insert(r.Lease)
 	l.service = r.Service
-	account := a.queueAccount(r.Account)
+	account := a.upsertAccount(r.Account)
 	a.queue.AddRunning(account, 0)
 	a.addLease(now, l, holder, account, t, memoryforecast.Generation{Prompt: r.PromptTokens, Produced: r.ProducedTokens})
 	if r.ProducedTokens > 0 {
@@ -163,21 +163,21 @@
 // recordProgress charges what a lease produced since its last progress report.
 // endOfOutput tells whether the last token ended the output.
 func (a *Allocator) recordProgress(now time.Duration, l *lease, produced int, endOfOutput bool) {
-	if produced <= l.gen.Produced {
+	if produced <= l.generation.Produced {
 		return
 	}
-	if l.gen.Produced == 0 {
+	if l.generation.Produced == 0 {
 		l.target.recordFirstToken(now, l)
 	}
-	l.target.gate.RecordProgress(now, uint64(l.id))
+	l.target.slowStart.RecordProgress(now, uint64(l.id))
 	survived := produced
 	if endOfOutput {
 		survived--
 	}
-	a.outputLengths.recordProgress(l.service, l.gen.Produced, survived)
-	a.quotas.addProduced(l.account.Name, produced-l.gen.Produced)
-	a.charge(l, OutputTokenCharge*float64(produced-l.gen.Produced))
-	l.gen.Produced, l.progressAt = produced, now
+	a.outputLengths.recordProgress(l.service, l.generation.Produced, survived)
+	a.quotas.addProduced(l.account.Name, produced-l.generation.Produced)
+	a.charge(l, OutputTokenCharge*float64(produced-l.generation.Produced))
+	l.generation.Produced, l.progressAt = produced, now
 }
 
 func (a *Allocator) charge(l *lease, tokens float64) {
@@ -195,13 +195,13 @@
 	finished := s.Outcome == OutcomeDone
 	// An output that was cut off at its limit gives only a lower bound of the
 	// length.
-	endOfOutput := finished && s.ProducedTokens > 0 && (l.gen.Max == 0 || s.ProducedTokens < l.gen.Max)
+	endOfOutput := finished && s.ProducedTokens > 0 && (l.generation.Max == 0 || s.ProducedTokens < l.generation.Max)
 	a.recordProgress(now, l, s.ProducedTokens, endOfOutput)
 	if endOfOutput {
 		a.outputLengths.recordFinished(l.service, s.ProducedTokens)
 	}
 	if finished {
-		a.leases.recordFinished(now-l.granted, l.charged)
+		a.leases.recordFinished(now-l.grantedAt, l.charged)
 	}
 	// The charge of a request that did not run is refunded.
 	if s.Outcome == OutcomeNotRun {
@@ -220,7 +220,7 @@
 		a.poison.requestFinished(now, l.fingerprint)
 	case OutcomeTargetCrashed:
 		a.poison.targetCrashed(now, t)
-		t.gate.MarkSuspect(now)
+		t.slowStart.MarkSuspect(now)
 	case OutcomeNotRun:
 		// The request did not reach the target and is no evidence of its health.
 		return
@@ -248,7 +248,7 @@
 	// The time to the first token is not passed to slow start, which takes a
 	// late one for a cold start: every long prompt or slow call would make a
 	// warm target cold for seconds.
-	l.target.gate.RecordEnd(now, uint64(l.id), finished, 0)
+	l.target.slowStart.RecordEnd(now, uint64(l.id), finished, 0)
 	l.target.remove(now, l, finished)
 	a.poison.leaseEnded(l.fingerprint)
 	a.leases.remove(l)
@@ -259,7 +259,7 @@
 // failed or is disconnected. Requests that still run at the target appear in
 // its reports.
 func (a *Allocator) expireLeases(now time.Duration) {
-	for l := a.leases.first; l != nil && l.expires <= now; l = a.leases.first {
+	for l := a.leases.first; l != nil && l.expiresAt <= now; l = a.leases.first {
 		a.endLease(now, l, false)
 	}
 }
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -13,11 +13,11 @@
 	// start considers a target warm.
 	defaultServiceCapacity = 16
 	// minUnconfirmedGrants and unconfirmedGrantDivisor bound the grants to a
-	// warm target that neither a report nor a first token has confirmed: the
-	// maximum that a target receives if it has just turned cold without this
-	// being known yet. Each request that it serves meanwhile allows two more,
-	// so that short calls, hundreds of which can pass between two reports, soon
-	// use its full capacity.
+	// warm target that neither a report nor a first token has confirmed. They
+	// limit what a target receives if it has just become cold and this is not
+	// known yet. Each request that it serves meanwhile allows two more, so that
+	// short calls, hundreds of which can pass between two reports, soon use its
+	// full capacity.
 	minUnconfirmedGrants    = 4
 	unconfirmedGrantDivisor = 4
 )
@@ -25,17 +25,17 @@
 // endedLease is a lease that ended after the last report was taken; a report
 // that was taken before its end still counts it.
 type endedLease struct {
-	granted, ended time.Duration
-	tokens         int
+	grantedAt, endedAt time.Duration
+	tokens             int
 }
 
 // target is the allocator's state of one target: its last report and the leases
 // and memory that are known to be in use there.
 type target struct {
-	address string
-	leaving bool
-	gate    *slowstart.Limiter
-	report  Report
+	address   string
+	leaving   bool
+	slowStart *slowstart.Limiter
+	report    Report
 	// reportTakenAt is when the report was taken, by the allocator's clock.
 	reportTakenAt time.Duration
 	reported      bool
@@ -54,13 +54,15 @@
 	unconfirmed int
 	// confirmed counts those granted after the report that have since produced
 	// output or finished.
-	confirmed     int
-	recentlyEnded []endedLease
-	cache         prefixCache
+	confirmed           int
+	recentlyEndedLeases []endedLease
+	cache               prefixCache
 	// exclusiveLeases and suspectLeases count the leases that the poison rules
 	// restrict.
 	exclusiveLeases, suspectLeases int
-	reserved                       bool
+	// reserved is set while poisonGuard reserves the target for a request that
+	// must run exclusively.
+	reserved bool
 }
 
 // SetTargets replaces the pool's targets. Leases on removed targets end.
@@ -95,9 +97,9 @@
 }
 
 func (a *Allocator) newTarget(address string) *target {
-	t := &target{address: address, gate: slowstart.New(a.cfg.SlowStart), cache: newPrefixCache()}
+	t := &target{address: address, slowStart: slowstart.New(a.cfg.SlowStart), cache: newPrefixCache()}
 	t.reportTakenAt = -1
-	a.ownership.applyTo(t.gate)
+	a.ownership.applyTo(t.slowStart)
 	a.targets[address] = t
 	return t
 }
@@ -117,7 +119,7 @@
 		return
 	}
 	step := a.stepTimes.normalize(r.StepTime, r.Running)
-	t.gate.Observe(now, slowstart.Report{
+	t.slowStart.Observe(now, slowstart.Report{
 		Age: r.Age, Incarnation: r.Incarnation, Capacity: r.Capacity,
 		Running: r.Running, Waiting: r.Waiting, StepTime: step,
 	})
@@ -143,17 +145,17 @@
 func (t *target) add(now time.Duration, l *lease) {
 	l.index = len(t.leases)
 	t.leases = append(t.leases, l)
-	t.load.Add(&l.growth)
+	t.load.Add(&l.forecast)
 	if l.exclusive {
 		t.exclusiveLeases++
 	}
 	if l.suspect {
 		t.suspectLeases++
 	}
-	if l.gen.Produced == 0 {
+	if l.generation.Produced == 0 {
 		t.unconfirmed++
 	}
-	t.gate.RecordGrant(now, uint64(l.id))
+	t.slowStart.RecordGrant(now, uint64(l.id))
 }
 
 func (t *target) remove(now time.Duration, l *lease, finished bool) {
@@ -162,7 +164,7 @@
 	t.leases[l.index].index = l.index
 	t.leases[last] = nil
 	t.leases = t.leases[:last]
-	t.load.Remove(&l.growth)
+	t.load.Remove(&l.forecast)
 	if l.exclusive {
 		t.exclusiveLeases--
 	}
@@ -172,7 +174,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(finished)
 	}
-	t.recentlyEnded = append(t.recentlyEnded, endedLease{granted: l.granted, ended: now, tokens: l.gen.Prompt + l.gen.Produced})
+	t.recentlyEndedLeases = append(t.recentlyEndedLeases, endedLease{grantedAt: l.grantedAt, endedAt: now, tokens: l.generation.Prompt + l.generation.Produced})
 }
 
 // recordFirstToken records the first token of a lease.
@@ -180,7 +182,7 @@
 	if t.isUnconfirmed(l) {
 		t.confirm(true)
 	}
-	t.gate.RecordStart(now, uint64(l.id))
+	t.slowStart.RecordStart(now, uint64(l.id))
 }
 
 // confirm removes a lease from the unconfirmed ones; served tells whether the
@@ -193,7 +195,7 @@
 }
 
 func (t *target) isUnconfirmed(l *lease) bool {
-	return l.gen.Produced == 0 && l.granted >= t.reportTakenAt
+	return l.generation.Produced == 0 && l.grantedAt >= t.reportTakenAt
 }
 
 // refresh recomputes the predicted load, from the progress that each generation
@@ -206,29 +208,29 @@
 	t.unconfirmed = 0
 	usedAtReport, runningAtReport := 0, 0
 	for _, l := range t.leases {
-		l.growth.Predict(o.forService(l.service), t.extrapolate(l, now))
-		t.load.Add(&l.growth)
+		l.forecast.Predict(o.forService(l.service), t.extrapolate(l, now))
+		t.load.Add(&l.forecast)
 		if t.isUnconfirmed(l) {
 			t.unconfirmed++
 		}
-		if l.granted < t.reportTakenAt {
+		if l.grantedAt < t.reportTakenAt {
 			atReport := t.extrapolate(l, t.reportTakenAt)
 			usedAtReport += atReport.Prompt + atReport.Produced
 			runningAtReport++
 		}
 	}
-	kept := t.recentlyEnded[:0]
-	for _, r := range t.recentlyEnded {
-		if r.ended < t.reportTakenAt {
+	kept := t.recentlyEndedLeases[:0]
+	for _, r := range t.recentlyEndedLeases {
+		if r.endedAt < t.reportTakenAt {
 			continue
 		}
 		kept = append(kept, r)
-		if r.granted < t.reportTakenAt {
+		if r.grantedAt < t.reportTakenAt {
 			usedAtReport += r.tokens
 			runningAtReport++
 		}
 	}
-	t.recentlyEnded = kept
+	t.recentlyEndedLeases = kept
 	t.unattributedTokens = float64(max(0, t.report.UsedTokens-usedAtReport))
 	t.unknownRequests = max(0, t.report.Running+t.report.Waiting-runningAtReport)
 	t.predictUnknownRequests(o)
@@ -251,7 +253,7 @@
 // extrapolate estimates the progress of a generation at a time: one token per
 // step since its last progress report.
 func (t *target) extrapolate(l *lease, at time.Duration) memoryforecast.Generation {
-	gen := l.gen
+	gen := l.generation
 	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
 		gen.Produced += int((at - l.progressAt) / step)
 	}
@@ -278,13 +280,15 @@
 const defaultEngineCapacity = 256
 
 // freeSlots returns how many more requests the target may be given now, by
-// count. For a target that started recently, slow start alone decides. For a
-// warm target, and for a small settled one at its owner, the allocator's own
-// count decides, because reports lag by many times the length of a short call.
+// their number and regardless of memory. For a target that started recently,
+// slow start alone decides. For a warm target, and for a settled one (a small
+// target whose capacity no longer grows) if this allocator owns the pool, the
+// allocator's own count decides, because reports lag by many times the length of
+// a short call. Package slowstart defines the states.
 func (t *target) freeSlots(now time.Duration, owner bool) int {
-	state := t.gate.State(now)
+	state := t.slowStart.State(now)
 	if state != slowstart.Warm && (state != slowstart.Settled || !owner) {
-		return t.gate.Room(now)
+		return t.slowStart.Room(now)
 	}
 	capacity := t.capacity()
 	free := capacity - len(t.leases) - t.unknownRequests
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -59,9 +59,9 @@
 func newFleet(n int) *fleet {
 	f := &fleet{down: map[string]bool{}, linkBroken: func(string, string) bool { return false }}
 	for i := range n {
-		c := newNode(i, 1000)
-		c.SetPublishedPeers(0, peers(n))
-		f.nodes = append(f.nodes, c)
+		node := newNode(i, 1000)
+		node.SetPublishedPeers(0, peers(n))
+		f.nodes = append(f.nodes, node)
 	}
 	return f
 }
@@ -410,7 +410,7 @@
 	})
 })
 
-func FuzzCore(f *testing.F) {
+func FuzzNode(f *testing.F) {
 	f.Add(uint64(1), uint16(300))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -8,7 +8,7 @@
 )
 
 // Rank orders members by rendezvous hashing: all processes with the same list
-// agree on the order for a key, and a member that joins or goes moves only the
+// agree on the order for a key, and a member that joins or leaves moves only the
 // keys that it takes over or held.
 func Rank(key string, members []string) []string {
 	type scored struct {
@@ -29,8 +29,8 @@
 	return out
 }
 
-// ReadersPerDataCentre is the number of processes in a data centre that watch the
-// configuration service. Three survive two failures at once; more would use up
+// ReadersPerDataCentre is the number of processes in a data centre that watch
+// the configuration service. Three survive two failures at once; more would use up
 // calls of a rate limit that grows more slowly than the fleet.
 const ReadersPerDataCentre = 3
 
--- a/internal/decide/storeoutage/storeoutage_test.go
+++ b/internal/decide/storeoutage/storeoutage_test.go
@@ -11,7 +11,7 @@
 	"filbertdeck/internal/decide/storeoutage"
 )
 
-func TestSilence(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "silence")
 }
@@ -19,7 +19,7 @@
 var _ = Describe("the detection of a store that stopped answering", func() {
 	// Guards against a fixed timeout that is too long for a store that answers
 	// within milliseconds.
-	It("takes tenths of a second where answers come in milliseconds", func() {
+	It("has a timeout of tenths of a second if answers come within milliseconds", func() {
 		var d storeoutage.Detector
 		for range 20 {
 			d.RecordAnswer(8 * time.Millisecond)
@@ -27,17 +27,17 @@
 		Expect(d.AnswerTimeout()).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
-	// Guards against a slow store that is taken for a failed one at each call.
+	// Guards against a slow store that is suspected of an outage at each call.
 	It("does not suspect a store that is always slow", func() {
 		var d storeoutage.Detector
 		rng := rand.New(rand.NewPCG(1, 2))
 		falseTimeouts := 0
 		for i := range 200 {
-			took := time.Duration(200+rng.IntN(80)) * time.Millisecond
-			if i > 20 && took > d.AnswerTimeout() {
+			delay := time.Duration(200+rng.IntN(80)) * time.Millisecond
+			if i > 20 && delay > d.AnswerTimeout() {
 				falseTimeouts++
 			}
-			d.RecordAnswer(took)
+			d.RecordAnswer(delay)
 		}
 		Expect(falseTimeouts).To(BeNumerically("<=", 2))
 	})
