--- a/internal/decide/placement/delay_test.go
+++ b/internal/decide/placement/delay_test.go
@@ -204,7 +204,7 @@
 				return placement.ChooseEngine(list, w, 0)
 			})
 		}
-		AddReportEntry("long generations in progress", fmt.Sprintf("by fullness %.1f, by delay %.1f", byLoad/6, byDelay/6))
+		AddReportEntry("long generations in progress", fmt.Sprintf("by load %.1f, by delay %.1f", byLoad/6, byDelay/6))
 		Expect(byDelay).To(BeNumerically("<", 0.97*byLoad))
 	})
 })
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -25,16 +25,17 @@
 	// Running is the known number of running requests of all hosts.
 	Running int
 	Slots   int
-	// MemoryTokens in tokens: what requests of all hosts occupy or will occupy, and the
-	// capacity, which is 0 for plain services.
+	// ReservedTokens is the memory that requests of all hosts occupy or will
+	// occupy, MemoryTokens the capacity, which is 0 for plain services.
 	ReservedTokens, MemoryTokens int
 	// BackupTokens is the number of tokens in the backups that the target stores.
+	// A backup is a copy of a running generation's memory.
 	BackupTokens int
 	// UnreadTokens is the number of tokens in prompts that have not produced a first
 	// event yet.
 	UnreadTokens int
-	// TimePerToken is the time per token of a generation that runs alone on the engine; 0
-	// if unknown.
+	// TimePerToken is the time per token of a generation that runs alone on the
+	// engine; 0 if unknown.
 	TimePerToken time.Duration
 	// Penalty is added to the load. A target that failed recently or is in
 	// another data centre is chosen only if the others have a load higher by this
@@ -71,7 +72,7 @@
 	return load + c.Penalty
 }
 
-// Sample sizes.
+// Limits on the number of targets that a host compares.
 const (
 	// fullScanMaxHosts is the number of hosts up to which each host compares all
 	// targets. This few hosts rarely choose within the time that a load update
@@ -83,8 +84,8 @@
 	minSampleSize = 3
 )
 
-// KnowsRecentChoices reports whether there are so few hosts that each knows nearly all recent
-// choices of the others.
+// KnowsRecentChoices reports whether there are so few hosts that each knows
+// nearly all recent choices of the others.
 func KnowsRecentChoices(hosts int) bool { return hosts <= fullScanMaxHosts }
 
 // SampleSize returns the number of targets that a host compares. Dozens of hosts
@@ -107,9 +108,10 @@
 // QueriedTargets returns the number of targets to query.
 func QueriedTargets(targets int) int { return min(targets, maxQueriedTargets) }
 
-// ChooseLeastLoaded returns the index of the least loaded candidate for a request with the
-// given number of tokens, or -1 if there are no candidates. draw, in [0, 1),
-// breaks ties, so that hosts with the same information choose different targets.
+// ChooseLeastLoaded returns the index of the least loaded candidate for a
+// request with the given number of tokens, or -1 if there are no candidates.
+// draw, in [0, 1), breaks ties, so that hosts with the same information choose
+// different targets.
 func ChooseLeastLoaded(candidates []Candidate, tokens int, draw float64) int {
 	return lowestScore(candidates, draw, func(c Candidate) float64 { return LoadWith(c, tokens) })
 }
