--- a/internal/decide/targetload/targetload.go
+++ b/internal/decide/targetload/targetload.go
@@ -35,7 +35,8 @@
 	expireAfter = 3 * RefreshInterval
 )
 
-// HostLoad is the load of one host on one target.
+// HostLoad is a host's count of a target: the load that the host places on it,
+// and what the host knows about it.
 type HostLoad struct {
 	Host, Target string
 	// Version increases with each count of the host, also across restarts.
@@ -57,8 +58,9 @@
 // Load is the load on a target. Loads can be added.
 type Load struct {
 	Running int
-	// Memory in tokens that the requests occupy or will occupy, and the tokens of
-	// those prompts that have not produced a first event yet.
+	// ReservedTokens is the memory that the requests occupy or will occupy,
+	// UnreadTokens the tokens of those prompts that have not produced a first
+	// event yet.
 	ReservedTokens, UnreadTokens int
 	// BackupTokens is the number of tokens in backups that the target stores or will
 	// store.
@@ -97,80 +99,80 @@
 	lastRefresh time.Duration
 }
 
-// New returns an empty board for the host self. start must be higher than any
+// New returns an empty table for the host self. start must be higher than any
 // version that an earlier process of the host used, such as the time of day.
 func New(self string, start uint64) *Table {
 	return &Table{self: self, version: start, counts: map[entryKey]entry{}, peers: newPeerBits()}
 }
 
 // SetLocalLoad sets this host's load on a target.
-func (b *Table) SetLocalLoad(now time.Duration, target string, load Load) {
-	c := b.Local(target)
+func (t *Table) SetLocalLoad(now time.Duration, target string, load Load) {
+	c := t.Local(target)
 	c.Load = load
-	b.setLocal(now, c)
+	t.setLocal(now, c)
 }
 
 // SetLeaving records that a target told this host that it is about to stop.
-func (b *Table) SetLeaving(now time.Duration, target string) {
-	c := b.Local(target)
+func (t *Table) SetLeaving(now time.Duration, target string) {
+	c := t.Local(target)
 	if c.Leaving {
 		return
 	}
 	c.Leaving = true
-	b.setLocal(now, c)
+	t.setLocal(now, c)
 }
 
 // SetTimePerToken sets this host's estimate of the time per token on a target.
-func (b *Table) SetTimePerToken(now time.Duration, target string, timePerToken time.Duration) {
-	c := b.Local(target)
+func (t *Table) SetTimePerToken(now time.Duration, target string, timePerToken time.Duration) {
+	c := t.Local(target)
 	c.TimePerToken = timePerToken
-	b.setLocal(now, c)
+	t.setLocal(now, c)
 }
 
 // AddFailure records a request of this host that failed because of a target. The
 // numbers run over all targets, so that a count created again after it expired
 // does not repeat a number.
-func (b *Table) AddFailure(now time.Duration, target string) {
-	b.failureSeq++
-	c := b.Local(target)
-	c.FailureSeq = b.failureSeq
-	b.setLocal(now, c)
+func (t *Table) AddFailure(now time.Duration, target string) {
+	t.failureSeq++
+	c := t.Local(target)
+	c.FailureSeq = t.failureSeq
+	t.setLocal(now, c)
 }
 
 // SetRate sets the rate limit that a target advertised to this host.
-func (b *Table) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
-	c := b.Local(target)
+func (t *Table) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
+	c := t.Local(target)
 	c.AdvertisedRate = &rate
-	b.setLocal(now, c)
+	t.setLocal(now, c)
 }
 
 // Local returns this host's count of a target, or an empty one.
-func (b *Table) Local(target string) HostLoad {
-	c := b.counts[entryKey{b.self, target}].HostLoad
-	c.Host, c.Target = b.self, target
+func (t *Table) Local(target string) HostLoad {
+	c := t.counts[entryKey{t.self, target}].HostLoad
+	c.Host, c.Target = t.self, target
 	return c
 }
 
 // setLocal stores this host's count of a target under a new version.
-func (b *Table) setLocal(now time.Duration, c HostLoad) {
-	b.version++
-	c.Version = b.version
+func (t *Table) setLocal(now time.Duration, c HostLoad) {
+	t.version++
+	c.Version = t.version
 	k := entryKey{c.Host, c.Target}
-	b.counts[k] = entry{HostLoad: c, receivedAt: now, versionSentToOwner: b.counts[k].versionSentToOwner}
+	t.counts[k] = entry{HostLoad: c, receivedAt: now, versionSentToOwner: t.counts[k].versionSentToOwner}
 }
 
 // OwnerUpdates returns this host's own counts that changed since the last call or are
 // due to be resent, and marks them as sent to the owners of their targets.
-func (b *Table) OwnerUpdates(now time.Duration) []HostLoad {
-	b.refresh(now)
-	b.expire(now)
+func (t *Table) OwnerUpdates(now time.Duration) []HostLoad {
+	t.refresh(now)
+	t.expire(now)
 	var updates []HostLoad
-	for k, c := range b.counts {
-		if k.host != b.self || c.versionSentToOwner == c.Version {
+	for k, c := range t.counts {
+		if k.host != t.self || c.versionSentToOwner == c.Version {
 			continue
 		}
 		c.versionSentToOwner = c.Version
-		b.counts[k] = c
+		t.counts[k] = c
 		updates = append(updates, c.HostLoad)
 	}
 	return updates
@@ -178,22 +180,22 @@
 
 // ReplaceTarget replaces the counts of a target with the complete answer of its owner.
 // Other hosts' counts that are missing from the answer have ended.
-func (b *Table) ReplaceTarget(now time.Duration, target string, counts []HostLoad) {
-	for k := range b.counts {
+func (t *Table) ReplaceTarget(now time.Duration, target string, counts []HostLoad) {
+	for k := range t.counts {
 		fromHost := func(c HostLoad) bool { return c.Host == k.host }
-		if k.target == target && k.host != b.self && !slices.ContainsFunc(counts, fromHost) {
-			delete(b.counts, k)
+		if k.target == target && k.host != t.self && !slices.ContainsFunc(counts, fromHost) {
+			delete(t.counts, k)
 		}
 	}
-	b.Merge(now, "", counts)
+	t.Merge(now, "", counts)
 }
 
 // ForTarget returns the counts of one target, including this host's own, leaving out
 // empty ones.
-func (b *Table) ForTarget(now time.Duration, target string) []HostLoad {
+func (t *Table) ForTarget(now time.Duration, target string) []HostLoad {
 	var counts []HostLoad
-	for k, c := range b.counts {
-		if k.target == target && !c.isZero() && (k.host == b.self || now-c.receivedAt < expireAfter) {
+	for k, c := range t.counts {
+		if k.target == target && !c.isZero() && (k.host == t.self || now-c.receivedAt < expireAfter) {
 			counts = append(counts, c.HostLoad)
 		}
 	}
@@ -207,53 +209,53 @@
 
 // Merge merges counts received from a peer. An empty peer name means that the
 // sender is not tracked as a peer.
-func (b *Table) Merge(now time.Duration, peer string, counts []HostLoad) {
+func (t *Table) Merge(now time.Duration, peer string, counts []HostLoad) {
 	var bit uint64
 	if peer != "" {
-		bit = b.bit(peer)
+		bit = t.bit(peer)
 	}
 	for _, c := range counts {
 		k := entryKey{c.Host, c.Target}
-		if c.Host == b.self {
+		if c.Host == t.self {
 			// An earlier process of this host wrote this count. This process must
 			// supersede it, even if the clock was set back in the meantime.
-			if c.Version > b.version {
-				b.version = c.Version
-				b.SetLocalLoad(now, c.Target, b.counts[k].Load)
+			if c.Version > t.version {
+				t.version = c.Version
+				t.SetLocalLoad(now, c.Target, t.counts[k].Load)
 			}
 			continue
 		}
-		current, found := b.counts[k]
+		current, found := t.counts[k]
 		switch {
 		case !found && c.isZero():
 			// Hosts that query a target send their own count of it, which is mostly
 			// empty. Keeping these counts would fill answers and memory.
 		case !found || c.Version > current.Version:
-			b.counts[k] = entry{HostLoad: c, receivedAt: now, sentTo: bit}
+			t.counts[k] = entry{HostLoad: c, receivedAt: now, sentTo: bit}
 		case c.Version == current.Version:
 			current.sentTo |= bit
 			if peer == "" {
 				// The owner expires counts that their hosts do not resend.
 				current.receivedAt = now
 			}
-			b.counts[k] = current
+			t.counts[k] = current
 		}
 	}
 }
 
 // PeerUpdates returns the counts that were neither sent to a peer nor received from it,
 // and marks them as sent.
-func (b *Table) PeerUpdates(now time.Duration, peer string) []HostLoad {
-	b.refresh(now)
-	b.expire(now)
-	bit := b.bit(peer)
+func (t *Table) PeerUpdates(now time.Duration, peer string) []HostLoad {
+	t.refresh(now)
+	t.expire(now)
+	bit := t.bit(peer)
 	var updates []HostLoad
-	for k, c := range b.counts {
+	for k, c := range t.counts {
 		if k.host == peer || c.sentTo&bit != 0 {
 			continue
 		}
 		c.sentTo |= bit
-		b.counts[k] = c
+		t.counts[k] = c
 		updates = append(updates, c.HostLoad)
 	}
 	return updates
@@ -261,14 +263,14 @@
 
 // bit returns the bit of a peer. If the bit was reassigned from another peer, it
 // is cleared in all counts, because the new peer may hold none of them.
-func (b *Table) bit(peer string) uint64 {
-	bit, reassigned := b.peers.bit(peer)
+func (t *Table) bit(peer string) uint64 {
+	bit, reassigned := t.peers.bit(peer)
 	if !reassigned {
 		return bit
 	}
-	for k, c := range b.counts {
+	for k, c := range t.counts {
 		c.sentTo &^= bit
-		b.counts[k] = c
+		t.counts[k] = c
 	}
 	return bit
 }
@@ -286,10 +288,10 @@
 
 // Totals returns the totals of every target in one pass. Summing per target would
 // read all counts again for each target of a service.
-func (b *Table) Totals(now time.Duration) map[string]Total {
+func (t *Table) Totals(now time.Duration) map[string]Total {
 	sums := make(map[string]Total)
-	for k, c := range b.counts {
-		local := k.host == b.self
+	for k, c := range t.counts {
+		local := k.host == t.self
 		if !local && now-c.receivedAt >= expireAfter {
 			continue
 		}
@@ -307,23 +309,23 @@
 }
 
 // refresh resends this host's counts of running requests every RefreshInterval.
-func (b *Table) refresh(now time.Duration) {
-	if now-b.lastRefresh < RefreshInterval {
+func (t *Table) refresh(now time.Duration) {
+	if now-t.lastRefresh < RefreshInterval {
 		return
 	}
-	b.lastRefresh = now
-	for k, c := range b.counts {
-		if k.host == b.self && c.Running > 0 && now-c.receivedAt >= RefreshInterval {
-			b.SetLocalLoad(now, k.target, c.Load)
+	t.lastRefresh = now
+	for k, c := range t.counts {
+		if k.host == t.self && c.Running > 0 && now-c.receivedAt >= RefreshInterval {
+			t.SetLocalLoad(now, k.target, c.Load)
 		}
 	}
 }
 
 // expire removes the counts that were not resent in time.
-func (b *Table) expire(now time.Duration) {
-	for k, c := range b.counts {
+func (t *Table) expire(now time.Duration) {
+	for k, c := range t.counts {
 		if now-c.receivedAt >= expireAfter {
-			delete(b.counts, k)
+			delete(t.counts, k)
 		}
 	}
 }
--- a/internal/decide/targetload/targetload_test.go
+++ b/internal/decide/targetload/targetload_test.go
@@ -11,9 +11,9 @@
 	"filbertdeck/internal/decide/targetload"
 )
 
-func TestLoadshare(t *testing.T) {
+func TestTargetLoad(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "loadshare")
+	RunSpecs(t, "targetload")
 }
 
 func load(running, tokens int) targetload.Load {
