--- a/internal/decide/enginespeed/enginespeed.go
+++ b/internal/decide/enginespeed/enginespeed.go
@@ -46,22 +46,22 @@
 // received from another host, and the last one published, as times per token.
 type estimate struct{ local, remote, published time.Duration }
 
-// New returns a board without estimates.
+// New returns an estimator without estimates.
 func New() *Estimator { return &Estimator{estimates: map[string]*estimate{}} }
 
-func (b *Estimator) estimate(target string) *estimate {
-	e := b.estimates[target]
+func (est *Estimator) estimate(target string) *estimate {
+	e := est.estimates[target]
 	if e == nil {
 		e = &estimate{}
-		b.estimates[target] = e
+		est.estimates[target] = e
 	}
 	return e
 }
 
 // AddSample adds a time per token measured over a window. It reports whether the new
 // estimate should be sent to other hosts.
-func (b *Estimator) AddSample(target string, perToken time.Duration) bool {
-	e := b.estimate(target)
+func (est *Estimator) AddSample(target string, perToken time.Duration) bool {
+	e := est.estimate(target)
 	current := e.timePerToken()
 	switch {
 	case perToken <= 0 || float64(perToken) < minSampleRatio*float64(current):
@@ -82,9 +82,9 @@
 }
 
 // SetRemote sets the estimate received from another host.
-func (b *Estimator) SetRemote(target string, perToken time.Duration) {
+func (est *Estimator) SetRemote(target string, perToken time.Duration) {
 	if perToken > 0 {
-		b.estimate(target).remote = perToken
+		est.estimate(target).remote = perToken
 	}
 }
 
@@ -99,8 +99,8 @@
 
 // TimePerToken returns the time per token of a generation that runs alone on an engine; 0
 // if unknown.
-func (b *Estimator) TimePerToken(target string) time.Duration {
-	if e := b.estimates[target]; e != nil {
+func (est *Estimator) TimePerToken(target string) time.Duration {
+	if e := est.estimates[target]; e != nil {
 		return e.timePerToken()
 	}
 	return 0
@@ -108,9 +108,9 @@
 
 // Median returns the median time per token of all known engines, or 0 if none is
 // known. It is used for engines that have just joined.
-func (b *Estimator) Median() time.Duration {
+func (est *Estimator) Median() time.Duration {
 	var times []time.Duration
-	for _, e := range b.estimates {
+	for _, e := range est.estimates {
 		if perToken := e.timePerToken(); perToken > 0 {
 			times = append(times, perToken)
 		}
@@ -123,10 +123,10 @@
 }
 
 // Retain removes the engines for which known returns false.
-func (b *Estimator) Retain(known func(target string) bool) {
-	for target := range b.estimates {
+func (est *Estimator) Retain(known func(target string) bool) {
+	for target := range est.estimates {
 		if !known(target) {
-			delete(b.estimates, target)
+			delete(est.estimates, target)
 		}
 	}
 }
--- a/internal/decide/enginespeed/enginespeed_test.go
+++ b/internal/decide/enginespeed/enginespeed_test.go
@@ -35,12 +35,12 @@
 		misranked := 0
 		for seed := range uint64(200) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			b := enginespeed.New()
+			estimator := enginespeed.New()
 			for range 6 {
-				b.AddSample("quick", sample(rng, fast))
-				b.AddSample("slow", sample(rng, slow))
+				estimator.AddSample("quick", sample(rng, fast))
+				estimator.AddSample("slow", sample(rng, slow))
 			}
-			if b.TimePerToken("quick") >= b.TimePerToken("slow") {
+			if estimator.TimePerToken("quick") >= estimator.TimePerToken("slow") {
 				misranked++
 			}
 		}
@@ -48,48 +48,48 @@
 	})
 
 	It("follows an engine that becomes slower", func() {
-		b := enginespeed.New()
+		estimator := enginespeed.New()
 		for range 20 {
-			b.AddSample("i-1", fast)
+			estimator.AddSample("i-1", fast)
 		}
 		for range 60 {
-			b.AddSample("i-1", slow)
+			estimator.AddSample("i-1", slow)
 		}
-		Expect(b.TimePerToken("i-1")).To(BeNumerically(">", fast+(slow-fast)/2))
+		Expect(estimator.TimePerToken("i-1")).To(BeNumerically(">", fast+(slow-fast)/2))
 	})
 
 	// A host is paused for seconds and then receives all events of the pause at
 	// once. If they were taken for the engine's speed, every long generation
 	// would be sent there.
 	It("ignores events that arrive all at once after a pause", func() {
-		b := enginespeed.New()
+		estimator := enginespeed.New()
 		for range 20 {
-			b.AddSample("i-1", fast)
+			estimator.AddSample("i-1", fast)
 		}
 		for range 20 {
-			b.AddSample("i-1", time.Microsecond)
+			estimator.AddSample("i-1", time.Microsecond)
 		}
-		Expect(b.TimePerToken("i-1")).To(BeNumerically("~", fast, time.Microsecond))
+		Expect(estimator.TimePerToken("i-1")).To(BeNumerically("~", fast, time.Microsecond))
 	})
 
 	It("is known from other hosts before the first local event", func() {
-		b := enginespeed.New()
-		Expect(b.TimePerToken("i-1")).To(BeZero())
-		Expect(b.Median()).To(BeZero())
-		b.SetRemote("i-1", slow)
-		b.SetRemote("i-2", fast)
-		b.SetRemote("i-3", fast)
-		Expect(b.TimePerToken("i-1")).To(Equal(slow))
-		Expect(b.Median()).To(Equal(fast))
-		b.Retain(func(target string) bool { return target != "i-1" })
-		Expect(b.TimePerToken("i-1")).To(BeZero())
+		estimator := enginespeed.New()
+		Expect(estimator.TimePerToken("i-1")).To(BeZero())
+		Expect(estimator.Median()).To(BeZero())
+		estimator.SetRemote("i-1", slow)
+		estimator.SetRemote("i-2", fast)
+		estimator.SetRemote("i-3", fast)
+		Expect(estimator.TimePerToken("i-1")).To(Equal(slow))
+		Expect(estimator.Median()).To(Equal(fast))
+		estimator.Retain(func(target string) bool { return target != "i-1" })
+		Expect(estimator.TimePerToken("i-1")).To(BeZero())
 	})
 
 	It("is published when it is new or has changed", func() {
-		b := enginespeed.New()
-		Expect(b.AddSample("i-1", slow)).To(BeTrue())
-		Expect(b.AddSample("i-1", slow)).To(BeFalse())
-		Expect(b.AddSample("i-1", fast/2)).To(BeTrue())
+		estimator := enginespeed.New()
+		Expect(estimator.AddSample("i-1", slow)).To(BeTrue())
+		Expect(estimator.AddSample("i-1", slow)).To(BeFalse())
+		Expect(estimator.AddSample("i-1", fast/2)).To(BeTrue())
 	})
 
 	It("is measured over a window of events", func() {
