--- a/internal/decide/memoryforecast/memoryforecast.go
+++ b/internal/decide/memoryforecast/memoryforecast.go
@@ -50,7 +50,7 @@
 }
 
 // InUse returns the memory in use now, in tokens.
-func (g *Forecast) InUse() float64 { return g.mean[0] }
+func (f *Forecast) InUse() float64 { return f.mean[0] }
 
 // Generation is a running generation or a candidate. Sizes are in tokens.
 type Generation struct {
@@ -59,8 +59,8 @@
 	Max int
 }
 
-// Predict sets g to the predicted memory of one generation.
-func (g *Forecast) Predict(d *outputlength.Distribution, gen Generation) {
+// Predict sets f to the predicted memory of one generation.
+func (f *Forecast) Predict(d *outputlength.Distribution, gen Generation) {
 	survivedSoFar := d.Survival(gen.Produced)
 	for i := range horizonCount {
 		ahead := horizonTokens[i]
@@ -72,8 +72,8 @@
 			p = d.Survival(gen.Produced+ahead) / survivedSoFar
 		}
 		size := float64(gen.Prompt + gen.Produced + ahead)
-		g.mean[i] = p * size
-		g.variance[i] = p * (1 - p) * size * size
+		f.mean[i] = p * size
+		f.variance[i] = p * (1 - p) * size * size
 	}
 }
 
@@ -83,27 +83,27 @@
 }
 
 // Add adds a generation.
-func (l *Load) Add(g *Forecast) {
+func (l *Load) Add(f *Forecast) {
 	for i := range horizonCount {
-		l.sum.mean[i] += g.mean[i]
-		l.sum.variance[i] += g.variance[i]
+		l.sum.mean[i] += f.mean[i]
+		l.sum.variance[i] += f.variance[i]
 	}
 }
 
 // AddN adds count generations with the same predicted memory.
-func (l *Load) AddN(g *Forecast, count int) {
+func (l *Load) AddN(f *Forecast, count int) {
 	n := float64(count)
 	for i := range horizonCount {
-		l.sum.mean[i] += n * g.mean[i]
-		l.sum.variance[i] += n * g.variance[i]
+		l.sum.mean[i] += n * f.mean[i]
+		l.sum.variance[i] += n * f.variance[i]
 	}
 }
 
-// Remove removes a generation that was added with the same growth.
-func (l *Load) Remove(g *Forecast) {
+// Remove removes a generation that was added with the same forecast.
+func (l *Load) Remove(f *Forecast) {
 	for i := range horizonCount {
-		l.sum.mean[i] -= g.mean[i]
-		l.sum.variance[i] = math.Max(0, l.sum.variance[i]-g.variance[i])
+		l.sum.mean[i] -= f.mean[i]
+		l.sum.variance[i] = math.Max(0, l.sum.variance[i]-f.variance[i])
 	}
 }
 
--- a/internal/decide/memoryforecast/memoryforecast_test.go
+++ b/internal/decide/memoryforecast/memoryforecast_test.go
@@ -10,9 +10,9 @@
 	"filbertdeck/internal/decide/outputlength"
 )
 
-func TestMemory(t *testing.T) {
+func TestMemoryForecast(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "memory")
+	RunSpecs(t, "memoryforecast")
 }
 
 const capacity = 10_000.0
