--- a/internal/decide/outputlength/outputlength_test.go
+++ b/internal/decide/outputlength/outputlength_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLengths(t *testing.T) {
+func TestOutputLength(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "lengths")
+	RunSpecs(t, "outputlength")
 }
 
 func recordOutput(d *Distribution, n int) {
@@ -93,7 +93,7 @@
 // medians.
 func logNormalTail(x, sigma float64) float64 { return 0.5 * math.Erfc(math.Log(x)/sigma/math.Sqrt2) }
 
-func BenchmarkStillRunning(b *testing.B) {
+func BenchmarkConditionalSurvival(b *testing.B) {
 	d := New(0)
 	b.ReportAllocs()
 	sum := 0.0
