--- a/internal/decide/coldlimit/coldlimit.go
+++ b/internal/decide/coldlimit/coldlimit.go
@@ -41,22 +41,22 @@
 type Limiter struct{ sent []time.Duration }
 
 // Allows reports whether one more request stays within the quota.
-func (g *Limiter) Allows(now time.Duration, quota int) bool {
-	g.expire(now)
-	return len(g.sent) < quota
+func (l *Limiter) Allows(now time.Duration, quota int) bool {
+	l.expire(now)
+	return len(l.sent) < quota
 }
 
 // RecordSend records a request.
-func (g *Limiter) RecordSend(now time.Duration) {
-	g.expire(now)
-	g.sent = append(g.sent, now)
+func (l *Limiter) RecordSend(now time.Duration) {
+	l.expire(now)
+	l.sent = append(l.sent, now)
 }
 
 // expire removes the requests that have left the window.
-func (g *Limiter) expire(now time.Duration) {
+func (l *Limiter) expire(now time.Duration) {
 	expired := 0
-	for expired < len(g.sent) && now-g.sent[expired] >= window {
+	for expired < len(l.sent) && now-l.sent[expired] >= window {
 		expired++
 	}
-	g.sent = g.sent[expired:]
+	l.sent = l.sent[expired:]
 }
--- a/internal/decide/coldlimit/coldlimit_test.go
+++ b/internal/decide/coldlimit/coldlimit_test.go
@@ -10,9 +10,9 @@
 	"filbertdeck/internal/decide/coldlimit"
 )
 
-func TestColdshare(t *testing.T) {
+func TestColdLimit(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "coldshare")
+	RunSpecs(t, "coldlimit")
 }
 
 var _ = Describe("a cold target", func() {
