--- a/internal/decide/slowstart/leases.go
+++ b/internal/decide/slowstart/leases.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// confirmThrough removes the grants that a report made at taken includes.
+// confirmThrough removes the grants that a report made at madeAt includes, and
+// marks their leases as confirmed by the given incarnation.
 func (t *leaseTracker) confirmThrough(madeAt time.Duration, incarnation uint64) {
 	t.expire(madeAt)
 	remaining := t.unconfirmed[:0]
@@ -94,7 +95,7 @@
 	}
 }
 
-// grantedSince returns the number of unconfirmed grants made since taken.
+// grantedSince returns the number of unconfirmed grants made since reportedAt.
 func (t *leaseTracker) grantedSince(reportedAt time.Duration) int {
 	n := 0
 	for _, g := range t.unconfirmed {
--- a/internal/decide/slowstart/limiter_test.go
+++ b/internal/decide/slowstart/limiter_test.go
@@ -24,28 +24,28 @@
 	maxOwners = 3
 )
 
-var _ = Describe("a gate", func() {
-	var g *slowstart.Limiter
+var _ = Describe("a limiter", func() {
+	var limiter *slowstart.Limiter
 	BeforeEach(func() {
-		g = slowstart.New(slowstart.Config{})
-		g.SetOwner(0, 1, true)
+		limiter = slowstart.New(slowstart.Config{})
+		limiter.SetOwner(0, 1, true)
 	})
-	// roomAfterReport passes a report made age before now to the gate and returns
-	// the gate's room.
+	// roomAfterReport passes a report made age before now to the limiter and
+	// returns the limiter's room.
 	roomAfterReport := func(now, age time.Duration, incarnation uint64, capacity, running int) int {
-		g.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Capacity: capacity, Running: running, StepTime: 20 * ms})
-		return g.Room(now)
+		limiter.Observe(now, slowstart.Report{Age: age, Incarnation: incarnation, Capacity: capacity, Running: running, StepTime: 20 * ms})
+		return limiter.Room(now)
 	}
 
 	It("has no room without a report or after the report has expired", func() {
-		Expect(g.Room(0)).To(Equal(0))
+		Expect(limiter.Room(0)).To(Equal(0))
 		Expect(roomAfterReport(100*ms, 0, 1, 32, 0)).To(Equal(8), "a burst of a quarter of the capacity")
 		Expect(roomAfterReport(200*ms, 0, 1, 32, 31)).To(Equal(1))
-		g.RecordGrant(200*ms, 1)
-		Expect(g.Room(200 * ms)).To(Equal(0))
+		limiter.RecordGrant(200*ms, 1)
+		Expect(limiter.Room(200 * ms)).To(Equal(0))
 		Expect(roomAfterReport(210*ms, 150*ms, 1, 32, 0)).To(Equal(0), "a report made before the last one")
-		Expect(g.Room(2200 * ms)).To(Equal(0))
-		Expect(g.State(2200 * ms)).To(Equal(slowstart.Unknown))
+		Expect(limiter.Room(2200 * ms)).To(Equal(0))
+		Expect(limiter.State(2200 * ms)).To(Equal(slowstart.Unknown))
 	})
 
 	// A warm target restarts between two reports. Its next report has a new
@@ -55,42 +55,42 @@
 		for now := time.Duration(0); now < 10*sec; now += 100 * ms {
 			roomAfterReport(now, 0, 1, 64, 4)
 		}
-		Expect(g.State(9900 * ms)).To(Equal(slowstart.Warm))
+		Expect(limiter.State(9900 * ms)).To(Equal(slowstart.Warm))
 		trigger(10 * sec)
-		Expect(g.State(10 * sec)).NotTo(Equal(slowstart.Warm))
-		Expect(g.Room(10 * sec)).To(BeNumerically("<=", 1))
+		Expect(limiter.State(10 * sec)).NotTo(Equal(slowstart.Warm))
+		Expect(limiter.Room(10 * sec)).To(BeNumerically("<=", 1))
 	},
 		Entry("incarnation", func(now time.Duration) { roomAfterReport(now, 0, 2, 2, 0) }),
 		Entry("drop of the capacity", func(now time.Duration) { roomAfterReport(now, 0, 1, 20, 0) }),
 		Entry("step time", func(now time.Duration) {
-			g.Observe(now, slowstart.Report{Incarnation: 1, Capacity: 64, Running: 4, StepTime: 200 * ms})
+			limiter.Observe(now, slowstart.Report{Incarnation: 1, Capacity: 64, Running: 4, StepTime: 200 * ms})
 		}),
 		Entry("first token", func(now time.Duration) {
 			for i := range uint64(20) {
-				g.RecordGrant(now, i)
-				g.RecordEnd(now, i, true, 100*ms+time.Duration(i/19)*sec)
+				limiter.RecordGrant(now, i)
+				limiter.RecordEnd(now, i, true, 100*ms+time.Duration(i/19)*sec)
 			}
 			roomAfterReport(now, 0, 1, 64, 0)
 		}),
-		Entry("broken connections", func(now time.Duration) { g.MarkSuspect(now) }),
+		Entry("broken connections", func(now time.Duration) { limiter.MarkSuspect(now) }),
 	)
 
 	It("grants one request per report that confirms the previous grant", func() {
 		Expect(roomAfterReport(6*sec, 0, 1, 4, 0)).To(Equal(1))
-		g.RecordGrant(6*sec, 1)
+		limiter.RecordGrant(6*sec, 1)
 		Expect(roomAfterReport(6100*ms, 0, 1, 4, 0)).To(Equal(0), "not seen to start yet")
-		g.RecordStart(6200*ms, 1)
+		limiter.RecordStart(6200*ms, 1)
 		Expect(roomAfterReport(6300*ms, 150*ms, 1, 4, 1)).To(Equal(0), "the report is older than the start")
 		Expect(roomAfterReport(6400*ms, 0, 1, 4, 1)).To(Equal(1))
-		g.SetOwner(6400*ms, 9, true)
-		Expect(g.Room(6400*ms)).To(Equal(0), "the report is older than the ownership")
+		limiter.SetOwner(6400*ms, 9, true)
+		Expect(limiter.Room(6400*ms)).To(Equal(0), "the report is older than the ownership")
 		Expect(roomAfterReport(6500*ms, 0, 1, 4, 2)).To(Equal(0), "full except for the room reserved for other owners")
 	})
 
 	DescribeTable("reserves room for other owners unless it is certain to be the only one",
 		func(now, age time.Duration, owner bool, confirmed time.Duration, capacity, want int) {
-			g.SetOwner(0, 2, owner)
-			g.Confirm(confirmed)
+			limiter.SetOwner(0, 2, owner)
+			limiter.Confirm(confirmed)
 			Expect(roomAfterReport(now, age, 1, capacity, 0)).To(Equal(want))
 		},
 		Entry("just owner, small", sec, 0*ms, true, sec, 3, 0),
@@ -105,19 +105,19 @@
 
 	It("fills a small settled target, and accepts its tokens as proof that it is running", func() {
 		for now := 6 * sec; now <= 20*sec; now += 200 * ms {
-			g.Confirm(now)
-			g.RecordGrant(now, uint64(now))
-			g.RecordStart(now, uint64(now))
+			limiter.Confirm(now)
+			limiter.RecordGrant(now, uint64(now))
+			limiter.RecordStart(now, uint64(now))
 			roomAfterReport(now+tick, 0, 1, 6, 1)
-			g.RecordEnd(now+2*tick, uint64(now), true, 50*ms)
+			limiter.RecordEnd(now+2*tick, uint64(now), true, 50*ms)
 		}
-		Expect(g.State(20 * sec)).To(Equal(slowstart.Settled))
-		Expect(g.Room(20*sec)).To(Equal(4), "one burst")
-		g.RecordGrant(20*sec+tick, 7)
-		g.RecordStart(20*sec+2*tick, 7)
+		Expect(limiter.State(20 * sec)).To(Equal(slowstart.Settled))
+		Expect(limiter.Room(20*sec)).To(Equal(4), "one burst")
+		limiter.RecordGrant(20*sec+tick, 7)
+		limiter.RecordStart(20*sec+2*tick, 7)
 		roomAfterReport(20*sec+4*tick, 0, 1, 6, 1)
-		g.RecordProgress(24*sec, 7)
-		Expect(g.State(25 * sec)).To(Equal(slowstart.Settled))
+		limiter.RecordProgress(24*sec, 7)
+		Expect(limiter.State(25 * sec)).To(Equal(slowstart.Settled))
 	})
 
 	// A plain service does not report its capacity. The estimate then grows by
@@ -127,17 +127,17 @@
 		for i := uint64(1000); i < 1030; i++ { // one at a time, which does not show a higher capacity
 			now += 100 * ms
 			roomAfterReport(now, 0, 1, 0, 0)
-			g.RecordGrant(now, i)
-			g.RecordEnd(now, i, true, 0)
+			limiter.RecordGrant(now, i)
+			limiter.RecordEnd(now, i, true, 0)
 		}
-		Expect(g.State(now)).To(Equal(slowstart.Cold))
-		for i := uint64(0); g.State(now) != slowstart.Warm && i < 500; i++ {
+		Expect(limiter.State(now)).To(Equal(slowstart.Cold))
+		for i := uint64(0); limiter.State(now) != slowstart.Warm && i < 500; i++ {
 			now += 100 * ms
 			roomAfterReport(now, 0, 1, 0, int(i%8))
-			g.RecordGrant(now, i)
-			g.RecordStart(now, i)
+			limiter.RecordGrant(now, i)
+			limiter.RecordStart(now, i)
 			if i >= 8 {
-				g.RecordEnd(now, i-8, true, 0)
+				limiter.RecordEnd(now, i-8, true, 0)
 			}
 		}
 		Expect(roomAfterReport(now+ms, 0, 1, 0, 1)).To(Equal(4))
@@ -155,7 +155,7 @@
 		}
 		Expect(served).To(BeNumerically(">", 500), "cold targets are used at all")
 		Expect(naive.overloads).To(BeNumerically(">", 50))
-		AddReportEntry("overloads of arrivals at a cold target", fmt.Sprintf("gate 0 of %d in 150 runs, naive %d of %d in one", served, naive.overloads, naive.coldArrivals))
+		AddReportEntry("overloads of arrivals at a cold target", fmt.Sprintf("limiter 0 of %d in 150 runs, naive %d of %d in one", served, naive.overloads, naive.coldArrivals))
 	})
 })
 
@@ -181,9 +181,9 @@
 // capacity doubles every two seconds from one to 32.
 func (s *simulation) capacity() int { return 1 << min(5, max(0, s.now-s.upAt)/(2*sec)) }
 
-func (s *simulation) arrive(g *slowstart.Limiter, lease uint64) {
+func (s *simulation) arrive(limiter *slowstart.Limiter, lease uint64) {
 	if s.now < s.upAt {
-		s.schedule(100*ms, func() { g.RecordEnd(s.now, lease, false, 0); g.MarkSuspect(s.now) })
+		s.schedule(100*ms, func() { limiter.RecordEnd(s.now, lease, false, 0); limiter.MarkSuspect(s.now) })
 		return
 	}
 	if capacity := s.capacity(); capacity < 16 {
@@ -193,45 +193,45 @@
 		}
 	}
 	s.running[lease] = true
-	s.schedule(600*ms, func() { g.RecordStart(s.now, lease) })
+	s.schedule(600*ms, func() { limiter.RecordStart(s.now, lease) })
 	s.schedule(3*sec, func() {
 		delete(s.running, lease)
-		s.schedule(3*sec, func() { g.RecordEnd(s.now, lease, true, 100*ms) })
+		s.schedule(3*sec, func() { limiter.RecordEnd(s.now, lease, true, 100*ms) })
 	})
 }
 
 // allocator reads host lists and reports, and grants as many requests as it may.
 func (s *simulation) allocator(i uint64, naive bool) func() {
-	g := slowstart.New(slowstart.Config{MaxOwners: maxOwners})
+	limiter := slowstart.New(slowstart.Config{MaxOwners: maxOwners})
 	var listRevision, lease uint64
 	var lastReport slowstart.Report
 	return func() {
 		if s.IntN(100) == 0 {
 			listRevision = s.revision
-			g.SetOwner(s.now, listRevision, s.owner == i)
+			limiter.SetOwner(s.now, listRevision, s.owner == i)
 		}
 		if (s.stale || listRevision == s.revision) && s.IntN(25) == 0 {
-			g.Confirm(s.now)
+			limiter.Confirm(s.now)
 		}
 		if s.now >= s.upAt && s.IntN(10) == 0 {
 			madeAt, r := s.now, slowstart.Report{Incarnation: s.incarnation, Capacity: s.capacity(), Running: len(s.running)}
 			s.schedule(700*ms, func() {
 				r.Age, lastReport = s.now-madeAt, r
-				g.Observe(s.now, r)
+				limiter.Observe(s.now, r)
 			})
 		}
-		room := g.Room(s.now)
+		room := limiter.Room(s.now)
 		if naive {
 			room = lastReport.Capacity - lastReport.Running
 		}
 		for range max(0, room) {
 			lease += maxOwners
 			id := lease + i
-			g.RecordGrant(s.now, id)
+			limiter.RecordGrant(s.now, id)
 			if s.IntN(10) > 0 {
-				s.schedule(150*ms, func() { s.arrive(g, id) })
+				s.schedule(150*ms, func() { s.arrive(limiter, id) })
 			} else { // lost; the lease expires
-				s.schedule(3*sec, func() { g.RecordEnd(s.now, id, false, 0) })
+				s.schedule(3*sec, func() { limiter.RecordEnd(s.now, id, false, 0) })
 			}
 		}
 	}
@@ -265,10 +265,10 @@
 }
 
 func BenchmarkRoom(b *testing.B) {
-	g := slowstart.New(slowstart.Config{})
-	g.Observe(sec, slowstart.Report{Capacity: 32, Running: 4})
+	limiter := slowstart.New(slowstart.Config{})
+	limiter.Observe(sec, slowstart.Report{Capacity: 32, Running: 4})
 	b.ReportAllocs()
 	for range b.N {
-		g.Room(sec)
+		limiter.Room(sec)
 	}
 }
