--- a/internal/decide/targetrate/targetrate.go
+++ b/internal/decide/targetrate/targetrate.go
@@ -36,8 +36,9 @@
 	// slackFraction is the fraction of the slack that token buckets may use. The
 	// rest covers hosts that know different sets of hosts.
 	slackFraction = 0.5
-	// maxHolders limits the number of hosts that share a rate. With fewer holders
-	// the shares are larger, with more a share is lost less often.
+	// maxHolders limits the number of holders, the hosts that have a share of a
+	// target's rate. With fewer holders the shares are larger, with more a share
+	// is lost less often.
 	maxHolders = 5
 	// minRate is the rate, in requests per second, assumed for targets that
 	// advertise less. Without any request no host would learn that a target takes
@@ -60,7 +61,8 @@
 	At time.Duration
 }
 
-// HolderCount returns how many of the hosts share a rate.
+// HolderCount returns how many of the hosts have a share of a rate: at most
+// maxHolders, and no more than there are tokens in the total burst.
 func HolderCount(perSecond float64, hosts int) int {
 	return max(min(hosts, maxHolders, int(totalBurst(perSecond))), 1)
 }
@@ -102,18 +104,18 @@
 	refilled   bool
 }
 
-// New returns an empty board.
+// New returns a limiter without advertisements.
 func New() *Limiter { return &Limiter{targets: map[string]*target{}} }
 
 // Observe records what a target advertised in an answer to this host. It reports
 // whether the advertisement should be passed on to other hosts.
-func (b *Limiter) Observe(id string, a Advertisement) (announce bool) {
-	t := b.targets[id]
+func (l *Limiter) Observe(id string, a Advertisement) (announce bool) {
+	t := l.targets[id]
 	if t == nil && !a.Limited {
 		return false
 	}
 	changed := t == nil || t.latest.Limited != a.Limited || t.latest.PerSecond != a.PerSecond
-	t = b.set(id, a)
+	t = l.set(id, a)
 	if !changed && (!a.Limited || a.At-t.announcedAt < announceInterval) {
 		return false
 	}
@@ -123,29 +125,29 @@
 
 // Merge records what a target advertised to another host. Older advertisements
 // are ignored.
-func (b *Limiter) Merge(id string, a Advertisement) {
-	t := b.targets[id]
+func (l *Limiter) Merge(id string, a Advertisement) {
+	t := l.targets[id]
 	if t == nil && !a.Limited || t != nil && a.At <= t.latest.At {
 		return
 	}
-	b.set(id, a).announcedAt = a.At
+	l.set(id, a).announcedAt = a.At
 }
 
 // set stores a target's last advertisement.
-func (b *Limiter) set(id string, a Advertisement) *target {
-	t := b.targets[id]
+func (l *Limiter) set(id string, a Advertisement) *target {
+	t := l.targets[id]
 	if t == nil {
 		t = &target{}
-		b.targets[id] = t
+		l.targets[id] = t
 	}
 	t.latest = a
 	return t
 }
 
 // Limited returns the number of targets that advertise a limit.
-func (b *Limiter) Limited() int {
+func (l *Limiter) Limited() int {
 	n := 0
-	for _, t := range b.targets {
+	for _, t := range l.targets {
 		if t.latest.Limited {
 			n++
 		}
@@ -154,8 +156,8 @@
 }
 
 // Limit returns a target's last advertisement; false if it has no limit.
-func (b *Limiter) Limit(id string) (Advertisement, bool) {
-	t := b.targets[id]
+func (l *Limiter) Limit(id string) (Advertisement, bool) {
+	t := l.targets[id]
 	if t == nil || !t.latest.Limited {
 		return Advertisement{}, false
 	}
@@ -164,15 +166,15 @@
 
 // Stale reports whether a target's limit is so old that the target may take more
 // by now.
-func (b *Limiter) Stale(now time.Duration, id string) bool {
-	a, limited := b.Limit(id)
+func (l *Limiter) Stale(now time.Duration, id string) bool {
+	a, limited := l.Limit(id)
 	return limited && now-a.At >= staleAfter
 }
 
 // Allows reports whether this host, with its rank among the given number of hosts,
 // may send a request to a target now.
-func (b *Limiter) Allows(now time.Duration, id string, rank, hosts int) bool {
-	t := b.targets[id]
+func (l *Limiter) Allows(now time.Duration, id string, rank, hosts int) bool {
+	t := l.targets[id]
 	if t == nil || !t.latest.Limited {
 		return true
 	}
@@ -182,11 +184,11 @@
 
 // Wait returns the time until this host may send a request to a target. A host
 // without a share waits for the mean interval between requests to the target.
-func (b *Limiter) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
-	if b.Allows(now, id, rank, hosts) {
+func (l *Limiter) Wait(now time.Duration, id string, rank, hosts int) time.Duration {
+	if l.Allows(now, id, rank, hosts) {
 		return 0
 	}
-	t := b.targets[id]
+	t := l.targets[id]
 	own := shareOf(t.latest.PerSecond, rank, hosts)
 	if own.perSecond == 0 {
 		return seconds(1 / max(t.latest.PerSecond, minRate))
@@ -197,34 +199,34 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // TakeToken takes a token for a request sent to a target.
-func (b *Limiter) TakeToken(id string) {
-	if t := b.targets[id]; t != nil && t.latest.Limited {
+func (l *Limiter) TakeToken(id string) {
+	if t := l.targets[id]; t != nil && t.latest.Limited {
 		t.tokens--
 	}
 }
 
 // AddBorrowed adds a token that another host lent.
-func (b *Limiter) AddBorrowed(id string) {
-	if t := b.targets[id]; t != nil && t.latest.Limited {
+func (l *Limiter) AddBorrowed(id string) {
+	if t := l.targets[id]; t != nil && t.latest.Limited {
 		t.tokens++
 	}
 }
 
 // Lend takes a token for another host. It reports whether there was one and the
 // target's limit is known.
-func (b *Limiter) Lend(now time.Duration, id string, rank, hosts int) bool {
-	if _, limited := b.Limit(id); !limited || !b.Allows(now, id, rank, hosts) {
+func (l *Limiter) Lend(now time.Duration, id string, rank, hosts int) bool {
+	if _, limited := l.Limit(id); !limited || !l.Allows(now, id, rank, hosts) {
 		return false
 	}
-	b.TakeToken(id)
+	l.TakeToken(id)
 	return true
 }
 
 // Retain removes the targets for which known returns false.
-func (b *Limiter) Retain(known func(id string) bool) {
-	for id := range b.targets {
+func (l *Limiter) Retain(known func(id string) bool) {
+	for id := range l.targets {
 		if !known(id) {
-			delete(b.targets, id)
+			delete(l.targets, id)
 		}
 	}
 }
--- a/internal/decide/targetrate/targetrate_test.go
+++ b/internal/decide/targetrate/targetrate_test.go
@@ -22,23 +22,23 @@
 // lending, a host without a token asks one of the hosts that share the rate.
 func simulateSends(perSecond float64, hosts int, lending bool, idle, length time.Duration) []time.Duration {
 	rng := rand.New(rand.NewPCG(1, uint64(hosts)))
-	boards := make([]*targetrate.Limiter, hosts)
-	for i := range boards {
-		boards[i] = targetrate.New()
-		boards[i].Merge("i-1", targetrate.Advertisement{Limited: true, PerSecond: perSecond})
+	limiters := make([]*targetrate.Limiter, hosts)
+	for i := range limiters {
+		limiters[i] = targetrate.New()
+		limiters[i].Merge("i-1", targetrate.Advertisement{Limited: true, PerSecond: perSecond})
 	}
 	holders := targetrate.HolderCount(perSecond, hosts)
 	var sent []time.Duration
 	const triesPerSecond = 200
 	for now := idle; now < idle+length; now += time.Second / triesPerSecond {
 		host := rng.IntN(hosts)
-		if !boards[host].Allows(now, "i-1", host, hosts) && lending {
-			if lender := rng.IntN(holders); lender != host && boards[lender].Lend(now, "i-1", lender, hosts) {
-				boards[host].AddBorrowed("i-1")
+		if !limiters[host].Allows(now, "i-1", host, hosts) && lending {
+			if lender := rng.IntN(holders); lender != host && limiters[lender].Lend(now, "i-1", lender, hosts) {
+				limiters[host].AddBorrowed("i-1")
 			}
 		}
-		if boards[host].Allows(now, "i-1", host, hosts) {
-			boards[host].TakeToken("i-1")
+		if limiters[host].Allows(now, "i-1", host, hosts) {
+			limiters[host].TakeToken("i-1")
 			sent = append(sent, now)
 		}
 	}
@@ -90,44 +90,44 @@
 	}
 
 	It("is valid until it changes, whichever host received it", func() {
-		b := targetrate.New()
-		Expect(b.Observe("i-1", targetrate.Advertisement{At: 1})).To(BeFalse())
-		Expect(b.Observe("i-1", limited(2, 2))).To(BeTrue())
-		a, known := b.Limit("i-1")
+		limiter := targetrate.New()
+		Expect(limiter.Observe("i-1", targetrate.Advertisement{At: 1})).To(BeFalse())
+		Expect(limiter.Observe("i-1", limited(2, 2))).To(BeTrue())
+		a, known := limiter.Limit("i-1")
 		Expect(known).To(BeTrue())
 		Expect(a.PerSecond).To(Equal(2.0))
-		b.Merge("i-1", targetrate.Advertisement{At: 3})
-		_, known = b.Limit("i-1")
+		limiter.Merge("i-1", targetrate.Advertisement{At: 3})
+		_, known = limiter.Limit("i-1")
 		Expect(known).To(BeFalse())
 	})
 
 	// Guards against a late advertisement that lifts a limit stated after it.
 	It("is not replaced by an older one", func() {
-		b := targetrate.New()
-		b.Observe("i-1", limited(2, 5))
-		b.Merge("i-1", targetrate.Advertisement{At: 4})
-		_, known := b.Limit("i-1")
+		limiter := targetrate.New()
+		limiter.Observe("i-1", limited(2, 5))
+		limiter.Merge("i-1", targetrate.Advertisement{At: 4})
+		_, known := limiter.Limit("i-1")
 		Expect(known).To(BeTrue())
 	})
 
 	It("is passed on when it changes and at intervals", func() {
-		b := targetrate.New()
-		Expect(b.Observe("i-1", limited(2, 0))).To(BeTrue())
-		Expect(b.Observe("i-1", limited(2, 100*time.Millisecond))).To(BeFalse())
-		Expect(b.Observe("i-1", limited(3, 200*time.Millisecond))).To(BeTrue())
-		Expect(b.Observe("i-1", limited(3, 2*time.Second))).To(BeTrue())
-		Expect(b.Observe("i-1", targetrate.Advertisement{At: 3 * time.Second})).To(BeTrue())
-		Expect(b.Observe("i-1", targetrate.Advertisement{At: 4 * time.Second})).To(BeFalse())
+		limiter := targetrate.New()
+		Expect(limiter.Observe("i-1", limited(2, 0))).To(BeTrue())
+		Expect(limiter.Observe("i-1", limited(2, 100*time.Millisecond))).To(BeFalse())
+		Expect(limiter.Observe("i-1", limited(3, 200*time.Millisecond))).To(BeTrue())
+		Expect(limiter.Observe("i-1", limited(3, 2*time.Second))).To(BeTrue())
+		Expect(limiter.Observe("i-1", targetrate.Advertisement{At: 3 * time.Second})).To(BeTrue())
+		Expect(limiter.Observe("i-1", targetrate.Advertisement{At: 4 * time.Second})).To(BeFalse())
 	})
 
 	It("determines the time until the next request", func() {
-		b := targetrate.New()
-		b.Observe("i-1", limited(1, 0))
-		Expect(b.Allows(0, "i-1", 0, 1)).To(BeTrue())
-		b.TakeToken("i-1")
-		Expect(b.Allows(0, "i-1", 0, 1)).To(BeFalse())
-		Expect(b.Wait(0, "i-1", 0, 1)).To(Equal(time.Second))
-		Expect(b.Allows(time.Second, "i-1", 0, 1)).To(BeTrue())
+		limiter := targetrate.New()
+		limiter.Observe("i-1", limited(1, 0))
+		Expect(limiter.Allows(0, "i-1", 0, 1)).To(BeTrue())
+		limiter.TakeToken("i-1")
+		Expect(limiter.Allows(0, "i-1", 0, 1)).To(BeFalse())
+		Expect(limiter.Wait(0, "i-1", 0, 1)).To(Equal(time.Second))
+		Expect(limiter.Allows(time.Second, "i-1", 0, 1)).To(BeTrue())
 
 		withoutShare := targetrate.New()
 		withoutShare.Merge("i-1", limited(4, 0))
