--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -142,17 +142,18 @@
 	return delay, delay > 0
 }
 
-// AllowSecond decides whether the second call may be sent now, and takes it from the
-// budget. The caller uses the first complete answer and cancels the other call.
-func (h *Hedger) AllowSecond(now time.Duration, s Conditions) Refusal {
+// AllowSecond returns None if the second call may be sent now, and takes it from
+// the budget; otherwise it returns the reason not to send it. The caller uses the
+// first complete answer and cancels the other call.
+func (h *Hedger) AllowSecond(now time.Duration, conditions Conditions) Refusal {
 	switch {
-	case !s.Repeatable:
+	case !conditions.Repeatable:
 		return NotRepeatable
 	case h.delay.Load() == 0:
 		return TooFewSamples
-	case s.Backlog > h.cfg.MaxBacklog:
+	case conditions.Backlog > h.cfg.MaxBacklog:
 		return PoolOverloaded
-	case s.OtherTargets == 0:
+	case conditions.OtherTargets == 0:
 		return NoOtherTarget
 	case !h.budget.Take(now):
 		return BudgetSpent
