--- a/internal/decide/idempotency/idempotency_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -14,9 +14,9 @@
 	"filbertdeck/internal/failure"
 )
 
-func TestOnce(t *testing.T) {
+func TestIdempotency(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "once")
+	RunSpecs(t, "idempotency")
 }
 
 var epoch = time.Unix(1_800_000_000, 0)
--- a/internal/decide/idempotency/schedule_test.go
+++ b/internal/decide/idempotency/schedule_test.go
@@ -36,7 +36,7 @@
 	self                idempotency.Process
 	startedAt           time.Duration
 	skew                time.Duration
-	register            *idempotency.Registry
+	registry            *idempotency.Registry
 	attempts            []attempt
 	confirmationPending bool // a confirmation is in flight
 	pendingList         idempotency.HostList
@@ -86,7 +86,7 @@
 	if !s.verifyOwnership {
 		cfg.MaxConfirmationAge, cfg.MaxWriteDelay, cfg.MaxFutureTimestamp, cfg.MaxClockSkew = time.Hour, -time.Hour-time.Second, 1, 1
 	}
-	*e = simEntry{self: cfg.Self, startedAt: s.now, skew: e.skew, register: idempotency.New(cfg)}
+	*e = simEntry{self: cfg.Self, startedAt: s.now, skew: e.skew, registry: idempotency.New(cfg)}
 }
 
 func (s *simulation) currentList() listState { return s.history[len(s.history)-1] }
@@ -106,7 +106,7 @@
 	case 6, 7, 8:
 		if e.confirmationPending {
 			e.confirmationPending = false
-			e.register.ConfirmHosts(s.now-e.startedAt, e.pendingList)
+			e.registry.ConfirmHosts(s.now-e.startedAt, e.pendingList)
 		}
 	case 9, 10:
 		s.submit(e, int(arg)/8)
@@ -211,7 +211,7 @@
 
 func (s *simulation) begin(e *simEntry, k *simKey, call idempotency.Call) idempotency.Decision {
 	call.Account, call.Key, call.WallTime = "a", k.key, epoch.Add(s.now+e.skew)
-	return e.register.Begin(s.now-e.startedAt, call)
+	return e.registry.Begin(s.now-e.startedAt, call)
 }
 
 func (s *simulation) check(e *simEntry, n int) {
@@ -222,8 +222,8 @@
 	if a.checked {
 		return
 	}
-	if _, err := e.register.Check(s.now-e.startedAt, "a", s.keys[a.key].key); err != nil {
-		e.register.MarkNotRun("a", s.keys[a.key].key)
+	if _, err := e.registry.Check(s.now-e.startedAt, "a", s.keys[a.key].key); err != nil {
+		e.registry.MarkNotRun("a", s.keys[a.key].key)
 		e.attempts = append(e.attempts[:n%len(e.attempts)], e.attempts[n%len(e.attempts)+1:]...)
 		return
 	}
@@ -239,18 +239,18 @@
 	e.attempts = append(e.attempts[:n], e.attempts[n+1:]...)
 	key := s.keys[a.key]
 	if s.now-a.checkedAt >= scheduleConfig.MaxWriteDelay {
-		e.register.MarkLost("a", key.key)
+		e.registry.MarkLost("a", key.key)
 		return
 	}
 	switch arg % 4 {
 	case 0:
-		e.register.MarkNotRun("a", key.key) // the target reported that it did not run the call
+		e.registry.MarkNotRun("a", key.key) // the target reported that it did not run the call
 	case 1:
 		key.runs++
-		e.register.MarkLost("a", key.key)
+		e.registry.MarkLost("a", key.key)
 	default:
 		key.runs++
-		e.register.MarkFinished("a", key.key, &idempotency.Answer{Status: 200})
+		e.registry.MarkFinished("a", key.key, &idempotency.Answer{Status: 200})
 	}
 }
 
