--- a/internal/decide/poison/detector.go
+++ b/internal/decide/poison/detector.go
@@ -66,6 +66,8 @@
 	Blocked
 )
 
+// verdictNames are the names in metrics and logs, some of which differ from those of
+// the constants.
 var verdictNames = [...]string{Clear: "clear", Isolated: "apart", Exclusive: "alone", Blocked: "guilty"}
 
 // String returns the name of the verdict in metrics and logs.
@@ -137,9 +139,9 @@
 	switch {
 	case e.weight < fullWeight:
 		return Assessment{}
-	case e.weight >= guiltyWeight:
+	case e.weight >= blockedWeight:
 		return Assessment{Verdict: Blocked, Delay: e.expires - now}
-	case e.weight >= aloneWeight:
+	case e.weight >= exclusiveWeight:
 		return Assessment{Verdict: Exclusive, Delay: d.remainingHold(now, e)}
 	default:
 		return Assessment{Verdict: Isolated, Delay: d.remainingHold(now, e)}
--- a/internal/decide/poison/detector_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -248,7 +248,7 @@
 	})
 }
 
-func BenchmarkRule(b *testing.B) {
+func BenchmarkAssess(b *testing.B) {
 	d := poison.New(poison.Config{})
 	d.AddCrash(0, 1, []uint64{poisonFingerprint, innocentFingerprint})
 	b.ReportAllocs()
--- a/internal/decide/poison/evidence.go
+++ b/internal/decide/poison/evidence.go
@@ -13,10 +13,10 @@
 // crashes of weakWeight for a refusal, more than the targets of one service in
 // a rack.
 const (
-	fullWeight   = 4
-	weakWeight   = 1
-	aloneWeight  = 2 * fullWeight
-	guiltyWeight = 3 * fullWeight
+	fullWeight      = 4
+	weakWeight      = 1
+	exclusiveWeight = 2 * fullWeight
+	blockedWeight   = 3 * fullWeight
 )
 
 // CrashID identifies the death of one incarnation of a target, so that a death
