--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -62,7 +62,8 @@
 	Complete
 )
 
-// String returns the name of the verdict in metrics.
+// String returns the name of the verdict in metrics, where Mismatched is called
+// "crossed".
 func (v Verdict) String() string {
 	names := [...]string{"none", "pass", "duplicate", "gap", "crossed", "complete"}
 	if v < 0 || int(v) >= len(names) {
@@ -115,136 +116,136 @@
 // ResumeFinished is like Resume, for a caller that has received the finishing
 // frame and lacks only the closing event.
 func ResumeFinished(mode Mode, generation string, offset uint64) Sequencer {
-	o := Resume(mode, generation, offset)
-	o.finished = true
-	return o
+	s := Resume(mode, generation, offset)
+	s.finished = true
+	return s
 }
 
 // NextOffset returns the index of the next token to request from the target.
-func (o *Sequencer) NextOffset() uint64 { return o.nextOffset }
+func (s *Sequencer) NextOffset() uint64 { return s.nextOffset }
 
 // DeliveredTokens returns the number of tokens that may have reached the caller.
-func (o *Sequencer) DeliveredTokens() uint64 { return o.deliveredTokens }
+func (s *Sequencer) DeliveredTokens() uint64 { return s.deliveredTokens }
 
 // Generation returns the ID of the generation in progress.
-func (o *Sequencer) Generation() string { return o.generation }
+func (s *Sequencer) Generation() string { return s.generation }
 
 // Complete reports whether the entire answer has been checked.
-func (o *Sequencer) Complete() bool { return o.complete }
+func (s *Sequencer) Complete() bool { return s.complete }
 
 // Finished reports whether all tokens and the generation's finish have been
 // passed on. If the connection is lost after that, only the closing event is
 // missing: the answer has all its tokens and may be marked complete without it.
-func (o *Sequencer) Finished() bool { return o.finished }
+func (s *Sequencer) Finished() bool { return s.finished }
 
 // MarkComplete marks a finished answer as complete without its closing event, and
 // reports whether the answer is complete.
-func (o *Sequencer) MarkComplete() bool {
-	o.complete = o.complete || o.finished
-	return o.complete
+func (s *Sequencer) MarkComplete() bool {
+	s.complete = s.complete || s.finished
+	return s.complete
 }
 
 // Check returns the verdict on a frame. In mode Stream the tokens of a passed
 // frame count as delivered even if the write that follows fails, because a
 // failed write may still have left the host.
-func (o *Sequencer) Check(f Frame) Verdict {
+func (s *Sequencer) Check(f Frame) Verdict {
 	switch {
 	case f.Done:
-		return o.checkDone()
-	case f.Generation != o.generation:
+		return s.checkDone()
+	case f.Generation != s.generation:
 		return Mismatched
-	case f.Offset > o.nextOffset:
+	case f.Offset > s.nextOffset:
 		return Gap
 	case f.Offset+f.Tokens < f.Offset:
 		return Mismatched // offset overflow: not a valid frame of this generation
-	case f.Offset < o.nextOffset && f.Offset+f.Tokens <= o.nextOffset:
-		o.noteFinish(f)
+	case f.Offset < s.nextOffset && f.Offset+f.Tokens <= s.nextOffset:
+		s.recordFinish(f)
 		return Duplicate
-	case f.Offset < o.nextOffset:
+	case f.Offset < s.nextOffset:
 		return Gap
-	case o.finished && f.Tokens > 0:
+	case s.finished && f.Tokens > 0:
 		return Mismatched // a generation has no tokens after its end
 	}
-	o.accept(f)
+	s.accept(f)
 	return Pass
 }
 
-func (o *Sequencer) accept(f Frame) {
-	o.nextOffset += f.Tokens
+func (s *Sequencer) accept(f Frame) {
+	s.nextOffset += f.Tokens
 	if f.Tokens > 0 {
-		o.resumes = 0
+		s.resumes = 0
 	}
-	if o.mode == Stream {
-		o.deliveredTokens = o.nextOffset
+	if s.mode == Stream {
+		s.deliveredTokens = s.nextOffset
 	}
-	o.noteFinish(f)
+	s.recordFinish(f)
 }
 
-// noteFinish records the end of the generation, but only if the finishing frame
+// recordFinish records the end of the generation, but only if the finishing frame
 // ends at the next offset: an older frame can't end a longer stream.
-func (o *Sequencer) noteFinish(f Frame) {
-	if f.Finish && f.Offset+f.Tokens == o.nextOffset {
-		o.finished = true
+func (s *Sequencer) recordFinish(f Frame) {
+	if f.Finish && f.Offset+f.Tokens == s.nextOffset {
+		s.finished = true
 	}
 }
 
 // checkDone accepts the closing event only after a finishing frame. Otherwise
 // an answer that a target closed early would count as complete.
-func (o *Sequencer) checkDone() Verdict {
-	if !o.finished {
+func (s *Sequencer) checkDone() Verdict {
+	if !s.finished {
 		return Gap
 	}
-	o.complete = true
+	s.complete = true
 	return Complete
 }
 
 // MarkReleased must be called right before a buffered answer is written to the
 // caller.
-func (o *Sequencer) MarkReleased() {
-	o.released = true
-	o.deliveredTokens = o.nextOffset
+func (s *Sequencer) MarkReleased() {
+	s.released = true
+	s.deliveredTokens = s.nextOffset
 }
 
 // TryResume counts another connection for the same generation, which starts at the
 // next offset. It returns false if too many successive connections brought no
 // token.
-func (o *Sequencer) TryResume() bool {
-	limit := o.maxResumes
-	if o.MayRestart() {
+func (s *Sequencer) TryResume() bool {
+	limit := s.maxResumes
+	if s.MayRestart() {
 		limit = min(limit, maxResumesBeforeRestart)
 	}
-	if o.complete || o.resumes >= limit {
+	if s.complete || s.resumes >= limit {
 		return false
 	}
-	o.resumes++
+	s.resumes++
 	return true
 }
 
 // MayRestart reports whether another generation may answer this request. That
 // is only so while no token can have reached the caller: an answer with tokens
 // of two generations looks plausible and is wrong.
-func (o *Sequencer) MayRestart() bool {
-	return o.deliveredTokens == 0 && !o.released && !o.resumed && !o.complete
+func (s *Sequencer) MayRestart() bool {
+	return s.deliveredTokens == 0 && !s.released && !s.resumed && !s.complete
 }
 
 // Restart changes to another generation. If that is not allowed, it returns
 // false and changes nothing.
-func (o *Sequencer) Restart(generation string) bool {
-	if !o.MayRestart() {
+func (s *Sequencer) Restart(generation string) bool {
+	if !s.MayRestart() {
 		return false
 	}
-	*o = Sequencer{mode: o.mode, generation: generation, maxResumes: o.maxResumes}
+	*s = Sequencer{mode: s.mode, generation: generation, maxResumes: s.maxResumes}
 	return true
 }
 
 // LostError returns the error for a request whose generation is gone. It says how
 // many tokens reached the caller and that no more will follow.
-func (o *Sequencer) LostError(cause error) *failure.Error {
+func (s *Sequencer) LostError(cause error) *failure.Error {
 	const text = "the generation was lost after %d delivered tokens"
-	e := failure.New(failure.KindTargetLost, text, o.deliveredTokens)
+	e := failure.New(failure.KindTargetLost, text, s.deliveredTokens)
 	if cause != nil {
-		e = failure.Wrap(cause, failure.KindTargetLost, text, o.deliveredTokens)
+		e = failure.Wrap(cause, failure.KindTargetLost, text, s.deliveredTokens)
 	}
-	e.Delivered = int(o.deliveredTokens)
+	e.Delivered = int(s.deliveredTokens)
 	return e.Ran()
 }
--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -18,7 +18,7 @@
 
 const (
 	pass, duplicate, gap = delivery.Pass, delivery.Duplicate, delivery.Gap
-	crossed, complete    = delivery.Mismatched, delivery.Complete
+	mismatched, complete = delivery.Mismatched, delivery.Complete
 )
 
 func newFrame(generation string, offset, tokens uint64, finish ...bool) delivery.Frame {
@@ -39,11 +39,11 @@
 	// request, or cut short, and could not tell.
 	DescribeTable("passes each token once, in order, from one generation",
 		func(reached uint64, steps ...step) {
-			o := delivery.New(delivery.Stream, "g")
+			sequencer := delivery.New(delivery.Stream, "g")
 			for i, s := range steps {
-				Expect(o.Check(s.frame)).To(Equal(s.want), "frame %d", i)
+				Expect(sequencer.Check(s.frame)).To(Equal(s.want), "frame %d", i)
 			}
-			Expect(o.DeliveredTokens()).To(Equal(reached))
+			Expect(sequencer.DeliveredTokens()).To(Equal(reached))
 		},
 		Entry("a complete stream", uint64(3), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, 2), pass}, step{newFrame("g", 3, 0, true), pass}, step{closingFrame, complete}),
 		Entry("a finish with the last token", uint64(2), step{newFrame("g", 0, 2, true), pass}, step{closingFrame, complete}),
@@ -51,22 +51,22 @@
 		Entry("a repeated finishing frame", uint64(2), step{newFrame("g", 0, 2, true), pass}, step{newFrame("g", 1, 1, true), duplicate}, step{closingFrame, complete}),
 		Entry("old and new tokens in one frame", uint64(2), step{newFrame("g", 0, 2), pass}, step{newFrame("g", 1, 2), gap}),
 		Entry("a missing frame", uint64(2), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 2, 1), gap}, step{newFrame("g", 1, 1), pass}),
-		Entry("a frame of another generation", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("h", 1, 1), crossed}, step{newFrame("h", 0, 1, true), crossed}),
+		Entry("a frame of another generation", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("h", 1, 1), mismatched}, step{newFrame("h", 0, 1, true), mismatched}),
 		Entry("a closing event before the finish", uint64(1), step{newFrame("g", 0, 1), pass}, step{closingFrame, gap}),
 		Entry("a closing event before any frame", uint64(0), step{closingFrame, gap}),
 		Entry("a finish in an older frame", uint64(3), step{newFrame("g", 0, 3), pass}, step{newFrame("g", 0, 2, true), duplicate}, step{closingFrame, gap}),
-		Entry("tokens after the finish", uint64(1), step{newFrame("g", 0, 1, true), pass}, step{newFrame("g", 1, 1), crossed}),
-		Entry("an offset that overflows", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, ^uint64(0)), crossed}),
+		Entry("tokens after the finish", uint64(1), step{newFrame("g", 0, 1, true), pass}, step{newFrame("g", 1, 1), mismatched}),
+		Entry("an offset that overflows", uint64(1), step{newFrame("g", 0, 1), pass}, step{newFrame("g", 1, ^uint64(0)), mismatched}),
 	)
 
 	It("resumes at a caller's offset and never restarts", func() {
 		for _, offset := range []uint64{0, 7} {
-			o := delivery.Resume(delivery.Stream, "g", offset)
-			Expect(o.Check(newFrame("g", offset+1, 1))).To(Equal(gap))
-			Expect(o.MayRestart()).To(BeFalse())
-			Expect(o.Check(newFrame("g", offset, 1, true))).To(Equal(pass))
-			Expect(o.Check(closingFrame)).To(Equal(complete))
-			Expect(o.Complete()).To(BeTrue())
+			sequencer := delivery.Resume(delivery.Stream, "g", offset)
+			Expect(sequencer.Check(newFrame("g", offset+1, 1))).To(Equal(gap))
+			Expect(sequencer.MayRestart()).To(BeFalse())
+			Expect(sequencer.Check(newFrame("g", offset, 1, true))).To(Equal(pass))
+			Expect(sequencer.Check(closingFrame)).To(Equal(complete))
+			Expect(sequencer.Complete()).To(BeTrue())
 		}
 	})
 
@@ -74,21 +74,21 @@
 	// generation would continue the report in the middle with different words.
 	DescribeTable("restarts only while no token has reached the caller",
 		func(mode delivery.Mode, frames int, released, want bool) {
-			o := delivery.New(mode, "g")
+			sequencer := delivery.New(mode, "g")
 			for i := range frames {
-				Expect(o.Check(newFrame("g", uint64(i), 1))).To(Equal(pass))
+				Expect(sequencer.Check(newFrame("g", uint64(i), 1))).To(Equal(pass))
 			}
 			if released {
-				o.MarkReleased()
+				sequencer.MarkReleased()
 			}
-			Expect(o.Restart("h")).To(Equal(want))
+			Expect(sequencer.Restart("h")).To(Equal(want))
 			if want {
-				Expect(o.Generation()).To(Equal("h"))
-				Expect(o.NextOffset()).To(BeZero())
-				Expect(o.Check(newFrame("g", 0, 1))).To(Equal(crossed), "frames of the lost generation are rejected")
+				Expect(sequencer.Generation()).To(Equal("h"))
+				Expect(sequencer.NextOffset()).To(BeZero())
+				Expect(sequencer.Check(newFrame("g", 0, 1))).To(Equal(mismatched), "frames of the lost generation are rejected")
 				return
 			}
-			lostErr := o.LostError(errors.New("reset"))
+			lostErr := sequencer.LostError(errors.New("reset"))
 			Expect(lostErr.Kind).To(Equal(failure.KindTargetLost))
 			Expect(lostErr.Executed).To(Equal(failure.ExecutedYes))
 			Expect(lostErr.Delivered).To(Equal(frames))
@@ -104,28 +104,28 @@
 	// each new connection. Without a limit the entry would reconnect and the
 	// caller would wait without end.
 	It("gives up resuming when connections bring no token", func() {
-		o := delivery.Resume(delivery.Stream, "g", 0)
+		sequencer := delivery.Resume(delivery.Stream, "g", 0)
 		for range 3 {
 			for range delivery.DefaultMaxResumes {
-				Expect(o.TryResume()).To(BeTrue())
+				Expect(sequencer.TryResume()).To(BeTrue())
 			}
-			Expect(o.TryResume()).To(BeFalse())
-			Expect(o.Check(newFrame("g", o.NextOffset(), 1))).To(Equal(pass), "a new token resets the limit")
+			Expect(sequencer.TryResume()).To(BeFalse())
+			Expect(sequencer.Check(newFrame("g", sequencer.NextOffset(), 1))).To(Equal(pass), "a new token resets the limit")
 		}
-		Expect(o.LostError(nil).Delivered).To(Equal(3))
+		Expect(sequencer.LostError(nil).Delivered).To(Equal(3))
 	})
 
 	// The target's connection breaks after the last token, or the caller
 	// resumes with only the closing event missing. If that answer counted as
 	// lost, the caller would pay again for a report that it has.
 	It("completes a finished answer without its closing event", func() {
-		o := delivery.New(delivery.Stream, "g")
-		Expect(o.Check(newFrame("g", 0, 1))).To(Equal(pass))
-		Expect(o.MarkComplete()).To(BeFalse())
-		Expect(o.Check(newFrame("g", 1, 1, true))).To(Equal(pass))
-		Expect(o.Finished()).To(BeTrue())
-		Expect(o.MarkComplete()).To(BeTrue())
-		Expect(o.MayRestart()).To(BeFalse())
+		sequencer := delivery.New(delivery.Stream, "g")
+		Expect(sequencer.Check(newFrame("g", 0, 1))).To(Equal(pass))
+		Expect(sequencer.MarkComplete()).To(BeFalse())
+		Expect(sequencer.Check(newFrame("g", 1, 1, true))).To(Equal(pass))
+		Expect(sequencer.Finished()).To(BeTrue())
+		Expect(sequencer.MarkComplete()).To(BeTrue())
+		Expect(sequencer.MayRestart()).To(BeFalse())
 		resumed := delivery.ResumeFinished(delivery.Stream, "g", 2)
 		Expect(resumed.MarkComplete()).To(BeTrue())
 	})
@@ -134,11 +134,11 @@
 	// response shows that it is stuck, and another target can restart the
 	// request unnoticed by the caller.
 	It("reconnects only once while it may restart", func() {
-		o := delivery.New(delivery.Buffered, "g")
-		Expect(o.TryResume()).To(BeTrue())
-		Expect(o.TryResume()).To(BeFalse())
-		Expect(o.Restart("h")).To(BeTrue())
-		Expect(o.TryResume()).To(BeTrue())
+		sequencer := delivery.New(delivery.Buffered, "g")
+		Expect(sequencer.TryResume()).To(BeTrue())
+		Expect(sequencer.TryResume()).To(BeFalse())
+		Expect(sequencer.Restart("h")).To(BeTrue())
+		Expect(sequencer.TryResume()).To(BeTrue())
 	})
 
 	It("names its verdicts", func() {
@@ -153,7 +153,7 @@
 	fz.Add([]byte{0, 1, 0, 1, 2, 4, 3, 0, 5})
 	fz.Fuzz(func(t *testing.T, ops []byte) {
 		const length = 12
-		o := delivery.New(delivery.Stream, "g")
+		sequencer := delivery.New(delivery.Stream, "g")
 		var next uint64
 		for i := 0; i+1 < len(ops); i += 2 {
 			frame := delivery.Frame{Generation: "g", Offset: uint64(ops[i] % 16), Tokens: uint64(ops[i+1] % 8)}
@@ -162,7 +162,7 @@
 			if ops[i]%32 == 31 {
 				frame.Generation = "other"
 			}
-			switch o.Check(frame) {
+			switch sequencer.Check(frame) {
 			case pass:
 				if frame.Generation != "g" || frame.Offset != next {
 					t.Fatalf("passed %+v at %d", frame, next)
@@ -173,8 +173,8 @@
 					t.Fatalf("complete after %d tokens", next)
 				}
 			}
-			if o.DeliveredTokens() != next {
-				t.Fatalf("reached %d, passed %d", o.DeliveredTokens(), next)
+			if sequencer.DeliveredTokens() != next {
+				t.Fatalf("reached %d, passed %d", sequencer.DeliveredTokens(), next)
 			}
 		}
 	})
