--- a/internal/decide/health/doc.go
+++ b/internal/decide/health/doc.go
@@ -108,6 +108,8 @@
 	Ejected
 )
 
+// statusNames are the names in metrics and logs, some of which differ from those of
+// the constants.
 var statusNames = [...]string{Healthy: "good", Trial: "trial", Degraded: "doubtful", Ejected: "ejected"}
 
 // String returns the name that metrics and logs show.
--- a/internal/decide/health/pool_test.go
+++ b/internal/decide/health/pool_test.go
@@ -158,7 +158,7 @@
 	})
 }
 
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkStatus(b *testing.B) {
 	p := newPoolWithResults()
 	b.ReportAllocs()
 	for range b.N {
