--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -56,8 +56,8 @@
 		Expect(s.ForService(0, "lookup")).NotTo(BeIdenticalTo(lookup))
 	})
 
-	DescribeTable("refuses", func(s hedge.Conditions, want hedge.Refusal) {
-		Expect(newWarmHedger().AllowSecond(0, s)).To(Equal(want))
+	DescribeTable("refuses", func(conditions hedge.Conditions, want hedge.Refusal) {
+		Expect(newWarmHedger().AllowSecond(0, conditions)).To(Equal(want))
 	},
 		Entry(nil, hedge.Conditions{OtherTargets: 1}, hedge.NotRepeatable),
 		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
@@ -67,8 +67,8 @@
 
 	// All targets become slow together. Every lookup is then late, and sending
 	// all of them twice would double the load when there is no capacity for it.
-	DescribeTable("reduces the tail latency within its budget", func(strategy, slowLookups int, p99 time.Duration, minShare, maxShare float64) {
-		measuredP99, secondShare := simulateLookups(1, strategy, slowLookups)
+	DescribeTable("reduces the tail latency within its budget", func(strategy, slowPairs int, p99 time.Duration, minShare, maxShare float64) {
+		measuredP99, secondShare := simulateLookups(1, strategy, slowPairs)
 		Expect(measuredP99).To(BeNumerically("<=", p99))
 		Expect(secondShare).To(And(BeNumerically(">=", minShare), BeNumerically("<=", maxShare)))
 		AddReportEntry("lookups", fmt.Sprintf("p99 %v, %.1f%% second calls", measuredP99, 100*secondShare))
