--- a/internal/decide/memoryforecast/memoryforecast_test.go
+++ b/internal/decide/memoryforecast/memoryforecast_test.go
@@ -33,13 +33,13 @@
 // engine.
 func admittedCount(d *outputlength.Distribution, gen Generation, untracked float64) int {
 	var load Load
-	var g Forecast
-	g.Predict(d, gen)
+	var forecast Forecast
+	forecast.Predict(d, gen)
 	for n := 0; ; n++ {
-		if DefaultRule().Headroom(&load, &g, untracked, capacity) < 0 {
+		if DefaultRule().Headroom(&load, &forecast, untracked, capacity) < 0 {
 			return n
 		}
-		load.Add(&g)
+		load.Add(&forecast)
 	}
 }
 
@@ -87,10 +87,10 @@
 func BenchmarkHeadroom(b *testing.B) {
 	d := constantLength(300)
 	var load Load
-	var g Forecast
+	var forecast Forecast
 	b.ReportAllocs()
 	for range b.N {
-		g.Predict(d, Generation{Prompt: 400, Max: 4096})
-		DefaultRule().Headroom(&load, &g, 0, capacity)
+		forecast.Predict(d, Generation{Prompt: 400, Max: 4096})
+		DefaultRule().Headroom(&load, &forecast, 0, capacity)
 	}
 }
