--- a/internal/decide/poison/detector_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -64,12 +64,12 @@
 	})
 
 	It("lets suspects share a target only with clear requests", func() {
-		clear, apart, alone := poison.Clear, poison.Isolated, poison.Exclusive
-		for _, v := range []poison.Verdict{clear, apart, alone} {
+		clear, isolated, exclusive := poison.Clear, poison.Isolated, poison.Exclusive
+		for _, v := range []poison.Verdict{clear, isolated, exclusive} {
 			Expect(poison.MayShare(v, nil)).To(BeTrue())
-			Expect(poison.MayShare(v, []poison.Verdict{clear})).To(Equal(v != alone))
-			Expect(poison.MayShare(v, []poison.Verdict{clear, apart})).To(Equal(v == clear))
-			Expect(poison.MayShare(v, []poison.Verdict{alone})).To(BeFalse())
+			Expect(poison.MayShare(v, []poison.Verdict{clear})).To(Equal(v != exclusive))
+			Expect(poison.MayShare(v, []poison.Verdict{clear, isolated})).To(Equal(v == clear))
+			Expect(poison.MayShare(v, []poison.Verdict{exclusive})).To(BeFalse())
 		}
 	})
 
