--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -246,6 +246,6 @@
 	if cause != nil {
 		e = failure.Wrap(cause, failure.KindTargetLost, text, s.deliveredTokens)
 	}
-	e.Delivered = int(s.deliveredTokens)
-	return e.Ran()
+	e.DeliveredTokens = int(s.deliveredTokens)
+	return e.WithExecuted()
 }
