--- a/internal/gateway/stream_times.go
+++ b/internal/gateway/average_times.go
@@ -7,12 +7,12 @@
 	"filbertdeck/internal/call"
 )
 
-// streamTimes keeps moving averages of the time from a request to its first
+// averageTimes keeps moving averages of the time from a request to its first
 // event and of the interval between events. It is safe for concurrent use.
-type streamTimes struct{ first, interval atomic.Int64 }
+type averageTimes struct{ first, interval atomic.Int64 }
 
 const (
-	// Defaults until a generation has ended.
+	// Defaults until the first generation has ended.
 	defaultFirstEvent, defaultEventInterval = 500 * time.Millisecond, 45 * time.Millisecond
 	// sampleWeightDivisor sets the weight of a new sample in the average to
 	// 1/8.
@@ -22,16 +22,16 @@
 	defaultEvents = 100
 )
 
-func (t *streamTimes) add(gaps eventGaps) {
-	if gaps.events < 2 {
+func (t *averageTimes) add(times eventTimes) {
+	if times.events < 2 {
 		return
 	}
-	updateAverage(&t.first, gaps.first, defaultFirstEvent)
-	updateAverage(&t.interval, (gaps.last-gaps.first)/time.Duration(gaps.events-1), defaultEventInterval)
+	updateAverage(&t.first, times.first, defaultFirstEvent)
+	updateAverage(&t.interval, (times.last-times.first)/time.Duration(times.events-1), defaultEventInterval)
 }
 
-// updateAverage may lose one of two concurrent samples, which the average
-// tolerates.
+// updateAverage adds a sample to a moving average, which starts at fallback. It
+// may lose one of two concurrent samples, which the average tolerates.
 func updateAverage(average *atomic.Int64, sample, fallback time.Duration) {
 	old := average.Load()
 	if old == 0 {
@@ -41,7 +41,7 @@
 }
 
 // expectedDuration returns the time that a generation is expected to take.
-func (t *streamTimes) expectedDuration(prompt call.Prompt, tokensPerEvent int) time.Duration {
+func (t *averageTimes) expectedDuration(prompt call.Prompt, tokensPerEvent int) time.Duration {
 	events := expectedEvents(prompt, tokensPerEvent)
 	if events == 0 {
 		events = defaultEvents
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -12,8 +12,8 @@
 	"filbertdeck/internal/wake"
 )
 
-// ColdRateLimit limits the requests per second that all hosts together send to a
-// cold target: the service's cold rate times Factor, plus Extra.
+// ColdRateLimit limits the requests per second that all hosts together send to
+// a cold target: the service's cold rate times Factor, plus Extra.
 type ColdRateLimit struct {
 	Factor, Extra float64
 	// Rank returns this host's rank for a target among the hosts, and the
@@ -23,11 +23,12 @@
 
 // SetColdRateLimit sets the limit for cold targets. Without it cold targets are
 // treated like warm ones.
-func (l *TargetLoads) SetColdRateLimit(b ColdRateLimit) { l.coldBound = b }
+func (l *TargetLoads) SetColdRateLimit(limit ColdRateLimit) { l.coldRateLimit = limit }
 
 const (
-	// failurePenaltyDuration is how long a failure counts against a target: until
-	// the next failure of a target that fails only a part of its requests.
+	// failurePenaltyDuration is how long a failure counts against a target. A
+	// target that fails only a part of its requests fails again within that
+	// time, so the penalty lasts.
 	failurePenaltyDuration = 4 * time.Second
 	// penaltyPerFailure is added to the relative load of a target for each
 	// failure, up to maxFailurePenalty.
@@ -81,7 +82,7 @@
 // cold, 0 when it is not.
 func (l *TargetLoads) coldRate(view *directory.View, t *directory.ObservedTarget) float64 {
 	s, ok := view.Service(t.Service)
-	if !ok || s.ColdRequestsPerSecond <= 0 || l.coldBound.Rank == nil {
+	if !ok || s.ColdRequestsPerSecond <= 0 || l.coldRateLimit.Rank == nil {
 		return 0
 	}
 	if l.now() < t.WarmAt || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
@@ -93,8 +94,8 @@
 // coldShare returns this host's share of the requests per second to a cold
 // target.
 func (l *TargetLoads) coldShare(target string, rate float64) int {
-	rank, hosts := l.coldBound.Rank(target)
-	return coldlimit.SendQuota(rate*l.coldBound.Factor+l.coldBound.Extra, rank, hosts)
+	rank, hosts := l.coldRateLimit.Rank(target)
+	return coldlimit.SendQuota(rate*l.coldRateLimit.Factor+l.coldRateLimit.Extra, rank, hosts)
 }
 
 // RecordFailure records that a target failed a request through its own fault.
@@ -156,7 +157,7 @@
 // now: a cold target takes this host's share of its cold rate.
 func (l *TargetLoads) withinColdShare(view *directory.View, t *directory.ObservedTarget) bool {
 	rate := l.coldRate(view, t)
-	return rate == 0 || l.loadOf(t.ID).coldGate.Allows(l.now(), l.coldShare(t.ID, rate))
+	return rate == 0 || l.loadOf(t.ID).coldLimiter.Allows(l.now(), l.coldShare(t.ID, rate))
 }
 
 // newCandidate returns the placement candidate for a target. others is the load
@@ -175,7 +176,7 @@
 	if l.now()-own.failedAt < failurePenaltyDuration {
 		c.Penalty = min(float64(own.failures)*penaltyPerFailure, maxFailurePenalty)
 	}
-	c.Penalty += l.accusers.Penalty(l.now(), t.ID)
+	c.Penalty += l.remoteFailures.Penalty(l.now(), t.ID)
 	if l.coldRate(view, t) > 0 {
 		c.Penalty += coldPenalty
 	}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/crash_evidence.go
@@ -31,8 +31,8 @@
 	poisonRetryAfter = 10 * time.Second
 )
 
-// CrashEvidence keeps the evidence, from this host and from others, against requests
-// that crash the targets that run them. It is safe for concurrent use.
+// CrashEvidence keeps the evidence, from this host and from others, against
+// requests that crash the targets that run them. It is safe for concurrent use.
 type CrashEvidence struct {
 	now func() time.Duration
 
@@ -47,7 +47,7 @@
 	changed chan struct{}
 }
 
-// NewCrashEvidence returns a Suspects without evidence.
+// NewCrashEvidence returns a CrashEvidence that holds no evidence yet.
 func NewCrashEvidence(now func() time.Duration) *CrashEvidence {
 	return &CrashEvidence{
 		now: now, detector: poison.New(poison.Config{}), running: map[string][]uint64{}, checking: map[uint64]bool{},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,14 +76,14 @@
 	Migration migration.Config
 	Log       *slog.Logger
 	Metrics   gometrics.Registry
-	// ViewCurrent reports whether the published state on the board is recent enough
+	// ViewCurrent reports whether the published state on Board is recent enough
 	// to answer that a route or key does not exist.
 	ViewCurrent func() bool
-	// ViewAge returns the time since the state on the board was last confirmed to
-	// be the newest published one; negative when it never was.
+	// ViewAge returns the time since the state on Board was last confirmed to be
+	// the newest published one; negative when it never was.
 	ViewAge func() time.Duration
-	// Disconnected reports whether this host has no way to learn what is currently
-	// published.
+	// Disconnected reports whether this host has no way to learn what is
+	// currently published.
 	Disconnected func() bool
 	// Now returns the time of the process's monotonic clock.
 	Now func() time.Duration
@@ -92,10 +92,10 @@
 // Gateway is the http.Handler that relays callers' requests. It is safe for
 // concurrent use.
 type Gateway struct {
-	cfg         Config
-	metrics     *gatewayMetrics
-	generations *generationSet
-	streamTimes streamTimes
+	cfg          Config
+	metrics      *gatewayMetrics
+	generations  *generationSet
+	averageTimes averageTimes
 	// shutdown is set once the process shuts down.
 	shutdown atomic.Pointer[shutdownTimes]
 }
@@ -112,8 +112,8 @@
 // shutdownTimes holds the times of a process shutdown.
 type shutdownTimes struct{ lastStart, exit time.Time }
 
-// AnnounceShutdown announces that the process shuts down: it starts no generation after
-// lastStart and exits at exit.
+// AnnounceShutdown announces that the process shuts down: it starts no
+// generation after lastStart and exits at exit.
 func (g *Gateway) AnnounceShutdown(lastStart, exit time.Time) {
 	g.shutdown.Store(&shutdownTimes{lastStart, exit})
 }
@@ -128,7 +128,7 @@
 		return false
 	}
 	now := time.Now()
-	return now.After(shutdown.lastStart) || now.Add(g.streamTimes.expectedDuration(x.Prompt, x.service.Engine.TokensPerEvent)).After(shutdown.exit)
+	return now.After(shutdown.lastStart) || now.Add(g.averageTimes.expectedDuration(x.Prompt, x.service.Engine.TokensPerEvent)).After(shutdown.exit)
 }
 
 // view returns the state published most recently. A request keeps the route and
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -33,9 +33,9 @@
 	moves, attempts int
 	// failedAnswer is an engine's own failure answer, nil when there is none.
 	failedAnswer *completeAnswer
-	// progress is a copy of gaps that is read by the goroutine moving the
+	// progress is a copy of times that is read by the goroutine moving the
 	// generation.
-	progress atomic.Pointer[eventGaps]
+	progress atomic.Pointer[eventTimes]
 	// ended is closed when the caller has its answer.
 	ended chan struct{}
 
@@ -43,7 +43,7 @@
 	// switches to another engine: no event of the old engine may follow the
 	// switch.
 	deliveryMu sync.Mutex
-	gaps       eventGaps
+	times      eventTimes
 	// lastEventID is the id of the last whole event that the caller got.
 	lastEventID string
 	// nextStream is the stream that continues the generation once the current
@@ -251,7 +251,7 @@
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
-		if mean, full := window.Add(gen.gaps.last); full && gen.service.Engine != nil {
+		if mean, full := window.Add(gen.times.last); full && gen.service.Engine != nil {
 			gen.g.cfg.Loads.RecordStep(stream.target.ID, mean/time.Duration(max(gen.service.Engine.TokensPerEvent, 1)))
 		}
 	}
@@ -271,9 +271,9 @@
 	if f, ok := gen.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	gen.gaps.record(time.Since(gen.Arrived))
-	gaps := gen.gaps
-	gen.progress.Store(&gaps)
+	gen.times.record(time.Since(gen.Arrived))
+	times := gen.times
+	gen.progress.Store(&times)
 	if block.ID != nil {
 		gen.lastEventID = string(block.ID)
 	}
@@ -297,12 +297,12 @@
 func (gen *generation) finish(err error) {
 	switch {
 	case err == errStreamEnded:
-		gen.g.streamTimes.add(gen.gaps)
-		gen.g.metrics.countAnswered(gen.route.Kind, gen.gaps.last)
-		gen.g.metrics.recordServed(gen.gaps)
+		gen.g.averageTimes.add(gen.times)
+		gen.g.metrics.countAnswered(gen.route.Kind, gen.times.last)
+		gen.g.metrics.recordServed(gen.times)
 		gen.g.cfg.Log.Info("generation served", "request", gen.ID, "target", gen.target.ID, "route", gen.route.Name, "account", accountName(gen.account),
-			"config", gen.view.Config.Version, "events", gen.gaps.events,
-			"moves", gen.moves, "first", gen.gaps.first, "longest_pause", gen.gaps.longest, "pause_at", gen.gaps.longestEnd, "took", gen.gaps.last)
+			"config", gen.view.Config.Version, "events", gen.times.events,
+			"moves", gen.moves, "first", gen.times.first, "longest_pause", gen.times.longest, "pause_at", gen.times.longestEnd, "took", gen.times.last)
 		return
 	case !gen.headerSent && gen.failedAnswer != nil:
 		gen.g.writeAnswer(gen.exchange, gen.failedAnswer)
@@ -312,6 +312,6 @@
 		return
 	}
 	gen.g.metrics.countBroken(gen.ctx.Err() != nil)
-	gen.g.cfg.Log.Info("generation broke", "request", gen.ID, "target", gen.target.ID, "events", gen.gaps.events, "caller_left", gen.ctx.Err() != nil, "cause", err)
+	gen.g.cfg.Log.Info("generation broke", "request", gen.ID, "target", gen.target.ID, "events", gen.times.events, "caller_left", gen.ctx.Err() != nil, "cause", err)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -116,14 +116,14 @@
 
 // fixture is a running gateway with its published state and a client.
 type fixture struct {
-	url      string
-	views    *blackboard.Writer[directory.View]
-	cfg      *directory.Config
-	client   *http.Client
-	loads    *gateway.TargetLoads
-	gateway  *gateway.Gateway
-	suspects *gateway.CrashEvidence
-	targets  []*directory.ObservedTarget
+	url           string
+	views         *blackboard.Writer[directory.View]
+	cfg           *directory.Config
+	client        *http.Client
+	loads         *gateway.TargetLoads
+	gateway       *gateway.Gateway
+	crashEvidence *gateway.CrashEvidence
+	targets       []*directory.ObservedTarget
 	// disconnected is set while the gateway has no access to the published
 	// state.
 	disconnected atomic.Bool
@@ -147,10 +147,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	gw := &fixture{views: views, cfg: testConfig(), loads: gateway.NewTargetLoads("host-1", "dc-1", now), suspects: gateway.NewCrashEvidence(now)}
+	gw := &fixture{views: views, cfg: testConfig(), loads: gateway.NewTargetLoads("host-1", "dc-1", now), crashEvidence: gateway.NewCrashEvidence(now)}
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
-		Loads: gw.loads, CrashEvidence: gw.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
+		Loads: gw.loads, CrashEvidence: gw.crashEvidence, RetryBudget: retrybudget.New(retrybudget.Config{}),
 		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
@@ -187,11 +187,11 @@
 }
 
 func (gw *fixture) publish(targets ...*directory.ObservedTarget) {
-	seen := map[string]*directory.ObservedTarget{}
+	byID := map[string]*directory.ObservedTarget{}
 	for _, t := range targets {
-		seen[t.ID] = t
+		byID[t.ID] = t
 	}
-	gw.views.Publish(directory.NewView(1, gw.cfg, seen, nil))
+	gw.views.Publish(directory.NewView(1, gw.cfg, byID, nil))
 }
 
 // add publishes one more target beside those added before.
@@ -201,7 +201,7 @@
 }
 
 // crashCount returns the number of target crashes known to the gateway.
-func (gw *fixture) crashCount() int { return len(gw.suspects.Export()) }
+func (gw *fixture) crashCount() int { return len(gw.crashEvidence.Export()) }
 
 func (gw *fixture) request(method, path string) *http.Request {
 	req, err := http.NewRequest(method, gw.url+path, strings.NewReader("hello"))
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -65,7 +65,7 @@
 func (g *Gateway) MoveGenerations(ctx context.Context) {
 	ticker := time.NewTicker(disconnectedCheckInterval)
 	defer ticker.Stop()
-	var round healthCheckRound
+	var lastCheck healthCheckState
 	for {
 		changed := g.cfg.Board.View.Changed()
 		if view := g.cfg.Board.View.Get(); view != nil {
@@ -78,34 +78,35 @@
 		case <-changed:
 		case <-g.cfg.Loads.targetLeaving:
 		case <-ticker.C:
-			round = g.checkTargets(ctx, round)
+			lastCheck = g.checkTargets(ctx, lastCheck)
 		}
 	}
 }
 
-// healthCheckRound is this host's last round of health checks at the engines of
-// its generations.
-type healthCheckRound struct {
-	// disconnected says that the host had no access to the published state at
-	// the time at, which is of the monotonic clock.
+// healthCheckState describes this host's last round of health checks at the
+// engines of its generations; the zero value means that there was none since the
+// host last had access to the published state.
+type healthCheckState struct {
+	// disconnected is set when the host had no access to the published state at
+	// checkedAt, a time of the process's monotonic clock.
 	disconnected bool
-	at           time.Duration
+	checkedAt    time.Duration
 }
 
 // checkTargets checks the health of the engines of this host's generations, to
-// learn whether they are about to stop, while the published state is out of
-// reach. An engine that is taken away while the configuration store is down is
+// learn whether they are about to stop, while it has no access to the published
+// state. An engine that is taken away while the configuration store is down is
 // gone two seconds later, with all its generations. The health answer is
 // current, while load reports are half a second old, which is a third of the
 // notice. Each check costs the engine a call, so none is made while the store
 // or a peer answers, and after the first round only some of an engine's hosts
 // check it: what one learns reaches the others a tenth of a second later.
-func (g *Gateway) checkTargets(ctx context.Context, last healthCheckRound) healthCheckRound {
+func (g *Gateway) checkTargets(ctx context.Context, last healthCheckState) healthCheckState {
 	if !g.cfg.Disconnected() {
-		return healthCheckRound{}
+		return healthCheckState{}
 	}
 	now := g.cfg.Now()
-	if last.disconnected && now-last.at < healthCheckInterval {
+	if last.disconnected && now-last.checkedAt < healthCheckInterval {
 		return last
 	}
 	for _, t := range g.generations.targets() {
@@ -113,7 +114,7 @@
 			go g.checkTarget(ctx, t)
 		}
 	}
-	return healthCheckRound{true, now}
+	return healthCheckState{true, now}
 }
 
 // checkClosingTarget checks the health of a target that closes a connection. A
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -17,8 +17,8 @@
 	"filbertdeck/internal/wake"
 )
 
-// TargetLoads holds the load of each target, from this host and from others, and
-// chooses targets by it.
+// TargetLoads holds the load of each target, from this host and from others,
+// and chooses targets by it.
 type TargetLoads struct {
 	address, dataCentre string
 	now                 func() time.Duration
@@ -31,9 +31,9 @@
 	// same targets.
 	alerts *targetload.Table
 	speeds *enginespeed.Estimator
-	// accusers holds the target failures that other hosts reported.
-	accusers  *failurereports.Tracker
-	coldBound ColdRateLimit
+	// remoteFailures holds the target failures that other hosts reported.
+	remoteFailures *failurereports.Tracker
+	coldRateLimit  ColdRateLimit
 	// rates holds the rate limits that targets advertised. borrowRate borrows
 	// one request of another host's share of a rate; nil when none can be
 	// borrowed.
@@ -61,17 +61,17 @@
 	failures int
 	// unreachableAt is the last time at which it could not be reached.
 	unreachableAt time.Duration
-	// coldGate limits the sends while the target is cold.
-	coldGate coldlimit.Limiter
+	// coldLimiter limits the sends while the target is cold.
+	coldLimiter coldlimit.Limiter
 }
 
-// NewTargetLoads returns empty loads of a host. Other hosts identify the host by its
-// address.
+// NewTargetLoads returns the TargetLoads of a host, with no load recorded yet.
+// Other hosts identify the host by its address.
 func NewTargetLoads(host, dataCentre string, now func() time.Duration) *TargetLoads {
 	start := uint64(time.Now().UnixMicro())
 	return &TargetLoads{
 		address: host, dataCentre: dataCentre, now: now, byTarget: map[string]*targetLoad{},
-		hostLoads: targetload.New(host, start), alerts: targetload.New(host, start), speeds: enginespeed.New(), accusers: failurereports.New(), rates: targetrate.New(),
+		hostLoads: targetload.New(host, start), alerts: targetload.New(host, start), speeds: enginespeed.New(), remoteFailures: failurereports.New(), rates: targetrate.New(),
 		rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), hostCount: func() int { return 1 },
 		loadsChanged: make(chan struct{}, 1), alertsChanged: make(chan struct{}, 1), targetLeaving: make(chan struct{}, 1),
 	}
@@ -85,22 +85,22 @@
 // targets. The number is one until then.
 func (l *TargetLoads) SetHostCount(hosts func() int) { l.hostCount = hosts }
 
-// LoadsChanged returns a channel that receives when there are loads to send to other
-// hosts.
+// LoadsChanged returns a channel that receives when there are loads to send to
+// other hosts.
 func (l *TargetLoads) LoadsChanged() <-chan struct{} { return l.loadsChanged }
 
-// AlertsChanged returns a channel that receives when there are alerts to send to
-// other hosts.
+// AlertsChanged returns a channel that receives when there are alerts to send
+// to other hosts.
 func (l *TargetLoads) AlertsChanged() <-chan struct{} { return l.alertsChanged }
 
-// SendsToOwnersOnly reports whether loads are sent only to the owners of targets. In a
-// small fleet all hosts send their loads to each other. In a large one each
-// load would pass through every host although few choose among the same targets
-// at that moment, and the traffic of a host would grow with the fleet.
+// SendsToOwnersOnly reports whether loads are sent only to the owners of
+// targets. In a small fleet all hosts send their loads to each other. In a large
+// one each load would pass through every host although few choose among the same
+// targets at that moment, and the traffic of a host would grow with the fleet.
 func (l *TargetLoads) SendsToOwnersOnly() bool { return !placement.KnowsRecentChoices(l.hostCount()) }
 
-// PendingLoads returns the loads that another host has not been sent yet; none when
-// loads are sent to owners.
+// PendingLoads returns the loads that another host has not been sent yet; none
+// when loads are sent to owners.
 func (l *TargetLoads) PendingLoads(host string) []targetload.HostLoad {
 	if l.SendsToOwnersOnly() {
 		return nil
@@ -110,8 +110,8 @@
 	return l.hostLoads.PeerUpdates(l.now(), host)
 }
 
-// PendingOwnLoads returns this host's loads that the owners of their targets have not
-// been sent yet.
+// PendingOwnLoads returns this host's loads that the owners of their targets
+// have not been sent yet.
 func (l *TargetLoads) PendingOwnLoads() []targetload.HostLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +148,7 @@
 	l.mergeRates(alerts)
 	for _, c := range alerts {
 		if c.Host != l.address {
-			l.accusers.RecordFailures(l.now(), c.Host, c.Target, c.FailureSeq)
+			l.remoteFailures.RecordFailures(l.now(), c.Host, c.Target, c.FailureSeq)
 		}
 		if c.Leaving {
 			wake.Signal(l.targetLeaving)
@@ -171,7 +171,7 @@
 		return found
 	}
 	l.speeds.Retain(known)
-	l.accusers.Retain(known)
+	l.remoteFailures.Retain(known)
 	l.rates.Retain(known)
 }
 
@@ -223,7 +223,7 @@
 
 func (l *TargetLoads) reserveLoad(target string, load targetload.Load) *Reservation {
 	if load.Running > 0 {
-		l.loadOf(target).coldGate.RecordSend(l.now())
+		l.loadOf(target).coldLimiter.RecordSend(l.now())
 		l.rates.TakeToken(target)
 	}
 	l.setLoad(target, l.loadOf(target).Add(load))
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -84,9 +84,9 @@
 
 // recordServed records the event times of a generation that was passed on
 // completely.
-func (m *gatewayMetrics) recordServed(gaps eventGaps) {
-	m.firstEvent.Update(gaps.first.Microseconds())
-	m.longestPause.Update(gaps.longest.Microseconds())
+func (m *gatewayMetrics) recordServed(times eventTimes) {
+	m.firstEvent.Update(times.first.Microseconds())
+	m.longestPause.Update(times.longest.Microseconds())
 }
 
 // countRefused counts a failure answer made by the gateway itself.
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -97,8 +97,8 @@
 )
 
 // copyToSomeTarget tries several destinations in sequence, leaving out those in
-// avoid. It returns avoid extended by the engines that refused, and whether the
-// move is over.
+// exclude. It returns exclude extended by the engines that refused, and whether
+// the move is over.
 //
 // When a third of a data centre's engines leave at once, the others there are
 // full. Engines that refused are not tried again while there are others, so
@@ -198,7 +198,8 @@
 	}
 }
 
-// timeUntilStop asks the engine when it stops.
+// timeUntilStop returns the time until an engine stops, as the engine reports
+// it; without a report, the configured stop notice.
 func (gen *generation) timeUntilStop(ctx context.Context, from *directory.ObservedTarget) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -209,13 +210,13 @@
 	return report.LeavesIn
 }
 
-// endsWithin reports whether the generation will end on its own before the
-// engine stops.
-func (gen *generation) endsWithin(leavesIn time.Duration) bool {
+// endsWithin reports whether the generation will end on its own before its
+// engine stops, untilStop from now.
+func (gen *generation) endsWithin(untilStop time.Duration) bool {
 	progress := gen.progress.Load()
 	if progress == nil {
 		return false
 	}
 	maxEvents := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
-	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(maxEvents, progress.events, progress.last-progress.first), leavesIn)
+	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(maxEvents, progress.events, progress.last-progress.first), untilStop)
 }
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -11,7 +11,8 @@
 	"filbertdeck/internal/directory"
 )
 
-// TargetRef identifies a target, for finding the host that owns its load counts.
+// TargetRef identifies a target, for finding the host that owns its load
+// counts.
 type TargetRef struct{ ID, DataCentre string }
 
 // QueryOwner sends the owner of a target's load counts this host's counts there
@@ -40,10 +41,10 @@
 
 // SetOwnerQuery sets the function that queries owners. Without it no owner is
 // queried.
-func (l *TargetLoads) SetOwnerQuery(ask QueryOwner) { l.ownerQuery = ask }
+func (l *TargetLoads) SetOwnerQuery(query QueryOwner) { l.ownerQuery = query }
 
-// AnswerOwnerQuery merges the counts of another host and returns all counts known here
-// for the same targets.
+// AnswerOwnerQuery merges the counts of another host and returns all counts
+// known here for the same targets.
 func (l *TargetLoads) AnswerOwnerQuery(counts []targetload.HostLoad) []targetload.HostLoad {
 	l.MergeLoads("", counts)
 	l.mu.Lock()
@@ -123,8 +124,8 @@
 	return reservation
 }
 
-// queryReservationOwner reports a reservation to the target's owner and merges the
-// owner's counts; false when no owner was queried or none answered.
+// queryReservationOwner reports a reservation to the target's owner and merges
+// the owner's counts; false when no owner was queried or none answered.
 func (l *TargetLoads) queryReservationOwner(r *Reservation) bool {
 	return l.queriesOwners() && l.queryOwner(r.entry)
 }
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// minNearbyTargets is the number of targets in a data centre from which a
-	// large fleet samples the destination of a move only there.
+	// minNearbyTargets is the least number of eligible targets in the preferred
+	// data centre with which a large fleet samples a move's destinations in that
+	// data centre only.
 	minNearbyTargets = 5
 	// crowdedSampleFactor multiplies the sample size when the best target of
 	// the first sample is crowded.
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -25,9 +25,10 @@
 	body   []byte
 }
 
-// relayPlain relays a request of a plain service. The answer is passed on once
-// it is complete: a truncated answer must not look complete, and a repeatable
-// request can then be sent to another target instead.
+// relayPlain relays a request that is not a generation, such as those of plain
+// services, which have no model engines. The answer is passed on once it is
+// complete: a truncated answer must not look complete, and a repeatable request
+// can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
 	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var exclude []string
@@ -84,8 +85,9 @@
 	return err != nil || answer.Status >= http.StatusInternalServerError
 }
 
-// maxUnsentAttempts limits the targets that fail to be reached for one request:
-// one that left, one that crashed, one that is cut off, and one to spare.
+// maxUnsentAttempts limits the targets that one request may fail to reach: one
+// that left, one that crashed, one that is cut off from this host, and one in
+// reserve.
 const maxUnsentAttempts = 4
 
 // attemptCounts counts the targets that a request was tried at.
@@ -103,7 +105,7 @@
 	c.sent++
 }
 
-// unsent reports whether a request never reached a target of its service.
+// requestUnsent reports whether a request never reached a target of its service.
 func requestUnsent(err error) bool {
 	var f *failure.Error
 	if !errors.As(err, &f) || f.Executed != failure.ExecutedNo {
@@ -211,7 +213,8 @@
 }
 
 // checkAnswer returns what is wrong with an answer's header, nil when it is the
-// target's answer to this request.
+// target's answer to this request. A success must carry a seal, the response
+// header by which targets mark their own answers.
 func checkAnswer(s *call.Send, a call.Answer) error {
 	switch {
 	case a.OtherTarget:
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -55,8 +55,8 @@
 	return int64(l.rates.Limited())
 }
 
-// LendRate lends another host one request of a target's rate; false when this host
-// has none left.
+// LendRate lends another host one request of a target's rate; false when this
+// host has none left.
 func (l *TargetLoads) LendRate(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,10 +67,10 @@
 // rank returns this host's rank for a target among the hosts, and the number of
 // hosts.
 func (l *TargetLoads) rank(target string) (rank, hosts int) {
-	if l.coldBound.Rank == nil {
+	if l.coldRateLimit.Rank == nil {
 		return 0, 1
 	}
-	return l.coldBound.Rank(target)
+	return l.coldRateLimit.Rank(target)
 }
 
 // withinRate reports whether this host may send one more request within the
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -9,7 +9,7 @@
 )
 
 // denyIfCurrent returns a denial when this host's configuration is current,
-// else a retryable failure. A host that the configuration store turns away
+// else a retryable failure. A host that the configuration store refuses to serve
 // holds an old configuration while other hosts serve a new route or key. Its
 // caller may try those, and must not get a final answer that there is none.
 func (g *Gateway) denyIfCurrent(denial *failure.Error) error {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -99,11 +99,11 @@
 
 var _ = Describe("a drained data centre", func() {
 	publishDrained := func(gw *fixture, dataCentre string, targets ...*directory.ObservedTarget) {
-		seen := map[string]*directory.ObservedTarget{}
+		byID := map[string]*directory.ObservedTarget{}
 		for _, t := range targets {
-			seen[t.ID] = t
+			byID[t.ID] = t
 		}
-		gw.views.Publish(directory.NewView(1, gw.cfg, seen, []string{dataCentre}))
+		gw.views.Publish(directory.NewView(1, gw.cfg, byID, []string{dataCentre}))
 	}
 
 	// The data centre's targets may lose power at any moment, and a request
@@ -137,9 +137,9 @@
 })
 
 var _ = Describe("a host without access to the published state", func() {
-	// The configuration store turns this host away while operators add a key or
-	// a route. A caller that uses the new one must not get a final answer that
-	// it is unknown.
+	// The configuration store refuses to serve this host while operators add a
+	// key or a route. A caller that uses the new one must not get a final answer
+	// that it is unknown.
 	DescribeTable("answers an unknown key or route with a retryable failure", func(change func(*http.Request)) {
 		gw := startGateway(startTarget("i-1", respond(completeAnswer)).directoryEntry("app", "dc-1"))
 		gw.disconnected.Store(true)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -88,8 +88,8 @@
 	return stream, err
 }
 
-// acceptsNewWork reports whether a target taken from an earlier view still accepts
-// work.
+// acceptsNewWork reports whether a target taken from an earlier view still
+// accepts work; false when it has restarted since.
 func acceptsNewWork(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
 	return known && now.StartedUnixMilli == t.StartedUnixMilli && view.AcceptsNewRequests(now)
@@ -166,7 +166,7 @@
 		return nil, false
 	}
 	stream, err := gen.resume(c, reservation)
-	gen.g.cfg.Log.Info("generation comes back from a copy", "request", gen.ID, "to", c.target.ID, "events", gen.gaps.events,
+	gen.g.cfg.Log.Info("generation comes back from a copy", "request", gen.ID, "to", c.target.ID, "events", gen.times.events,
 		"silent_for", gen.sinceLastEvent(), "error", err)
 	if err != nil {
 		return nil, false
@@ -211,6 +211,6 @@
 	gen.moves++
 	gen.attempts++
 	gen.g.metrics.newRuns.Inc(1)
-	gen.g.cfg.Log.Info("generation continued by a new run", "request", gen.ID, "from", from.ID, "to", target.ID, "events", gen.gaps.events)
+	gen.g.cfg.Log.Info("generation continued by a new run", "request", gen.ID, "from", from.ID, "to", target.ID, "events", gen.times.events)
 	return stream, nil
 }
