--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -131,12 +131,12 @@
 // eligible returns the targets of a service that accept a request now.
 func (l *TargetLoads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
 	var out targetCandidates
-	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
+	totals, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	for _, t := range view.ServiceTargets(req.Service) {
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
 		}
-		out = append(out, targetCandidate{l.newCandidate(view, t, req.Locality, sums[t.ID].Others, defaultStep), t})
+		out = append(out, targetCandidate{l.newCandidate(view, t, req.Locality, totals[t.ID].Others, defaultStep), t})
 	}
 	return out
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -50,7 +50,7 @@
 	It("are avoided while others are about as empty", func() {
 		loads := gateway.NewTargetLoads("host-1", "dc-1", func() time.Duration { return 0 })
 		loads.SetColdRateLimit(gateway.ColdRateLimit{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 4 }})
-		loads.Reserve("warm", call.Prompt{Tokens: 100}).PromptRead()
+		loads.Reserve("warm", call.Prompt{Tokens: 100}).MarkPromptRead()
 		for range 10 {
 			t, reservation, _ := loads.Acquire(view(time.Minute), gateway.PlacementRequest{Service: "llm", Prompt: call.Prompt{Tokens: 10}, Locality: gateway.PreferLocal})
 			Expect(t.ID).To(Equal("warm"))
--- a/internal/gateway/event_times.go
+++ b/internal/gateway/event_times.go
@@ -7,17 +7,17 @@
 type eventTimes struct {
 	events      int
 	first, last time.Duration
-	// longest is the longest gap between two events, and longestEnd the time at
-	// which it ended.
-	longest, longestEnd time.Duration
+	// longestGap is the longest gap between two events, and longestGapEnd the
+	// time at which it ended.
+	longestGap, longestGapEnd time.Duration
 }
 
 func (t *eventTimes) record(at time.Duration) {
 	switch {
 	case t.first == 0:
 		t.first = at
-	case at-t.last > t.longest:
-		t.longest, t.longestEnd = at-t.last, at
+	case at-t.last > t.longestGap:
+		t.longestGap, t.longestGapEnd = at-t.last, at
 	}
 	t.last = at
 	t.events++
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -158,7 +158,7 @@
 // placementRequest returns the requirements for an engine that starts a new run
 // of the generation.
 func (gen *generation) placementRequest(exclude []string) PlacementRequest {
-	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.LatencyObjective, Locality: PreferLocal, Exclude: exclude}
+	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventObjective: gen.route.LatencyObjective, Locality: PreferLocal, Exclude: exclude}
 }
 
 // setTarget records where the generation runs. No move away from there has
@@ -247,7 +247,7 @@
 			}
 			return err
 		}
-		stream.reservation.PromptRead()
+		stream.reservation.MarkPromptRead()
 		if err := gen.deliver(&block); err != nil {
 			return err
 		}
@@ -302,7 +302,7 @@
 		gen.g.metrics.recordServed(gen.times)
 		gen.g.cfg.Log.Info("generation served", "request", gen.ID, "target", gen.target.ID, "route", gen.route.Name, "account", accountName(gen.account),
 			"config", gen.view.Config.Version, "events", gen.times.events,
-			"moves", gen.moves, "first", gen.times.first, "longest_pause", gen.times.longest, "pause_at", gen.times.longestEnd, "took", gen.times.last)
+			"moves", gen.moves, "first", gen.times.first, "longest_pause", gen.times.longestGap, "pause_at", gen.times.longestGapEnd, "took", gen.times.last)
 		return
 	case !gen.headerSent && gen.failedAnswer != nil:
 		gen.g.writeAnswer(gen.exchange, gen.failedAnswer)
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -94,8 +94,8 @@
 }
 
 // checkTargets checks the health of the engines of this host's generations, to
-// learn whether they are about to stop, while it has no access to the published
-// state. An engine that is taken away while the configuration store is down is
+// learn whether they are about to stop, while the host has no access to the
+// published state. An engine that is taken away while the configuration store is down is
 // gone two seconds later, with all its generations. The health answer is
 // current, while load reports are half a second old, which is a third of the
 // notice. Each check costs the engine a call, so none is made while the store
@@ -127,7 +127,7 @@
 
 func (g *Gateway) checkTarget(ctx context.Context, t *directory.ObservedTarget) {
 	service, known := g.view().Service(t.Service)
-	if !known || g.cfg.Loads.Leaving(t.ID) {
+	if !known || g.cfg.Loads.IsLeaving(t.ID) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
@@ -169,7 +169,7 @@
 		return nil, nil, false
 	}
 	now, known := view.Target(gen.target.ID)
-	if known && now.Published && !now.Leaving && !loads.Leaving(gen.target.ID) {
+	if known && now.Published && !now.Leaving && !loads.IsLeaving(gen.target.ID) {
 		return nil, nil, false
 	}
 	gen.move = &move{done: make(chan struct{})}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -119,16 +119,16 @@
 }
 
 // MergeLoads merges loads received from another host.
-func (l *TargetLoads) MergeLoads(host string, counts []targetload.HostLoad) {
+func (l *TargetLoads) MergeLoads(host string, loads []targetload.HostLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hostLoads.Merge(l.now(), host, counts)
-	l.learnSpeeds(counts)
+	l.hostLoads.Merge(l.now(), host, loads)
+	l.learnSpeeds(loads)
 }
 
-// learnSpeeds merges the engine speeds contained in counts.
-func (l *TargetLoads) learnSpeeds(counts []targetload.HostLoad) {
-	for _, c := range counts {
+// learnSpeeds merges the engine speeds contained in loads.
+func (l *TargetLoads) learnSpeeds(loads []targetload.HostLoad) {
+	for _, c := range loads {
 		l.speeds.SetRemote(c.Target, c.TimePerToken)
 	}
 }
@@ -230,8 +230,8 @@
 	return &Reservation{loads: l, targetID: target, load: load}
 }
 
-// PromptRead records that the engine has read the prompt.
-func (r *Reservation) PromptRead() {
+// MarkPromptRead records that the engine has read the prompt.
+func (r *Reservation) MarkPromptRead() {
 	load := r.load
 	load.UnreadTokens = 0
 	r.setLoad(load)
@@ -263,14 +263,14 @@
 	wake.Signal(l.targetLeaving)
 }
 
-// Leaving reports whether a target told any host that it is about to stop.
-func (l *TargetLoads) Leaving(target string) bool {
+// IsLeaving reports whether a target told any host that it is about to stop.
+func (l *TargetLoads) IsLeaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isLeavingLocked(target)
 }
 
-// isLeavingLocked is Leaving for callers that hold mu.
+// isLeavingLocked is IsLeaving for callers that hold mu.
 func (l *TargetLoads) isLeavingLocked(target string) bool {
 	return l.alerts.Totals(l.now())[target].Leaving
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -86,7 +86,7 @@
 // completely.
 func (m *gatewayMetrics) recordServed(times eventTimes) {
 	m.firstEvent.Update(times.first.Microseconds())
-	m.longestPause.Update(times.longest.Microseconds())
+	m.longestPause.Update(times.longestGap.Microseconds())
 }
 
 // countRefused counts a failure answer made by the gateway itself.
--- a/internal/gateway/metrics_internal_test.go
+++ b/internal/gateway/metrics_internal_test.go
@@ -38,7 +38,7 @@
 	m := newGatewayMetrics(registry)
 	m.countReceived(directory.Generation)
 	m.countAnswered(directory.Generation, 3*time.Second)
-	m.recordServed(eventTimes{events: 9, first: 400 * time.Millisecond, longest: 60 * time.Millisecond})
+	m.recordServed(eventTimes{events: 9, first: 400 * time.Millisecond, longestGap: 60 * time.Millisecond})
 	m.countRefused(failure.KindStopping)
 	m.countBroken(false)
 	m.countBroken(true)
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -136,8 +136,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
-	sums, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
-	here := l.newCandidate(view, r.entry, req.Locality, sums[r.targetID].Others.Sub(r.load), defaultStep)
+	totals, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
+	here := l.newCandidate(view, r.entry, req.Locality, totals[r.targetID].Others.Sub(r.load), defaultStep)
 	best := others.choose(l.rng, req)
 	if best == nil || placement.MarginalDelay(best.Candidate, req.work())+minDelaySaving > placement.MarginalDelay(here, req.work()) {
 		return nil
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -25,17 +25,17 @@
 type PlacementRequest struct {
 	Service string
 	Prompt  call.Prompt
-	// FirstEventLimit is the route's objective for the time to the first event;
-	// 0 for none.
-	FirstEventLimit time.Duration
-	Locality        Locality
+	// FirstEventObjective is the route's objective for the time to the first
+	// event; 0 for none.
+	FirstEventObjective time.Duration
+	Locality            Locality
 	// Exclude lists the ids of targets that are left out.
 	Exclude []string
 }
 
 // work returns the work that a generation causes at an engine.
 func (req PlacementRequest) work() placement.Workload {
-	return placement.Workload{PromptTokens: req.Prompt.Tokens, OutputTokens: expectedOutputTokens(req.Prompt), FirstTokenObjective: req.FirstEventLimit}
+	return placement.Workload{PromptTokens: req.Prompt.Tokens, OutputTokens: expectedOutputTokens(req.Prompt), FirstTokenObjective: req.FirstEventObjective}
 }
 
 // Acquire chooses a target for a request and reserves it until the reservation
@@ -118,11 +118,11 @@
 // refresh returns those of the sampled targets that still accept work, with
 // their current load.
 func (l *TargetLoads) refresh(view *directory.View, req PlacementRequest, sampled targetCandidates) targetCandidates {
-	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
+	totals, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
 		if !alerts[candidate.target.ID].Leaving && l.withinColdShare(view, candidate.target) && l.withinRate(candidate.target.ID) {
-			out = append(out, targetCandidate{l.newCandidate(view, candidate.target, req.Locality, sums[candidate.target.ID].Others, defaultStep), candidate.target})
+			out = append(out, targetCandidate{l.newCandidate(view, candidate.target, req.Locality, totals[candidate.target.ID].Others, defaultStep), candidate.target})
 		}
 	}
 	return out
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -25,8 +25,8 @@
 	body   []byte
 }
 
-// relayPlain relays a request that is not a generation, such as those of plain
-// services, which have no model engines. The answer is passed on once it is
+// relayPlain relays a request that is not a generation, such as one to a plain
+// service, which has no model engines. The answer is passed on once it is
 // complete: a truncated answer must not look complete, and a repeatable request
 // can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
@@ -239,7 +239,7 @@
 		g.cfg.Loads.RecordUnreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.notStopping(target) {
-		g.cfg.CrashEvidence.checkForCrash(target, g.dial)
+		g.cfg.CrashEvidence.checkForCrash(target, g.checkListening)
 	}
 	g.cfg.Loads.RecordBrokenRequest(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
@@ -248,11 +248,11 @@
 // notStopping reports whether no planned stop of a target is known. The end of
 // a target that stops as planned is no evidence against its requests.
 func (g *Gateway) notStopping(target *directory.ObservedTarget) bool {
-	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
+	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.IsLeaving(target.ID)
 }
 
-// dial checks whether a process listens at an address.
-func (g *Gateway) dial(ctx context.Context, address string) error {
+// checkListening checks whether a process listens at an address.
+func (g *Gateway) checkListening(ctx context.Context, address string) error {
 	conn, err := targetclient.Dial(ctx, "tcp", address, crashDialTimeout)
 	if err == nil {
 		return conn.Close()
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -40,8 +40,8 @@
 }
 
 // mergeRates merges rates that targets advertised to other hosts.
-func (l *TargetLoads) mergeRates(counts []targetload.HostLoad) {
-	for _, c := range counts {
+func (l *TargetLoads) mergeRates(alerts []targetload.HostLoad) {
+	for _, c := range alerts {
 		if c.AdvertisedRate != nil && c.Host != l.address {
 			l.rates.Merge(c.Target, *c.AdvertisedRate)
 		}
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -17,7 +17,7 @@
 		return false
 	}
 	target := b.target
-	if gen.g.cfg.Loads.Leaving(target.ID) {
+	if gen.g.cfg.Loads.IsLeaving(target.ID) {
 		return false
 	}
 	reservation, ok := gen.g.cfg.Loads.ReserveWithinRate(target.ID, gen.Prompt)
