--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -76,7 +76,7 @@
 
 func targetStatus(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
-		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Capacity,
+		Known: true, Running: t.Running, Waiting: waiting, Capacity: t.Report.Capacity,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
@@ -86,7 +86,7 @@
 // host's entries.
 func (s *Source) AccountStatus(name string) (running, waiting int, tokens uint64) {
 	for _, snapshot := range s.State.Accounting() {
-		for _, line := range snapshot.Lines {
+		for _, line := range snapshot.Rows {
 			if line.Account == name {
 				running += int(line.InProgress)
 				tokens += line.PromptTokens + line.OutputTokens
@@ -117,29 +117,29 @@
 
 // Accounting implements adminapi.AccountingSource.
 func (s *Source) Accounting() adminapi.AccountingDocument {
-	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Faults: []adminapi.AccountingRow{}}
+	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Unbalanced: []adminapi.AccountingRow{}}
 	for _, snapshot := range s.State.Accounting() {
 		doc.Entries = append(doc.Entries, adminapi.AccountingHost{
 			Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Reached: true,
 		})
-		for _, line := range snapshot.Lines {
+		for _, line := range snapshot.Rows {
 			row := accountingRow(snapshot, line)
 			doc.Rows = append(doc.Rows, row)
 			if !row.Balanced() {
-				doc.Faults = append(doc.Faults, row)
+				doc.Unbalanced = append(doc.Unbalanced, row)
 			}
 		}
 	}
 	return doc
 }
 
-func accountingRow(snapshot accounting.Snapshot, line accounting.Line) adminapi.AccountingRow {
+func accountingRow(snapshot accounting.Snapshot, line accounting.Row) adminapi.AccountingRow {
 	const microsPerMilli = 1000
 	return adminapi.AccountingRow{
 		Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Account: line.Account, Service: line.Service,
 		Received: line.Received, Refused: line.Refused, Ran: line.Ran, Unknown: line.Unknown, InProgress: line.InProgress,
 		Failed: line.Failed, WaitMS: line.WaitUS / microsPerMilli, StallMS: line.StallUS / microsPerMilli, Tokens: line.OutputTokens,
-		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, OutOfPlace: line.OutOfPlace,
-		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Whole: line.Whole, Lookup: line.Lookup,
+		Hedges: line.Hedges, Retries: line.Retries, Resumes: line.Resumes, Replays: line.Replays, MisplacedFrames: line.MisplacedFrames,
+		FirstToken: line.FirstToken, TokenGap: line.TokenGap, NoStall: line.NoStall, Complete: line.Complete, Lookup: line.Lookup,
 	}
 }
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -27,8 +27,8 @@
 	"filbertdeck/internal/metrics"
 	"filbertdeck/internal/process"
 	"filbertdeck/internal/rpc"
-	"filbertdeck/internal/secure"
 	"filbertdeck/internal/targetclient"
+	"filbertdeck/internal/tlsidentity"
 )
 
 // Options returns the modules that build the program from its settings.
@@ -36,7 +36,7 @@
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newConfigBoard, newStore, newWatcher, newGossipBoard, newGossip,
+			tlsidentity.New, (*tlsidentity.Identity).Credentials, newConfigBoard, newStore, newWatcher, newGossipBoard, newGossip,
 			newManager, newNewsStore, newSessions, newState, newAdmin, newQuotaPeers, newQuota,
 		),
 		fx.Invoke(setMemoryLimit, serveAdmin, serveRPC, runManager, runWatcher, runGossip, runQuota, runNewsStore),
@@ -150,7 +150,7 @@
 	source := &admin.Source{Self: s.Listen, State: service, Pools: m}
 	return adminapi.New(adminapi.Config{
 		Self: s.Listen, Tokens: tokens, Table: &b.Table, Hosts: &b.Hosts, Targets: &b.Targets, Rollout: &b.Rollout,
-		Members: &gossipBoard.Members, TargetFigures: source, AccountFigures: source, Accounting: source, Metrics: reg,
+		Members: &gossipBoard.Members, TargetSource: source, AccountSource: source, AccountingSource: source, Metrics: reg,
 	}), nil
 }
 
@@ -159,25 +159,25 @@
 // knows of other readers.
 func runWatcher(lc fx.Lifecycle, w *configwatch.Watcher) {
 	w.SetReader(true)
-	process.Background(lc, w.Run)
+	process.RunInBackground(lc, w.Run)
 }
 
 func runQuota(lc fx.Lifecycle, c *quota.Controller, peers *quota.Peers) {
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		defer peers.Close()
 		c.Run(ctx)
 	})
 }
 
-func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.Background(lc, m.Run) }
+func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.RunInBackground(lc, m.Run) }
 
-func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.Background(lc, n.Run) }
+func runNewsStore(lc fx.Lifecycle, n *poolgossip.Store) { process.RunInBackground(lc, n.Run) }
 
 // leaveTimeout bounds the time for announcing a planned stop to the neighbours.
 const leaveTimeout = time.Second
 
 func runGossip(lc fx.Lifecycle, c *gossip.Controller) {
-	process.Background(lc, c.Run)
+	process.RunInBackground(lc, c.Run)
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
@@ -185,7 +185,7 @@
 	}))
 }
 
-func serveRPC(lc fx.Lifecycle, s *Settings, id *secure.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
+func serveRPC(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
 	server := rpc.NewServer(creds)
 	filbertv1.RegisterAdmissionServer(server, service)
 	filbertv1.RegisterQuotaServer(server, q)
@@ -193,7 +193,7 @@
 	process.ServeRPC(lc, server, id.Listen, s.Listen)
 }
 
-func serveAdmin(lc fx.Lifecycle, s *Settings, id *secure.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
+func serveAdmin(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
 	r := admin.Router(api, store.IsReady)
 	metrics.Mount(r, reg)
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
--- a/internal/control/poolmanager/manager.go
+++ b/internal/control/poolmanager/manager.go
@@ -202,7 +202,7 @@
 	for _, a := range t.Accounts {
 		shares = append(shares, admission.Share{
 			Account: a.Name, Weight: a.Weight, MaxRunning: a.MaxRunning, Priority: a.Priority,
-			SharedLimits: a.Limited(),
+			SharedLimits: a.HasFleetLimit(),
 		})
 	}
 	return shares
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -182,7 +182,7 @@
 	limits := map[string]quota.Limits{}
 	names := []string{}
 	for _, a := range t.Accounts {
-		if a.Limited() {
+		if a.HasFleetLimit() {
 			limits[a.Name] = quota.Limits{Running: a.MaxRunning, TokensPerSecond: a.TokensPerSecond}
 			names = append(names, a.Name)
 		}
--- a/internal/control/quota/simulation_test.go
+++ b/internal/control/quota/simulation_test.go
@@ -107,7 +107,7 @@
 		n.tableWriter.Publish(t)
 		if n.pool != nil {
 			n.pool.allocator.SetShares(s.now, []admission.Share{
-				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.Limited()}, {Account: "free"},
+				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.HasFleetLimit()}, {Account: "free"},
 			})
 		}
 	}
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -36,7 +36,7 @@
 	Departed func() []string
 
 	mu         sync.Mutex
-	accounting map[string]*accounting.Merged
+	accounting map[string]*accounting.SnapshotMerger
 }
 
 // backlogInterval is the interval at which changed backlogs are sent to entries.
@@ -74,12 +74,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.accounting == nil {
-		s.accounting = map[string]*accounting.Merged{}
+		s.accounting = map[string]*accounting.SnapshotMerger{}
 	}
 	if s.accounting[r.Entry] == nil || !r.Changes {
-		s.accounting[r.Entry] = accounting.NewMerged()
+		s.accounting[r.Entry] = accounting.NewSnapshotMerger()
 	}
-	s.accounting[r.Entry].Take(snapshot)
+	s.accounting[r.Entry].Apply(snapshot)
 	return &filbertv1.PutAccountingReply{}, nil
 }
 
@@ -157,11 +157,11 @@
 		section.Drained = append(section.Drained, name)
 	}
 	if previous == nil {
-		section.Pages = table.Encode(t)
+		section.Pages = table.EncodePages(t)
 		return section
 	}
 	section.Delta = true
-	for _, c := range table.Changes(previous, t) {
+	for _, c := range table.ChangedRows(previous, t) {
 		section.Changes = append(section.Changes, &filbertv1.RowChange{Key: c.Key, Text: c.Text})
 	}
 	return section
--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -50,7 +50,7 @@
 func (s *fakeService) put(key, text string) {
 	s.update(func() {
 		s.revision++
-		s.values[key] = configservice.Value{Key: key, Revision: s.revision, Text: text}
+		s.values[key] = configservice.Value{Key: key, Revision: s.revision, Content: text}
 	})
 }
 
@@ -66,7 +66,7 @@
 
 func (s *fakeService) setError(err error) { s.update(func() { s.err = err }) }
 
-func (s *fakeService) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error) {
+func (s *fakeService) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Response, error) {
 	s.mu.Lock()
 	changed := s.changed
 	if s.revision == after && s.err == nil && wait > 0 {
@@ -75,16 +75,16 @@
 		case <-changed:
 		case <-time.After(min(wait, 50*time.Millisecond)):
 		case <-ctx.Done():
-			return configservice.Answer{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "watch cancelled")
+			return configservice.Response{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "watch cancelled")
 		}
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
 	s.calls++
 	if s.err != nil {
-		return configservice.Answer{}, s.err
+		return configservice.Response{}, s.err
 	}
-	answer := configservice.Answer{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
+	answer := configservice.Response{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
 	for _, v := range s.values {
 		if v.Revision > after && strings.HasPrefix(v.Key, prefix) {
 			answer.Values = append(answer.Values, v)
--- a/internal/controller/configwatch/publish.go
+++ b/internal/controller/configwatch/publish.go
@@ -66,7 +66,7 @@
 	for _, r := range s.docs[SectionDrain].Rows() {
 		drained = append(drained, r.Key)
 	}
-	s.writers.table.Publish(s.table.With(drained, s.tableTargets))
+	s.writers.table.Publish(s.table.WithDrainAndTargets(drained, s.tableTargets))
 }
 
 func (s *Store) publishState() {
--- a/internal/controller/configwatch/store.go
+++ b/internal/controller/configwatch/store.go
@@ -152,9 +152,9 @@
 	case SectionTable:
 		return s.applyTableRows(delta, changed)
 	case SectionHosts:
-		return updateParsedRows(s.hosts, changed, configservice.HostFromRow)
+		return updateParsedRows(s.hosts, changed, configservice.ParseHostRow)
 	case SectionTargets:
-		return updateParsedRows(s.targets, changed, configservice.TargetFromRow)
+		return updateParsedRows(s.targets, changed, configservice.ParseTargetRow)
 	}
 	return nil
 }
@@ -164,12 +164,12 @@
 	if base == nil {
 		base = &table.Table{
 			Accounts: map[string]*table.Account{}, Services: map[string]*table.Service{},
-			ByKey: map[[32]byte]*table.Account{},
+			AccountByKeyHash: map[[32]byte]*table.Account{},
 		}
 	}
-	changes := make([]table.Change, len(changed))
+	changes := make([]table.RowChange, len(changed))
 	for i, r := range changed {
-		changes[i] = table.Change(r)
+		changes[i] = table.RowChange(r)
 	}
 	next, problems := base.Apply(delta.Version.OperatorEpoch(), delta.Version.Revision, changes)
 	if err := problems.Err(); err != nil {
--- a/internal/controller/gossip/cluster_test.go
+++ b/internal/controller/gossip/cluster_test.go
@@ -95,7 +95,7 @@
 	resp, err := http.Get(cl.server.URL + "/v1/values")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
-	var answer configservice.Answer
+	var answer configservice.Response
 	Expect(json.NewDecoder(resp.Body).Decode(&answer)).To(Succeed())
 	return answer.Revision
 }
--- a/internal/controller/recordsync/controller.go
+++ b/internal/controller/recordsync/controller.go
@@ -174,7 +174,7 @@
 			wake.Sleep(ctx, minCallInterval-(c.cfg.Now()-startedAt))
 		case failure.KindOf(err) == failure.KindHistoryGone:
 		default:
-			wake.Sleep(ctx, max(retryDelay/2+rand.N(retryDelay/2), min(failure.From(err).RetryAfter, maxRetryDelay)))
+			wake.Sleep(ctx, max(retryDelay/2+rand.N(retryDelay/2), min(failure.FromError(err).RetryAfter, maxRetryDelay)))
 			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
--- a/internal/entry/state/picker.go
+++ b/internal/entry/state/picker.go
@@ -93,7 +93,7 @@
 func (p *Picker) Pick(r Request) (Choice, error) {
 	set := p.currentViews()
 	if set == nil {
-		return Choice{}, failure.New(failure.KindNotReady, "the pools have not been received yet").After(noTargetRetryAfter)
+		return Choice{}, failure.New(failure.KindNotReady, "the pools have not been received yet").WithRetryAfter(noTargetRetryAfter)
 	}
 	base := set.byService[r.Service]
 	views := make([]decide.PoolView, len(base), maxLocalPools+maxRemotePools)
@@ -103,7 +103,7 @@
 		DataCentre: p.dataCentre, AffinityKey: r.AffinityKey, HasPrefix: r.PrefixAffinity, ExcludedPools: fullyFailedPools(set.pools, views, r.FailedTargets),
 	}, decide.RandomDraw{CandidateSeed: rand.Uint64(), ShareSample: rand.Float64()})
 	if i < 0 {
-		return Choice{}, failure.New(failure.KindNoTarget, "service %q has no available target", r.Service).After(noTargetRetryAfter)
+		return Choice{}, failure.New(failure.KindNoTarget, "service %q has no available target", r.Service).WithRetryAfter(noTargetRetryAfter)
 	}
 	c := Choice{Pool: views[i].ID, pendingAsks: set.pendingAsks[views[i].ID]}
 	c.pendingAsks.Add(1)
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -193,11 +193,11 @@
 	beforeSend func(chosen directory.Target)
 }
 
-func (d *hookedDialect) WriteSend(ctx context.Context, s *call.Send) (*http.Request, error) {
+func (d *hookedDialect) BuildRequest(ctx context.Context, s *call.Attempt) (*http.Request, error) {
 	if d.beforeSend != nil {
 		d.beforeSend(s.Target)
 	}
-	return d.Dialect.WriteSend(ctx, s)
+	return d.Dialect.BuildRequest(ctx, s)
 }
 
 var _ = Describe("answers without a body", func() {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -141,7 +141,7 @@
 }
 
 // startGatewayWithDialect is startGatewayWithLogs with a given dialect.
-func startGatewayWithDialect(dialect call.Dialect, logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
+func startGatewayWithDialect(dialect call.Codec, logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
 	board := &recordsync.Board{}
 	views, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
@@ -151,7 +151,7 @@
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
 		Loads: gw.loads, CrashEvidence: gw.crashEvidence, RetryBudget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
+		Client: targetclient.NewAtMostOnceClient(targetclient.Settings{ResponseHeaderTimeout: time.Minute, ReadIdleTimeout: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	gw.gateway = g
--- a/internal/gateway/memory_copy.go
+++ b/internal/gateway/memory_copy.go
@@ -30,7 +30,7 @@
 // for a new request, and a generation that may run once ran twice.
 type memoryCopy struct {
 	target  *directory.ObservedTarget
-	handoff call.Handoff
+	handoff call.CacheCopy
 	claimed atomic.Bool
 }
 
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -137,7 +137,7 @@
 		gen.g.metrics.copiesFailed.Inc(1)
 		return copyFailureOutcome(err)
 	}
-	m.copy = &memoryCopy{target: to, handoff: call.Handoff{From: from.Address, Handle: result.Handle}}
+	m.copy = &memoryCopy{target: to, handoff: call.CacheCopy{Source: from.Address, Handle: result.Handle}}
 	err = gen.switchTo(m.copy, reservation)
 	if err == nil {
 		gen.g.metrics.movedByCopy.Inc(1)
@@ -204,10 +204,10 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := gen.g.cfg.Engines.Report(ctx, from.Address)
-	if err != nil || report.LeavesIn <= 0 {
+	if err != nil || report.ShutdownIn <= 0 {
 		return gen.g.cfg.Migration.Notice
 	}
-	return report.LeavesIn
+	return report.ShutdownIn
 }
 
 // endsWithin reports whether the generation will end on its own before its
@@ -217,6 +217,6 @@
 	if progress == nil {
 		return false
 	}
-	maxEvents := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
+	maxEvents := gen.Prompt.MaxOutputTokens / max(gen.service.Engine.TokensPerEvent, 1)
 	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(maxEvents, progress.events, progress.last-progress.first), untilStop)
 }
--- a/internal/gateway/owner_query_test.go
+++ b/internal/gateway/owner_query_test.go
@@ -17,7 +17,7 @@
 
 var _ = Describe("simultaneous placements by many hosts", func() {
 	const hosts, engines = 40, 12
-	prompt := call.Prompt{Tokens: 2500, MaxOutput: 1000}
+	prompt := call.Prompt{Tokens: 2500, MaxOutputTokens: 1000}
 
 	view := func() *directory.View {
 		cfg := testConfig()
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -77,7 +77,7 @@
 		return nil, failure.New(failure.KindNoTarget, "the copy was already offered to engine %s", c.target.ID)
 	}
 	s := gen.newSend(c.target)
-	s.Resume, s.After = &c.handoff, gen.lastEventID
+	s.Resume, s.LastEventID = &c.handoff, gen.lastEventID
 	stream, err := gen.openStreamWithin(switchTimeout, s, c.target, reservation, selection)
 	if requestUnsent(err) {
 		c.unclaim()
@@ -179,7 +179,7 @@
 // sinceLastEvent returns the time since the last event, or since the request
 // arrived if there is none.
 func (gen *generation) sinceLastEvent() time.Duration {
-	since := time.Since(gen.Arrived)
+	since := time.Since(gen.ArrivedAt)
 	if progress := gen.progress.Load(); progress != nil {
 		since -= progress.last
 	}
@@ -202,7 +202,7 @@
 		return nil, cause
 	}
 	s := gen.newSend(target)
-	s.After = gen.lastEventID
+	s.LastEventID = gen.lastEventID
 	stream, err := gen.openStream(s, target, reservation, selection)
 	if err != nil {
 		return nil, cause
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -125,7 +125,7 @@
 		RetryRatio: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, RefillPerSecond: retrybudget.NoRefill,
 	})
 	budget.SetHostCount(fleet.assumedHostCount())
-	process.Every(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
+	process.RunPeriodically(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
 	return budget
 }
 
@@ -133,7 +133,7 @@
 	s *Settings, board *recordsync.Board, roles *readerRoles, c *recordsync.Controller, loads *gateway.TargetLoads,
 	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
-	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDialTimeout, Header: responseTimeout, Silence: responseTimeout})
+	client := targetclient.NewAtMostOnceClient(targetclient.Settings{DialTimeout: targetDialTimeout, ResponseHeaderTimeout: responseTimeout, ReadIdleTimeout: responseTimeout})
 	return gateway.New(gateway.Config{
 		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
 		Client: client, Migration: migration.Default(), Disconnected: func() bool { return mayMissChanges(c, roles) },
@@ -179,7 +179,7 @@
 
 func newLifecycle(s *Settings, board *recordsync.Board) *lifecycle.Lifecycle {
 	grace := s.Deployment.StopGrace
-	return lifecycle.NewWithStop(func() error {
+	return lifecycle.NewWithStopConfig(func() error {
 		if view := board.View.Get(); view == nil || view.Config == nil {
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
@@ -190,9 +190,9 @@
 	})
 }
 
-func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.Background(lc, c.Run) }
+func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.RunInBackground(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.RunInBackground(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
@@ -250,7 +250,7 @@
 // them.
 func trackRequests(g *gateway.Gateway, state *lifecycle.Lifecycle) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		finish, err := state.Begin()
+		finish, err := state.BeginRequest()
 		if err != nil {
 			g.Refuse(w, r, err)
 			return
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -78,11 +78,11 @@
 	o.loads.SetOwnerQuery(o.queryOwner)
 	o.loads.SetRateBorrower(o.borrow)
 	lc.Append(fx.StartHook(o.listen))
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		context.AfterFunc(ctx, func() { _ = o.conn.Close() })
 		o.serve(ctx)
 	})
-	process.Every(lc, broadcastInterval, o.sendChangedLoads)
+	process.RunPeriodically(lc, broadcastInterval, o.sendChangedLoads)
 }
 
 func (o *ownerExchange) listen() error {
--- a/internal/gatewayhost/settings.go
+++ b/internal/gatewayhost/settings.go
@@ -51,8 +51,8 @@
 	ConfigDeadline time.Duration
 	// Dialect, Engines and Source are the protocol adapters for the callers and
 	// targets, for the model engines and for the store.
-	Dialect call.Dialect
-	Engines call.Engines
+	Dialect call.Codec
+	Engines call.EngineClient
 	Source  recordsync.Source
 }
 
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -58,7 +58,7 @@
 // Run measures and prints a table.
 func Run(ctx context.Context, cfg Config, out io.Writer) error {
 	f, err := fleet.Start(ctx, fleet.Spec{
-		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableText, fleet.Digest(key)),
+		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableText, fleet.KeyDigest(key)),
 		Hosts: []string{"a"}, Engines: []string{"a"}, Apps: []string{"a"},
 		EngineServices: []string{"reports"}, AppServices: []string{"sites"},
 		EngineArgs: []string{
@@ -84,9 +84,11 @@
 
 func (r *run) say(format string, args ...any) { fmt.Fprintf(r.out, format+"\n", args...) }
 
-func (r *run) entryUsage() (usage.Usage, error) { return usage.Of(r.fleet.Hosts[0].Entry.Pid()) }
+func (r *run) entryUsage() (usage.Usage, error) {
+	return usage.ForProcess(r.fleet.Hosts[0].EntryProcess.PID())
+}
 func (r *run) controlUsage() (usage.Usage, error) {
-	return usage.Of(r.fleet.Hosts[0].ControlProcess.Pid())
+	return usage.ForProcess(r.fleet.Hosts[0].ControlProcess.PID())
 }
 
 // idle watches the control process while nothing happens.
@@ -105,7 +107,7 @@
 		return err
 	}
 	share := float64(after.CPU-before.CPU) / float64(r.Idle) * 100
-	r.say("idle control process: %.2f%% of a core over %v, %.1f MB resident", share, r.Idle, mb(after.Resident))
+	r.say("idle control process: %.2f%% of a core over %v, %.1f MB resident", share, r.Idle, mb(after.ResidentBytes))
 	return nil
 }
 
@@ -144,13 +146,13 @@
 
 func (r *run) lookups(context.Context) error {
 	direct := "http://" + r.fleet.Apps[0].Address + "/x"
-	through := "http://" + r.fleet.Hosts[0].Callers + "/v1/services/sites/x"
+	through := "http://" + r.fleet.Hosts[0].ClientAddress + "/v1/services/sites/x"
 	return r.compare("lookup", func() error { return r.get(direct) }, func() error { return r.get(through) })
 }
 
 func (r *run) firstTokens(ctx context.Context) error {
 	direct := "http://" + r.fleet.Engines[0].Address + "/v1/completions"
-	through := "http://" + r.fleet.Hosts[0].Callers + "/v1/completions"
+	through := "http://" + r.fleet.Hosts[0].ClientAddress + "/v1/completions"
 	one := func(url string) func() error {
 		return func() error { _, err := r.stream(ctx, url, 1, nil); return err }
 	}
@@ -229,7 +231,7 @@
 
 // together runs count streams at once and adds up their events.
 func (r *run) together(ctx context.Context, count, tokens int, hold func()) (int, error) {
-	url := "http://" + r.fleet.Hosts[0].Callers + "/v1/completions"
+	url := "http://" + r.fleet.Hosts[0].ClientAddress + "/v1/completions"
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var total int
@@ -310,8 +312,8 @@
 	}
 	cancel()
 	<-done
-	each := float64(after.Resident-before.Resident) / float64(r.Open) / 1024
-	r.say("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB a stream", r.Open, mb(before.Resident), mb(after.Resident), each)
+	each := float64(after.ResidentBytes-before.ResidentBytes) / float64(r.Open) / 1024
+	r.say("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB a stream", r.Open, mb(before.ResidentBytes), mb(after.ResidentBytes), each)
 	return nil
 }
 
@@ -320,7 +322,7 @@
 	var all map[string]struct {
 		Value float64 `json:"value"`
 	}
-	if err := r.fleet.GetJSON("http://"+r.fleet.Hosts[0].EntryAdmin+"/metrics", &all); err != nil {
+	if err := r.fleet.GetJSON("http://"+r.fleet.Hosts[0].EntryAdminAddress+"/metrics", &all); err != nil {
 		return err
 	}
 	of := func(name string) float64 { return all["runtime."+name].Value }
@@ -334,7 +336,7 @@
 	if r.Heap == "" {
 		return nil
 	}
-	resp, err := r.client.Get("http://" + r.fleet.Hosts[0].EntryAdmin + "/debug/pprof/heap?gc=1")
+	resp, err := r.client.Get("http://" + r.fleet.Hosts[0].EntryAdminAddress + "/debug/pprof/heap?gc=1")
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "heap profile")
 	}
--- a/internal/slopes/accounting.go
+++ b/internal/slopes/accounting.go
@@ -18,10 +18,10 @@
 		book := accounting.New()
 		for i := range rows {
 			e := book.Begin(accountName(i/3), service+string(rune('a'+i%3)))
-			e.FirstToken(300 * time.Millisecond)
-			e.Tokens(230, 50*time.Millisecond)
-			e.Whole(true)
-			e.End(nil)
+			e.RecordFirstToken(300 * time.Millisecond)
+			e.RecordTokens(230, 50*time.Millisecond)
+			e.RecordCompleteness(true)
+			e.RecordOutcome(nil)
 		}
 		held := ownHeap() - before
 		var text []byte
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -100,8 +100,8 @@
 	out.line("%s: %d hosts run, %d accounts, %d targets polled, %d hosts and %d targets published",
 		at.Name, at.Hosts, at.Accounts, at.Polled, at.OtherHosts+at.Hosts, at.OtherTargets+at.Polled)
 	out.line("  unchanged: control %.2f%% of a core, %.1f MB resident, %.1f MB heap; entry %.2f%%, %.1f MB resident",
-		share(idle.control.CPU, idle.over)/n, megabytes(idle.control.Resident)/n, idle.counters["runtime.MemStats.HeapAlloc"]/n/(1<<20),
-		share(idle.entry.CPU, idle.over)/n, megabytes(idle.entry.Resident)/n)
+		share(idle.control.CPU, idle.over)/n, megabytes(idle.control.ResidentBytes)/n, idle.counters["runtime.MemStats.HeapAlloc"]/n/(1<<20),
+		share(idle.entry.CPU, idle.over)/n, megabytes(idle.entry.ResidentBytes)/n)
 	out.line("  gossip %.0f bytes/s a host, sent and received; configuration %.1f calls/s in all; %.1f polls/s in all, %.0f payload bytes and %.1f segments a poll",
 		(idle.counters["gossip.bytes_sent"]+idle.counters["gossip.bytes_received"])/n/span, idle.counters["configwatch.calls"]/span,
 		idle.polls/span, idle.payload/max(idle.polls, 1), idle.segments/max(idle.polls, 1))
@@ -111,7 +111,7 @@
 	over := busy.over.Seconds()
 	out.line("  %d edits in %.1fs: control %.2f ms and entry %.2f ms processor time an edit and host above that (control %.1f%% of a core); %.1f and %.1f MB resident; gossip %.0f bytes/s a host",
 		edits, over, above(busy.control.CPU, idle.control.CPU, over), above(busy.entry.CPU, idle.entry.CPU, over), share(busy.control.CPU, busy.over)/n,
-		megabytes(busy.control.Resident)/n, megabytes(busy.entry.Resident)/n,
+		megabytes(busy.control.ResidentBytes)/n, megabytes(busy.entry.ResidentBytes)/n,
 		(busy.counters["gossip.bytes_sent"]+busy.counters["gossip.bytes_received"])/n/over)
 }
 
@@ -119,18 +119,18 @@
 	hosts := hostList(at.OtherHosts)
 	for _, h := range f.Hosts {
 		hosts = append(hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: configservice.StateLive,
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.PeerAddress, Control: h.ControlAddress, State: configservice.StateLive,
 		})
 	}
-	if err := f.Put(configservice.KeyHosts, jsonText(hostsDocument{2, hosts})); err != nil {
+	if err := f.PutValue(configservice.KeyHosts, jsonText(hostsDocument{2, hosts})); err != nil {
 		return err
 	}
 	targets := append(targetList(at.OtherTargets), polled...)
-	if err := f.Put(configservice.KeyTargets, jsonText(targetsDocument{2, targets})); err != nil {
+	if err := f.PutValue(configservice.KeyTargets, jsonText(targetsDocument{2, targets})); err != nil {
 		return err
 	}
 	for i, page := range tablePages(at.Accounts, 0) {
-		if err := f.Put(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
+		if err := f.PutValue(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 	defer ticker.Stop()
 	for i := range count {
 		<-ticker.C
-		if err := f.Put("table/0001", string(tablePages(at.Accounts, i+1)[0])); err != nil {
+		if err := f.PutValue("table/0001", string(tablePages(at.Accounts, i+1)[0])); err != nil {
 			return err
 		}
 	}
--- a/internal/slopes/table.go
+++ b/internal/slopes/table.go
@@ -36,18 +36,18 @@
 }
 
 // changedRow is the first account's row after an edit.
-func changedRow(accounts int) []table.Change {
+func changedRow(accounts int) []table.RowChange {
 	edited, _ := table.Parse(2, tablePages(accounts, 1))
-	for _, l := range edited.Lines() {
+	for _, l := range edited.EncodeRows() {
 		if l.Key == table.AccountKey(accountName(0)) {
-			return []table.Change{table.Change(l)}
+			return []table.RowChange{table.RowChange(l)}
 		}
 	}
 	return nil
 }
 
 func rowsOf(t *table.Table) []rollout.Row {
-	lines := t.Lines()
+	lines := t.EncodeRows()
 	rows := make([]rollout.Row, len(lines))
 	for i, l := range lines {
 		rows[i] = rollout.Row(l)
@@ -56,7 +56,7 @@
 }
 
 func section(t *table.Table) *filbertv1.TableSection {
-	return &filbertv1.TableSection{Revision: t.Revision, Pages: table.Encode(t)}
+	return &filbertv1.TableSection{Revision: t.Revision, Pages: table.EncodePages(t)}
 }
 
 func receive(text []byte) {
--- a/internal/slopes/watch.go
+++ b/internal/slopes/watch.go
@@ -51,14 +51,14 @@
 		payload: float64(payload), segments: float64(segments),
 	}
 	for _, h := range f.Hosts {
-		if err := addUsage(&s.control, h.ControlProcess.Pid()); err != nil {
+		if err := addUsage(&s.control, h.ControlProcess.PID()); err != nil {
 			return s, err
 		}
-		if err := addUsage(&s.entry, h.Entry.Pid()); err != nil {
+		if err := addUsage(&s.entry, h.EntryProcess.PID()); err != nil {
 			return s, err
 		}
 		var metrics map[string]struct{ Count, Value float64 }
-		if err := f.GetJSON("http://"+h.ControlAdmin+"/metrics", &metrics); err != nil {
+		if err := f.GetJSON("http://"+h.ControlAdminAddress+"/metrics", &metrics); err != nil {
 			return s, err
 		}
 		for name, m := range metrics {
@@ -70,7 +70,7 @@
 
 // addUsage adds a process's usage to a sum.
 func addUsage(sum *usage.Usage, pid int) error {
-	one, err := usage.Of(pid)
+	one, err := usage.ForProcess(pid)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/app/server.go
+++ b/internal/standin/app/server.go
@@ -166,7 +166,7 @@
 	defer s.endCall()
 	if fault.Kind == FaultRefuse {
 		w.Header().Set("Filbert-Executed", "no")
-		failure.Write(w, failure.New(failure.KindOverloaded, "refused by an injected fault").After(time.Second))
+		failure.Write(w, failure.New(failure.KindOverloaded, "refused by an injected fault").WithRetryAfter(time.Second))
 		return
 	}
 	time.Sleep(s.cfg.Delay + time.Duration(fault.DelayMS)*time.Millisecond)
--- a/internal/standin/model/engine.go
+++ b/internal/standin/model/engine.go
@@ -143,7 +143,7 @@
 	case job.PromptTokens+job.OutputTokens > e.cfg.MemoryTokens:
 		return failure.New(failure.KindTooLarge, "job needs more than %d tokens of memory", e.cfg.MemoryTokens)
 	case len(e.waiting) >= e.cfg.MaxWaiting:
-		return failure.New(failure.KindOverloaded, "queue is full").After(time.Second)
+		return failure.New(failure.KindOverloaded, "queue is full").WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/failure"
-	"filbertdeck/internal/prefix"
+	"filbertdeck/internal/promptprefix"
 	"filbertdeck/internal/standin/model"
 )
 
@@ -148,7 +148,7 @@
 	It("computes the same block hashes as the entries", func() {
 		for n := range 400 {
 			prompt := strings.Repeat("0123456789 ", 40)[:n]
-			Expect(model.PrefixChain(prompt)).To(Equal(prefix.Chain(prompt)))
+			Expect(model.PrefixChain(prompt)).To(Equal(promptprefix.BlockHashes(prompt)))
 		}
 	})
 
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -175,7 +175,7 @@
 		web.AbortConnection()
 	}
 	if !allowed {
-		failure.Write(w, failure.New(failure.KindAccountLimit, "call rate exceeded").After(time.Second))
+		failure.Write(w, failure.New(failure.KindAccountLimit, "call rate exceeded").WithRetryAfter(time.Second))
 	}
 	return allowed
 }
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 
 var _ = BeforeSuite(func() {
 	bin = GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+	Expect(fleet.BuildPrograms(bin)).To(Succeed())
 })
 
 // long is more than any step needs on a busy machine; nothing waits for it.
