--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -25,9 +25,10 @@
 	body   []byte
 }
 
-// relayPlain relays a request of a plain service. The answer is passed on once
-// it is complete: a truncated answer must not look complete, and a repeatable
-// request can then be sent to another target instead.
+// relayPlain relays a request that is not a generation, such as one to a plain
+// service, which has no model engines. The answer is passed on once it is
+// complete: a truncated answer must not look complete, and a repeatable request
+// can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
 	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var exclude []string
@@ -84,8 +85,9 @@
 	return err != nil || answer.Status >= http.StatusInternalServerError
 }
 
-// maxUnsentAttempts limits the targets that fail to be reached for one request:
-// one that left, one that crashed, one that is cut off, and one to spare.
+// maxUnsentAttempts limits the targets that one request may fail to reach: one
+// that left, one that crashed, one that is cut off from this host, and one in
+// reserve.
 const maxUnsentAttempts = 4
 
 // attemptCounts counts the targets that a request was tried at.
@@ -103,7 +105,7 @@
 	c.sent++
 }
 
-// unsent reports whether a request never reached a target of its service.
+// requestUnsent reports whether a request never reached a target of its service.
 func requestUnsent(err error) bool {
 	var f *failure.Error
 	if !errors.As(err, &f) || f.Executed != failure.ExecutedNo {
@@ -211,7 +213,8 @@
 }
 
 // checkAnswer returns what is wrong with an answer's header, nil when it is the
-// target's answer to this request.
+// target's answer to this request. A success must carry a seal, the response
+// header by which targets mark their own answers.
 func checkAnswer(s *call.Attempt, a call.ResponseHeader) error {
 	switch {
 	case a.WrongTarget:
@@ -236,7 +239,7 @@
 		g.cfg.Loads.RecordUnreachable(target.ID)
 	}
 	if failure.KindOf(err) == failure.KindTargetLost && g.notStopping(target) {
-		g.cfg.CrashEvidence.checkForCrash(target, g.dial)
+		g.cfg.CrashEvidence.checkForCrash(target, g.checkListening)
 	}
 	g.cfg.Loads.RecordBrokenRequest(target.ID)
 	g.cfg.Log.Debug("target failed", "target", target.ID, "cause", err)
@@ -245,11 +248,11 @@
 // notStopping reports whether no planned stop of a target is known. The end of
 // a target that stops as planned is no evidence against its requests.
 func (g *Gateway) notStopping(target *directory.ObservedTarget) bool {
-	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
+	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.IsLeaving(target.ID)
 }
 
-// dial checks whether a process listens at an address.
-func (g *Gateway) dial(ctx context.Context, address string) error {
+// checkListening checks whether a process listens at an address.
+func (g *Gateway) checkListening(ctx context.Context, address string) error {
 	conn, err := targetclient.Dial(ctx, "tcp", address, crashDialTimeout)
 	if err == nil {
 		return conn.Close()
