--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -8,127 +8,128 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// naive is a first come, first served queue before engines, with a rule that
-// says whether one more fits an engine. It counts its own grants and, where it
-// goes by the engines' reports, adds what it granted since they were taken.
-type naive struct {
-	fits       func(e *naiveEngine, a *Ask) bool
+// baselinePolicy is a first come, first served queue in front of the engines,
+// with a rule that tells whether an engine can take one more request. It counts
+// its own grants; rules that use the engines' reports add the grants made since
+// the report was taken.
+type baselinePolicy struct {
+	admits     func(e *baselineEngine, a *Ask) bool
 	roundRobin bool
-	engines    []naiveEngine
+	engines    []baselineEngine
 	queue      []Ask
-	// gone holds queued requests whose callers have left.
-	gone    map[requestID]bool
-	running map[requestID]naiveGrant
-	next    int
-	out     []Decision
+	// withdrawn holds the queued requests whose callers have disconnected.
+	withdrawn  map[requestID]bool
+	running    map[requestID]baselineGrant
+	nextEngine int
+	decisions  []Decision
 }
 
-// naiveEngine is what a naive policy knows of an engine.
-type naiveEngine struct {
-	leaving  bool
-	running  int
-	reserved int
-	report   model.Report
-	taken    time.Duration
-	// granted holds the prompts granted since the report was taken.
-	granted []naiveGrant
+// baselineEngine is the state that a baseline policy keeps for an engine.
+type baselineEngine struct {
+	leaving        bool
+	running        int
+	reservedTokens int
+	report         model.Report
+	reportedAt     time.Duration
+	// grantsSinceReport holds the grants made since the report was taken.
+	grantsSinceReport []baselineGrant
 }
 
-type naiveGrant struct {
-	engine, reserved, prompt int
-	at                       time.Duration
+type baselineGrant struct {
+	engine, reservedTokens, promptTokens int
+	grantedAt                            time.Duration
 }
 
-func newNaive(fits func(*naiveEngine, *Ask) bool, roundRobin bool) func(*Scenario, uint64) Policy {
+func newBaseline(admits func(*baselineEngine, *Ask) bool, roundRobin bool) func(*Scenario, uint64) Policy {
 	return func(s *Scenario, _ uint64) Policy {
-		return &naive{
-			fits: fits, roundRobin: roundRobin, engines: make([]naiveEngine, s.Engines),
-			running: map[requestID]naiveGrant{}, gone: map[requestID]bool{},
+		return &baselinePolicy{
+			admits: admits, roundRobin: roundRobin, engines: make([]baselineEngine, s.Engines),
+			running: map[requestID]baselineGrant{}, withdrawn: map[requestID]bool{},
 		}
 	}
 }
 
-func anything(*naiveEngine, *Ask) bool { return true }
+func admitAlways(*baselineEngine, *Ask) bool { return true }
 
-func slots(n int) func(*naiveEngine, *Ask) bool {
-	return func(e *naiveEngine, _ *Ask) bool { return e.running < n }
+func admitBelowLimit(limit int) func(*baselineEngine, *Ask) bool {
+	return func(e *baselineEngine, _ *Ask) bool { return e.running < limit }
 }
 
-func watermark(part float64) func(*naiveEngine, *Ask) bool {
-	return func(e *naiveEngine, a *Ask) bool {
-		used := e.report.UsedTokens + a.Prompt
-		for _, g := range e.granted {
-			used += g.prompt
+func admitBelowWatermark(fraction float64) func(*baselineEngine, *Ask) bool {
+	return func(e *baselineEngine, a *Ask) bool {
+		used := e.report.UsedTokens + a.PromptTokens
+		for _, g := range e.grantsSinceReport {
+			used += g.promptTokens
 		}
-		return e.report.MemoryTokens == 0 || float64(used) <= part*float64(e.report.MemoryTokens)
+		return e.report.MemoryTokens == 0 || float64(used) <= fraction*float64(e.report.MemoryTokens)
 	}
 }
 
-func reserveMax(e *naiveEngine, a *Ask) bool {
-	return e.running == 0 || e.reserved+a.Prompt+a.Max <= e.report.MemoryTokens
+func admitReservingMaxTokens(e *baselineEngine, a *Ask) bool {
+	return e.running == 0 || e.reservedTokens+a.PromptTokens+a.MaxTokens <= e.report.MemoryTokens
 }
 
-func (p *naive) Ask(_ time.Duration, a Ask) { p.queue = append(p.queue, a) }
+func (p *baselinePolicy) Ask(_ time.Duration, a Ask) { p.queue = append(p.queue, a) }
 
-func (p *naive) Withdraw(_ time.Duration, id requestID) { p.gone[id] = true }
+func (p *baselinePolicy) Withdraw(_ time.Duration, id requestID) { p.withdrawn[id] = true }
 
-func (p *naive) Progress(time.Duration, requestID, int) {}
+func (p *baselinePolicy) Progress(time.Duration, requestID, int) {}
 
-func (p *naive) Ended(_ time.Duration, id requestID, _ admission.Outcome, _ int, _ time.Duration) {
+func (p *baselinePolicy) Ended(_ time.Duration, id requestID, _ admission.Outcome, _ int, _ time.Duration) {
 	g, ok := p.running[id]
 	if !ok {
 		return
 	}
 	delete(p.running, id)
 	p.engines[g.engine].running--
-	p.engines[g.engine].reserved -= g.reserved
+	p.engines[g.engine].reservedTokens -= g.reservedTokens
 }
 
-func (p *naive) Report(now time.Duration, engine int, r model.Report) {
+func (p *baselinePolicy) Report(now time.Duration, engine int, r model.Report) {
 	e := &p.engines[engine]
-	e.report, e.taken = r, now-r.Age
-	kept := e.granted[:0]
-	for _, g := range e.granted {
-		if g.at >= e.taken {
+	e.report, e.reportedAt = r, now-r.Age
+	kept := e.grantsSinceReport[:0]
+	for _, g := range e.grantsSinceReport {
+		if g.grantedAt >= e.reportedAt {
 			kept = append(kept, g)
 		}
 	}
-	e.granted = kept
+	e.grantsSinceReport = kept
 }
 
-func (p *naive) Leave(_ time.Duration, leaving []bool) {
+func (p *baselinePolicy) SetLeaving(_ time.Duration, leaving []bool) {
 	for i := range p.engines {
 		p.engines[i].leaving = leaving[i]
 	}
 }
 
-func (p *naive) Decide(now time.Duration) []Decision {
-	p.out = p.out[:0]
+func (p *baselinePolicy) Decide(now time.Duration) []Decision {
+	p.decisions = p.decisions[:0]
 	for len(p.queue) > 0 {
 		head := p.queue[0]
-		if !p.gone[head.ID] {
-			i := p.pick(&head)
-			if i < 0 {
+		if !p.withdrawn[head.ID] {
+			engine := p.pickEngine(&head)
+			if engine < 0 {
 				break
 			}
-			p.grant(now, i, head)
+			p.grant(now, engine, head)
 		}
-		delete(p.gone, head.ID)
+		delete(p.withdrawn, head.ID)
 		p.queue = p.queue[1:]
 	}
-	return p.out
+	return p.decisions
 }
 
-func (p *naive) pick(a *Ask) int {
+func (p *baselinePolicy) pickEngine(a *Ask) int {
 	best := -1
 	for k := range p.engines {
-		i := (p.next + k) % len(p.engines)
+		i := (p.nextEngine + k) % len(p.engines)
 		e := &p.engines[i]
-		if e.leaving || !p.fits(e, a) {
+		if e.leaving || !p.admits(e, a) {
 			continue
 		}
 		if p.roundRobin {
-			p.next = i + 1
+			p.nextEngine = i + 1
 			return i
 		}
 		if best < 0 || e.running < p.engines[best].running {
@@ -138,56 +139,60 @@
 	return best
 }
 
-func (p *naive) grant(now time.Duration, i int, a Ask) {
-	e := &p.engines[i]
-	g := naiveGrant{engine: i, reserved: a.Prompt + a.Max, prompt: a.Prompt, at: now}
+func (p *baselinePolicy) grant(now time.Duration, engine int, a Ask) {
+	e := &p.engines[engine]
+	g := baselineGrant{engine: engine, reservedTokens: a.PromptTokens + a.MaxTokens, promptTokens: a.PromptTokens, grantedAt: now}
 	e.running++
-	e.reserved += g.reserved
-	e.granted = append(e.granted, g)
+	e.reservedTokens += g.reservedTokens
+	e.grantsSinceReport = append(e.grantsSinceReport, g)
 	p.running[a.ID] = g
-	p.out = append(p.out, Decision{ID: a.ID, Engine: i})
+	p.decisions = append(p.decisions, Decision{ID: a.ID, Engine: engine})
 }
 
-var ours = PolicySpec{Name: "filbertdeck", make: newFilbertdeck}
+var allocatorSpec = PolicySpec{Name: "filbertdeck", newPolicy: newAllocatorPolicy}
 
-func slotsSpec(n int) PolicySpec {
-	return PolicySpec{Name: fmt.Sprintf("slots %d", n), make: newNaive(slots(n), false)}
+func concurrencyLimitSpec(limit int) PolicySpec {
+	return PolicySpec{Name: fmt.Sprintf("slots %d", limit), newPolicy: newBaseline(admitBelowLimit(limit), false)}
 }
 
-func watermarkSpec(part float64) PolicySpec {
-	return PolicySpec{Name: fmt.Sprintf("watermark %.2f", part), make: newNaive(watermark(part), false)}
+func watermarkSpec(fraction float64) PolicySpec {
+	return PolicySpec{Name: fmt.Sprintf("watermark %.2f", fraction), newPolicy: newBaseline(admitBelowWatermark(fraction), false)}
 }
 
 var (
-	leastConnections = PolicySpec{Name: "least connections", make: newNaive(anything, false)}
-	roundRobin       = PolicySpec{Name: "round robin", make: newNaive(anything, true)}
-	reserving        = PolicySpec{Name: "reserve max_tokens", make: newNaive(reserveMax, false)}
-	retryAlways      = PolicySpec{Name: "least conn., retry always", make: newNaive(anything, false), retryAlways: true}
+	leastConnections      = PolicySpec{Name: "least connections", newPolicy: newBaseline(admitAlways, false)}
+	roundRobin            = PolicySpec{Name: "round robin", newPolicy: newBaseline(admitAlways, true)}
+	maxTokensReservation  = PolicySpec{Name: "reserve max_tokens", newPolicy: newBaseline(admitReservingMaxTokens, false)}
+	leastConnectionsRetry = PolicySpec{Name: "least conn., retry always", newPolicy: newBaseline(admitAlways, false), retryAlways: true}
 )
 
-// memoryPolicies are compared where memory is what matters.
+// memoryPolicies returns the policies compared in scenarios that are limited by
+// engine memory.
 func memoryPolicies() []PolicySpec {
-	list := []PolicySpec{ours}
-	for _, n := range []int{24, 32, 48, 64, 80, 96, 112, 128, 160, 192} {
-		list = append(list, slotsSpec(n))
+	list := []PolicySpec{allocatorSpec}
+	for _, limit := range []int{24, 32, 48, 64, 80, 96, 112, 128, 160, 192} {
+		list = append(list, concurrencyLimitSpec(limit))
 	}
-	for _, part := range []float64{0.70, 0.80, 0.85, 0.90, 0.95, 1} {
-		list = append(list, watermarkSpec(part))
+	for _, fraction := range []float64{0.70, 0.80, 0.85, 0.90, 0.95, 1} {
+		list = append(list, watermarkSpec(fraction))
 	}
-	return append(list, reserving, leastConnections)
+	return append(list, maxTokensReservation, leastConnections)
 }
 
-// queuePolicies are compared where the order of service matters.
+// queuePolicies returns the policies compared in scenarios that depend on the
+// order of service.
 func queuePolicies() []PolicySpec {
-	return []PolicySpec{ours, slotsSpec(32), slotsSpec(64), slotsSpec(96), watermarkSpec(0.85), leastConnections, roundRobin}
+	return []PolicySpec{allocatorSpec, concurrencyLimitSpec(32), concurrencyLimitSpec(64), concurrencyLimitSpec(96), watermarkSpec(0.85), leastConnections, roundRobin}
 }
 
-// spreadPolicies are compared where the choice of engine matters.
-func spreadPolicies() []PolicySpec {
-	return []PolicySpec{ours, slotsSpec(64), watermarkSpec(0.85), leastConnections, roundRobin}
+// balancingPolicies returns the policies compared in scenarios that depend on
+// the choice of engine.
+func balancingPolicies() []PolicySpec {
+	return []PolicySpec{allocatorSpec, concurrencyLimitSpec(64), watermarkSpec(0.85), leastConnections, roundRobin}
 }
 
-// overloadPolicies are compared where the load is more than can be served.
+// overloadPolicies returns the policies compared in scenarios whose load exceeds
+// the capacity.
 func overloadPolicies() []PolicySpec {
-	return []PolicySpec{ours, slotsSpec(64), slotsSpec(96), watermarkSpec(0.85), reserving, leastConnections, roundRobin, retryAlways}
+	return []PolicySpec{allocatorSpec, concurrencyLimitSpec(64), concurrencyLimitSpec(96), watermarkSpec(0.85), maxTokensReservation, leastConnections, roundRobin, leastConnectionsRetry}
 }
--- a/internal/experiment/callers.go
+++ b/internal/experiment/callers.go
@@ -9,136 +9,138 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// startClass begins a class's arrivals.
-func (w *world) startClass(i int) {
-	c := &w.s.Classes[i]
-	w.at(c.From, func() {
+// startArrivals schedules the first requests of a class.
+func (sim *simulation) startArrivals(i int) {
+	c := &sim.scenario.Classes[i]
+	sim.scheduleAt(c.Start, func() {
 		if c.Rate > 0 {
-			w.arrive(c, c.From)
+			sim.sendArrival(c, c.Start)
 			return
 		}
-		w.refill(c)
+		sim.fillBacklog(c)
 	})
 }
 
-func (c *Class) sends(now time.Duration) bool {
-	return now >= c.From && (c.To == 0 || now < c.To)
+func (c *RequestClass) activeAt(now time.Duration) bool {
+	return now >= c.Start && (c.End == 0 || now < c.End)
 }
 
-// arrive sends a request of an open class and books the next, counted from the
-// time at which this one was due: counted from the tick, arrivals would be held
-// to one a millisecond.
-func (w *world) arrive(c *Class, due time.Duration) {
-	if !c.sends(w.now) {
+// sendArrival sends a request of an open-loop class and schedules the next one.
+// The gap counts from the time at which this request was due: counted from the
+// tick, the rate could not exceed one arrival a millisecond.
+func (sim *simulation) sendArrival(c *RequestClass, due time.Duration) {
+	if !c.activeAt(sim.now) {
 		return
 	}
-	w.send(w.draw(c))
-	gap := time.Duration(w.streams[c].ExpFloat64() / c.Rate * float64(time.Second))
-	w.at(due+gap, func() { w.arrive(c, due+gap) })
+	sim.send(sim.newRequest(c))
+	gap := time.Duration(sim.rngs[c].ExpFloat64() / c.Rate * float64(time.Second))
+	sim.scheduleAt(due+gap, func() { sim.sendArrival(c, due+gap) })
 }
 
-// refill keeps a closed class at its backlog.
-func (w *world) refill(c *Class) {
-	if c.Rate > 0 || !c.sends(w.now) {
+// fillBacklog sends requests of a closed-loop class until its backlog is full.
+func (sim *simulation) fillBacklog(c *RequestClass) {
+	if c.Rate > 0 || !c.activeAt(sim.now) {
 		return
 	}
-	for w.open[c] < c.Backlog {
-		w.send(w.draw(c))
+	for sim.openRequests[c] < c.Backlog {
+		sim.send(sim.newRequest(c))
 	}
 }
 
-// draw makes a request. The draws come from a stream of the class's own, so
-// that the n-th request of a class is the same under every policy.
-func (w *world) draw(c *Class) *request {
-	r := w.streams[c]
-	q := &request{class: c, prompt: c.Prompt.draw(r), length: c.Output.draw(r), avoid: -1, print: r.Uint64() | 1}
-	q.prompt = min(q.prompt, w.s.Engine.MemoryTokens/4)
-	q.length = min(q.length, c.MaxTokens)
-	if c.Crash {
-		q.print = poisonPrint
+// newRequest generates a request. Each class has its own random number
+// generator, so that the n-th request of a class is the same under every policy.
+func (sim *simulation) newRequest(c *RequestClass) *request {
+	rng := sim.rngs[c]
+	req := &request{class: c, promptTokens: c.Prompt.sample(rng), outputTokens: c.Output.sample(rng), avoidEngine: -1, fingerprint: rng.Uint64() | 1}
+	req.promptTokens = min(req.promptTokens, sim.scenario.Engine.MemoryTokens/4)
+	req.outputTokens = min(req.outputTokens, c.MaxTokens)
+	if c.CrashesEngine {
+		req.fingerprint = poisonFingerprint
 	}
-	if c.Prefixes > 0 {
-		q.prefix = prefixOf(r.IntN(c.Prefixes), q.prompt/2)
+	if c.SharedPrefixes > 0 {
+		req.prefix = sharedPrefix(rng.IntN(c.SharedPrefixes), req.promptTokens/2)
 	}
-	return q
+	return req
 }
 
-const poisonPrint = 666
+const poisonFingerprint = 666
 
-// prefixOf is the hash chain of a shared prefix of so many tokens.
-func prefixOf(which, tokens int) []uint64 {
+// sharedPrefix returns the block hash chain of the shared prefix with this index
+// and length in tokens.
+func sharedPrefix(index, tokens int) []uint64 {
 	chain := make([]uint64, tokens/model.BlockTokens)
 	for i := range chain {
-		chain[i] = uint64(which+1)<<32 | uint64(i)
+		chain[i] = uint64(index+1)<<32 | uint64(i)
 	}
 	return chain
 }
 
-// send puts a request on its way: one hop to the allocator's host.
-func (w *world) send(r *request) {
-	w.lastID++
-	r.id, r.arrived = w.lastID, w.now
-	w.requests[r.id] = r
-	w.open[r.class]++
-	w.result.sent(r, w.now)
-	w.after(hop, func() {
-		if r.state == waiting {
-			w.policy.Ask(w.now, Ask{
-				ID: r.id, Account: r.class.Account, Prompt: r.prompt, Max: r.class.MaxTokens,
-				MaxWait: r.class.MaxWait, Fingerprint: r.print, Prefix: r.prefix, Avoid: r.avoid,
+// send sends a request, which reaches the allocator's host after one hop delay.
+func (sim *simulation) send(req *request) {
+	sim.lastID++
+	req.id, req.arrivedAt = sim.lastID, sim.now
+	sim.requests[req.id] = req
+	sim.openRequests[req.class]++
+	sim.result.recordSent(req, sim.now)
+	sim.scheduleAfter(hopDelay, func() {
+		if req.state == stateWaiting {
+			sim.policy.Ask(sim.now, Ask{
+				ID: req.id, Account: req.class.Account, PromptTokens: req.promptTokens, MaxTokens: req.class.MaxTokens,
+				MaxWait: req.class.MaxWait, Fingerprint: req.fingerprint, Prefix: req.prefix, AvoidEngine: req.avoidEngine,
 			})
 		}
 	})
-	w.after(r.class.MaxWait+2*hop, func() { w.timedOut(r) })
+	sim.scheduleAfter(req.class.MaxWait+2*hopDelay, func() { sim.handleTimeout(req) })
 }
 
-func sortByID(rs []*request) {
-	slices.SortFunc(rs, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+func sortByID(requests []*request) {
+	slices.SortFunc(requests, func(a, b *request) int { return cmp.Compare(a.id, b.id) })
 }
 
-// agenda holds what is due, in order; equal times in the order of booking.
-type agenda struct {
-	items []due
-	count uint64
+// eventQueue is a priority queue of events by due time; events due at the same
+// time run in the order in which they were scheduled.
+type eventQueue struct {
+	events       []scheduledEvent
+	lastSequence uint64
 }
 
-type due struct {
-	at    time.Duration
-	order uint64
-	do    func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence uint64
+	action   func()
 }
 
-func (a *agenda) add(at time.Duration, do func()) {
-	a.count++
-	heap.Push(a, due{at, a.count, do})
+func (q *eventQueue) schedule(at time.Duration, action func()) {
+	q.lastSequence++
+	heap.Push(q, scheduledEvent{at, q.lastSequence, action})
 }
 
-func (a *agenda) run(now time.Duration) {
-	for len(a.items) > 0 && a.items[0].at <= now {
-		heap.Pop(a).(due).do()
+func (q *eventQueue) runDue(now time.Duration) {
+	for len(q.events) > 0 && q.events[0].at <= now {
+		heap.Pop(q).(scheduledEvent).action()
 	}
 }
 
 // Len implements heap.Interface.
-func (a *agenda) Len() int { return len(a.items) }
+func (q *eventQueue) Len() int { return len(q.events) }
 
 // Less implements heap.Interface.
-func (a *agenda) Less(i, j int) bool {
-	x, y := &a.items[i], &a.items[j]
-	return x.at < y.at || x.at == y.at && x.order < y.order
+func (q *eventQueue) Less(i, j int) bool {
+	x, y := &q.events[i], &q.events[j]
+	return x.at < y.at || x.at == y.at && x.sequence < y.sequence
 }
 
 // Swap implements heap.Interface.
-func (a *agenda) Swap(i, j int) { a.items[i], a.items[j] = a.items[j], a.items[i] }
+func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { a.items = append(a.items, x.(due)) }
+func (q *eventQueue) Push(x any) { q.events = append(q.events, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
-	last := len(a.items) - 1
-	x := a.items[last]
-	a.items[last] = due{}
-	a.items = a.items[:last]
+func (q *eventQueue) Pop() any {
+	last := len(q.events) - 1
+	x := q.events[last]
+	q.events[last] = scheduledEvent{}
+	q.events = q.events[:last]
 	return x
 }
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,14 +1,15 @@
-// Package experiment measures the admission decisions against naive ones,
-// without network and with a fake clock.
+// Package experiment compares the admission allocator with simpler baseline
+// policies in a discrete-time simulation, without a network and with a
+// simulated clock.
 //
-// Engines are the state machines of package model, the same that the stand-in
-// processes run. Callers, the way between the processes (fixed delays) and the
-// engines' lagging reports are played by a small loop that steps one
-// millisecond at a time. Every policy of a scenario meets the same arrivals,
-// lengths and faults, drawn from the seed. What is printed is what callers
-// receive: tokens, gaps, answers, refusals.
+// Engines are the state machines of package model, which the stand-in processes
+// run too. A loop with a step of one millisecond simulates the callers, the
+// network between the processes (fixed delays) and the delayed load reports of
+// the engines. All policies of a scenario get the same arrivals, request
+// lengths and faults, which are generated from the seed. The results describe
+// what callers observe: tokens, gaps between tokens, responses and refusals.
 //
-// It is a measuring tool for the decisions of one or two pools and no cluster
-// simulator: entries, gossip, fail-over of allocators and the network's faults
-// are not in it.
+// The package evaluates the admission decisions of one or two pools. It does
+// not simulate a cluster: entries, gossip, failover of allocators and network
+// faults are left out.
 package experiment
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -8,22 +8,23 @@
 	"filbertdeck/internal/standin/model"
 )
 
-// requestID names a request of the experiment.
+// requestID identifies a request of a simulation.
 type requestID uint64
 
-// Ask is what a policy learns of a request: no length.
+// Ask is the admission request that a policy sees. It does not hold the output
+// length, which is unknown at admission.
 type Ask struct {
-	ID          requestID
-	Account     string
-	Prompt, Max int
-	MaxWait     time.Duration
-	Fingerprint uint64
-	Prefix      []uint64
-	// Avoid is the engine that failed it before, -1 for none.
-	Avoid int
+	ID                      requestID
+	Account                 string
+	PromptTokens, MaxTokens int
+	MaxWait                 time.Duration
+	Fingerprint             uint64
+	Prefix                  []uint64
+	// AvoidEngine is the engine that failed this request before, -1 for none.
+	AvoidEngine int
 }
 
-// Decision answers an ask.
+// Decision is the answer to an Ask.
 type Decision struct {
 	ID         requestID
 	Engine     int
@@ -32,61 +33,63 @@
 	Priority   int
 }
 
-// Policy is a way to admit. Times are the experiment's.
+// Policy is an admission policy. All times are simulated time.
 type Policy interface {
 	Ask(now time.Duration, a Ask)
 	Withdraw(now time.Duration, id requestID)
-	// Progress comes once a second for each running request.
-	Progress(now time.Duration, id requestID, produced int)
-	// Ended tells how an admitted request ended.
-	Ended(now time.Duration, id requestID, how admission.Outcome, produced int, firstToken time.Duration)
+	// Progress is called once a second for each running request.
+	Progress(now time.Duration, id requestID, producedTokens int)
+	// Ended reports the outcome of an admitted request.
+	Ended(now time.Duration, id requestID, outcome admission.Outcome, producedTokens int, firstToken time.Duration)
 	Report(now time.Duration, engine int, r model.Report)
-	Leave(now time.Duration, leaving []bool)
-	// Decide returns what is decided now; the slice is valid until the next
-	// call.
+	SetLeaving(now time.Duration, leaving []bool)
+	// Decide returns the decisions made at this time; the slice is valid until
+	// the next call.
 	Decide(now time.Duration) []Decision
 }
 
-// PolicySpec names a policy and makes it.
+// PolicySpec is the name and the constructor of a policy.
 type PolicySpec struct {
-	Name string
-	make func(s *Scenario, seed uint64) Policy
-	// retryAlways makes callers send again at once when they are refused or
-	// got no answer.
+	Name      string
+	newPolicy func(s *Scenario, seed uint64) Policy
+	// retryAlways makes callers retry after resendDelay when they are refused,
+	// time out or the engine rejects the request.
 	retryAlways bool
 }
 
-// entries is the number of entry hosts that ask, as the users have today.
-const entries = 8
-
-// filbertdeck runs the product's allocator.
-type filbertdeck struct {
-	plain   bool
-	alloc   *admission.Allocator
-	running map[requestID]*granted
-	targets []admission.Target
-	index   map[string]int
-	out     []Decision
-	renewed time.Duration
+// entryHosts is the number of entry hosts that send requests, as in today's
+// deployments.
+const entryHosts = 8
+
+// allocatorPolicy runs the product's allocator.
+type allocatorPolicy struct {
+	plain           bool
+	alloc           *admission.Allocator
+	requests        map[requestID]*allocatorRequest
+	targets         []admission.Target
+	engineByAddress map[string]int
+	decisions       []Decision
+	confirmedAt     time.Duration
 }
 
-type granted struct {
-	decision admission.Decision
-	account  string
-	prompt   int
+type allocatorRequest struct {
+	decision     admission.Decision
+	account      string
+	promptTokens int
 }
 
-func newFilbertdeck(s *Scenario, seed uint64) Policy {
-	p := &filbertdeck{
+func newAllocatorPolicy(s *Scenario, seed uint64) Policy {
+	p := &allocatorPolicy{
 		plain: s.Plain, alloc: admission.New(admission.Config{Seed: seed}),
-		running: map[requestID]*granted{}, index: map[string]int{},
+		requests: map[requestID]*allocatorRequest{}, engineByAddress: map[string]int{},
 	}
 	for i := range s.Engines {
 		address := fmt.Sprintf("10.0.0.%d:80", i+1)
 		p.targets = append(p.targets, admission.Target{Address: address})
-		p.index[address] = i
+		p.engineByAddress[address] = i
 	}
-	// The allocator has owned the pool for a while: see confirm.
+	// Ownership is confirmed one minute back, so that the allocator has owned the
+	// pool for a while when the run starts; Decide renews it once a second.
 	p.alloc.SetConfirmedOwner(-time.Minute, true)
 	p.alloc.SetTargets(0, p.targets)
 	for _, c := range s.Classes {
@@ -95,61 +98,61 @@
 	return p
 }
 
-func holder(id requestID) admission.Holder {
-	return admission.Holder{Entry: entryNames[id%entries], Incarnation: 1}
+func holderOf(id requestID) admission.Holder {
+	return admission.Holder{Entry: entryAddresses[id%entryHosts], Incarnation: 1}
 }
 
-var entryNames = func() (names [entries]string) {
-	for i := range names {
-		names[i] = fmt.Sprintf("10.0.1.%d:80", i+1)
+var entryAddresses = func() (addresses [entryHosts]string) {
+	for i := range addresses {
+		addresses[i] = fmt.Sprintf("10.0.1.%d:80", i+1)
 	}
-	return names
+	return addresses
 }()
 
-func (p *filbertdeck) Ask(now time.Duration, a Ask) {
+func (p *allocatorPolicy) Ask(now time.Duration, a Ask) {
 	ask := admission.Ask{
-		Holder: holder(a.ID), Request: uint64(a.ID), Account: a.Account, PromptTokens: a.Prompt,
-		MaxTokens: a.Max, MaxWait: a.MaxWait, Fingerprint: a.Fingerprint, Prefix: a.Prefix,
+		Holder: holderOf(a.ID), Request: uint64(a.ID), Account: a.Account, PromptTokens: a.PromptTokens,
+		MaxTokens: a.MaxTokens, MaxWait: a.MaxWait, Fingerprint: a.Fingerprint, Prefix: a.Prefix,
 	}
 	if p.plain {
 		ask.PromptTokens, ask.MaxTokens = 0, 0
 	}
-	if a.Avoid >= 0 {
-		ask.Avoid = []string{p.targets[a.Avoid].Address}
+	if a.AvoidEngine >= 0 {
+		ask.Avoid = []string{p.targets[a.AvoidEngine].Address}
 	}
-	p.running[a.ID] = &granted{account: a.Account, prompt: ask.PromptTokens}
+	p.requests[a.ID] = &allocatorRequest{account: a.Account, promptTokens: ask.PromptTokens}
 	p.alloc.Ask(now, ask)
 }
 
-func (p *filbertdeck) Withdraw(now time.Duration, id requestID) {
-	p.alloc.Withdraw(now, holder(id), uint64(id))
-	delete(p.running, id)
+func (p *allocatorPolicy) Withdraw(now time.Duration, id requestID) {
+	p.alloc.Withdraw(now, holderOf(id), uint64(id))
+	delete(p.requests, id)
 }
 
-func (p *filbertdeck) Progress(now time.Duration, id requestID, produced int) {
-	g := p.running[id]
-	if g == nil {
+func (p *allocatorPolicy) Progress(now time.Duration, id requestID, producedTokens int) {
+	req := p.requests[id]
+	if req == nil {
 		return
 	}
-	p.alloc.Renew(now, holder(id), []admission.Renewal{{
-		Lease: g.decision.Lease, Target: g.decision.Target, Account: g.account,
-		PromptTokens: g.prompt, ProducedTokens: produced,
+	p.alloc.Renew(now, holderOf(id), []admission.Renewal{{
+		Lease: req.decision.Lease, Target: req.decision.Target, Account: req.account,
+		PromptTokens: req.promptTokens, ProducedTokens: producedTokens,
 	}})
 }
 
-func (p *filbertdeck) Ended(now time.Duration, id requestID, how admission.Outcome, produced int, first time.Duration) {
-	g := p.running[id]
-	if g == nil {
+func (p *allocatorPolicy) Ended(now time.Duration, id requestID, outcome admission.Outcome, producedTokens int, firstToken time.Duration) {
+	req := p.requests[id]
+	if req == nil {
 		return
 	}
-	delete(p.running, id)
+	delete(p.requests, id)
 	if p.plain {
-		produced = 0
+		producedTokens = 0
 	}
-	p.alloc.Settle(now, admission.Settlement{Lease: g.decision.Lease, Outcome: how, ProducedTokens: produced, FirstToken: first})
+	p.alloc.Settle(now, admission.Settlement{Lease: req.decision.Lease, Outcome: outcome, ProducedTokens: producedTokens, FirstToken: firstToken})
 }
 
-func (p *filbertdeck) Report(now time.Duration, engine int, r model.Report) {
+func (p *allocatorPolicy) Report(now time.Duration, engine int, r model.Report) {
 	report := admission.Report{
 		Target: p.targets[engine].Address, Age: r.Age, Incarnation: r.Incarnation,
 		MemoryTokens: r.MemoryTokens, UsedTokens: r.UsedTokens, Running: r.Running, Waiting: r.Waiting,
@@ -161,28 +164,28 @@
 	p.alloc.Report(now, report)
 }
 
-func (p *filbertdeck) Leave(now time.Duration, leaving []bool) {
+func (p *allocatorPolicy) SetLeaving(now time.Duration, leaving []bool) {
 	for i := range p.targets {
 		p.targets[i].Leaving = leaving[i]
 	}
 	p.alloc.SetTargets(now, p.targets)
 }
 
-func (p *filbertdeck) Decide(now time.Duration) []Decision {
-	if now-p.renewed >= time.Second {
+func (p *allocatorPolicy) Decide(now time.Duration) []Decision {
+	if now-p.confirmedAt >= time.Second {
 		p.alloc.ConfirmOwnership(now)
-		p.renewed = now
+		p.confirmedAt = now
 	}
-	p.out = p.out[:0]
+	p.decisions = p.decisions[:0]
 	for _, d := range p.alloc.Decide(now) {
 		id := requestID(d.Request)
 		if !d.Granted() {
-			delete(p.running, id)
-			p.out = append(p.out, Decision{ID: id, Refused: true, RetryAfter: d.RetryAfter})
+			delete(p.requests, id)
+			p.decisions = append(p.decisions, Decision{ID: id, Refused: true, RetryAfter: d.RetryAfter})
 			continue
 		}
-		p.running[id].decision = d
-		p.out = append(p.out, Decision{ID: id, Engine: p.index[d.Target], Priority: d.Priority})
+		p.requests[id].decision = d
+		p.decisions = append(p.decisions, Decision{ID: id, Engine: p.engineByAddress[d.Target], Priority: d.Priority})
 	}
-	return p.out
+	return p.decisions
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -12,10 +12,10 @@
 	"filbertdeck/internal/failure"
 )
 
-// parallel bounds the policies that are run at the same time.
-const parallel = 4
+// maxParallelPolicies limits the number of policies simulated at the same time.
+const maxParallelPolicies = 4
 
-// Names lists the scenarios.
+// Names returns the names of the scenarios.
 func Names() []string {
 	var names []string
 	for _, s := range Scenarios() {
@@ -24,36 +24,36 @@
 	return names
 }
 
-// Run runs the scenario called name under each of its policies and prints a
-// table. The same seed prints the same table. An unknown name fails with
-// KindNotFound.
+// Run runs the named scenario under each of its policies and prints a table of
+// results. The table is the same for the same seed. It returns a KindNotFound
+// error if there is no such scenario.
 func Run(name string, seed uint64, w io.Writer) error {
-	results, err := find(name, seed)
+	results, err := runScenario(name, seed)
 	if err != nil {
 		return err
 	}
-	return print(results, seed, w)
+	return printTable(results, seed, w)
 }
 
-// find runs the scenario called name under each of its policies.
-func find(name string, seed uint64) ([]*Result, error) {
+// runScenario runs the named scenario under each of its policies.
+func runScenario(name string, seed uint64) ([]*Result, error) {
 	for _, s := range Scenarios() {
 		if s.Name == name {
-			return measure(&s, seed)
+			return runPolicies(&s, seed)
 		}
 	}
 	return nil, failure.New(failure.KindNotFound, "no scenario is called %q", name)
 }
 
-func measure(s *Scenario, seed uint64) ([]*Result, error) {
+func runPolicies(s *Scenario, seed uint64) ([]*Result, error) {
 	results := make([]*Result, len(s.Policies))
 	var group errgroup.Group
-	group.SetLimit(parallel)
+	group.SetLimit(maxParallelPolicies)
 	for i, spec := range s.Policies {
 		group.Go(func() error {
-			own := *s
-			own.Classes = append([]Class(nil), s.Classes...)
-			results[i] = newWorld(&own, spec, seed).run()
+			scenarioCopy := *s
+			scenarioCopy.Classes = append([]RequestClass(nil), s.Classes...)
+			results[i] = newSimulation(&scenarioCopy, spec, seed).run()
 			return nil
 		})
 	}
@@ -66,7 +66,7 @@
 	"over", "fell", "crashes", "late", "prefix", "30s dev", "max/min",
 }
 
-func print(results []*Result, seed uint64, w io.Writer) error {
+func printTable(results []*Result, seed uint64, w io.Writer) error {
 	s := results[0].scenario
 	fmt.Fprintf(w, "%s: %s\nseed %d, %d engines, %v after a warm-up of %v\n",
 		s.Name, s.About, seed, s.Engines, s.Duration-s.Warmup, s.Warmup)
@@ -89,23 +89,23 @@
 }
 
 func (r *Result) row() []string {
-	worst, ratio := r.unfairness()
-	number := func(v any) string { return fmt.Sprint(v) }
-	rate := func(tokens int) string { return fmt.Sprintf("%.0f", float64(tokens)/r.measured()) }
+	maxDeviation, maxMinRatio := r.unfairness()
+	formatCount := func(v any) string { return fmt.Sprint(v) }
+	formatRate := func(tokens int) string { return fmt.Sprintf("%.0f", float64(tokens)/r.measuredSeconds()) }
 	return []string{
-		r.Policy, rate(r.Tokens), rate(r.GoodTokens), number(r.Preemptions),
-		fmt.Sprintf("%.1f", r.Stall.Seconds()), quantile(r.gaps, 99),
-		quantile(r.firstTokens, 50), quantile(r.firstTokens, 99),
-		quantile(r.watchedFirst, 50), quantile(r.watchedFirst, 99),
-		number(r.Sent), number(r.Done), number(r.Refused), quantile(r.refusals, 50), quantile(r.refusals, 99),
-		number(r.TimedOut), number(r.Lost), number(r.Overborne), number(r.FellOver),
-		number(r.Crashes), number(r.LateToLeaving), number(r.PrefixHits),
-		fmt.Sprintf("%.1f%%", 100*worst), fmt.Sprintf("%.2f", ratio),
+		r.Policy, formatRate(r.Tokens), formatRate(r.GoodTokens), formatCount(r.Preemptions),
+		fmt.Sprintf("%.1f", r.Stall.Seconds()), formatQuantile(r.tokenGaps, 99),
+		formatQuantile(r.firstTokenTimes, 50), formatQuantile(r.firstTokenTimes, 99),
+		formatQuantile(r.watchedFirstTokenTimes, 50), formatQuantile(r.watchedFirstTokenTimes, 99),
+		formatCount(r.Sent), formatCount(r.Completed), formatCount(r.Refused), formatQuantile(r.refusalTimes, 50), formatQuantile(r.refusalTimes, 99),
+		formatCount(r.TimedOut), formatCount(r.Lost), formatCount(r.OverCapacity), formatCount(r.OverloadFailures),
+		formatCount(r.Crashes), formatCount(r.LateGrantsToLeaving), formatCount(r.PrefixHits),
+		fmt.Sprintf("%.1f%%", 100*maxDeviation), fmt.Sprintf("%.2f", maxMinRatio),
 	}
 }
 
-// quantile shows a quantile in milliseconds.
-func quantile(h *hdrhistogram.Histogram, q float64) string {
+// formatQuantile formats the q-th percentile in milliseconds.
+func formatQuantile(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
