--- a/internal/slopes/accounting.go
+++ b/internal/slopes/accounting.go
@@ -7,25 +7,25 @@
 	"filbertdeck/internal/accounting"
 )
 
-// accountingRounds is how often a snapshot is made.
+// accountingRounds is the number of snapshots that are averaged.
 const accountingRounds = 5
 
-// Accounting measures the counters of an entry: their memory, and the snapshot
-// of all of them that it hands to the control process of its host.
-func (out Printer) Accounting() {
-	for _, rows := range []int{10, 100, 1000, TargetAccounts, 3 * TargetAccounts} {
-		before := ownHeap()
-		book := accounting.New()
+// Accounting measures an entry's accounting counters: their memory, and the cost
+// of the snapshot that the entry sends to the control process of its host.
+func (printer Printer) Accounting() {
+	for _, rows := range []int{10, 100, 1000, FullScaleAccounts, 3 * FullScaleAccounts} {
+		heapBefore := heapInUse()
+		counters := accounting.New()
 		for i := range rows {
-			e := book.Begin(accountName(i/3), service+string(rune('a'+i%3)))
-			e.FirstToken(300 * time.Millisecond)
-			e.Tokens(230, 50*time.Millisecond)
-			e.Whole(true)
-			e.End(nil)
+			request := counters.Begin(accountName(i/3), serviceName+string(rune('a'+i%3)))
+			request.FirstToken(300 * time.Millisecond)
+			request.Tokens(230, 50*time.Millisecond)
+			request.Whole(true)
+			request.End(nil)
 		}
-		held := ownHeap() - before
-		var text []byte
-		cpu := cpuOf(accountingRounds, func() { text, _ = json.Marshal(book.Snapshot("host-0001", centre(0), 1)) })
-		out.line("accounting: %d rows of an account and a service: %.2f MB held; snapshot %d bytes, cpu %v", rows, megabytes(held), len(text), cpu)
+		heapUsed := heapInUse() - heapBefore
+		var snapshot []byte
+		snapshotCPU := meanCPU(accountingRounds, func() { snapshot, _ = json.Marshal(counters.Snapshot("host-0001", dataCentreName(0), 1)) })
+		printer.printLine("accounting: %d rows of an account and a service: %.2f MB allocated; snapshot %d bytes, cpu %v", rows, megabytes(heapUsed), len(snapshot), snapshotCPU)
 	}
 }
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -20,50 +20,52 @@
 
 const (
 	poolName = "reports/dc-01/123"
-	// bearsAll lets every request start at once.
-	bearsAll = 1 << 16
-	// reportEvery is the pace of the target's reports.
-	reportEvery = 200 * time.Millisecond
-	// nodeRate is the requests that a node asks for a second at the target
-	// size: 52,000 over 3,300 nodes.
-	nodeRate = 16
-	// nodeRun is how long a request runs there: 230 tokens, 61 ms apart.
-	nodeRun = 14 * time.Second
+	// unlimitedCapacity is large enough for every request to start at once.
+	unlimitedCapacity = 1 << 16
+	// reportInterval is the interval between reports of a target.
+	reportInterval = 200 * time.Millisecond
+	// hostRequestRate is the number of requests per second and host at full
+	// scale: 52,000 over 3,300 hosts.
+	hostRequestRate = 16
+	// hostRequestDuration is the duration of a request at full scale: 230 tokens,
+	// 61 ms apart.
+	hostRequestDuration = 14 * time.Second
 )
 
-// bench is one pool served over gRPC on loopback.
-type bench struct {
-	runner *pool.Runner
-	wire   wire
-	client *admit.Client
-	close  func()
+// admissionBench serves one pool over gRPC on loopback.
+type admissionBench struct {
+	runner  *pool.Runner
+	traffic trafficCounter
+	client  *admit.Client
+	close   func()
 }
 
 // Runner implements sessions.Pools.
-func (b *bench) Runner(string) (*pool.Runner, uint64, bool) { return b.runner, 1, true }
+func (b *admissionBench) Runner(string) (*pool.Runner, uint64, bool) { return b.runner, 1, true }
 
-// newBench serves a pool of four targets.
-func newBench(ctx context.Context) (*bench, error) {
-	b := &bench{}
+// newAdmissionBench starts serving a pool of four targets.
+func newAdmissionBench(ctx context.Context) (*admissionBench, error) {
+	b := &admissionBench{}
 	server := sessions.New(b)
-	b.runner = pool.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: bearsAll}, server.Deliver)
-	l, err := b.wire.listen()
+	b.runner = pool.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: unlimitedCapacity}, server.Deliver)
+	listener, err := b.traffic.listen()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindInternal, "no free port")
+		return nil, failure.Wrap(err, failure.KindInternal, "can't listen on a free port")
 	}
 	grpcServer := rpc.NewServer(rpc.Credentials{})
 	filbertv1.RegisterAdmissionServer(grpcServer, &state.Service{Sessions: server})
-	go func() { _ = grpcServer.Serve(l) }()
-	owner := l.Addr().String()
+	go func() { _ = grpcServer.Serve(listener) }()
+	owner := listener.Addr().String()
 	b.client = admit.New(&filbertv1.Hello{Entry: "10.1.0.1:8081", Incarnation: 1_800_000_000_000, DataCentre: "dc-01"},
 		rpc.Credentials{}, func(string) []string { return []string{owner} }, gometrics.NewRegistry())
 	b.close = func() { b.client.Close(); grpcServer.Stop(); b.runner.Close() }
-	go b.report(ctx)
+	go b.sendReports(ctx)
 	return b, nil
 }
 
-// report keeps the pool's targets warm.
-func (b *bench) report(ctx context.Context) {
+// sendReports confirms the pool's ownership and reports the load of its targets
+// until ctx is done, so that the allocator keeps granting requests.
+func (b *admissionBench) sendReports(ctx context.Context) {
 	targets := targetList(4)
 	b.runner.Do(func(a *admission.Allocator, now time.Duration) {
 		a.SetOwnership(now, 1, true)
@@ -76,14 +78,14 @@
 	for ctx.Err() == nil {
 		b.runner.Confirm(time.Now())
 		for _, t := range targets {
-			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Capacity: bearsAll})
+			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Capacity: unlimitedCapacity})
 		}
-		time.Sleep(reportEvery)
+		time.Sleep(reportInterval)
 	}
 }
 
-// one is a request from its ask to its settlement; run is how long it runs.
-func (b *bench) one(ctx context.Context, i int, run time.Duration) error {
+// runRequest acquires a lease, holds it for the given duration and settles it.
+func (b *admissionBench) runRequest(ctx context.Context, i int, duration time.Duration) error {
 	lease, err := b.client.Acquire(ctx, &filbertv1.Ask{
 		Pool: poolName, Account: accountName(i % 8), PromptTokens: 400, MaxTokens: 2000,
 		Fingerprint: uint64(i) * 0x9e3779b97f4a7c15, Prefix: []uint64{uint64(i) << 40, uint64(i) << 41, uint64(i) << 42, uint64(i) << 43},
@@ -92,60 +94,62 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(run)
+	time.Sleep(duration)
 	lease.Produced(230)
-	lease.Settle(filbertv1.Outcome_OUTCOME_DONE, 300*time.Millisecond, run)
+	lease.Settle(filbertv1.Outcome_OUTCOME_DONE, 300*time.Millisecond, duration)
 	return nil
 }
 
-// paced asks rate times a second for a while; each request runs so long.
-func (b *bench) paced(ctx context.Context, rate int, run, over time.Duration) error {
+// runAtRate starts rate requests per second during period; each of them runs for
+// requestDuration.
+func (b *admissionBench) runAtRate(ctx context.Context, rate int, requestDuration, period time.Duration) error {
 	ticker := time.NewTicker(time.Second / time.Duration(max(rate, 1)))
 	defer ticker.Stop()
 	group, ctx := errgroup.WithContext(ctx)
-	for i := range rate * int(over/time.Second) {
+	for i := range rate * int(period/time.Second) {
 		<-ticker.C
-		group.Go(func() error { return b.one(ctx, i, run) })
+		group.Go(func() error { return b.runRequest(ctx, i, requestDuration) })
 	}
 	return group.Wait()
 }
 
-// steady watches a pace after as many requests run as ever will, until the
-// last begins.
-func (b *bench) steady(ctx context.Context, out Printer, rate int, run, over time.Duration) error {
+// measureRate measures a request rate in its steady state: it begins once the
+// number of running requests has reached its maximum and ends before the last
+// request starts.
+func (b *admissionBench) measureRate(ctx context.Context, printer Printer, rate int, requestDuration, period time.Duration) error {
 	done := make(chan error, 1)
-	go func() { done <- b.paced(ctx, rate, run, run+over+time.Second) }()
-	time.Sleep(run)
-	payload, segments := b.wire.sample()
-	cpu, begun := ownCPU(), time.Now()
-	time.Sleep(over)
-	used, took := ownCPU()-cpu, time.Since(begun).Seconds()
-	endPayload, endSegments := b.wire.sample()
-	bytes, packets := float64(endPayload-payload)/took, float64(endSegments-segments)/took
-	out.line("admission: %d requests/s that run %v: %.0f payload bytes/s and %.1f segments/s both ways, with headers %.0f (all acknowledgements ride along) to %.0f bytes/s (none does); %.3f%% of a core, both sides and load together",
-		rate, run, bytes, packets, bytes+packets*segmentHeader, bytes+2*packets*segmentHeader, share(used, over))
+	go func() { done <- b.runAtRate(ctx, rate, requestDuration, requestDuration+period+time.Second) }()
+	time.Sleep(requestDuration)
+	payloadBefore, segmentsBefore := b.traffic.sample()
+	cpuBefore, started := processCPU(), time.Now()
+	time.Sleep(period)
+	cpuUsed, elapsedSeconds := processCPU()-cpuBefore, time.Since(started).Seconds()
+	payloadAfter, segmentsAfter := b.traffic.sample()
+	bytesPerSecond, segmentsPerSecond := float64(payloadAfter-payloadBefore)/elapsedSeconds, float64(segmentsAfter-segmentsBefore)/elapsedSeconds
+	printer.printLine("admission: %d requests/s that run %v: %.0f payload bytes/s and %.1f segments/s both ways, with headers %.0f (all acknowledgements piggybacked) to %.0f bytes/s (none piggybacked); %.3f%% of a core, client, server and load generator together",
+		rate, requestDuration, bytesPerSecond, segmentsPerSecond, bytesPerSecond+segmentsPerSecond*segmentHeaderBytes, bytesPerSecond+2*segmentsPerSecond*segmentHeaderBytes, percentOfCore(cpuUsed, period))
 	return <-done
 }
 
-// Admission measures the session between an entry and an allocator: bytes at a
-// node's own pace, with requests that run for a while, and processor time of
-// both sides together at paces that show it.
-func (out Printer) Admission(ctx context.Context, over time.Duration) error {
+// Admission measures the session between an entry and an allocator: the bytes at
+// the request rate of one host, with requests of realistic duration, and the
+// processor time of both sides together at rates high enough to measure it.
+func (printer Printer) Admission(ctx context.Context, period time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	b, err := newBench(ctx)
+	b, err := newAdmissionBench(ctx)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	if err := b.paced(ctx, nodeRate, 0, time.Second); err != nil {
+	if err := b.runAtRate(ctx, hostRequestRate, 0, time.Second); err != nil {
 		return err
 	}
 	for _, c := range []struct {
-		rate int
-		run  time.Duration
-	}{{0, 0}, {1, 0}, {nodeRate, 0}, {nodeRate, 4 * time.Second}, {nodeRate, nodeRun}, {200, 0}, {1000, 0}} {
-		if err := b.steady(ctx, out, c.rate, c.run, over); err != nil {
+		rate            int
+		requestDuration time.Duration
+	}{{0, 0}, {1, 0}, {hostRequestRate, 0}, {hostRequestRate, 4 * time.Second}, {hostRequestRate, hostRequestDuration}, {200, 0}, {1000, 0}} {
+		if err := b.measureRate(ctx, printer, c.rate, c.requestDuration, period); err != nil {
 			return err
 		}
 	}
--- a/internal/slopes/doc.go
+++ b/internal/slopes/doc.go
@@ -1,10 +1,11 @@
-// Package slopes measures how the cost of each role grows with accounts,
-// targets, hosts, requests and edits, so that docs/CAPACITY.md can work out
-// the target size from figures and not from guesses.
+// Package slopes measures how the resource use of each role grows with the number
+// of accounts, targets, hosts, requests and table edits. docs/CAPACITY.md
+// extrapolates these measurements to a full-scale deployment.
 //
 // Roles whose cost doesn't depend on other processes are measured within this
-// process (Plan, Table, Admission); the others with real processes on loopback
-// (Control, Fleet). Each function prints one line a point.
+// process (Plan, Table, Accounting, Admission). The others are measured with real
+// processes on loopback (Processes). Each function prints its results for each
+// measured size.
 package slopes
 
 import (
@@ -12,16 +13,18 @@
 	"io"
 )
 
-// The size that the slopes are worked out for.
+// The size of a full-scale deployment, for which the cost is extrapolated.
 const (
-	TargetHosts    = 3300
-	TargetServers  = 10_000
-	TargetAccounts = 11_000
-	// TargetCentres is the number of data centres.
-	TargetCentres = 10
+	FullScaleHosts    = 3300
+	FullScaleTargets  = 10_000
+	FullScaleAccounts = 11_000
+	// FullScaleDataCentres is the number of data centres.
+	FullScaleDataCentres = 10
 )
 
-// Printer prints the points of a measurement.
+// Printer prints the results of a measurement to Out.
 type Printer struct{ Out io.Writer }
 
-func (out Printer) line(format string, args ...any) { fmt.Fprintf(out.Out, format+"\n", args...) }
+func (printer Printer) printLine(format string, args ...any) {
+	fmt.Fprintf(printer.Out, format+"\n", args...)
+}
--- a/internal/slopes/inputs.go
+++ b/internal/slopes/inputs.go
@@ -12,22 +12,24 @@
 	"filbertdeck/internal/table"
 )
 
-const header = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
+const tableHeader = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
 
-// service is the service that all targets of a measurement serve.
-const service = "reports"
+// serviceName is the service that all targets of a measurement serve.
+const serviceName = "reports"
 
-// pageRows keeps a page of the table below the platform's megabyte per value.
-const pageRows = 5000
+// rowsPerPage keeps a page of the table below the platform's limit of one
+// megabyte per value.
+const rowsPerPage = 5000
 
-// tablePages writes a table of so many accounts; edit goes into the first
-// account's limit, so that two edits differ in one row.
+// tablePages returns the pages of a table with the given number of accounts. It
+// adds edit to the first account's token rate limit, so that tables of different
+// edits differ in one row.
 func tablePages(accounts, edit int) [][]byte {
 	var pages [][]byte
 	var page strings.Builder
-	page.WriteString(header + "service," + service + ",,,,,,,generation,stream,100000,60000,20000\n")
+	page.WriteString(tableHeader + "service," + serviceName + ",,,,,,,generation,stream,100000,60000,20000\n")
 	for i := range accounts {
-		if i > 0 && i%pageRows == 0 {
+		if i > 0 && i%rowsPerPage == 0 {
 			pages = append(pages, []byte(page.String()))
 			page.Reset()
 		}
@@ -43,35 +45,35 @@
 
 func accountName(i int) string { return fmt.Sprintf("account-%05d", i) }
 
-func centre(i int) string { return fmt.Sprintf("dc-%02d", i%TargetCentres) }
+func dataCentreName(i int) string { return fmt.Sprintf("dc-%02d", i%FullScaleDataCentres) }
 
-// hostList makes hosts with loopback addresses at which nothing listens: a
-// process that calls them is refused at once, and nothing leaves the machine.
+// hostList returns hosts with loopback addresses on which nothing listens:
+// connections to them are refused at once, and no traffic leaves the machine.
 func hostList(count int) []configservice.Host {
 	hosts := make([]configservice.Host, count)
 	for i := range hosts {
 		ip := fmt.Sprintf("127.1.%d.%d", i/250, i%250+1)
 		hosts[i] = configservice.Host{
-			Name: fmt.Sprintf("host-%04d", i), DataCentre: centre(i),
+			Name: fmt.Sprintf("host-%04d", i), DataCentre: dataCentreName(i),
 			Entry: ip + ":8081", Control: ip + ":8090", State: configservice.StateLive,
 		}
 	}
 	return hosts
 }
 
-// targetList makes targets of the service, spread over the data centres.
+// targetList returns targets of the service, spread over the data centres.
 func targetList(count int) []configservice.Target {
 	targets := make([]configservice.Target, count)
 	for i := range targets {
 		targets[i] = configservice.Target{
-			Service: service, Address: fmt.Sprintf("127.2.%d.%d:8000", i/250, i%250+1),
-			DataCentre: centre(i), State: configservice.StateLive,
+			Service: serviceName, Address: fmt.Sprintf("127.2.%d.%d:8000", i/250, i%250+1),
+			DataCentre: dataCentreName(i), State: configservice.StateLive,
 		}
 	}
 	return targets
 }
 
-// targetsDocument and hostsDocument are the platform's documents.
+// targetsDocument and hostsDocument are the platform's target and host lists.
 type targetsDocument struct {
 	Revision uint64                 `json:"revision"`
 	Targets  []configservice.Target `json:"targets"`
@@ -82,16 +84,16 @@
 	Hosts    []configservice.Host `json:"hosts"`
 }
 
-func jsonText(document any) string {
+func toJSON(document any) string {
 	text, _ := json.Marshal(document)
 	return string(text)
 }
 
-// withTargets gives a table in which the service has these targets.
+// withTargets returns a copy of the table in which the service has these targets.
 func withTargets(t *table.Table, targets []configservice.Target) *table.Table {
 	list := make([]table.Target, len(targets))
 	for i, target := range targets {
 		list[i] = table.Target{Address: target.Address, DataCentre: target.DataCentre}
 	}
-	return t.With(nil, map[string][]table.Target{service: list})
+	return t.With(nil, map[string][]table.Target{serviceName: list})
 }
--- a/internal/slopes/plan.go
+++ b/internal/slopes/plan.go
@@ -10,34 +10,34 @@
 	"filbertdeck/internal/table"
 )
 
-// planRounds is how often each plan is made.
+// planRounds is the number of runs that are averaged.
 const planRounds = 3
 
-// Plan measures the plan of pools that every control process makes anew at
-// each edit of the table or the lists, and the list of pools that it sends to
-// the entry of its host.
-func (out Printer) Plan() {
+// Plan measures the plan of pools that every control process recomputes at each
+// edit of the table or of the host and target lists, and the list of pools that
+// it sends to the entry of its host.
+func (printer Printer) Plan() {
 	for _, size := range []struct{ targets, hosts int }{
-		{100, 33}, {1000, 33}, {1000, 330}, {TargetServers, 330}, {TargetServers, TargetHosts},
+		{100, 33}, {1000, 33}, {1000, 330}, {FullScaleTargets, 330}, {FullScaleTargets, FullScaleHosts},
 	} {
 		t, _ := table.Parse(1, tablePages(1, 0))
 		t = withTargets(t, targetList(size.targets))
 		hosts := hostList(size.hosts)
-		before := ownHeap()
+		heapBefore := heapInUse()
 		plans := pools.Plans(t, hosts)
-		held := ownHeap() - before
-		cpu := cpuOf(planRounds, func() { pools.Plans(t, hosts) })
+		heapUsed := heapInUse() - heapBefore
+		planCPU := meanCPU(planRounds, func() { pools.Plans(t, hosts) })
 		section := poolsSection(plans)
-		text, _ := proto.Marshal(section)
-		encode := cpuOf(planRounds, func() { _, _ = proto.Marshal(poolsSection(plans)) })
-		decode := cpuOf(planRounds, func() { _ = proto.Unmarshal(text, &filbertv1.PoolsSection{}) })
-		out.line("plan: %d targets, %d hosts: %d pools, cpu %v a plan, %.2f MB held; list to the entry %d bytes, cpu %v to build and encode, %v to decode",
-			size.targets, size.hosts, len(plans), cpu, megabytes(held), len(text), encode, decode)
+		encoded, _ := proto.Marshal(section)
+		encodeCPU := meanCPU(planRounds, func() { _, _ = proto.Marshal(poolsSection(plans)) })
+		decodeCPU := meanCPU(planRounds, func() { _ = proto.Unmarshal(encoded, &filbertv1.PoolsSection{}) })
+		printer.printLine("plan: %d targets, %d hosts: %d pools, cpu %v per plan, %.2f MB allocated; list to the entry %d bytes, cpu %v to build and encode, %v to decode",
+			size.targets, size.hosts, len(plans), planCPU, megabytes(heapUsed), len(encoded), encodeCPU, decodeCPU)
 		runtime.KeepAlive(plans)
 	}
 }
 
-// poolsSection has the fields that a control process sends to its entry.
+// poolsSection returns the message that a control process sends to its entry.
 func poolsSection(plans []pools.Plan) *filbertv1.PoolsSection {
 	section := &filbertv1.PoolsSection{}
 	for _, p := range plans {
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -10,126 +10,128 @@
 	"filbertdeck/internal/fleet"
 )
 
-// Processes bounds the measurements with real processes.
+// Processes configures the measurements with real processes.
 type Processes struct {
 	BinDir string
-	// Over is how long each state is watched.
+	// Over is the duration of each measurement.
 	Over time.Duration
-	// EditsPerSecond is the pace of edits of one row while they are measured.
+	// EditsPerSecond is the rate at which one row is edited during the second
+	// measurement of a point.
 	EditsPerSecond int
 }
 
-// What is left to the processes after a change before they are watched: a plan
-// of pools takes seconds of processor time at the target size, and two follow
-// each other when the lists are published one by one.
+// The time for processes to settle after a change, before the measurement. A plan
+// of pools takes seconds of processor time at full scale, and two plans follow
+// each other because the host and target lists are published one by one.
 const (
-	settle          = 4 * time.Second
-	settlePerTarget = 3 * time.Millisecond
+	settleTime          = 4 * time.Second
+	settleTimePerTarget = 3 * time.Millisecond
 )
 
-// A Point is one state in which the processes of hosts are watched.
+// Point is one deployment size at which processes are measured.
 type Point struct {
 	Name string
-	// Hosts run with two processes each; Accounts stand in the table, Polled
-	// targets answer, and OtherHosts and OtherTargets are published though
-	// nothing listens there.
-	Hosts, Accounts, Polled, OtherHosts, OtherTargets int
+	// Hosts is the number of running hosts, with two processes each; Accounts is
+	// the number of accounts in the table; PolledTargets is the number of targets
+	// that respond. UnreachableHosts and UnreachableTargets are published, but
+	// nothing listens on their addresses.
+	Hosts, Accounts, PolledTargets, UnreachableHosts, UnreachableTargets int
 }
 
-// Points vary one size at a time; the last has the target size of everything
-// that is published.
+// Points are the measured sizes. They vary one size at a time; in the last one
+// everything that is published has its full-scale size.
 var Points = []Point{
-	{"accounts", 1, 10, 4, 0, 0}, {"accounts", 1, 100, 4, 0, 0}, {"accounts", 1, 1000, 4, 0, 0}, {"accounts", 1, TargetAccounts, 4, 0, 0},
+	{"accounts", 1, 10, 4, 0, 0}, {"accounts", 1, 100, 4, 0, 0}, {"accounts", 1, 1000, 4, 0, 0}, {"accounts", 1, FullScaleAccounts, 4, 0, 0},
 	{"targets", 1, 10, 10, 0, 0}, {"targets", 1, 10, 100, 0, 0}, {"targets", 1, 10, 1000, 0, 0},
 	{"fleet", 8, 10, 4, 0, 0}, {"fleet", 32, 10, 4, 0, 0}, {"fleet", 64, 10, 4, 0, 0},
-	{"published", 1, 10, 4, 330, 1000}, {"all", 1, TargetAccounts, 4, TargetHosts - 1, TargetServers - 4},
+	{"published", 1, 10, 4, 330, 1000}, {"all", 1, FullScaleAccounts, 4, FullScaleHosts - 1, FullScaleTargets - 4},
 }
 
-// Run watches the processes at each point that is named (all without a name):
-// first without a change, then under edits of one row.
-func (p Processes) Run(ctx context.Context, out Printer, names []string) error {
-	for _, at := range Points {
-		if len(names) > 0 && !slices.Contains(names, at.Name) {
+// Run measures the processes at the named points, or at all points if names is
+// empty: first without changes, then while one row is edited.
+func (p Processes) Run(ctx context.Context, printer Printer, names []string) error {
+	for _, point := range Points {
+		if len(names) > 0 && !slices.Contains(names, point.Name) {
 			continue
 		}
-		if err := p.point(ctx, out, at); err != nil {
+		if err := p.measurePoint(ctx, printer, point); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p Processes) point(ctx context.Context, out Printer, at Point) error {
-	hosts := make([]string, at.Hosts)
+func (p Processes) measurePoint(ctx context.Context, printer Printer, point Point) error {
+	hosts := make([]string, point.Hosts)
 	for i := range hosts {
-		hosts[i] = centre(0)
+		hosts[i] = dataCentreName(0)
 	}
 	f, err := fleet.Start(ctx, fleet.Spec{
 		BinDir: p.BinDir, Table: string(tablePages(1, 0)[0]), Hosts: hosts,
-		Engines: hosts[:1], EngineServices: []string{service},
+		Engines: hosts[:1], EngineServices: []string{serviceName},
 	})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	loads, err := serveLoads(at.Polled)
+	targets, err := startFakeTargets(point.PolledTargets)
 	if err != nil {
 		return err
 	}
-	defer loads.close()
-	if err := publish(f, at, loads.targets); err != nil {
+	defer targets.close()
+	if err := publish(f, point, targets.targets); err != nil {
 		return err
 	}
-	time.Sleep(settle + time.Duration(at.OtherTargets)*settlePerTarget)
-	idle, err := watch(f, loads, func() error { time.Sleep(p.Over); return nil })
+	time.Sleep(settleTime + time.Duration(point.UnreachableTargets)*settleTimePerTarget)
+	idle, err := measureUse(f, targets, func() error { time.Sleep(p.Over); return nil })
 	if err != nil {
 		return err
 	}
 	edits := int(p.Over.Seconds()) * p.EditsPerSecond
-	busy, err := watch(f, loads, func() error { return edit(f, at, edits, p.EditsPerSecond) })
+	busy, err := measureUse(f, targets, func() error { return applyEdits(f, point, edits, p.EditsPerSecond) })
 	if err != nil {
 		return err
 	}
-	out.states(at, edits, idle, busy)
+	printer.printPoint(point, edits, idle, busy)
 	return nil
 }
 
-// states prints what a host used on average.
-func (out Printer) states(at Point, edits int, idle, busy seen) {
-	n, span := float64(at.Hosts), idle.over.Seconds()
-	out.line("%s: %d hosts run, %d accounts, %d targets polled, %d hosts and %d targets published",
-		at.Name, at.Hosts, at.Accounts, at.Polled, at.OtherHosts+at.Hosts, at.OtherTargets+at.Polled)
-	out.line("  unchanged: control %.2f%% of a core, %.1f MB resident, %.1f MB heap; entry %.2f%%, %.1f MB resident",
-		share(idle.control.CPU, idle.over)/n, megabytes(idle.control.Resident)/n, idle.counters["runtime.MemStats.HeapAlloc"]/n/(1<<20),
-		share(idle.entry.CPU, idle.over)/n, megabytes(idle.entry.Resident)/n)
-	out.line("  gossip %.0f bytes/s a host, sent and received; configuration %.1f calls/s in all; %.1f polls/s in all, %.0f payload bytes and %.1f segments a poll",
-		(idle.counters["gossip.bytes_sent"]+idle.counters["gossip.bytes_received"])/n/span, idle.counters["configwatch.calls"]/span,
-		idle.polls/span, idle.payload/max(idle.polls, 1), idle.segments/max(idle.polls, 1))
-	above := func(busy, idle time.Duration, over float64) float64 {
-		return 1000 * (busy.Seconds() - idle.Seconds()*over/span) / float64(edits) / n
+// printPoint prints the average resource use of a host.
+func (printer Printer) printPoint(point Point, edits int, idle, busy resourceUse) {
+	hosts, idleSeconds := float64(point.Hosts), idle.duration.Seconds()
+	printer.printLine("%s: %d hosts run, %d accounts, %d targets polled, %d hosts and %d targets published",
+		point.Name, point.Hosts, point.Accounts, point.PolledTargets, point.UnreachableHosts+point.Hosts, point.UnreachableTargets+point.PolledTargets)
+	printer.printLine("  unchanged: control %.2f%% of a core, %.1f MB resident, %.1f MB heap; entry %.2f%%, %.1f MB resident",
+		percentOfCore(idle.control.CPU, idle.duration)/hosts, megabytes(idle.control.Resident)/hosts, idle.counters["runtime.MemStats.HeapAlloc"]/hosts/(1<<20),
+		percentOfCore(idle.entry.CPU, idle.duration)/hosts, megabytes(idle.entry.Resident)/hosts)
+	printer.printLine("  gossip %.0f bytes/s a host, sent and received; configuration %.1f calls/s in all; %.1f polls/s in all, %.0f payload bytes and %.1f segments a poll",
+		(idle.counters["gossip.bytes_sent"]+idle.counters["gossip.bytes_received"])/hosts/idleSeconds, idle.counters["configwatch.calls"]/idleSeconds,
+		idle.polls/idleSeconds, idle.payload/max(idle.polls, 1), idle.segments/max(idle.polls, 1))
+	extraMillis := func(busy, idle time.Duration, seconds float64) float64 {
+		return 1000 * (busy.Seconds() - idle.Seconds()*seconds/idleSeconds) / float64(edits) / hosts
 	}
-	over := busy.over.Seconds()
-	out.line("  %d edits in %.1fs: control %.2f ms and entry %.2f ms processor time an edit and host above that (control %.1f%% of a core); %.1f and %.1f MB resident; gossip %.0f bytes/s a host",
-		edits, over, above(busy.control.CPU, idle.control.CPU, over), above(busy.entry.CPU, idle.entry.CPU, over), share(busy.control.CPU, busy.over)/n,
-		megabytes(busy.control.Resident)/n, megabytes(busy.entry.Resident)/n,
-		(busy.counters["gossip.bytes_sent"]+busy.counters["gossip.bytes_received"])/n/over)
+	busySeconds := busy.duration.Seconds()
+	printer.printLine("  %d edits in %.1fs: control %.2f ms and entry %.2f ms processor time per edit and host above that (control %.1f%% of a core); %.1f and %.1f MB resident; gossip %.0f bytes/s a host",
+		edits, busySeconds, extraMillis(busy.control.CPU, idle.control.CPU, busySeconds), extraMillis(busy.entry.CPU, idle.entry.CPU, busySeconds), percentOfCore(busy.control.CPU, busy.duration)/hosts,
+		megabytes(busy.control.Resident)/hosts, megabytes(busy.entry.Resident)/hosts,
+		(busy.counters["gossip.bytes_sent"]+busy.counters["gossip.bytes_received"])/hosts/busySeconds)
 }
 
-func publish(f *fleet.Fleet, at Point, polled []configservice.Target) error {
-	hosts := hostList(at.OtherHosts)
+func publish(f *fleet.Fleet, point Point, polled []configservice.Target) error {
+	hosts := hostList(point.UnreachableHosts)
 	for _, h := range f.Hosts {
 		hosts = append(hosts, configservice.Host{
 			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: configservice.StateLive,
 		})
 	}
-	if err := f.Put(configservice.KeyHosts, jsonText(hostsDocument{2, hosts})); err != nil {
+	if err := f.Put(configservice.KeyHosts, toJSON(hostsDocument{2, hosts})); err != nil {
 		return err
 	}
-	targets := append(targetList(at.OtherTargets), polled...)
-	if err := f.Put(configservice.KeyTargets, jsonText(targetsDocument{2, targets})); err != nil {
+	targets := append(targetList(point.UnreachableTargets), polled...)
+	if err := f.Put(configservice.KeyTargets, toJSON(targetsDocument{2, targets})); err != nil {
 		return err
 	}
-	for i, page := range tablePages(at.Accounts, 0) {
+	for i, page := range tablePages(point.Accounts, 0) {
 		if err := f.Put(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
 			return err
 		}
@@ -137,13 +139,13 @@
 	return nil
 }
 
-// edit changes one row count times at a steady pace.
-func edit(f *fleet.Fleet, at Point, count, rate int) error {
+// applyEdits changes one row count times at a steady rate per second.
+func applyEdits(f *fleet.Fleet, point Point, count, rate int) error {
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	for i := range count {
 		<-ticker.C
-		if err := f.Put("table/0001", string(tablePages(at.Accounts, i+1)[0])); err != nil {
+		if err := f.Put("table/0001", string(tablePages(point.Accounts, i+1)[0])); err != nil {
 			return err
 		}
 	}
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -21,11 +21,11 @@
 	RunSpecs(t, "slopes")
 }
 
-var _ = Describe("what is measured with", func() {
-	// A table that the processes refuse, or an edit that changes more than a
-	// row, gives figures of something else than an edit; the page would then
-	// promise a cost that no operator sees.
-	DescribeTable("tables are valid and edits change one row", func(accounts, pages int) {
+var _ = Describe("measurement inputs", func() {
+	// With a table that the processes reject, or an edit that changes more than one
+	// row, the measurement would not give the cost of an edit, and the documented
+	// capacity would be wrong.
+	DescribeTable("tables are valid and an edit changes one row", func(accounts, pages int) {
 		list := tablePages(accounts, 0)
 		Expect(list).To(HaveLen(pages))
 		for _, page := range list {
@@ -42,14 +42,14 @@
 		Expect(after.Lines()).To(Equal(edited.Lines()))
 		Expect(after.Lines()).NotTo(Equal(before.Lines()))
 	},
-		Entry("today's", 10, 1), Entry("a full page", pageRows, 1), Entry("the target size", TargetAccounts, 3),
+		Entry("the current size", 10, 1), Entry("one full page", rowsPerPage, 1), Entry("full scale", FullScaleAccounts, 3),
 	)
 
-	It("lists are readable, and every host and target has an address of its own", func() {
-		hosts, dropped, err := configservice.ParseHosts(jsonText(hostsDocument{1, hostList(TargetHosts)}))
+	It("lists are valid and all host and target addresses are unique", func() {
+		hosts, dropped, err := configservice.ParseHosts(toJSON(hostsDocument{1, hostList(FullScaleHosts)}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(dropped).To(BeZero())
-		targets, dropped, err := configservice.ParseTargets(jsonText(targetsDocument{1, targetList(TargetServers)}))
+		targets, dropped, err := configservice.ParseTargets(toJSON(targetsDocument{1, targetList(FullScaleTargets)}))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(dropped).To(BeZero())
 		seen := map[string]bool{}
@@ -59,51 +59,51 @@
 		for _, t := range targets {
 			seen[t.Address] = true
 		}
-		Expect(seen).To(HaveLen(TargetHosts + TargetServers))
+		Expect(seen).To(HaveLen(FullScaleHosts + FullScaleTargets))
 		Expect(seen).To(HaveEach(BeTrue()))
 	})
 })
 
-var _ = Describe("what is read", func() {
-	DescribeTable("a process's usage", func(stat string, want usage.Usage, ok bool) {
+var _ = Describe("measurements", func() {
+	DescribeTable("parse the usage of a process", func(stat string, want usage.Usage, ok bool) {
 		got, read := usage.Parse(stat)
 		Expect(read).To(Equal(ok))
 		Expect(got).To(Equal(want))
 	},
-		Entry("a name with a bracket", "7 (a) b) S 1 1 1 0 -1 0 0 0 0 0 250 50 0 0 20 0 9 0 99 1000 3 0",
+		Entry("a name with a parenthesis", "7 (a) b) S 1 1 1 0 -1 0 0 0 0 0 250 50 0 0 20 0 9 0 99 1000 3 0",
 			usage.Usage{CPU: 3 * time.Second, Resident: 3 * int64(os.Getpagesize())}, true),
-		Entry("no name", "7", usage.Usage{}, false),
-		Entry("cut off", "7 (a) S 1 1", usage.Usage{}, false),
-		Entry("no number", "7 (a) "+strings.Repeat("x ", 23), usage.Usage{}, false),
+		Entry("missing name", "7", usage.Usage{}, false),
+		Entry("truncated", "7 (a) S 1 1", usage.Usage{}, false),
+		Entry("invalid numbers", "7 (a) "+strings.Repeat("x ", 23), usage.Usage{}, false),
 	)
 
-	It("bytes and segments of both directions", func() {
-		var w wire
-		l, err := w.listen()
+	It("count bytes and segments in both directions", func() {
+		var traffic trafficCounter
+		listener, err := traffic.listen()
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = l.Close() }()
-		client, err := net.Dial("tcp", l.Addr().String())
+		defer func() { _ = listener.Close() }()
+		client, err := net.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		server, err := l.Accept()
+		server, err := listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = client.Write([]byte("ask"))
 		_, _ = server.Read(make([]byte, 8))
 		_, _ = server.Write([]byte("grant"))
 		_ = client.Close()
 		_, _ = server.Read(make([]byte, 8))
-		payload, segments := w.sample()
+		payload, segments := traffic.sample()
 		Expect([]int64{payload, segments}).To(Equal([]int64{8, 2}))
 	})
 
-	// A bench whose requests are refused measures refusals.
-	It("admission grants and settles every request", func() {
+	// If requests were refused, the benchmark would measure the cost of refusals.
+	It("grant and settle every admission request", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		b, err := newBench(ctx)
+		b, err := newAdmissionBench(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		defer b.close()
 		for i := range 20 {
-			Expect(b.one(ctx, i, 0)).To(Succeed())
+			Expect(b.runRequest(ctx, i, 0)).To(Succeed())
 		}
 		Eventually(func() int { return b.runner.Snapshot().Running }).Should(BeZero())
 	})
--- a/internal/slopes/table.go
+++ b/internal/slopes/table.go
@@ -10,32 +10,32 @@
 	"filbertdeck/internal/table"
 )
 
-// tableRounds is how often each step is run.
+// tableRounds is the number of runs that are averaged.
 const tableRounds = 10
 
-// Table measures the table in force: its memory, a changed row's way into it,
-// and the whole table's way to the entry of the host, which a changed row
-// takes today.
-func (out Printer) Table() {
-	for _, accounts := range []int{10, 100, 1000, TargetAccounts} {
+// Table measures the table in force: its memory, the cost of applying a changed
+// row, and the cost of sending the whole table to the entry of the host, which
+// currently happens at every change of a row.
+func (printer Printer) Table() {
+	for _, accounts := range []int{10, 100, 1000, FullScaleAccounts} {
 		pages := tablePages(accounts, 0)
-		before := ownHeap()
+		heapBefore := heapInUse()
 		t, _ := table.Parse(1, pages)
-		held := ownHeap() - before
-		parse := cpuOf(tableRounds, func() { _, _ = table.Parse(1, pages) })
+		heapUsed := heapInUse() - heapBefore
+		parseCPU := meanCPU(tableRounds, func() { _, _ = table.Parse(1, pages) })
 		changed := changedRow(accounts)
-		apply := cpuOf(tableRounds, func() { _, _ = t.Apply(0, 2, changed) })
-		digest := cpuOf(tableRounds, func() { rollout.DigestOf(rowsOf(t)) })
-		text, _ := proto.Marshal(section(t))
-		send := cpuOf(tableRounds, func() { _, _ = proto.Marshal(section(t)) })
-		take := cpuOf(tableRounds, func() { receive(text) })
-		out.line("table: %d accounts: %.2f MB held, cpu %v to parse, %v to apply a row, %v to write and digest all rows; push to the entry %d bytes, cpu %v to send, %v to take",
-			accounts, megabytes(held), parse, apply, digest, len(text), send, take)
+		applyCPU := meanCPU(tableRounds, func() { _, _ = t.Apply(0, 2, changed) })
+		digestCPU := meanCPU(tableRounds, func() { rollout.DigestOf(rowsOf(t)) })
+		encoded, _ := proto.Marshal(tableSection(t))
+		sendCPU := meanCPU(tableRounds, func() { _, _ = proto.Marshal(tableSection(t)) })
+		receiveCPU := meanCPU(tableRounds, func() { decodeTable(encoded) })
+		printer.printLine("table: %d accounts: %.2f MB allocated, cpu %v to parse, %v to apply a row, %v to encode and digest all rows; push to the entry %d bytes, cpu %v to send, %v to receive",
+			accounts, megabytes(heapUsed), parseCPU, applyCPU, digestCPU, len(encoded), sendCPU, receiveCPU)
 		runtime.KeepAlive(t)
 	}
 }
 
-// changedRow is the first account's row after an edit.
+// changedRow returns the first account's row after an edit.
 func changedRow(accounts int) []table.Change {
 	edited, _ := table.Parse(2, tablePages(accounts, 1))
 	for _, l := range edited.Lines() {
@@ -55,12 +55,12 @@
 	return rows
 }
 
-func section(t *table.Table) *filbertv1.TableSection {
+func tableSection(t *table.Table) *filbertv1.TableSection {
 	return &filbertv1.TableSection{Revision: t.Revision, Pages: table.Encode(t)}
 }
 
-func receive(text []byte) {
-	var s filbertv1.TableSection
-	_ = proto.Unmarshal(text, &s)
-	_, _ = table.Parse(s.Revision, s.Pages)
+func decodeTable(encoded []byte) {
+	var section filbertv1.TableSection
+	_ = proto.Unmarshal(encoded, &section)
+	_, _ = table.Parse(section.Revision, section.Pages)
 }
--- a/internal/slopes/usage.go
+++ b/internal/slopes/usage.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// ownCPU is the processor time of this process.
-func ownCPU() time.Duration {
+// processCPU returns the processor time of this process.
+func processCPU() time.Duration {
 	var u syscall.Rusage
-	// It fails only for a wrong argument.
+	// Getrusage fails only for an invalid argument.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// ownHeap is this process's heap in use after a collection, in bytes.
-func ownHeap() int64 {
+// heapInUse returns this process's heap in use after a garbage collection, in
+// bytes.
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -23,16 +24,18 @@
 	return int64(m.HeapAlloc)
 }
 
-// cpuOf gives the mean processor time of count calls.
-func cpuOf(count int, call func()) time.Duration {
-	before := ownCPU()
+// meanCPU returns the mean processor time of count calls.
+func meanCPU(count int, call func()) time.Duration {
+	before := processCPU()
 	for range count {
 		call()
 	}
-	return (ownCPU() - before) / time.Duration(count)
+	return (processCPU() - before) / time.Duration(count)
 }
 
 func megabytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-// share is processor time as a percentage of one core.
-func share(cpu, over time.Duration) float64 { return 100 * cpu.Seconds() / over.Seconds() }
+// percentOfCore returns processor time as a percentage of one core.
+func percentOfCore(cpu, elapsed time.Duration) float64 {
+	return 100 * cpu.Seconds() / elapsed.Seconds()
+}
