--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -1,7 +1,8 @@
-// Package overhead measures what an entry and a control process cost: the time
-// that they add to a request, the processor time of a request and of a token,
-// the memory of an open stream, and what an idle control process uses. Every
-// comparison is made in one run, against the target called directly.
+// Package overhead measures the overhead of an entry and a control process: the
+// latency that they add to a request, the processor time per request and per
+// token, the memory per open stream, and the resource use of an idle control
+// process. Each comparison calls the target directly and through the entry in the
+// same run.
 package overhead
 
 import (
@@ -24,41 +25,42 @@
 	"filbertdeck/internal/usage"
 )
 
-// Config bounds the measurement.
+// Config configures the measurement.
 type Config struct {
 	BinDir string
-	// Requests is the number of requests of the latency comparison.
+	// Requests is the number of requests in each latency comparison.
 	Requests int
-	// Streams and Tokens are those of the token measurement.
+	// Streams is the number of streams in the relay measurement, Tokens the number
+	// of tokens of each.
 	Streams, Tokens int
-	// Open is the number of streams held open at once.
+	// Open is the number of concurrent streams in the memory measurement.
 	Open int
-	// Heap, if set, is the file for the entry's heap profile while the streams
-	// are open.
+	// Heap, if set, is the file to which the entry's heap profile is written while
+	// the streams are open.
 	Heap string
-	// Idle is how long an idle control process is watched.
+	// Idle is the duration of the measurement of an idle control process.
 	Idle time.Duration
 }
 
-const key = "overhead-key"
+const apiKey = "overhead-key"
 
-const tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
+const tableTemplate = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
 	"account,bench,1,,,,%s,,,,,,\n" +
 	"service,reports,,,,,,,generation,stream,100000,60000,20000\n" +
 	"service,sites,,,,,,,lookup,,,5000,500\n"
 
-// run is one measurement.
-type run struct {
+// measurement is a run of all measurements on one fleet.
+type measurement struct {
 	Config
 	out    io.Writer
 	fleet  *fleet.Fleet
 	client *http.Client
 }
 
-// Run measures and prints a table.
+// Run starts a fleet, runs all measurements and prints a line for each to out.
 func Run(ctx context.Context, cfg Config, out io.Writer) error {
 	f, err := fleet.Start(ctx, fleet.Spec{
-		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableText, fleet.Digest(key)),
+		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableTemplate, fleet.Digest(apiKey)),
 		Hosts: []string{"a"}, Engines: []string{"a"}, Apps: []string{"a"},
 		EngineServices: []string{"reports"}, AppServices: []string{"sites"},
 		EngineArgs: []string{
@@ -70,10 +72,10 @@
 		return err
 	}
 	defer f.Close()
-	r := &run{Config: cfg, out: out, fleet: f, client: &http.Client{Transport: &http.Transport{
+	m := &measurement{Config: cfg, out: out, fleet: f, client: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 1024, MaxConnsPerHost: 0,
 	}}}
-	steps := []func(context.Context) error{r.idle, r.lookups, r.firstTokens, r.tokens, r.open}
+	steps := []func(context.Context) error{m.measureIdle, m.measureLookups, m.measureFirstTokens, m.measureRelay, m.measureOpenStreams}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -82,57 +84,60 @@
 	return nil
 }
 
-func (r *run) say(format string, args ...any) { fmt.Fprintf(r.out, format+"\n", args...) }
+func (m *measurement) printLine(format string, args ...any) { fmt.Fprintf(m.out, format+"\n", args...) }
 
-func (r *run) entryUsage() (usage.Usage, error) { return usage.Of(r.fleet.Hosts[0].Entry.Pid()) }
-func (r *run) controlUsage() (usage.Usage, error) {
-	return usage.Of(r.fleet.Hosts[0].ControlProcess.Pid())
+func (m *measurement) entryUsage() (usage.Usage, error) {
+	return usage.Of(m.fleet.Hosts[0].Entry.Pid())
+}
+func (m *measurement) controlUsage() (usage.Usage, error) {
+	return usage.Of(m.fleet.Hosts[0].ControlProcess.Pid())
 }
 
-// idle watches the control process while nothing happens.
-func (r *run) idle(ctx context.Context) error {
-	before, err := r.controlUsage()
+// measureIdle measures the resource use of the control process without load.
+func (m *measurement) measureIdle(ctx context.Context) error {
+	before, err := m.controlUsage()
 	if err != nil {
 		return err
 	}
 	select {
-	case <-time.After(r.Idle):
+	case <-time.After(m.Idle):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	after, err := r.controlUsage()
+	after, err := m.controlUsage()
 	if err != nil {
 		return err
 	}
-	share := float64(after.CPU-before.CPU) / float64(r.Idle) * 100
-	r.say("idle control process: %.2f%% of a core over %v, %.1f MB resident", share, r.Idle, mb(after.Resident))
+	corePercent := float64(after.CPU-before.CPU) / float64(m.Idle) * 100
+	m.printLine("idle control process: %.2f%% of a core over %v, %.1f MB resident", corePercent, m.Idle, megabytes(after.Resident))
 	return nil
 }
 
-func mb(bytes int64) float64 { return float64(bytes) / (1 << 20) }
+func megabytes(bytes int64) float64 { return float64(bytes) / (1 << 20) }
 
-// timed measures count calls one after the other.
-func timed(count int, call func() error) (*hdrhistogram.Histogram, error) {
-	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+// timeCalls makes count sequential calls and returns their latencies in
+// microseconds.
+func timeCalls(count int, call func() error) (*hdrhistogram.Histogram, error) {
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for range count {
-		begun := time.Now()
+		started := time.Now()
 		if err := call(); err != nil {
 			return nil, err
 		}
-		_ = h.RecordValue(time.Since(begun).Microseconds())
+		_ = latencies.RecordValue(time.Since(started).Microseconds())
 	}
-	return h, nil
+	return latencies, nil
 }
 
-func (r *run) get(url string) error {
+func (m *measurement) get(url string) error {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "request")
+		return failure.Wrap(err, failure.KindInternal, "request can't be created")
 	}
-	req.Header.Set("Authorization", "Bearer "+key)
-	resp, err := r.client.Do(req)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
+	resp, err := m.client.Do(req)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "request")
+		return failure.Wrap(err, failure.KindInternal, "request failed")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, resp.Body)
@@ -142,74 +147,74 @@
 	return nil
 }
 
-func (r *run) lookups(context.Context) error {
-	direct := "http://" + r.fleet.Apps[0].Address + "/x"
-	through := "http://" + r.fleet.Hosts[0].Callers + "/v1/services/sites/x"
-	return r.compare("lookup", func() error { return r.get(direct) }, func() error { return r.get(through) })
+func (m *measurement) measureLookups(context.Context) error {
+	direct := "http://" + m.fleet.Apps[0].Address + "/x"
+	throughEntry := "http://" + m.fleet.Hosts[0].Callers + "/v1/services/sites/x"
+	return m.compareLatency("lookup", func() error { return m.get(direct) }, func() error { return m.get(throughEntry) })
 }
 
-func (r *run) firstTokens(ctx context.Context) error {
-	direct := "http://" + r.fleet.Engines[0].Address + "/v1/completions"
-	through := "http://" + r.fleet.Hosts[0].Callers + "/v1/completions"
-	one := func(url string) func() error {
-		return func() error { _, err := r.stream(ctx, url, 1, nil); return err }
+func (m *measurement) measureFirstTokens(ctx context.Context) error {
+	direct := "http://" + m.fleet.Engines[0].Address + "/v1/completions"
+	throughEntry := "http://" + m.fleet.Hosts[0].Callers + "/v1/completions"
+	oneToken := func(url string) func() error {
+		return func() error { _, err := m.readStream(ctx, url, 1, nil); return err }
 	}
-	return r.compare("generation of one token", one(direct), one(through))
+	return m.compareLatency("generation of one token", oneToken(direct), oneToken(throughEntry))
 }
 
-func (r *run) compare(what string, direct, through func() error) error {
-	if _, err := timed(r.Requests/10, through); err != nil {
+func (m *measurement) compareLatency(name string, direct, throughEntry func() error) error {
+	if _, err := timeCalls(m.Requests/10, throughEntry); err != nil {
 		return err
 	}
-	d, err := timed(r.Requests, direct)
+	directLatencies, err := timeCalls(m.Requests, direct)
 	if err != nil {
 		return err
 	}
-	before, err := r.entryUsage()
+	before, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
-	t, err := timed(r.Requests, through)
+	entryLatencies, err := timeCalls(m.Requests, throughEntry)
 	if err != nil {
 		return err
 	}
-	after, err := r.entryUsage()
+	after, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
-	cpu := (after.CPU - before.CPU) / time.Duration(r.Requests)
-	r.say("%s: direct p50 %d us, p99 %d us; through the entry p50 %d us, p99 %d us; entry processor time %v a request (%d requests, one at a time)",
-		what, d.ValueAtQuantile(50), d.ValueAtQuantile(99), t.ValueAtQuantile(50), t.ValueAtQuantile(99), cpu, r.Requests)
+	cpuPerRequest := (after.CPU - before.CPU) / time.Duration(m.Requests)
+	m.printLine("%s: direct p50 %d us, p99 %d us; through the entry p50 %d us, p99 %d us; entry processor time %v per request (%d requests, one at a time)",
+		name, directLatencies.ValueAtQuantile(50), directLatencies.ValueAtQuantile(99), entryLatencies.ValueAtQuantile(50), entryLatencies.ValueAtQuantile(99), cpuPerRequest, m.Requests)
 	return nil
 }
 
-// stream reads a generation and counts its events. hold, if given, is called
-// after the first event.
-func (r *run) stream(ctx context.Context, url string, tokens int, hold func()) (int, error) {
+// readStream requests a generation and counts its events. It calls onFirstEvent,
+// if set, after the first event.
+func (m *measurement) readStream(ctx context.Context, url string, tokens int, onFirstEvent func()) (int, error) {
 	body, _ := json.Marshal(map[string]any{
 		"model": "reports", "prompt": fmt.Sprintf("x [tokens=%d]", tokens), "max_tokens": tokens, "stream": true,
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, failure.Wrap(err, failure.KindInternal, "request")
+		return 0, failure.Wrap(err, failure.KindInternal, "request can't be created")
 	}
-	req.Header.Set("Authorization", "Bearer "+key)
-	resp, err := r.client.Do(req)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
+	resp, err := m.client.Do(req)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.KindInternal, "request")
+		return 0, failure.Wrap(err, failure.KindInternal, "request failed")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(resp.Body)
-		return 0, failure.New(failure.KindInternal, "status %d: %s", resp.StatusCode, text)
+		message, _ := io.ReadAll(resp.Body)
+		return 0, failure.New(failure.KindInternal, "status %d: %s", resp.StatusCode, message)
 	}
-	return readEvents(resp.Body, hold)
+	return readEvents(resp.Body, onFirstEvent)
 }
 
-func readEvents(body io.Reader, hold func()) (events int, err error) {
-	lines := bufio.NewReaderSize(body, 2<<10)
+func readEvents(body io.Reader, onFirstEvent func()) (events int, err error) {
+	reader := bufio.NewReaderSize(body, 2<<10)
 	for {
-		line, err := lines.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return events, failure.Wrap(err, failure.KindTargetLost, "the stream ended early")
 		}
@@ -220,134 +225,136 @@
 			return events, failure.New(failure.KindTargetFailed, "the stream failed")
 		case strings.HasPrefix(line, "data:"):
 			events++
-			if events == 1 && hold != nil {
-				hold()
+			if events == 1 && onFirstEvent != nil {
+				onFirstEvent()
 			}
 		}
 	}
 }
 
-// together runs count streams at once and adds up their events.
-func (r *run) together(ctx context.Context, count, tokens int, hold func()) (int, error) {
-	url := "http://" + r.fleet.Hosts[0].Callers + "/v1/completions"
+// runStreams runs count concurrent streams and returns the sum of their events.
+func (m *measurement) runStreams(ctx context.Context, count, tokens int, onFirstEvent func()) (int, error) {
+	url := "http://" + m.fleet.Hosts[0].Callers + "/v1/completions"
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var total int
-	var failed error
+	var firstErr error
 	for range count {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n, err := r.stream(ctx, url, tokens, hold)
+			n, err := m.readStream(ctx, url, tokens, onFirstEvent)
 			mu.Lock()
 			defer mu.Unlock()
 			total += n
-			if err != nil && failed == nil {
-				failed = err
+			if err != nil && firstErr == nil {
+				firstErr = err
 			}
 		}()
 	}
 	wg.Wait()
-	return total, failed
+	return total, firstErr
 }
 
-func (r *run) tokens(ctx context.Context) error {
-	before, err := r.entryUsage()
+func (m *measurement) measureRelay(ctx context.Context) error {
+	before, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
-	events, err := r.together(ctx, r.Streams, r.Tokens, nil)
+	started := time.Now()
+	events, err := m.runStreams(ctx, m.Streams, m.Tokens, nil)
 	if err != nil {
 		return err
 	}
-	took := time.Since(begun)
-	after, err := r.entryUsage()
+	elapsed := time.Since(started)
+	after, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
 	cpu := after.CPU - before.CPU
-	r.say("relay: %d streams of %d tokens in %v (%.0f events/s); entry processor time %.2f us an event: %.0f events/s on a core",
-		r.Streams, r.Tokens, took.Round(time.Millisecond), float64(events)/took.Seconds(),
+	m.printLine("relay: %d streams of %d tokens in %v (%.0f events/s); entry processor time %.2f us per event: %.0f events/s per core",
+		m.Streams, m.Tokens, elapsed.Round(time.Millisecond), float64(events)/elapsed.Seconds(),
 		float64(cpu.Microseconds())/float64(events), float64(events)/cpu.Seconds())
 	return nil
 }
 
-// open holds many streams open and reads the entry's memory meanwhile.
-func (r *run) open(ctx context.Context) error {
-	before, err := r.entryUsage()
+// measureOpenStreams measures the entry's memory while many streams are open.
+func (m *measurement) measureOpenStreams(ctx context.Context) error {
+	before, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var begun sync.WaitGroup
-	begun.Add(r.Open)
+	var streaming sync.WaitGroup
+	streaming.Add(m.Open)
 	done := make(chan error, 1)
 	go func() {
-		// Long enough to outlast the measurement; cancelled at its end.
-		_, err := r.together(ctx, r.Open, 90_000, func() { begun.Done() })
+		// The number of tokens is large enough for the streams to outlast the
+		// measurement; they are cancelled at its end.
+		_, err := m.runStreams(ctx, m.Open, 90_000, func() { streaming.Done() })
 		done <- err
 	}()
-	all := make(chan struct{})
-	go func() { begun.Wait(); close(all) }()
+	allStreaming := make(chan struct{})
+	go func() { streaming.Wait(); close(allStreaming) }()
 	select {
-	case <-all:
+	case <-allStreaming:
 	case err := <-done:
 		return err
-	case <-time.After(openLimit):
-		return failure.New(failure.KindDeadline, "%d streams did not begin within %v", r.Open, openLimit)
+	case <-time.After(openTimeout):
+		return failure.New(failure.KindDeadline, "%d streams did not start within %v", m.Open, openTimeout)
 	}
-	after, err := r.entryUsage()
+	after, err := m.entryUsage()
 	if err != nil {
 		return err
 	}
-	if err := r.saveHeap(); err != nil {
+	if err := m.saveHeapProfile(); err != nil {
 		return err
 	}
-	if err := r.goFigures(); err != nil {
+	if err := m.printRuntimeMemory(); err != nil {
 		return err
 	}
 	cancel()
 	<-done
-	each := float64(after.Resident-before.Resident) / float64(r.Open) / 1024
-	r.say("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB a stream", r.Open, mb(before.Resident), mb(after.Resident), each)
+	kilobytesPerStream := float64(after.Resident-before.Resident) / float64(m.Open) / 1024
+	m.printLine("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB per stream", m.Open, megabytes(before.Resident), megabytes(after.Resident), kilobytesPerStream)
 	return nil
 }
 
-// goFigures says how Go's runtime divides the entry's memory.
-func (r *run) goFigures() error {
-	var all map[string]struct {
+// printRuntimeMemory prints the entry's memory use as reported by the Go runtime.
+func (m *measurement) printRuntimeMemory() error {
+	var metrics map[string]struct {
 		Value float64 `json:"value"`
 	}
-	if err := r.fleet.GetJSON("http://"+r.fleet.Hosts[0].EntryAdmin+"/metrics", &all); err != nil {
+	if err := m.fleet.GetJSON("http://"+m.fleet.Hosts[0].EntryAdmin+"/metrics", &metrics); err != nil {
 		return err
 	}
-	of := func(name string) float64 { return all["runtime."+name].Value }
-	r.say("entry's runtime: %.1f MB heap in use, %.1f MB stacks, %.0f goroutines",
-		of("MemStats.HeapInuse")/(1<<20), of("MemStats.StackInuse")/(1<<20), of("NumGoroutine"))
+	value := func(name string) float64 { return metrics["runtime."+name].Value }
+	m.printLine("entry's runtime: %.1f MB heap in use, %.1f MB stacks, %.0f goroutines",
+		value("MemStats.HeapInuse")/(1<<20), value("MemStats.StackInuse")/(1<<20), value("NumGoroutine"))
 	return nil
 }
 
-// saveHeap keeps the entry's heap profile, to see what a stream holds.
-func (r *run) saveHeap() error {
-	if r.Heap == "" {
+// saveHeapProfile writes the entry's heap profile to a file, which shows the
+// allocations of a stream.
+func (m *measurement) saveHeapProfile() error {
+	if m.Heap == "" {
 		return nil
 	}
-	resp, err := r.client.Get("http://" + r.fleet.Hosts[0].EntryAdmin + "/debug/pprof/heap?gc=1")
+	resp, err := m.client.Get("http://" + m.fleet.Hosts[0].EntryAdmin + "/debug/pprof/heap?gc=1")
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "heap profile")
+		return failure.Wrap(err, failure.KindInternal, "heap profile can't be requested")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	profile, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "heap profile")
+		return failure.Wrap(err, failure.KindInternal, "heap profile can't be read")
 	}
-	if err := os.WriteFile(r.Heap, profile, 0o600); err != nil {
+	if err := os.WriteFile(m.Heap, profile, 0o600); err != nil {
 		return failure.Wrap(err, failure.KindSettingInvalid, "--heap")
 	}
 	return nil
 }
 
-// openLimit bounds the time until all streams have begun.
-const openLimit = 90 * time.Second
+// openTimeout limits the time until all streams have started.
+const openTimeout = 90 * time.Second
