--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -35,6 +35,7 @@
 	grantsSinceReport []baselineGrant
 }
 
+// baselineGrant is a request granted to an engine.
 type baselineGrant struct {
 	engine, reservedTokens, promptTokens int
 	grantedAt                            time.Duration
@@ -49,12 +50,16 @@
 	}
 }
 
+// admitAlways accepts every request.
 func admitAlways(*baselineEngine, *Ask) bool { return true }
 
+// admitBelowLimit accepts requests while the engine runs fewer than limit.
 func admitBelowLimit(limit int) func(*baselineEngine, *Ask) bool {
 	return func(e *baselineEngine, _ *Ask) bool { return e.running < limit }
 }
 
+// admitBelowWatermark accepts requests while the reported memory use, the prompts
+// granted since the report and the new prompt stay within this fraction of memory.
 func admitBelowWatermark(fraction float64) func(*baselineEngine, *Ask) bool {
 	return func(e *baselineEngine, a *Ask) bool {
 		used := e.report.UsedTokens + a.PromptTokens
@@ -65,6 +70,8 @@
 	}
 }
 
+// admitReservingMaxTokens accepts a request if memory holds the prompt and
+// max_tokens of all running requests and of this one, or if the engine is idle.
 func admitReservingMaxTokens(e *baselineEngine, a *Ask) bool {
 	return e.running == 0 || e.reservedTokens+a.PromptTokens+a.MaxTokens <= e.report.MemoryTokens
 }
@@ -121,7 +128,7 @@
 }
 
 func (p *baselinePolicy) pickEngine(a *Ask) int {
-	best := -1
+	leastLoaded := -1
 	for k := range p.engines {
 		i := (p.nextEngine + k) % len(p.engines)
 		e := &p.engines[i]
@@ -132,11 +139,11 @@
 			p.nextEngine = i + 1
 			return i
 		}
-		if best < 0 || e.running < p.engines[best].running {
-			best = i
+		if leastLoaded < 0 || e.running < p.engines[leastLoaded].running {
+			leastLoaded = i
 		}
 	}
-	return best
+	return leastLoaded
 }
 
 func (p *baselinePolicy) grant(now time.Duration, engine int, a Ask) {
--- a/internal/experiment/callers.go
+++ b/internal/experiment/callers.go
@@ -63,6 +63,7 @@
 	return req
 }
 
+// poisonFingerprint is the fingerprint of all requests that crash engines.
 const poisonFingerprint = 666
 
 // sharedPrefix returns the block hash chain of the shared prefix with this index
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -35,13 +35,17 @@
 
 // Policy is an admission policy. All times are simulated time.
 type Policy interface {
+	// Ask adds a request to the queue.
 	Ask(now time.Duration, a Ask)
+	// Withdraw removes a queued request whose caller has disconnected.
 	Withdraw(now time.Duration, id requestID)
 	// Progress is called once a second for each running request.
 	Progress(now time.Duration, id requestID, producedTokens int)
 	// Ended reports the outcome of an admitted request.
 	Ended(now time.Duration, id requestID, outcome admission.Outcome, producedTokens int, firstToken time.Duration)
+	// Report passes on an engine's load report.
 	Report(now time.Duration, engine int, r model.Report)
+	// SetLeaving sets, for each engine, whether it is leaving.
 	SetLeaving(now time.Duration, leaving []bool)
 	// Decide returns the decisions made at this time; the slice is valid until
 	// the next call.
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -96,8 +96,8 @@
 	widePrompt, wideOutput   = TokenDistribution{200, 0.8}, TokenDistribution{100, 2}
 )
 
-// warmEngineConfig configures an engine of the target size that has been running
-// for a while. It is limited by memory, not by the batch size.
+// warmEngineConfig configures an engine of full size that has been running for a
+// while. It is limited by memory, not by the batch size.
 func warmEngineConfig() model.Config {
 	cfg := model.DefaultConfig()
 	cfg.RampTime, cfg.FullBears = 0, 256
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -30,8 +30,8 @@
 	BinDir string
 	// Requests is the number of requests in each latency comparison.
 	Requests int
-	// Streams is the number of streams in the relay measurement, Tokens the number
-	// of tokens of each.
+	// Streams is the number of streams in the relay measurement, followed by the
+	// number of tokens per stream.
 	Streams, Tokens int
 	// Open is the number of concurrent streams in the memory measurement.
 	Open int
--- a/internal/slopes/doc.go
+++ b/internal/slopes/doc.go
@@ -2,10 +2,10 @@
 // of accounts, targets, hosts, requests and table edits. docs/CAPACITY.md
 // extrapolates these measurements to a full-scale deployment.
 //
-// Roles whose cost doesn't depend on other processes are measured within this
-// process (Plan, Table, Accounting, Admission). The others are measured with real
-// processes on loopback (Processes). Each function prints its results for each
-// measured size.
+// Costs that don't depend on other processes are measured within this process:
+// plans of pools, the table, accounting and admission. The rest is measured with
+// real control processes and entries on loopback. Each function prints its results
+// for each measured size.
 package slopes
 
 import (
