--- a/cmd/filbert-burn/main.go
+++ b/cmd/filbert-burn/main.go
@@ -8,16 +8,16 @@
 	"os/signal"
 	"syscall"
 
-	"filbertdeck/internal/burn"
+	"filbertdeck/internal/burnreport"
 	"filbertdeck/internal/settings"
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	parse := func(s *burn.Settings) error {
-		return settings.Parse(burn.Program, burn.About, s, os.Args[1:], os.Stdout)
+	parse := func(s *burnreport.Settings) error {
+		return settings.Parse(burnreport.Program, burnreport.About, s, os.Args[1:], os.Stdout)
 	}
-	code := burn.Main(ctx, parse, settings.IsHelp, os.Stdout, os.Stderr)
+	code := burnreport.Main(ctx, parse, settings.IsHelp, os.Stdout, os.Stderr)
 	stop()
 	os.Exit(code)
 }
--- a/cmd/filbert-gateway/main.go
+++ b/cmd/filbert-gateway/main.go
@@ -13,7 +13,7 @@
 func main() {
 	s := &gatewayhost.Settings{}
 	os.Exit(process.Main(process.Program{
-		Name: gatewayhost.Program, About: gatewayhost.About, Settings: s, Common: &s.Common, LogTo: os.Stdout,
+		Name: gatewayhost.Program, About: gatewayhost.About, Settings: s, Common: &s.Common, LogOutput: os.Stdout,
 		Prepare: func() error { return platform.Prepare(s) }, Options: s.Options,
 	}))
 }
--- a/cmd/filbert-load/main.go
+++ b/cmd/filbert-load/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"filbertdeck/internal/load"
+	"filbertdeck/internal/loadgen"
 )
 
-func main() { os.Exit(load.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(loadgen.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/filbert-paired/main.go
+++ b/cmd/filbert-paired/main.go
@@ -39,8 +39,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	cfg := paired.Config{
-		Bench: a.Bench, Before: a.Before, After: a.After, Sites: a.Sites, Days: a.Days, Seeds: a.Seeds,
-		Jobs: a.Jobs, Until: a.Until, CountTime: a.CountTime, Why: a.Why,
+		BenchProgram: a.Bench, Before: a.Before, After: a.After, Sites: a.Sites, Days: a.Days, Seeds: a.Seeds,
+		Jobs: a.Jobs, MaxSeconds: a.Until, CountCPUTime: a.CountTime, Note: a.Why,
 	}
 	if err := paired.Run(ctx, cfg, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "comparison failed:", err)
--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -60,9 +60,9 @@
 	Retries uint64 `json:"retries"`
 	Hedges  uint64 `json:"hedges"`
 	Replays uint64 `json:"replays"`
-	// OutOfPlace counts frames of targets that were not passed on, because
+	// MisplacedFrames counts frames of targets that were not passed on, because
 	// they belong to another generation or another place.
-	OutOfPlace uint64 `json:"out_of_place"`
+	MisplacedFrames uint64 `json:"out_of_place"`
 
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"output_tokens"`
@@ -72,9 +72,9 @@
 	FirstToken Ratio `json:"first_token"`
 	TokenGap   Ratio `json:"token_gap"`
 	// NoStall counts the gaps that were no stall.
-	NoStall Ratio `json:"no_stall"`
-	Whole   Ratio `json:"whole"`
-	Lookup  Ratio `json:"lookup"`
+	NoStall  Ratio `json:"no_stall"`
+	Complete Ratio `json:"whole"`
+	Lookup   Ratio `json:"lookup"`
 
 	RefusedBy map[failure.Kind]uint64 `json:"refused_by,omitempty"`
 }
@@ -101,15 +101,15 @@
 	r.changed = true
 }
 
-// Book holds the rows of one process.
-type Book struct {
+// Recorder holds the rows of one process.
+type Recorder struct {
 	rows sync.Map // rowKey → *row
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{} }
+func New() *Recorder { return &Recorder{} }
 
-func (b *Book) row(account, service string) *row {
+func (b *Recorder) row(account, service string) *row {
 	key := rowKey{account, service}
 	if r, ok := b.rows.Load(key); ok {
 		return r.(*row)
@@ -119,25 +119,25 @@
 }
 
 // Begin counts a request as received and in progress.
-func (b *Book) Begin(account, service string) *Entry {
+func (b *Recorder) Begin(account, service string) *RequestRecorder {
 	r := b.row(account, service)
 	r.change(func(c *Counts) {
 		c.Received++
 		c.InProgress++
 	})
-	return &Entry{row: r}
+	return &RequestRecorder{row: r}
 }
 
-// Entry follows one request. Its End may be called by any path, and only the
+// RequestRecorder follows one request. Its End may be called by any path, and only the
 // first call counts.
-type Entry struct {
+type RequestRecorder struct {
 	row   *row
 	ended atomic.Bool
 }
 
-// End books the request's outcome from the failure it ended with, nil for
+// RecordOutcome books the request's outcome from the failure it ended with, nil for
 // success.
-func (e *Entry) End(err error) {
+func (e *RequestRecorder) RecordOutcome(err error) {
 	if !e.ended.CompareAndSwap(false, true) {
 		return
 	}
@@ -147,7 +147,7 @@
 			c.Ran++
 			return
 		}
-		c.endFailed(failure.From(err))
+		c.endFailed(failure.FromError(err))
 	})
 }
 
@@ -168,15 +168,15 @@
 }
 
 // Update changes the row's other counters under its lock.
-func (e *Entry) Update(change func(*Counts)) { e.row.change(change) }
+func (e *RequestRecorder) Update(change func(*Counts)) { e.row.change(change) }
 
-// FirstToken counts the time to the first token.
-func (e *Entry) FirstToken(d time.Duration) {
+// RecordFirstToken counts the time to the first token.
+func (e *RequestRecorder) RecordFirstToken(d time.Duration) {
 	e.Update(func(c *Counts) { c.FirstToken.add(d <= FirstTokenObjective) })
 }
 
-// Tokens counts n tokens that came gap after the ones before.
-func (e *Entry) Tokens(n int, gap time.Duration) {
+// RecordTokens counts n tokens that came gap after the ones before.
+func (e *RequestRecorder) RecordTokens(n int, gap time.Duration) {
 	e.row.change(func(c *Counts) {
 		c.OutputTokens += uint64(n)
 		c.TokenGap.add(gap <= TokenGapObjective)
@@ -187,18 +187,18 @@
 	})
 }
 
-// Whole counts whether a generation's answer arrived whole.
-func (e *Entry) Whole(good bool) {
-	e.Update(func(c *Counts) { c.Whole.add(good) })
+// RecordCompleteness counts whether a generation's answer arrived whole.
+func (e *RequestRecorder) RecordCompleteness(good bool) {
+	e.Update(func(c *Counts) { c.Complete.add(good) })
 }
 
-// Lookup counts the time of an idempotent call.
-func (e *Entry) Lookup(d time.Duration) {
+// RecordLookup counts the time of an idempotent call.
+func (e *RequestRecorder) RecordLookup(d time.Duration) {
 	e.Update(func(c *Counts) { c.Lookup.add(d <= LookupObjective) })
 }
 
-// Line is one row of a snapshot.
-type Line struct {
+// Row is one row of a snapshot.
+type Row struct {
 	Account string `json:"account"`
 	Service string `json:"service"`
 	Counts
@@ -210,27 +210,27 @@
 	DataCentre string `json:"data_centre"`
 	// Incarnation tells two lives of one host apart: counters start anew.
 	Incarnation uint64 `json:"incarnation"`
-	Lines       []Line `json:"lines"`
+	Rows        []Row  `json:"lines"`
 	// Unbalanced counts the rows whose identity does not hold; anything but 0
 	// is a fault of this program.
 	Unbalanced int `json:"unbalanced"`
 }
 
 // Lines copies all rows, sorted by account and service.
-func (b *Book) Lines() []Line {
+func (b *Recorder) Lines() []Row {
 	return b.lines(func(r *row) (Counts, bool) { return r.copy(), true })
 }
 
 // Changed copies the rows that changed since the last call of Changed, sorted
 // likewise. It has one caller: the one that hands them on.
-func (b *Book) Changed() []Line { return b.lines((*row).take) }
+func (b *Recorder) Changed() []Row { return b.lines((*row).take) }
 
-func (b *Book) lines(copyOf func(*row) (Counts, bool)) []Line {
-	var lines []Line
+func (b *Recorder) lines(copyOf func(*row) (Counts, bool)) []Row {
+	var lines []Row
 	b.rows.Range(func(k, v any) bool {
 		key := k.(rowKey)
 		if counts, ok := copyOf(v.(*row)); ok {
-			lines = append(lines, Line{Account: key.account, Service: key.service, Counts: counts})
+			lines = append(lines, Row{Account: key.account, Service: key.service, Counts: counts})
 		}
 		return true
 	})
@@ -238,7 +238,7 @@
 	return lines
 }
 
-func sortLines(lines []Line) {
+func sortLines(lines []Row) {
 	sort.Slice(lines, func(i, j int) bool {
 		if lines[i].Account != lines[j].Account {
 			return lines[i].Account < lines[j].Account
@@ -248,18 +248,18 @@
 }
 
 // Snapshot copies all rows with the name of the process.
-func (b *Book) Snapshot(host, dataCentre string, incarnation uint64) Snapshot {
+func (b *Recorder) Snapshot(host, dataCentre string, incarnation uint64) Snapshot {
 	return snapshotOf(host, dataCentre, incarnation, b.Lines())
 }
 
 // ChangedSnapshot is Snapshot of the rows that changed since the last one.
-func (b *Book) ChangedSnapshot(host, dataCentre string, incarnation uint64) Snapshot {
+func (b *Recorder) ChangedSnapshot(host, dataCentre string, incarnation uint64) Snapshot {
 	return snapshotOf(host, dataCentre, incarnation, b.Changed())
 }
 
-func snapshotOf(host, dataCentre string, incarnation uint64, lines []Line) Snapshot {
-	s := Snapshot{Host: host, DataCentre: dataCentre, Incarnation: incarnation, Lines: lines}
-	for _, l := range s.Lines {
+func snapshotOf(host, dataCentre string, incarnation uint64, lines []Row) Snapshot {
+	s := Snapshot{Host: host, DataCentre: dataCentre, Incarnation: incarnation, Rows: lines}
+	for _, l := range s.Rows {
 		if !l.Balanced() {
 			s.Unbalanced++
 		}
@@ -268,7 +268,7 @@
 }
 
 // InProgress counts the requests of all rows that have not ended.
-func (b *Book) InProgress() (n uint64) {
+func (b *Recorder) InProgress() (n uint64) {
 	for _, l := range b.Lines() {
 		n += l.InProgress
 	}
--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -23,8 +23,8 @@
 var ends = []error{
 	nil,
 	failure.New(failure.KindOverloaded, "full"),
-	failure.New(failure.KindTargetLost, "lost").Unknown(),
-	failure.New(failure.KindTargetFailed, "failed").Ran(),
+	failure.New(failure.KindTargetLost, "lost").WithExecutionUnknown(),
+	failure.New(failure.KindTargetFailed, "failed").WithExecuted(),
 }
 
 var _ = Describe("the accounting", func() {
@@ -38,9 +38,9 @@
 				r := rand.New(rand.NewPCG(uint64(worker), 0))
 				for range 500 {
 					e := book.Begin("school", "reports")
-					e.Tokens(1, time.Duration(r.IntN(100))*time.Millisecond)
+					e.RecordTokens(1, time.Duration(r.IntN(100))*time.Millisecond)
 					for range 1 + r.IntN(2) {
-						e.End(ends[r.IntN(len(ends))])
+						e.RecordOutcome(ends[r.IntN(len(ends))])
 					}
 				}
 			})
@@ -57,22 +57,22 @@
 	// The control process of a host is told changed rows only. One that was
 	// lost on the way would stay wrong for as long as nobody asks for more.
 	It("comes together from changed rows as it is", func() {
-		book, merged := accounting.New(), accounting.NewMerged()
+		book, merged := accounting.New(), accounting.NewSnapshotMerger()
 		r := rand.New(rand.NewPCG(5, 0))
 		for range 200 {
 			for range r.IntN(4) {
 				e := book.Begin(string(rune('a'+r.IntN(5))), "sites")
-				e.Lookup(time.Duration(r.IntN(500)) * time.Millisecond)
+				e.RecordLookup(time.Duration(r.IntN(500)) * time.Millisecond)
 				if r.IntN(3) > 0 {
-					e.End(ends[r.IntN(len(ends))])
+					e.RecordOutcome(ends[r.IntN(len(ends))])
 				}
 			}
 			var handed accounting.Snapshot
 			text, err := json.Marshal(book.ChangedSnapshot("h", "d", 1))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(json.Unmarshal(text, &handed)).To(Succeed())
-			merged.Take(handed)
-			Expect(merged.Snapshot().Lines).To(ConsistOf(book.Lines()))
+			merged.Apply(handed)
+			Expect(merged.Snapshot().Rows).To(ConsistOf(book.Lines()))
 		}
 		Expect(book.Changed()).To(BeEmpty())
 	})
@@ -81,7 +81,7 @@
 // BenchmarkChanged measures the handing over of a few changed rows among many.
 func BenchmarkChanged(b *testing.B) {
 	book := accounting.New()
-	entries := make([]*accounting.Entry, 11_000)
+	entries := make([]*accounting.RequestRecorder, 11_000)
 	for i := range entries {
 		entries[i] = book.Begin("account-"+strconv.Itoa(i), "reports")
 	}
@@ -89,7 +89,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for i := range 8 {
-			entries[i*1000].Tokens(1, time.Millisecond)
+			entries[i*1000].RecordTokens(1, time.Millisecond)
 		}
 		if text, err := json.Marshal(book.ChangedSnapshot("h", "d", 1)); err != nil || len(text) == 0 {
 			b.Fatal(err)
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -57,7 +57,7 @@
 	key := strings.Repeat(digest, 32)
 	t, faults := table.Parse(7, [][]byte{[]byte("kind,name,weight,key_sha256\nservice,reports,,\naccount,clinic,2," + key + "\n")})
 	Expect(faults).To(BeEmpty())
-	t = t.With([]string{"south"}, nil)
+	t = t.WithDrainAndTargets([]string{"south"}, nil)
 	return adminapi.Config{
 		Self:   "10.0.0.1:81",
 		Tokens: []adminapi.Token{token("operator:", "op"), token("monitor:", "mon")},
@@ -71,9 +71,9 @@
 		Members: fixed[membership.View]{&membership.View{Members: []membership.Member{
 			{Address: "10.0.0.1:81", Incarnation: 4}, {Address: "10.0.0.3:81", Incarnation: 9, State: membership.Dead}}}},
 		Rollout: fixed[configwatch.State]{&configwatch.State{Ready: true, Documents: []configwatch.DocumentState{{
-			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, Since: time.Now(),
-			Refused: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
-		TargetFigures: figures{}, AccountFigures: figures{}, Accounting: figures{},
+			Section: configwatch.SectionTable, Head: rollout.Head{Version: rollout.Version{Revision: 7}}, InForceSince: time.Now(),
+			LatestRefusal: rollout.Refusal{Version: rollout.Version{Revision: 8}, Reason: "row 3 column weight"}}}}},
+		TargetSource: figures{}, AccountSource: figures{}, AccountingSource: figures{},
 	}
 }
 
@@ -131,7 +131,7 @@
 	It("says that it does not know yet rather than nothing", func() {
 		cfg := config()
 		cfg.Table, cfg.Hosts, cfg.Targets = fixed[table.Table]{}, fixed[configwatch.Hosts]{}, fixed[configwatch.Targets]{}
-		cfg.Rollout, cfg.Accounting = fixed[configwatch.State]{}, nil
+		cfg.Rollout, cfg.AccountingSource = fixed[configwatch.State]{}, nil
 		for _, p := range []string{"hosts", "targets", "accounts", "rollout", "table", "accounting"} {
 			rec := get(cfg, "GET", "/admin/v1/"+p, "op")
 			Expect(rec.Code).To(Equal(http.StatusServiceUnavailable), p)
--- a/internal/adminapi/answers.go
+++ b/internal/adminapi/answers.go
@@ -83,11 +83,11 @@
 
 func (h *handler) targetStatus(t configservice.Target, drained bool) TargetStatus {
 	var s TargetStatus
-	if h.TargetFigures != nil {
-		s, s.Known = h.TargetFigures.TargetStatus(t.Service, t.Address)
+	if h.TargetSource != nil {
+		s, s.Known = h.TargetSource.TargetStatus(t.Service, t.Address)
 	}
 	s.Service, s.Address, s.DataCentre = t.Service, t.Address, t.DataCentre
-	s.Published, s.Drained = string(t.State), drained
+	s.PublishedState, s.Drained = string(t.State), drained
 	return s
 }
 
@@ -103,8 +103,8 @@
 			Name: name, Weight: a.Weight, MaxRunning: a.MaxRunning, TokensPerSecond: a.TokensPerSecond,
 			Priority: a.Priority, Keys: len(a.KeyHashes), Services: append([]string{}, a.Services...),
 		}
-		if h.AccountFigures != nil {
-			s.Running, s.Waiting, s.Tokens = h.AccountFigures.AccountStatus(name)
+		if h.AccountSource != nil {
+			s.Running, s.Waiting, s.Tokens = h.AccountSource.AccountStatus(name)
 		}
 		doc.Accounts = append(doc.Accounts, s)
 	}
@@ -121,10 +121,10 @@
 		return nil, notReady("the rollout")
 	}
 	doc := RolloutDocument{
-		Self: h.Self, Ready: state.Ready, PeersAsked: state.PeersAsked, Documents: []DocumentStatus{},
+		Self: h.Self, Ready: state.Ready, PeersAsked: state.PeersConfirmed, Documents: []DocumentStatus{},
 		Service: ServiceStatus{
-			Reader: state.Service.Reader, Revision: state.Service.Revision, Behind: state.Service.Behind,
-			LastFailure: state.Service.Failure, AnsweredAt: moment(state.Service.AnsweredAt),
+			Reader: state.Service.IsReader, Revision: state.Service.Revision, Behind: state.Service.Behind,
+			LastFailure: state.Service.LastFailure, AnsweredAt: moment(state.Service.AnsweredAt),
 		},
 	}
 	for _, d := range state.Documents {
@@ -136,10 +136,10 @@
 func documentStatus(d configwatch.DocumentState) DocumentStatus {
 	s := DocumentStatus{
 		Document: string(d.Section), Version: d.Head.Version.String(),
-		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: moment(d.Since),
+		Digest: strconv.FormatUint(d.Head.Digest, 16), Rows: d.Rows, Since: moment(d.InForceSince),
 	}
-	if d.Refused.Reason != "" {
-		s.Refused, s.RefusedReason = d.Refused.Version.String(), d.Refused.Reason
+	if d.LatestRefusal.Reason != "" {
+		s.RefusedVersion, s.RefusedReason = d.LatestRefusal.Version.String(), d.LatestRefusal.Reason
 	}
 	return s
 }
@@ -162,7 +162,7 @@
 	if role != RoleOperator {
 		t = withoutKeys(t)
 	}
-	return csvText(bytes.Join(table.Encode(t), nil)), nil
+	return csvText(bytes.Join(table.EncodePages(t), nil)), nil
 }
 
 func withoutKeys(t *table.Table) *table.Table {
@@ -177,18 +177,18 @@
 }
 
 func (h *handler) accounting(Role) (any, error) {
-	if h.Accounting == nil {
+	if h.AccountingSource == nil {
 		return nil, notReady("the accounting")
 	}
-	doc := h.Accounting.Accounting()
+	doc := h.AccountingSource.Accounting()
 	doc.Self = h.Self
 	if doc.Rows == nil {
 		doc.Rows = []AccountingRow{}
 	}
-	doc.Faults = []AccountingRow{}
+	doc.Unbalanced = []AccountingRow{}
 	for _, r := range doc.Rows {
 		if !r.Balanced() {
-			doc.Faults = append(doc.Faults, r)
+			doc.Unbalanced = append(doc.Unbalanced, r)
 		}
 	}
 	return doc, nil
--- a/internal/adminapi/documents.go
+++ b/internal/adminapi/documents.go
@@ -42,8 +42,8 @@
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Published is live or leaving.
-	Published string `json:"published"`
+	// PublishedState is live or leaving.
+	PublishedState string `json:"published"`
 	// Drained tells whether operators have taken the data centre out.
 	Drained bool `json:"drained"`
 	// The figures below come from the pool's allocator; Known is false on a
@@ -51,7 +51,7 @@
 	Known        bool   `json:"known"`
 	Running      int    `json:"running"`
 	Waiting      int    `json:"waiting"`
-	Bears        int    `json:"bears"`
+	Capacity     int    `json:"bears"`
 	MemoryTokens int    `json:"memory_tokens"`
 	UsedTokens   int    `json:"used_tokens"`
 	Preemptions  uint64 `json:"preemptions"`
@@ -99,9 +99,9 @@
 	Digest  string     `json:"digest"`
 	Rows    int        `json:"rows"`
 	Since   *time.Time `json:"since,omitempty"`
-	// Refused names a newer version that failed validation, and why.
-	Refused       string `json:"refused,omitempty"`
-	RefusedReason string `json:"refused_reason,omitempty"`
+	// RefusedVersion names a newer version that failed validation, and why.
+	RefusedVersion string `json:"refused,omitempty"`
+	RefusedReason  string `json:"refused_reason,omitempty"`
 }
 
 // ServiceStatus is what this process last saw of the configuration service.
@@ -118,10 +118,10 @@
 	Self string `json:"self"`
 	// SinceMS is how long these counters have been running: since the entry
 	// process started.
-	SinceMS int64            `json:"since_ms"`
-	Rows    []AccountingRow  `json:"rows"`
-	Faults  []AccountingRow  `json:"unbalanced"`
-	Entries []AccountingHost `json:"entries"`
+	SinceMS    int64            `json:"since_ms"`
+	Rows       []AccountingRow  `json:"rows"`
+	Unbalanced []AccountingRow  `json:"unbalanced"`
+	Entries    []AccountingHost `json:"entries"`
 }
 
 // AccountingHost names an entry process whose counters are in the document.
@@ -156,13 +156,13 @@
 	Retries     uint64 `json:"retries"`
 	Resumes     uint64 `json:"resumes"`
 	Replays     uint64 `json:"replays"`
-	// OutOfPlace counts frames of targets that were not passed on.
-	OutOfPlace uint64 `json:"out_of_place"`
+	// MisplacedFrames counts frames of targets that were not passed on.
+	MisplacedFrames uint64 `json:"out_of_place"`
 	// The objectives: events within the bound among all.
 	FirstToken accounting.Ratio `json:"first_token"`
 	TokenGap   accounting.Ratio `json:"token_gap"`
 	NoStall    accounting.Ratio `json:"no_stall"`
-	Whole      accounting.Ratio `json:"whole"`
+	Complete   accounting.Ratio `json:"whole"`
 	Lookup     accounting.Ratio `json:"lookup"`
 }
 
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -46,10 +46,10 @@
 	Rollout Snapshot[configwatch.State]
 	Members Snapshot[membership.View]
 
-	TargetFigures  TargetSource
-	AccountFigures AccountSource
-	Accounting     AccountingSource
-	Metrics        metrics.Registry
+	TargetSource     TargetSource
+	AccountSource    AccountSource
+	AccountingSource AccountingSource
+	Metrics          metrics.Registry
 }
 
 // handler answers the routes.
@@ -130,5 +130,5 @@
 // notReady answers while something is not known yet; an empty list would read
 // as if there were nothing.
 func notReady(what string) error {
-	return failure.New(failure.KindNotReady, "%s not known yet", what).After(retryNotReady)
+	return failure.New(failure.KindNotReady, "%s not known yet", what).WithRetryAfter(retryNotReady)
 }
--- a/internal/burn/command.go
+++ b/internal/burnreport/command.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"context"
@@ -83,7 +83,7 @@
 
 func exitCode(r Report) int {
 	switch {
-	case r.Breach():
+	case r.HasBreach():
 		return ExitBreach
 	case !r.Complete():
 		return ExitIncomplete
@@ -95,13 +95,13 @@
 	if len(s.Control) == 0 {
 		return nil, failure.New(failure.KindSettingInvalid, "--control (FILBERT_CONTROL) is missing; allowed: ip:port, at least one")
 	}
-	c := &Collector{Controls: s.Control, Scheme: "http", Client: &http.Client{Timeout: readLimit}}
+	c := &Collector{ControlAddresses: s.Control, Scheme: "http", Client: &http.Client{Timeout: readLimit}}
 	if s.KeyFile != "" {
 		key, err := os.ReadFile(s.KeyFile)
 		if err != nil {
 			return nil, failure.Wrap(err, failure.KindSettingInvalid, "--key-file (FILBERT_KEY_FILE)")
 		}
-		c.Key = strings.TrimSpace(string(key))
+		c.AdminKey = strings.TrimSpace(string(key))
 	}
 	if s.CA == "" {
 		return c, nil
--- a/internal/burn/doc.go
+++ b/internal/burnreport/doc.go
@@ -1,4 +1,4 @@
-// Package burn turns the accounting of all hosts into a service-level burn
+// Package burnreport turns the accounting of all hosts into a service-level burn
 // report for operators and the outside monitor: objectives per service with
 // burn rates over several windows, shares of service against weights, and one
 // line for each promise with its evidence.
@@ -10,4 +10,4 @@
 // A burn rate is the part of bad events divided by the part that the objective
 // allows: 1 uses the error budget up just at the end of its period, 10 in a
 // tenth of it.
-package burn
+package burnreport
--- a/internal/burn/html.go
+++ b/internal/burnreport/html.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	_ "embed" // the page's template
--- a/internal/burn/objective.go
+++ b/internal/burnreport/objective.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"sort"
@@ -24,7 +24,7 @@
 	{"first token", "within 550 ms", 0.95, func(r adminapi.AccountingRow) accounting.Ratio { return r.FirstToken }},
 	{"between tokens", "within 61 ms", 0.95, func(r adminapi.AccountingRow) accounting.Ratio { return r.TokenGap }},
 	{"no stall", "a gap between tokens below 1 s", 0.999, func(r adminapi.AccountingRow) accounting.Ratio { return r.NoStall }},
-	{"whole answers", "a generation that ended whole", 0.999, func(r adminapi.AccountingRow) accounting.Ratio { return r.Whole }},
+	{"whole answers", "a generation that ended whole", 0.999, func(r adminapi.AccountingRow) accounting.Ratio { return r.Complete }},
 	{"lookups", "within 250 ms", 0.99, func(r adminapi.AccountingRow) accounting.Ratio { return r.Lookup }},
 	{"known outcomes", "a request whose outcome is known", 0.9999, knownOutcomes},
 }
--- a/internal/burn/promises.go
+++ b/internal/burnreport/promises.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"fmt"
@@ -62,11 +62,11 @@
 }
 
 func (e evidence) wholeAnswers() Promise {
-	w := e.total.Whole
+	w := e.total.Complete
 	return Promise{
 		"every token once, in order, from one generation", verdict(false, w.Total),
 		fmt.Sprintf("%d of %d generations ended whole, the others with a typed end; %d frames out of place were not passed on; %d streams resumed",
-			w.Good, w.Total, e.total.OutOfPlace, e.total.Resumes),
+			w.Good, w.Total, e.total.MisplacedFrames, e.total.Resumes),
 	}
 }
 
@@ -74,13 +74,13 @@
 	over, seen := 0, uint64(0)
 	var worst []string
 	for _, t := range e.targets() {
-		if !t.Known || t.Bears == 0 {
+		if !t.Known || t.Capacity == 0 {
 			continue
 		}
 		seen++
-		if t.Running > t.Bears {
+		if t.Running > t.Capacity {
 			over++
-			worst = append(worst, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Bears))
+			worst = append(worst, fmt.Sprintf("%s runs %d of %d", t.Address, t.Running, t.Capacity))
 		}
 	}
 	text := fmt.Sprintf("%d targets reported what they bear; %d were above it", seen, over)
@@ -134,7 +134,7 @@
 func (e evidence) ownAnswers() Promise {
 	return Promise{
 		"each caller gets the whole answer to its own request", verdict(false, e.total.Ran),
-		fmt.Sprintf("%d requests ran; %d crossed or misnumbered frames were caught", e.total.Ran, e.total.OutOfPlace),
+		fmt.Sprintf("%d requests ran; %d crossed or misnumbered frames were caught", e.total.Ran, e.total.MisplacedFrames),
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (e evidence) leaving() Promise {
-	targets, running := e.runningAt(func(t adminapi.TargetStatus) bool { return t.Published == "leaving" })
+	targets, running := e.runningAt(func(t adminapi.TargetStatus) bool { return t.PublishedState == "leaving" })
 	return Promise{
 		"a leaving target receives no new work after a few seconds", verdict(false, uint64(targets)),
 		fmt.Sprintf("%d targets are leaving; %d requests still finish there", targets, running),
@@ -178,8 +178,8 @@
 			continue
 		}
 		versions[d.Version]++
-		if d.Refused != "" {
-			refused[d.Refused+": "+d.RefusedReason] = true
+		if d.RefusedVersion != "" {
+			refused[d.RefusedVersion+": "+d.RefusedReason] = true
 		}
 		if i < len(e.first.Hosts) {
 			if earlier := tableOf(e.first.Hosts[i]); earlier != nil && older(d.Version, earlier.Version) {
--- a/internal/burn/report.go
+++ b/internal/burnreport/report.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"time"
@@ -90,7 +90,7 @@
 	n := 0
 	for _, h := range s.Hosts {
 		if h.Accounting != nil {
-			n += len(h.Accounting.Faults)
+			n += len(h.Accounting.Unbalanced)
 		}
 	}
 	return n
@@ -113,9 +113,9 @@
 	return 1 / least
 }
 
-// Breach tells whether the report shows a broken promise or a row that does
+// HasBreach tells whether the report shows a broken promise or a row that does
 // not balance.
-func (r Report) Breach() bool {
+func (r Report) HasBreach() bool {
 	for _, p := range r.Promises {
 		if p.Verdict == Broken {
 			return true
--- a/internal/burn/sample.go
+++ b/internal/burnreport/sample.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"context"
@@ -30,10 +30,10 @@
 
 // Collector reads the administration interfaces.
 type Collector struct {
-	Controls []string
-	Key      string
-	Scheme   string
-	Client   *http.Client
+	ControlAddresses []string
+	AdminKey         string
+	Scheme           string
+	Client           *http.Client
 }
 
 // maxDocument bounds one answer, in bytes.
@@ -41,9 +41,9 @@
 
 // Collect asks every control process at once.
 func (c *Collector) Collect(ctx context.Context) Sample {
-	s := Sample{At: time.Now(), Hosts: make([]Host, len(c.Controls))}
+	s := Sample{At: time.Now(), Hosts: make([]Host, len(c.ControlAddresses))}
 	var wg sync.WaitGroup
-	for i, control := range c.Controls {
+	for i, control := range c.ControlAddresses {
 		wg.Go(func() { s.Hosts[i] = c.host(ctx, control) })
 	}
 	wg.Wait()
@@ -77,7 +77,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindSettingInvalid, "address %q", control)
 	}
-	req.Header.Set("Authorization", "Bearer "+c.Key)
+	req.Header.Set("Authorization", "Bearer "+c.AdminKey)
 	resp, err := c.Client.Do(req)
 	if err != nil {
 		return failure.Wrap(err, failure.KindControlLost, "%s does not answer", control)
--- a/internal/burn/totals.go
+++ b/internal/burnreport/totals.go
@@ -1,4 +1,4 @@
-package burn
+package burnreport
 
 import (
 	"filbertdeck/internal/accounting"
@@ -79,11 +79,11 @@
 	a.Retries += b.Retries
 	a.Resumes += b.Resumes
 	a.Replays += b.Replays
-	a.OutOfPlace += b.OutOfPlace
+	a.MisplacedFrames += b.MisplacedFrames
 	a.FirstToken = sum(a.FirstToken, b.FirstToken)
 	a.TokenGap = sum(a.TokenGap, b.TokenGap)
 	a.NoStall = sum(a.NoStall, b.NoStall)
-	a.Whole = sum(a.Whole, b.Whole)
+	a.Complete = sum(a.Complete, b.Complete)
 	a.Lookup = sum(a.Lookup, b.Lookup)
 	return a
 }
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -24,11 +24,11 @@
 	// Header holds what is passed on as it came.
 	Header http.Header
 	Body   []byte
-	// Patience is how long the client waits, counted from Arrived; 0 when it
+	// ClientTimeout is how long the client waits, counted from Arrived; 0 when it
 	// doesn't say.
-	Patience time.Duration
-	Arrived  time.Time
-	Prompt   Prompt
+	ClientTimeout time.Duration
+	ArrivedAt     time.Time
+	Prompt        Prompt
 	// ResumeAfter is the id of the last event that the client has of an
 	// earlier attempt; empty when it starts anew.
 	ResumeAfter string
@@ -37,43 +37,43 @@
 // Prompt is what a request says of its prompt; zero when it has none.
 type Prompt struct {
 	Model string
-	// Tokens are read, at most MaxOutput are made.
-	Tokens, MaxOutput int
+	// Tokens are read, at most MaxOutputTokens are made.
+	Tokens, MaxOutputTokens int
 	// LengthHint is the client's estimate of the tokens that will be made, 0
 	// when it gives none. It is right at the median and often far off.
 	LengthHint int
-	// Parts are shared with other prompts, in their order.
-	Parts []Part
+	// Segments are shared with other prompts, in their order.
+	Segments []PromptSegment
 }
 
-// Part is a piece of a prompt that targets may have in their caches.
-type Part struct {
+// PromptSegment is a piece of a prompt that targets may have in their caches.
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// Handoff says where the memory of a moved generation lies.
-type Handoff struct {
-	// From is the target (ip:port) that made the copy, or the one that keeps it
+// CacheCopy says where the memory of a moved generation lies.
+type CacheCopy struct {
+	// Source is the target (ip:port) that made the copy, or the one that keeps it
 	// where it is a backup.
-	From string
+	Source string
 	// Handle names the copy; of a backup it is the request's id.
 	Handle string
 }
 
-// Send is one sending of a request to a target.
-type Send struct {
+// Attempt is one sending of a request to a target.
+type Attempt struct {
 	*Request
 	Target  directory.Target
 	Account string
-	// Left is how long the target may work.
-	Left time.Duration
+	// TimeRemaining is how long the target may work.
+	TimeRemaining time.Duration
 	// Priority from 0 (first) to 9; negative when none is set.
 	Priority int
 	// Resume is set to go on with a generation at another target, behind the
 	// event After.
-	Resume *Handoff
-	After  string
+	Resume      *CacheCopy
+	LastEventID string
 	// Backup is the target (ip:port) that keeps a copy of the generation's
 	// memory as it grows; empty for none.
 	Backup string
@@ -82,24 +82,24 @@
 // Load is what a target says of its load.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is what the header of a target's answer says.
-type Answer struct {
+// ResponseHeader is what the header of a target's answer says.
+type ResponseHeader struct {
 	Status int
-	// Echo is the id of the request that this answers.
-	Echo string
+	// RequestID is the id of the request that this answers.
+	RequestID string
 	// Sealed answers carry the target's mark; a success without it is not one.
 	Sealed bool
-	// NotRun is the target's own word that it did not run the request and
+	// NotExecuted is the target's own word that it did not run the request and
 	// never will. No other failure proves that.
-	NotRun bool
-	// OtherTarget says that another target has the address by now.
-	OtherTarget bool
-	// Leaving says that the target may be about to stop.
-	Leaving bool
-	Load    *Load
-	// Rate is the requests a second that the target takes from all hosts
+	NotExecuted bool
+	// WrongTarget says that another target has the address by now.
+	WrongTarget bool
+	// ShuttingDown says that the target may be about to stop.
+	ShuttingDown bool
+	Load         *Load
+	// RequestsPerSecond is the requests a second that the target takes from all hosts
 	// together; nil when it names none.
-	Rate *float64
+	RequestsPerSecond *float64
 	// RetryAfter is 0 when the target names no time.
 	RetryAfter time.Duration
 }
@@ -111,21 +111,21 @@
 	Events int
 }
 
-// Run is one generation that an engine reports.
-type Run struct {
+// GenerationProgress is one generation that an engine reports.
+type GenerationProgress struct {
 	ID     string
 	Tokens int
 	Events int
 }
 
-// Report is what an engine says of itself, a few hundred milliseconds old.
-type Report struct {
+// EngineReport is what an engine says of itself, a few hundred milliseconds old.
+type EngineReport struct {
 	Running, Waiting       int
 	MemoryUsed, MemorySize int
-	Leaving                bool
-	// LeavesIn is 0 when the engine does not say when it leaves.
-	LeavesIn time.Duration
-	Runs     []Run
+	ShuttingDown           bool
+	// ShutdownIn is 0 when the engine does not say when it leaves.
+	ShutdownIn  time.Duration
+	Generations []GenerationProgress
 }
 
 // Health is a target's answer to the question whether it takes work, as of now.
@@ -137,29 +137,29 @@
 	Busy bool
 }
 
-// Dialect translates between the wire and these types. It decides nothing.
-type Dialect interface {
-	// ReadRequest reads what a caller's request says; the body was read before.
-	ReadRequest(r *http.Request, body []byte, arrived time.Time) (*Request, error)
-	// WriteSend makes the request for a target.
-	WriteSend(ctx context.Context, s *Send) (*http.Request, error)
-	// ReadAnswer reads the header of a target's answer.
-	ReadAnswer(resp *http.Response) Answer
-	// CopyHeader copies what a caller gets of an answer's header.
-	CopyHeader(to, from http.Header)
-	// WriteFailure answers a request that the system itself ends.
-	WriteFailure(w http.ResponseWriter, id string, err error)
+// Codec translates between the wire and these types. It decides nothing.
+type Codec interface {
+	// ParseRequest reads what a caller's request says; the body was read before.
+	ParseRequest(r *http.Request, body []byte, arrived time.Time) (*Request, error)
+	// BuildRequest makes the request for a target.
+	BuildRequest(ctx context.Context, s *Attempt) (*http.Request, error)
+	// ParseResponseHeader reads the header of a target's answer.
+	ParseResponseHeader(resp *http.Response) ResponseHeader
+	// CopyResponseHeader copies what a caller gets of an answer's header.
+	CopyResponseHeader(to, from http.Header)
+	// WriteError answers a request that the system itself ends.
+	WriteError(w http.ResponseWriter, id string, err error)
 }
 
-// Engines calls model engines beside the requests themselves.
-type Engines interface {
+// EngineClient calls model engines beside the requests themselves.
+type EngineClient interface {
 	// Move copies a generation's memory from one engine to another. With last,
 	// the generation stops first and its stream ends without its end.
 	Move(ctx context.Context, from string, id, to string, last bool) (MoveResult, error)
 	// Drop frees the copy of a move.
 	Drop(ctx context.Context, from string, handle string) error
 	// Report asks an engine for its state.
-	Report(ctx context.Context, at string) (Report, error)
+	Report(ctx context.Context, at string) (EngineReport, error)
 	// Health asks a target at its service's path for health.
 	Health(ctx context.Context, at, path string) (Health, error)
 }
--- a/internal/configservice/client.go
+++ b/internal/configservice/client.go
@@ -40,11 +40,11 @@
 	Key string `json:"key"`
 	// Revision is the store's at the value's last write.
 	Revision uint64 `json:"revision"`
-	Text     string `json:"value"`
+	Content  string `json:"value"`
 }
 
-// Answer is what a read or watch returns.
-type Answer struct {
+// Response is what a read or watch returns.
+type Response struct {
 	// Revision is the store's; it is lower than before when the service was
 	// restored, or when a stale replica answers.
 	Revision uint64 `json:"revision"`
@@ -87,14 +87,14 @@
 
 // Read returns the values under prefix that changed after a revision, all of
 // them after 0.
-func (c *Client) Read(ctx context.Context, prefix string, after uint64) (Answer, error) {
+func (c *Client) Read(ctx context.Context, prefix string, after uint64) (Response, error) {
 	return c.Watch(ctx, prefix, after, 0)
 }
 
 // Watch is Read that waits up to wait until something changes. The failure is
 // KindOverloaded with the time to come back when the service's rate is used
 // up, KindConfigUnreadable otherwise.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Answer, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
 	target := c.base
@@ -105,14 +105,14 @@
 	target.RawQuery = q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindInternal, "request to the configuration service")
+		return Response{}, failure.Wrap(err, failure.KindInternal, "request to the configuration service")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		// A silent connection would otherwise go back into the pool of HTTP/1
 		// connections only when it is closed; drop whatever is idle.
 		c.http.CloseIdleConnections()
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "configuration service unreachable")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "configuration service unreachable")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return decode(resp)
@@ -121,23 +121,23 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func decode(resp *http.Response) (Answer, error) {
+func decode(resp *http.Response) (Response, error) {
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return Answer{}, failure.New(failure.KindOverloaded, "rate of the configuration service used up").After(retryAfter(resp.Header))
+		return Response{}, failure.New(failure.KindOverloaded, "rate of the configuration service used up").WithRetryAfter(retryAfter(resp.Header))
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "configuration service answered %d", resp.StatusCode)
+		return Response{}, failure.New(failure.KindConfigUnreadable, "configuration service answered %d", resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service cut")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service cut")
 	}
 	if len(body) > maxAnswer {
-		return Answer{}, failure.New(failure.KindConfigUnreadable, "answer of the configuration service above %d bytes", maxAnswer)
+		return Response{}, failure.New(failure.KindConfigUnreadable, "answer of the configuration service above %d bytes", maxAnswer)
 	}
-	var a Answer
+	var a Response
 	if err := json.Unmarshal(body, &a); err != nil {
-		return Answer{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service is no JSON")
+		return Response{}, failure.Wrap(err, failure.KindConfigUnreadable, "answer of the configuration service is no JSON")
 	}
 	return a, nil
 }
--- a/internal/configservice/configservice_test.go
+++ b/internal/configservice/configservice_test.go
@@ -39,14 +39,14 @@
 		})
 		a, err := c.Watch(context.Background(), "table/", 4, 250*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a).To(Equal(configservice.Answer{Revision: 5, Keys: []string{"table/0001"},
-			Values: []configservice.Value{{Key: "table/0001", Revision: 5, Text: "x"}}}))
+		Expect(a).To(Equal(configservice.Response{Revision: 5, Keys: []string{"table/0001"},
+			Values: []configservice.Value{{Key: "table/0001", Revision: 5, Content: "x"}}}))
 	})
 
 	DescribeTable("gives each failure a type", func(handler http.HandlerFunc, kind failure.Kind, after time.Duration) {
 		_, err := client(handler).Read(context.Background(), "", 0)
 		Expect(failure.KindOf(err)).To(Equal(kind))
-		Expect(failure.From(err).RetryAfter).To(Equal(after))
+		Expect(failure.FromError(err).RetryAfter).To(Equal(after))
 	},
 		// Readers that ask again at once keep the service over its rate, and no
 		// reader hears of an edit any more.
@@ -105,8 +105,8 @@
 			strings.Replace(host, "10.0.0.1:80", "h1:80", 1), strings.Replace(host, "live", "gone", 1),
 			strings.Replace(host, "north", "a\\tb", 1)}, ",") + `]}`)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(dropped).To(Equal(configservice.Dropped(4)))
-		back, ok := configservice.HostFromRow(hosts[0].Row())
+		Expect(dropped).To(Equal(configservice.DroppedEntries(4)))
+		back, ok := configservice.ParseHostRow(hosts[0].Row())
 		Expect(ok).To(BeTrue())
 		Expect(back).To(Equal(hosts[0]))
 	})
@@ -121,11 +121,11 @@
 	It("reads targets and the drain list", func() {
 		targets, dropped, err := configservice.ParseTargets(`{"targets":[{"service":"s","address":"10.0.0.2:1","data_centre":"north","state":"leaving"},{"service":"s","address":"x"}]}`)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(dropped).To(Equal(configservice.Dropped(1)))
-		back, ok := configservice.TargetFromRow(targets[0].Row())
+		Expect(dropped).To(Equal(configservice.DroppedEntries(1)))
+		back, ok := configservice.ParseTargetRow(targets[0].Row())
 		Expect(ok).To(BeTrue())
 		Expect(back).To(Equal(targets[0]))
-		Expect(configservice.ParseDrain("\ufeffnorth\r\n\r\n south \n")).To(Equal([]string{"north", "south"}))
+		Expect(configservice.ParseDrainList("\ufeffnorth\r\n\r\n south \n")).To(Equal([]string{"north", "south"}))
 	})
 })
 
@@ -134,13 +134,13 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		hosts, _, _ := configservice.ParseHosts(text)
 		for _, h := range hosts {
-			if back, ok := configservice.HostFromRow(h.Row()); !ok || back != h {
+			if back, ok := configservice.ParseHostRow(h.Row()); !ok || back != h {
 				t.Fatalf("%+v came back as %+v", h, back)
 			}
 		}
 		targets, _, _ := configservice.ParseTargets(text)
 		for _, x := range targets {
-			if back, ok := configservice.TargetFromRow(x.Row()); !ok || back != x {
+			if back, ok := configservice.ParseTargetRow(x.Row()); !ok || back != x {
 				t.Fatalf("%+v came back as %+v", x, back)
 			}
 		}
--- a/internal/configservice/documents.go
+++ b/internal/configservice/documents.go
@@ -45,9 +45,9 @@
 	State      State  `json:"state"`
 }
 
-// Dropped counts the entries of a document that can't be used, such as an
+// DroppedEntries counts the entries of a document that can't be used, such as an
 // address that is none.
-type Dropped int
+type DroppedEntries int
 
 // Bounds of a list and of a name in it.
 const (
@@ -58,7 +58,7 @@
 // ParseHosts reads the list of hosts. Entries that can't be used are left out
 // and counted: refusing the list for one of them would keep leaving hosts in
 // use. A list without any host is refused: it would take every owner away.
-func ParseHosts(text string) ([]Host, Dropped, error) {
+func ParseHosts(text string) ([]Host, DroppedEntries, error) {
 	var doc struct {
 		Hosts []Host `json:"hosts"`
 	}
@@ -76,7 +76,7 @@
 
 // ParseTargets reads the list of targets; like ParseHosts, but an empty list
 // is one.
-func ParseTargets(text string) ([]Target, Dropped, error) {
+func ParseTargets(text string) ([]Target, DroppedEntries, error) {
 	var doc struct {
 		Targets []Target `json:"targets"`
 	}
@@ -89,8 +89,8 @@
 	return targets, dropped, nil
 }
 
-// ParseDrain reads the data centres taken out, one a line.
-func ParseDrain(text string) []string {
+// ParseDrainList reads the data centres taken out, one a line.
+func ParseDrainList(text string) []string {
 	var names []string
 	for line := range strings.Lines(strings.TrimPrefix(text, "\ufeff")) {
 		if name := strings.TrimSpace(line); name != "" {
@@ -108,7 +108,7 @@
 }
 
 // keep returns the usable entries, each key once; the first stands.
-func keep[T any](all []T, key func(T) (string, bool)) ([]T, Dropped) {
+func keep[T any](all []T, key func(T) (string, bool)) ([]T, DroppedEntries) {
 	kept := make([]T, 0, min(len(all), maxEntries))
 	seen := make(map[string]bool, len(all))
 	for _, e := range all {
@@ -119,7 +119,7 @@
 		seen[k] = true
 		kept = append(kept, e)
 	}
-	return kept, Dropped(len(all) - len(kept))
+	return kept, DroppedEntries(len(all) - len(kept))
 }
 
 func valid(address string) bool {
@@ -147,8 +147,8 @@
 	return strings.Join([]string{h.Name, h.DataCentre, h.Entry, h.Control, string(h.State)}, rowSeparator)
 }
 
-// HostFromRow reads a host's row; false when it is none.
-func HostFromRow(row string) (Host, bool) {
+// ParseHostRow reads a host's row; false when it is none.
+func ParseHostRow(row string) (Host, bool) {
 	f := strings.Split(row, rowSeparator)
 	if len(f) != 5 {
 		return Host{}, false
@@ -164,8 +164,8 @@
 	return strings.Join([]string{t.Service, t.Address, t.DataCentre, string(t.State)}, rowSeparator)
 }
 
-// TargetFromRow reads a target's row; false when it is none.
-func TargetFromRow(row string) (Target, bool) {
+// ParseTargetRow reads a target's row; false when it is none.
+func ParseTargetRow(row string) (Target, bool) {
 	f := strings.Split(row, rowSeparator)
 	if len(f) != 4 {
 		return Target{}, false
--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -10,8 +10,8 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/adminapi"
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/failure"
@@ -54,7 +54,7 @@
 type Source struct {
 	Self  string
 	State *state.Service
-	Pools *pools.Manager
+	Pools *poolmanager.Manager
 }
 
 // TargetStatus implements adminapi.TargetSource.
@@ -76,7 +76,7 @@
 
 func statusOf(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
-		Known: true, Running: t.Running, Waiting: waiting, Bears: t.Report.Capacity,
+		Known: true, Running: t.Running, Waiting: waiting, Capacity: t.Report.Capacity,
 		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
@@ -86,7 +86,7 @@
 // entries of this host.
 func (s *Source) AccountStatus(name string) (running, waiting int, tokens uint64) {
 	for _, snapshot := range s.State.Accounting() {
-		for _, l := range snapshot.Lines {
+		for _, l := range snapshot.Rows {
 			if l.Account == name {
 				running += int(l.InProgress)
 				tokens += l.PromptTokens + l.OutputTokens
@@ -97,15 +97,15 @@
 }
 
 type ownedPool struct {
-	plan     pools.Plan
+	plan     poolmanager.Plan
 	snapshot admission.Snapshot
 }
 
 // owned asks the allocators that run here for their state.
 func (s *Source) owned() []ownedPool {
-	var runners []*pool.Runner
+	var runners []*poolrunner.Runner
 	var out []ownedPool
-	s.Pools.Each(func(p pools.Plan, r *pool.Runner) {
+	s.Pools.Each(func(p poolmanager.Plan, r *poolrunner.Runner) {
 		runners = append(runners, r)
 		out = append(out, ownedPool{plan: p})
 	})
@@ -117,29 +117,29 @@
 
 // Accounting implements adminapi.AccountingSource.
 func (s *Source) Accounting() adminapi.AccountingDocument {
-	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Faults: []adminapi.AccountingRow{}}
+	doc := adminapi.AccountingDocument{Self: s.Self, Rows: []adminapi.AccountingRow{}, Unbalanced: []adminapi.AccountingRow{}}
 	for _, snapshot := range s.State.Accounting() {
 		doc.Entries = append(doc.Entries, adminapi.AccountingHost{
 			Entry: snapshot.Host, Incarnation: snapshot.Incarnation, Reached: true,
 		})
-		for _, l := range snapshot.Lines {
+		for _, l := range snapshot.Rows {
 			row := rowOf(snapshot, l)
 			doc.Rows = append(doc.Rows, row)
 			if !row.Balanced() {
-				doc.Faults = append(doc.Faults, row)
+				doc.Unbalanced = append(doc.Unbalanced, row)
 			}
 		}
 	}
 	return doc
 }
 
-func rowOf(s accounting.Snapshot, l accounting.Line) adminapi.AccountingRow {
+func rowOf(s accounting.Snapshot, l accounting.Row) adminapi.AccountingRow {
 	const perMilli = 1000
 	return adminapi.AccountingRow{
 		Entry: s.Host, Incarnation: s.Incarnation, Account: l.Account, Service: l.Service,
 		Received: l.Received, Refused: l.Refused, Ran: l.Ran, Unknown: l.Unknown, InProgress: l.InProgress,
 		Failed: l.Failed, WaitMS: l.WaitUS / perMilli, StallMS: l.StallUS / perMilli, Tokens: l.OutputTokens,
-		Hedges: l.Hedges, Retries: l.Retries, Resumes: l.Resumes, Replays: l.Replays, OutOfPlace: l.OutOfPlace,
-		FirstToken: l.FirstToken, TokenGap: l.TokenGap, NoStall: l.NoStall, Whole: l.Whole, Lookup: l.Lookup,
+		Hedges: l.Hedges, Retries: l.Retries, Resumes: l.Resumes, Replays: l.Replays, MisplacedFrames: l.MisplacedFrames,
+		FirstToken: l.FirstToken, TokenGap: l.TokenGap, NoStall: l.NoStall, Complete: l.Complete, Lookup: l.Lookup,
 	}
 }
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -16,8 +16,8 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
 	"filbertdeck/internal/control/admin"
-	"filbertdeck/internal/control/news"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolgossip"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/quota"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
@@ -27,8 +27,8 @@
 	"filbertdeck/internal/metrics"
 	"filbertdeck/internal/process"
 	"filbertdeck/internal/rpc"
-	"filbertdeck/internal/secure"
 	"filbertdeck/internal/targetclient"
+	"filbertdeck/internal/tlsidentity"
 )
 
 // Options build the program from its settings.
@@ -36,7 +36,7 @@
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newBoard, newStore, newWatcher, newMembers, newGossip,
+			tlsidentity.New, (*tlsidentity.Identity).Credentials, newBoard, newStore, newWatcher, newMembers, newGossip,
 			newManager, newNews, newSessions, newState, newAdmin, newQuotaPeers, newQuota,
 		),
 		fx.Invoke(limitMemory, serveAdmin, serveRPC, runManager, runWatcher, runGossip, runQuota, runNews),
@@ -72,7 +72,7 @@
 // address is another member.
 func newGossip(
 	s *Settings, store *configwatch.Store, b *configwatch.Board, members *gossip.Board, w *configwatch.Watcher,
-	n *news.Board, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
+	n *poolgossip.Board, creds rpc.Credentials, log *slog.Logger, reg gometrics.Registry,
 ) (*gossip.Controller, error) {
 	transport := creds.Client
 	if transport == nil {
@@ -87,20 +87,20 @@
 		},
 		Store: store, Hosts: &b.Hosts, Credentials: transport, SetReader: w.SetReader, Log: log, Metrics: reg,
 		Hooks: gossip.Hooks{
-			SupplyPools: n.SupplyPools, TakePools: n.TakePools, SupplyPoison: n.SupplyPoison, TakePoison: n.TakePoison,
-			Urgent: n.Urgent(),
+			SupplyPools: n.SupplyPools, ReceivePools: n.TakePools, SupplyPoison: n.SupplyPoison, ReceivePoison: n.TakePoison,
+			PushRequests: n.Urgent(),
 		},
 	}, members)
 }
 
-func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *pools.Manager {
-	return pools.NewManager(s.Listen, b, store.Ready, targetclient.New(targetclient.Settings{}), log)
+func newManager(s *Settings, b *configwatch.Board, store *configwatch.Store, log *slog.Logger) *poolmanager.Manager {
+	return poolmanager.NewManager(s.Listen, b, store.IsReady, targetclient.New(targetclient.Settings{}), log)
 }
 
 func newQuotaPeers(creds rpc.Credentials) *quota.Peers { return quota.NewPeers(creds) }
 
 func newQuota(
-	s *Settings, b *configwatch.Board, m *pools.Manager, peers *quota.Peers, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, m *poolmanager.Manager, peers *quota.Peers, reg gometrics.Registry,
 ) *quota.Controller {
 	return quota.New(quota.Config{
 		Self: s.Listen, Incarnation: uint64(time.Now().UnixMilli()), Table: &b.Table, Hosts: &b.Hosts,
@@ -108,17 +108,19 @@
 	})
 }
 
-func newNews(s *Settings, m *pools.Manager) *news.Board { return news.New(s.Listen, m) }
+func newNews(s *Settings, m *poolmanager.Manager) *poolgossip.Board {
+	return poolgossip.New(s.Listen, m)
+}
 
-func newSessions(m *pools.Manager) *sessions.Server {
+func newSessions(m *poolmanager.Manager) *sessions.Server {
 	server := sessions.New(m)
 	m.SetDeliver(server.Deliver)
 	return server
 }
 
-func newState(b *configwatch.Board, m *pools.Manager, server *sessions.Server, n *news.Board, members *gossip.Board, store *configwatch.Store) *state.Service {
+func newState(b *configwatch.Board, m *poolmanager.Manager, server *sessions.Server, n *poolgossip.Board, members *gossip.Board, store *configwatch.Store) *state.Service {
 	return &state.Service{
-		Board: b, Pools: m, Sessions: server, Backlog: n.Backlog, Ready: store.Ready,
+		Board: b, Pools: m, Sessions: server, Backlog: n.Backlog, Ready: store.IsReady,
 		Gone: func() []string { return gone(members.Members.Get()) },
 	}
 }
@@ -138,7 +140,7 @@
 }
 
 func newAdmin(
-	s *Settings, b *configwatch.Board, members *gossip.Board, service *state.Service, m *pools.Manager, reg gometrics.Registry,
+	s *Settings, b *configwatch.Board, members *gossip.Board, service *state.Service, m *poolmanager.Manager, reg gometrics.Registry,
 ) (http.Handler, error) {
 	tokens, err := admin.Tokens(s.OperatorKeys, s.MonitorKeys)
 	if err != nil {
@@ -147,7 +149,7 @@
 	source := &admin.Source{Self: s.Listen, State: service, Pools: m}
 	return adminapi.New(adminapi.Config{
 		Self: s.Listen, Tokens: tokens, Table: &b.Table, Hosts: &b.Hosts, Targets: &b.Targets, Rollout: &b.Rollout,
-		Members: &members.Members, TargetFigures: source, AccountFigures: source, Accounting: source, Metrics: reg,
+		Members: &members.Members, TargetSource: source, AccountSource: source, AccountingSource: source, Metrics: reg,
 	}), nil
 }
 
@@ -156,33 +158,33 @@
 // sees that others have it.
 func runWatcher(lc fx.Lifecycle, w *configwatch.Watcher) {
 	w.SetReader(true)
-	process.Background(lc, w.Run)
+	process.RunInBackground(lc, w.Run)
 }
 
 func runQuota(lc fx.Lifecycle, c *quota.Controller, peers *quota.Peers) {
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		defer peers.Close()
 		c.Run(ctx)
 	})
 }
 
-func runManager(lc fx.Lifecycle, m *pools.Manager) { process.Background(lc, m.Run) }
+func runManager(lc fx.Lifecycle, m *poolmanager.Manager) { process.RunInBackground(lc, m.Run) }
 
-func runNews(lc fx.Lifecycle, n *news.Board) { process.Background(lc, n.Run) }
+func runNews(lc fx.Lifecycle, n *poolgossip.Board) { process.RunInBackground(lc, n.Run) }
 
 // leaveLimit bounds telling the neighbours of a planned stop.
 const leaveLimit = time.Second
 
 func runGossip(lc fx.Lifecycle, c *gossip.Controller) {
-	process.Background(lc, c.Run)
+	process.RunInBackground(lc, c.Run)
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveLimit)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
 
-func serveRPC(lc fx.Lifecycle, s *Settings, id *secure.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
+func serveRPC(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, creds rpc.Credentials, service *state.Service, g *gossip.Controller, q *quota.Controller) {
 	server := rpc.NewServer(creds)
 	filbertv1.RegisterAdmissionServer(server, service)
 	filbertv1.RegisterQuotaServer(server, q)
@@ -190,8 +192,8 @@
 	process.ServeRPC(lc, server, id.Listen, s.Listen)
 }
 
-func serveAdmin(lc fx.Lifecycle, s *Settings, id *secure.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
-	r := admin.Router(api, store.Ready)
+func serveAdmin(lc fx.Lifecycle, s *Settings, id *tlsidentity.Identity, reg gometrics.Registry, api http.Handler, store *configwatch.Store) {
+	r := admin.Router(api, store.IsReady)
 	metrics.Mount(r, reg)
 	process.ServeAdmin(lc, r, id.ListenHTTP, s.AdminListen)
 }
--- a/internal/control/news/news.go
+++ b/internal/control/poolgossip/poolgossip.go
@@ -1,6 +1,6 @@
-// Package news carries what allocators tell the fleet through gossip: the
+// Package poolgossip carries what allocators tell the fleet through gossip: the
 // backlog of each pool, and the evidence of crashes.
-package news
+package poolgossip
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/poison"
 	decide "filbertdeck/internal/decide/pools"
@@ -41,11 +41,11 @@
 // concurrent use.
 type Board struct {
 	self  string
-	pools *pools.Manager
+	pools *poolmanager.Manager
 	start time.Time
 
 	mu      sync.Mutex
-	heard   *decide.News
+	heard   *decide.BacklogTable
 	told    map[string]told
 	version uint64
 	crashes map[uint64]crash
@@ -66,9 +66,9 @@
 }
 
 // New returns a board without news.
-func New(self string, m *pools.Manager) *Board {
+func New(self string, m *poolmanager.Manager) *Board {
 	return &Board{
-		self: self, pools: m, start: time.Now(), heard: decide.NewNews(),
+		self: self, pools: m, start: time.Now(), heard: decide.NewBacklogTable(),
 		told: map[string]told{}, crashes: map[uint64]crash{},
 		version: uint64(time.Now().UnixMilli()), urgent: make(chan struct{}, 1),
 	}
@@ -95,9 +95,9 @@
 		b.tell(name, backlog)
 	}
 	var out []*filbertv1.PoolNews
-	for _, item := range b.heard.Spread(b.now(), messageItems, poolRounds) {
+	for _, item := range b.heard.NextBroadcast(b.now(), messageItems, poolRounds) {
 		out = append(out, &filbertv1.PoolNews{
-			Pool: item.Pool, Control: item.Control, BacklogMs: uint32(item.Backlog.Milliseconds()), Version: item.Version,
+			Pool: item.Pool, Control: item.ControlAddress, BacklogMs: uint32(item.Backlog.Milliseconds()), Version: item.Version,
 		})
 	}
 	return out
@@ -106,7 +106,7 @@
 // own gives the backlogs of the pools that this process owns.
 func (b *Board) own() map[string]time.Duration {
 	own := map[string]time.Duration{}
-	b.pools.Each(func(p pools.Plan, r *pool.Runner) {
+	b.pools.Each(func(p poolmanager.Plan, r *poolrunner.Runner) {
 		if b.pools.Owns(p) {
 			own[p.ID] = r.Backlog()
 		}
@@ -123,7 +123,7 @@
 	}
 	b.told[name] = told{backlog: backlog, at: now}
 	b.version++
-	b.heard.Hear(now, decide.Item{Pool: name, Control: b.self, Backlog: backlog, Version: b.version})
+	b.heard.Update(now, decide.BacklogReport{Pool: name, ControlAddress: b.self, Backlog: backlog, Version: b.version})
 }
 
 // TakePools takes the backlogs that a peer supplied.
@@ -131,8 +131,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range list {
-		b.heard.Hear(b.now(), decide.Item{
-			Pool: n.Pool, Control: n.Control, Backlog: time.Duration(n.BacklogMs) * time.Millisecond, Version: n.Version,
+		b.heard.Update(b.now(), decide.BacklogReport{
+			Pool: n.Pool, ControlAddress: n.Control, Backlog: time.Duration(n.BacklogMs) * time.Millisecond, Version: n.Version,
 		})
 	}
 }
@@ -195,7 +195,7 @@
 // collect asks each allocator for its evidence. The answers come on the
 // allocators' goroutines.
 func (b *Board) collect() {
-	b.pools.Each(func(_ pools.Plan, r *pool.Runner) {
+	b.pools.Each(func(_ poolmanager.Plan, r *poolrunner.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) {
 			b.keep(a.PoisonEvidence(now, messageItems))
 		})
@@ -236,7 +236,7 @@
 	if len(crashes) == 0 {
 		return
 	}
-	b.pools.Each(func(_ pools.Plan, r *pool.Runner) {
+	b.pools.Each(func(_ poolmanager.Plan, r *poolrunner.Runner) {
 		r.Do(func(a *admission.Allocator, now time.Duration) { a.MergePoisonEvidence(now, crashes) })
 	})
 }
--- a/internal/control/news/news_test.go
+++ b/internal/control/poolgossip/poolgossip_test.go
@@ -1,4 +1,4 @@
-package news_test
+package poolgossip_test
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/news"
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolgossip"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/poison"
@@ -38,7 +38,7 @@
 const self = "127.0.0.1:9"
 
 // twoPools runs a board over a manager with a pool for each of two services.
-func twoPools() (*news.Board, map[string]*pool.Runner, chan admission.Decision) {
+func twoPools() (*poolgossip.Board, map[string]*poolrunner.Runner, chan admission.Decision) {
 	board := &configwatch.Board{}
 	tables, _ := board.Table.Claim()
 	hosts, _ := board.Hosts.Claim()
@@ -53,23 +53,23 @@
 		Version: rollout.Version{Revision: 1}, ConfirmedAt: time.Now(),
 		List: []configservice.Host{{Name: "h", DataCentre: "north", Control: self, State: configservice.StateLive}},
 	})
-	m := pools.NewManager(self, board, func() bool { return true }, nobody{}, slog.New(slog.DiscardHandler))
+	m := poolmanager.NewManager(self, board, func() bool { return true }, nobody{}, slog.New(slog.DiscardHandler))
 	decisions := make(chan admission.Decision, 10)
 	m.SetDeliver(func(_ string, d admission.Decision) { decisions <- d })
-	b := news.New(self, m)
+	b := poolgossip.New(self, m)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go m.Run(ctx)
 	go b.Run(ctx)
-	runners := map[string]*pool.Runner{}
+	runners := map[string]*poolrunner.Runner{}
 	Eventually(func() int {
-		m.Each(func(p pools.Plan, r *pool.Runner) { runners[p.Services[0]] = r })
+		m.Each(func(p poolmanager.Plan, r *poolrunner.Runner) { runners[p.Services[0]] = r })
 		return len(runners)
 	}).Should(Equal(2))
 	return b, runners, decisions
 }
 
-func evidence(r *pool.Runner) []poison.Crash {
+func evidence(r *poolrunner.Runner) []poison.Crash {
 	out := make(chan []poison.Crash, 1)
 	r.Do(func(a *admission.Allocator, now time.Duration) { out <- a.PoisonEvidence(now, 8) })
 	return <-out
--- a/internal/control/pools/group.go
+++ b/internal/control/poolmanager/group.go
@@ -1,4 +1,4 @@
-package pools
+package poolmanager
 
 import (
 	"maps"
--- a/internal/control/pools/manager.go
+++ b/internal/control/poolmanager/manager.go
@@ -1,4 +1,4 @@
-package pools
+package poolmanager
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/targets"
+	"filbertdeck/internal/control/poolrunner"
+	"filbertdeck/internal/control/targetpoll"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/table"
@@ -21,10 +21,10 @@
 	self   string
 	board  *configwatch.Board
 	ready  func() bool
-	client targets.Doer
+	client targetpoll.Doer
 	log    *slog.Logger
 
-	deliver pool.Deliver
+	deliver poolrunner.Deliver
 
 	// seenTable, seenPlan and seenHosts are what the plans and shares in force
 	// were made from.
@@ -45,14 +45,14 @@
 	plan Plan
 	// owner is set while this process is the pool's published owner.
 	owner   atomic.Bool
-	runner  *pool.Runner
+	runner  *poolrunner.Runner
 	pollers map[string]context.CancelFunc
 }
 
 // NewManager returns a manager without pools. self is this process's address
 // in the published list; ready tells whether the documents in force may be
 // acted on.
-func NewManager(self string, board *configwatch.Board, ready func() bool, client targets.Doer, log *slog.Logger) *Manager {
+func NewManager(self string, board *configwatch.Board, ready func() bool, client targetpoll.Doer, log *slog.Logger) *Manager {
 	return &Manager{
 		self: self, board: board, ready: ready, client: client, log: log,
 		running: map[string]*running{}, changed: make(chan struct{}),
@@ -60,7 +60,7 @@
 }
 
 // SetDeliver says where decisions go; it is called before Run.
-func (m *Manager) SetDeliver(d pool.Deliver) { m.deliver = d }
+func (m *Manager) SetDeliver(d poolrunner.Deliver) { m.deliver = d }
 
 // Plans gives the pools in force, nil before the first.
 func (m *Manager) Plans() *[]Plan { return m.plans.Load() }
@@ -126,7 +126,7 @@
 }
 
 func (m *Manager) replan(ctx context.Context, t *table.Table, hosts *configwatch.Hosts) {
-	plans := Plans(t, hosts.List)
+	plans := ComputePlans(t, hosts.List)
 	m.fence.Store(hosts.Version.Revision)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,7 +181,7 @@
 	r, ok := m.running[p.ID]
 	if !ok {
 		cfg := admission.Config{Seed: rand.Uint64(), QueueLimit: p.QueueLimit}
-		r = &running{runner: pool.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
+		r = &running{runner: poolrunner.NewRunner(p.ID, cfg, m.deliver), pollers: map[string]context.CancelFunc{}}
 		m.running[p.ID] = r
 		m.log.Info("pool taken up", "pool", p.ID, "owner", owner)
 	}
@@ -201,7 +201,7 @@
 	for _, a := range t.Accounts {
 		shares = append(shares, admission.Share{
 			Account: a.Name, Weight: a.Weight, MaxRunning: a.MaxRunning, Priority: a.Priority,
-			SharedLimits: a.Limited(),
+			SharedLimits: a.HasFleetLimit(),
 		})
 	}
 	return shares
@@ -217,7 +217,7 @@
 		}
 		pollCtx, cancel := context.WithCancel(ctx)
 		r.pollers[address] = cancel
-		p := &targets.Poller{Target: address, Client: m.client, Sink: r.runner.Report, Fast: r.fast, Generation: r.plan.Generation}
+		p := &targetpoll.Poller{Target: address, Client: m.client, Sink: r.runner.Report, Fast: r.fast, Generation: r.plan.Generation}
 		go p.Run(pollCtx)
 	}
 	for address, cancel := range r.pollers {
@@ -250,7 +250,7 @@
 }
 
 // Runner finds the runner of a pool that this process may admit to.
-func (m *Manager) Runner(name string) (*pool.Runner, uint64, bool) {
+func (m *Manager) Runner(name string) (*poolrunner.Runner, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r, ok := m.running[name]
@@ -261,7 +261,7 @@
 }
 
 // Each calls f with every pool that runs here.
-func (m *Manager) Each(f func(p Plan, r *pool.Runner)) {
+func (m *Manager) Each(f func(p Plan, r *poolrunner.Runner)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.running {
--- a/internal/control/pools/plan.go
+++ b/internal/control/poolmanager/plan.go
@@ -1,8 +1,8 @@
-// Package pools runs the allocators of the pools that this process may admit
+// Package poolmanager runs the allocators of the pools that this process may admit
 // to. Which pools there are, and who may admit to each, is decided in
 // internal/decide/pools from what is published, so that all processes with the
 // same view agree without a message.
-package pools
+package poolmanager
 
 import (
 	"maps"
@@ -40,11 +40,11 @@
 	Drained bool
 }
 
-// Plans computes the pools. Services that share targets share pools: with an
+// ComputePlans computes the pools. Services that share targets share pools: with an
 // allocator for each service, every one of them would give a cold target the
 // one request that it bears.
-func Plans(t *table.Table, hosts []configservice.Host) []Plan {
-	ranking := decide.NewRanking(hostsOf(hosts))
+func ComputePlans(t *table.Table, hosts []configservice.Host) []Plan {
+	ranking := decide.NewHostRanking(hostsOf(hosts))
 	var plans []Plan
 	for _, g := range groups(t) {
 		for _, pool := range decide.Partition(g.name(), g.targets) {
@@ -60,15 +60,15 @@
 func hostsOf(hosts []configservice.Host) []decide.Host {
 	out := make([]decide.Host, len(hosts))
 	for i, h := range hosts {
-		out[i] = decide.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
+		out[i] = decide.Host{ControlAddress: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
 	}
 	return out
 }
 
-func owners(pool decide.Pool, ranking *decide.Ranking) []string {
+func owners(pool decide.Pool, ranking *decide.HostRanking) []string {
 	out := make([]string, 0, maxOwners)
-	for _, h := range ranking.First(pool, maxOwners) {
-		out = append(out, h.Control)
+	for _, h := range ranking.TopHosts(pool, maxOwners) {
+		out = append(out, h.ControlAddress)
 	}
 	return out
 }
--- a/internal/control/pools/plan_test.go
+++ b/internal/control/poolmanager/plan_test.go
@@ -1,4 +1,4 @@
-package pools_test
+package poolmanager_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/table"
 )
 
@@ -47,7 +47,7 @@
 			service("empty", table.ServiceLookup),
 		)
 		seen := map[string]string{}
-		plans := pools.Plans(t, hosts)
+		plans := poolmanager.ComputePlans(t, hosts)
 		for _, p := range plans {
 			for _, target := range p.Targets {
 				Expect(seen).NotTo(HaveKey(target))
@@ -65,9 +65,9 @@
 	It("marks targets that leave, by themselves or with their data centre", func() {
 		t := tableOf(service("reports", table.ServiceGeneration, "127.0.0.1:11", "127.0.0.1:12"))
 		t.Services["reports"].Targets[0].Leaving = true
-		Expect(pools.Plans(t, hosts)[0].TargetStates).To(ContainElement(HaveField("Leaving", true)))
+		Expect(poolmanager.ComputePlans(t, hosts)[0].TargetStates).To(ContainElement(HaveField("Leaving", true)))
 		t.Drained["north"] = true
-		plan := pools.Plans(t, hosts)[0]
+		plan := poolmanager.ComputePlans(t, hosts)[0]
 		Expect(plan.Drained).To(BeTrue())
 		Expect(plan.TargetStates).To(HaveEach(HaveField("Leaving", true)))
 	})
--- a/internal/control/pool/runner.go
+++ b/internal/control/poolrunner/runner.go
@@ -1,7 +1,7 @@
-// Package pool runs one admission allocator on a goroutine of its own and
+// Package poolrunner runs one admission allocator on a goroutine of its own and
 // gives it its clock: everything that reaches the allocator is an event with
 // the time of this process.
-package pool
+package poolrunner
 
 import (
 	"sync"
--- a/internal/control/quota/controller.go
+++ b/internal/control/quota/controller.go
@@ -81,7 +81,7 @@
 	table    *table.Table
 	hosts    *configwatch.Hosts
 	limits   map[string]quota.Limits
-	accounts *pools.Accounts
+	accounts *pools.AccountIndex
 	owner    *quota.Owner
 	arrivals arrivals
 	holders  map[string]*holder
@@ -108,7 +108,7 @@
 	}
 	return &Controller{
 		cfg: cfg, start: cfg.Now(), metrics: newCounters(cfg.Metrics), limits: map[string]quota.Limits{},
-		accounts: pools.NewAccounts(), owner: quota.NewOwner(quota.Config{}), arrivals: newArrivals(),
+		accounts: pools.NewAccountIndex(), owner: quota.NewOwner(quota.Config{}), arrivals: newArrivals(),
 		holders: map[string]*holder{}, busy: map[string]bool{}, round: -roundEvery,
 	}
 }
@@ -166,12 +166,12 @@
 		c.setLimits(t)
 	}
 	if newHosts || newTable {
-		c.owner.SetOwned(c.now(), hosts.Version.Revision, c.accounts.Owned(c.cfg.Self))
+		c.owner.SetOwnedAccounts(c.now(), hosts.Version.Revision, c.accounts.OwnedBy(c.cfg.Self))
 	}
 	// The list comes before its confirmation: the other way round a list that
 	// was never confirmed would be trusted for what was said of the one before.
 	if !hosts.ConfirmedAt.IsZero() {
-		c.owner.Confirm(hosts.ConfirmedAt.Sub(c.start))
+		c.owner.ConfirmHostList(hosts.ConfirmedAt.Sub(c.start))
 	}
 }
 
@@ -179,7 +179,7 @@
 	limits := map[string]quota.Limits{}
 	names := []string{}
 	for _, a := range t.Accounts {
-		if a.Limited() {
+		if a.HasFleetLimit() {
 			limits[a.Name] = quota.Limits{Running: a.MaxRunning, TokensPerSecond: a.TokensPerSecond}
 			names = append(names, a.Name)
 		}
@@ -191,7 +191,7 @@
 func hostsOf(list []configservice.Host) []pools.Host {
 	out := make([]pools.Host, len(list))
 	for i, h := range list {
-		out[i] = pools.Host{Control: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
+		out[i] = pools.Host{ControlAddress: h.Control, DataCentre: h.DataCentre, Leaving: h.State != configservice.StateLive}
 	}
 	return out
 }
--- a/internal/control/quota/demands.go
+++ b/internal/control/quota/demands.go
@@ -41,10 +41,10 @@
 		if now-h.taken < settleFor || !inRound && !h.urgent(now, c.limits) {
 			continue
 		}
-		for _, r := range h.leases.Drop(now, name, h.uses) {
+		for _, r := range h.leases.DropIdle(now, name, h.uses) {
 			c.addRelease(calls, r)
 		}
-		for _, d := range h.leases.Due(now, name, h.uses, maxDemands) {
+		for _, d := range h.leases.DueDemands(now, name, h.uses, maxDemands) {
 			c.addDemand(calls, h, d)
 		}
 	}
@@ -72,13 +72,13 @@
 	to.holders = append(to.holders, h)
 	to.req.Demands = append(to.req.Demands, &filbertv1.QuotaDemand{
 		Account: d.Account, Pool: d.Holder, Running: uint32(d.Running), Waiting: uint32(d.Waiting),
-		TokensPerSecond: uint32(math.Ceil(d.TokensPerSecond)), Known: d.Known,
+		TokensPerSecond: uint32(math.Ceil(d.TokensPerSecond)), Known: d.KnownSerial,
 	})
 }
 
 func (c *Controller) addRelease(calls map[string]*call, r quota.Release) {
 	if to := c.callTo(calls, r.Account); to != nil {
-		to.req.Releases = append(to.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.Known})
+		to.req.Releases = append(to.req.Releases, &filbertv1.QuotaRelease{Account: r.Account, Pool: r.Holder, Known: r.KnownSerial})
 	}
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	for i, g := range reply.Grants {
-		to.holders[i].leases.Granted(to.asked, grantOf(to.req.Demands[i].Account, g))
+		to.holders[i].leases.ApplyGrant(to.asked, grantOf(to.req.Demands[i].Account, g))
 	}
 	c.putInForce(c.now())
 }
@@ -133,7 +133,7 @@
 func grantOf(account string, g *filbertv1.QuotaGrant) quota.Grant {
 	return quota.Grant{
 		Account: account, Running: int(g.Running), TokensPerSecond: g.TokensPerSecond, NotOwner: g.NotOwner, Serial: g.Serial,
-		LeaseFor:   time.Duration(g.LeaseMs) * time.Millisecond,
-		RetryAfter: time.Duration(g.RetryMs) * time.Millisecond,
+		LeaseDuration: time.Duration(g.LeaseMs) * time.Millisecond,
+		RetryAfter:    time.Duration(g.RetryMs) * time.Millisecond,
 	}
 }
--- a/internal/control/quota/holder.go
+++ b/internal/control/quota/holder.go
@@ -20,7 +20,7 @@
 	leases *quota.Holder
 	taken  time.Duration
 	seen   time.Duration
-	uses   []quota.Use
+	uses   []quota.Usage
 	rates  map[string]float64
 	// inForce is what the allocator was told last.
 	inForce map[string]admission.QuotaGrant
@@ -59,7 +59,7 @@
 // pool moves with the host list.
 func (c *Controller) retire(now time.Duration, name string, h *holder) {
 	delete(c.holders, name)
-	for _, r := range h.leases.Drop(math.MaxInt64, name, nil) {
+	for _, r := range h.leases.DropIdle(math.MaxInt64, name, nil) {
 		c.retired = append(c.retired, retired{r, now + releaseAfter})
 	}
 }
@@ -86,9 +86,9 @@
 		if !limited {
 			continue
 		}
-		h.leases.Charge(now, u.Account, u.ProducedTokens)
+		h.leases.ChargeTokens(now, u.Account, u.ProducedTokens)
 		rates[u.Account] = smooth(h.rates[u.Account], u.ProducedTokens, elapsed)
-		use := quota.Use{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
+		use := quota.Usage{Account: u.Account, Running: u.Running, Waiting: u.Waiting, TokensPerSecond: rates[u.Account]}
 		if use.Waiting > 0 {
 			// How much the waiting requests will produce isn't known: the owner
 			// shares the row's rate evenly among the pools that want it all.
@@ -109,12 +109,12 @@
 
 // urgent tells whether requests wait that a demand could let start.
 func (h *holder) urgent(now time.Duration, limits map[string]quota.Limits) bool {
-	return slices.ContainsFunc(h.uses, func(u quota.Use) bool {
+	return slices.ContainsFunc(h.uses, func(u quota.Usage) bool {
 		if u.Waiting == 0 {
 			return false
 		}
-		full := limits[u.Account].Running > 0 && u.Running >= h.leases.Running(now, u.Account)
-		return full || h.leases.RenewAt(u.Account) <= now
+		full := limits[u.Account].Running > 0 && u.Running >= h.leases.RunningLimit(now, u.Account)
+		return full || h.leases.NextRenewal(u.Account) <= now
 	})
 }
 
@@ -142,10 +142,10 @@
 
 func (h *holder) part(now time.Duration, account string, limits quota.Limits) admission.QuotaGrant {
 	rate := quota.Limits{TokensPerSecond: limits.TokensPerSecond}
-	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.Expires(account)}
+	p := admission.QuotaGrant{Account: account, ExpiresAt: h.leases.ExpiresAt(account)}
 	p.MayStart = now < p.ExpiresAt && h.leases.MayStart(now, account, rate, 0)
 	if limits.Running > 0 {
-		p.MaxRunning = h.leases.Running(now, account)
+		p.MaxRunning = h.leases.RunningLimit(now, account)
 		p.MayStart = p.MayStart && p.MaxRunning > 0
 	}
 	return p
--- a/internal/control/quota/owner.go
+++ b/internal/control/quota/owner.go
@@ -42,7 +42,7 @@
 		return &filbertv1.RenewQuotaReply{}
 	}
 	for _, r := range req.Releases {
-		c.owner.Release(quota.Release{Account: r.Account, Holder: holderName(req.From, r.Pool), Known: r.Known})
+		c.owner.Release(quota.Release{Account: r.Account, Holder: holderName(req.From, r.Pool), KnownSerial: r.Known})
 	}
 	reply := &filbertv1.RenewQuotaReply{Grants: make([]*filbertv1.QuotaGrant, len(req.Demands))}
 	for i, d := range req.Demands {
@@ -57,15 +57,15 @@
 func holderName(from, pool string) string { return pool + "@" + from }
 
 func (c *Controller) lease(now time.Duration, from string, d *filbertv1.QuotaDemand) *filbertv1.QuotaGrant {
-	g := c.owner.Ask(now, c.limits[d.Account], quota.Demand{
+	g := c.owner.HandleDemand(now, c.limits[d.Account], quota.Demand{
 		Account: d.Account, Holder: holderName(from, d.Pool), Running: int(d.Running), Waiting: int(d.Waiting),
-		TokensPerSecond: float64(d.TokensPerSecond), Known: d.Known,
+		TokensPerSecond: float64(d.TokensPerSecond), KnownSerial: d.Known,
 	})
-	if g.LeaseFor > 0 {
+	if g.LeaseDuration > 0 {
 		c.metrics.leases.Inc(1)
 	}
 	return &filbertv1.QuotaGrant{
 		Running: uint32(g.Running), TokensPerSecond: g.TokensPerSecond, Serial: g.Serial, NotOwner: g.NotOwner,
-		LeaseMs: uint32(g.LeaseFor.Milliseconds()), RetryMs: uint32(g.RetryAfter.Milliseconds()),
+		LeaseMs: uint32(g.LeaseDuration.Milliseconds()), RetryMs: uint32(g.RetryAfter.Milliseconds()),
 	}
 }
--- a/internal/control/quota/runner.go
+++ b/internal/control/quota/runner.go
@@ -3,22 +3,22 @@
 import (
 	"time"
 
-	"filbertdeck/internal/control/pool"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/decide/admission"
 )
 
 // Running lists the pools that a manager runs.
-func Running(m *pools.Manager) func() map[string]Pool {
+func Running(m *poolmanager.Manager) func() map[string]Pool {
 	return func() map[string]Pool {
 		out := map[string]Pool{}
-		m.Each(func(p pools.Plan, r *pool.Runner) { out[p.ID] = runner{r} })
+		m.Each(func(p poolmanager.Plan, r *poolrunner.Runner) { out[p.ID] = runner{r} })
 		return out
 	}
 }
 
 // runner is a Pool on its own goroutine.
-type runner struct{ *pool.Runner }
+type runner struct{ *poolrunner.Runner }
 
 // Uses implements Pool.
 func (r runner) Uses() []admission.QuotaUsage { return r.QuotaUses() }
--- a/internal/control/quota/world_test.go
+++ b/internal/control/quota/world_test.go
@@ -60,12 +60,12 @@
 	w := &world{Rand: rand.New(rand.NewPCG(seed, 9)), row: row, now: time.Hour}
 	var hosts []pools.Host
 	for i := range nodes {
-		hosts = append(hosts, pools.Host{Control: fmt.Sprint("127.0.0.1:", i+1)})
+		hosts = append(hosts, pools.Host{ControlAddress: fmt.Sprint("127.0.0.1:", i+1)})
 	}
 	for i := range nodes {
 		key := w.row.Name
 		first := slices.IndexFunc(hosts, func(h pools.Host) bool { o, _ := pools.AccountOwner(key, hosts); return o == h })
-		w.add(hosts[first].Control, i > 0)
+		w.add(hosts[first].ControlAddress, i > 0)
 		hosts = slices.Delete(hosts, first, first+1)
 	}
 	w.publishRow(row)
@@ -106,7 +106,7 @@
 		n.tables.Publish(t)
 		if n.pool != nil {
 			n.pool.alloc.SetShares(w.now, []admission.Share{
-				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.Limited()}, {Account: "free"},
+				{Account: row.Name, MaxRunning: row.MaxRunning, SharedLimits: row.HasFleetLimit()}, {Account: "free"},
 			})
 		}
 	}
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/failure"
 )
@@ -17,7 +17,7 @@
 // Pools finds the runner of a pool that this process may admit to now. The
 // fence leads the requests that are sent under its grants.
 type Pools interface {
-	Runner(name string) (r *pool.Runner, fence uint64, ok bool)
+	Runner(name string) (r *poolrunner.Runner, fence uint64, ok bool)
 }
 
 // sendQueue bounds the decisions that wait for one entry's connection.
--- a/internal/control/state/service.go
+++ b/internal/control/state/service.go
@@ -12,7 +12,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/failure"
@@ -23,7 +23,7 @@
 type Service struct {
 	filbertv1.UnimplementedAdmissionServer
 	Board    *configwatch.Board
-	Pools    *pools.Manager
+	Pools    *poolmanager.Manager
 	Sessions *sessions.Server
 	// Backlog gives the wait in any pool, own or heard of; false when unknown.
 	Backlog func(pool string) (time.Duration, bool)
@@ -34,7 +34,7 @@
 	Gone func() []string
 
 	mu         sync.Mutex
-	accounting map[string]*accounting.Merged
+	accounting map[string]*accounting.SnapshotMerger
 }
 
 // backlogEvery is how often changed backlogs are pushed to the entries.
@@ -71,12 +71,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.accounting == nil {
-		s.accounting = map[string]*accounting.Merged{}
+		s.accounting = map[string]*accounting.SnapshotMerger{}
 	}
 	if s.accounting[r.Entry] == nil || !r.Changes {
-		s.accounting[r.Entry] = accounting.NewMerged()
+		s.accounting[r.Entry] = accounting.NewSnapshotMerger()
 	}
-	s.accounting[r.Entry].Take(snapshot)
+	s.accounting[r.Entry].Apply(snapshot)
 	return &filbertv1.PutAccountingReply{}, nil
 }
 
@@ -119,7 +119,7 @@
 type sentState struct {
 	table    *table.Table
 	hosts    uint64
-	plans    *[]pools.Plan
+	plans    *[]poolmanager.Plan
 	gone     []string
 	backlogs map[string]uint32
 }
@@ -154,11 +154,11 @@
 		section.Drained = append(section.Drained, name)
 	}
 	if sent == nil {
-		section.Pages = table.Encode(t)
+		section.Pages = table.EncodePages(t)
 		return section
 	}
 	section.Delta = true
-	for _, c := range table.Changes(sent, t) {
+	for _, c := range table.ChangedRows(sent, t) {
 		section.Changes = append(section.Changes, &filbertv1.RowChange{Key: c.Key, Text: c.Text})
 	}
 	return section
--- a/internal/control/targets/poller.go
+++ b/internal/control/targetpoll/poller.go
@@ -1,5 +1,5 @@
-// Package targets reads the load that targets report.
-package targets
+// Package targetpoll reads the load that targets report.
+package targetpoll
 
 import (
 	"context"
--- a/internal/controller/configwatch/board.go
+++ b/internal/controller/configwatch/board.go
@@ -75,10 +75,10 @@
 	Service   ServiceState
 	// Ready is set once this process may serve.
 	Ready bool
-	// PeersAsked reports whether enough peers confirmed the documents in force;
+	// PeersConfirmed reports whether enough peers confirmed the documents in force;
 	// if false and Ready is set, the process became ready on the configuration
 	// service's data alone.
-	PeersAsked bool
+	PeersConfirmed bool
 }
 
 // DocumentState is the state of one document.
@@ -86,17 +86,17 @@
 	Section Section
 	Head    rollout.Head
 	Rows    int
-	// Since is the time at which this version was put in force here.
-	Since time.Time
-	// Refused is a newer version that failed validation; zero if there is none.
-	Refused rollout.Refusal
+	// InForceSince is the time at which this version was put in force here.
+	InForceSince time.Time
+	// LatestRefusal is a newer version that failed validation; zero if there is none.
+	LatestRefusal rollout.Refusal
 }
 
 // ServiceState is the state of the configuration service as this process last
 // saw it.
 type ServiceState struct {
-	// Reader reports whether this process watches the service.
-	Reader bool
+	// IsReader reports whether this process watches the service.
+	IsReader bool
 	// AnsweredAt is the time of the last answer; zero if there was none.
 	AnsweredAt time.Time
 	// Revision is the service's revision in that answer.
@@ -105,6 +105,6 @@
 	// force (stale or restored); edits made to it in that state are not
 	// applied.
 	Behind bool
-	// Failure is the kind of the last failure; empty after an answer.
-	Failure string
+	// LastFailure is the kind of the last failure; empty after an answer.
+	LastFailure string
 }
--- a/internal/controller/configwatch/configwatch_test.go
+++ b/internal/controller/configwatch/configwatch_test.go
@@ -50,7 +50,7 @@
 func (s *fakeService) put(key, text string) {
 	s.update(func() {
 		s.revision++
-		s.values[key] = configservice.Value{Key: key, Revision: s.revision, Text: text}
+		s.values[key] = configservice.Value{Key: key, Revision: s.revision, Content: text}
 	})
 }
 
@@ -66,7 +66,7 @@
 
 func (s *fakeService) setError(err error) { s.update(func() { s.err = err }) }
 
-func (s *fakeService) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error) {
+func (s *fakeService) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Response, error) {
 	s.mu.Lock()
 	changed := s.changed
 	if s.revision == after && s.err == nil && wait > 0 {
@@ -75,16 +75,16 @@
 		case <-changed:
 		case <-time.After(min(wait, 50*time.Millisecond)):
 		case <-ctx.Done():
-			return configservice.Answer{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "watch cancelled")
+			return configservice.Response{}, failure.Wrap(ctx.Err(), failure.KindConfigUnreadable, "watch cancelled")
 		}
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
 	s.calls++
 	if s.err != nil {
-		return configservice.Answer{}, s.err
+		return configservice.Response{}, s.err
 	}
-	answer := configservice.Answer{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
+	answer := configservice.Response{Revision: s.revision, Keys: slices.Sorted(maps.Keys(s.values))}
 	for _, v := range s.values {
 		if v.Revision > after && strings.HasPrefix(v.Key, prefix) {
 			answer.Values = append(answer.Values, v)
@@ -149,14 +149,14 @@
 		Expect(board.Table.Get().Services["reports"].Targets[0].Leaving).To(BeTrue())
 		Expect(board.Hosts.Get().List).To(HaveLen(2))
 		Expect(board.Targets.Get().ByService["reports"]).To(HaveLen(1))
-		Expect(store.Ready()).To(BeTrue())
+		Expect(store.IsReady()).To(BeTrue())
 		svc.remove("drain")
 		Eventually(func() bool { return board.Table.Get().Drained["south"] }, "5s", "5ms").Should(BeFalse())
 	})
 
 	It("keeps the table in force when an edit is invalid, and reports the reason", func() {
 		svc.put("table/0001", tableWithWeight(-1))
-		refusalReason := func() string { return tableState().Refused.Reason }
+		refusalReason := func() string { return tableState().LatestRefusal.Reason }
 		Eventually(refusalReason, "5s", "5ms").Should(ContainSubstring("weight"))
 		Expect(weightInForce()).To(Equal(1.0))
 		svc.put("table/0001", tableWithWeight(3))
@@ -166,7 +166,7 @@
 
 	It("keeps the table in force when all of its pages are removed", func() {
 		svc.remove("table/0001")
-		Eventually(func() uint64 { return tableState().Refused.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
+		Eventually(func() uint64 { return tableState().LatestRefusal.Version.Revision }, "5s", "5ms").Should(Equal(svc.revision))
 		Expect(weightInForce()).To(Equal(1.0))
 	})
 
@@ -193,7 +193,7 @@
 	It("keeps the table in force while the service is down, and reads the whole state afterwards", func() {
 		confirmedAt := store.ConfirmedAt()
 		svc.setError(failure.New(failure.KindConfigUnreadable, "down"))
-		Eventually(func() string { return board.Rollout.Get().Service.Failure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
+		Eventually(func() string { return board.Rollout.Get().Service.LastFailure }, "5s", "5ms").Should(Equal("configuration-unreadable"))
 		Expect(weightInForce()).To(Equal(1.0))
 		svc.put("table/0001", tableWithWeight(2))
 		svc.setError(nil)
@@ -217,9 +217,9 @@
 		other, err := configwatch.NewStore(otherBoard, configwatch.StoreConfig{})
 		Expect(err).NotTo(HaveOccurred())
 		for _, s := range configwatch.Sections {
-			expected := rollout.VerdictTake
+			expected := rollout.VerdictApply
 			if s == configwatch.SectionDrain || s == configwatch.SectionKept {
-				expected = rollout.VerdictKnown
+				expected = rollout.VerdictCurrent
 			}
 			Expect(other.Apply(s, store.DeltaSince(s, rollout.Version{}))).To(Equal(expected), string(s))
 		}
@@ -228,7 +228,7 @@
 		Eventually(weightInForce, "5s", "5ms").Should(Equal(4.0))
 		delta := store.DeltaSince(configwatch.SectionTable, other.Head(configwatch.SectionTable).Version)
 		Expect(delta.Rows).To(HaveLen(1))
-		Expect(other.Apply(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictTake))
+		Expect(other.Apply(configwatch.SectionTable, delta)).To(Equal(rollout.VerdictApply))
 		Expect(otherBoard.Table.Get().Accounts["clinic"].Weight).To(Equal(4.0))
 	})
 })
@@ -264,7 +264,7 @@
 		for i := range all {
 			all[i] = rows[name](i)
 		}
-		store.Apply(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.DigestOf(all)}})
+		store.Apply(name, rollout.Delta{Full: true, Rows: all, Head: rollout.Head{Version: rollout.Version{Revision: 1}, Digest: rollout.ComputeDigest(all)}})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -283,9 +283,9 @@
 				}
 				delta := rollout.Delta{From: head.Version, Rows: []rollout.Row{newRow}, Head: rollout.Head{
 					Version: rollout.Version{Revision: head.Version.Revision + 1},
-					Digest:  head.Digest - rollout.DigestOf([]rollout.Row{oldRow}) + rollout.DigestOf([]rollout.Row{newRow}),
+					Digest:  head.Digest - rollout.ComputeDigest([]rollout.Row{oldRow}) + rollout.ComputeDigest([]rollout.Row{newRow}),
 				}}
-				if v := store.Apply(name, delta); v != rollout.VerdictTake {
+				if v := store.Apply(name, delta); v != rollout.VerdictApply {
 					b.Fatal(v)
 				}
 			}
--- a/internal/controller/configwatch/observed.go
+++ b/internal/controller/configwatch/observed.go
@@ -41,13 +41,13 @@
 	// isRemoval when its version comes from the removal of a key.
 	fullRead, isRemoval bool
 	// droppedEntries counts the entries of a list that can't be used.
-	droppedEntries configservice.Dropped
+	droppedEntries configservice.DroppedEntries
 }
 
 // apply merges an answer into the observed state and returns the documents that
 // it touches. The answer to a full read (a request for everything after
 // revision 0) replaces the state.
-func (o *observedState) apply(answer configservice.Answer, fullRead bool) []Section {
+func (o *observedState) apply(answer configservice.Response, fullRead bool) []Section {
 	touched := map[Section]bool{}
 	present := make(map[string]bool, len(answer.Keys))
 	for _, key := range answer.Keys {
@@ -141,7 +141,7 @@
 	slices.Sort(keys)
 	pages := make([][]byte, len(keys))
 	for i, k := range keys {
-		pages[i] = []byte(o.values[k].Text)
+		pages[i] = []byte(o.values[k].Content)
 	}
 	return pages, newest
 }
@@ -157,7 +157,7 @@
 	}
 	obs := observation{section: section}
 	version := rollout.Version{Epoch: o.operatorEpoch, Revision: max(v.Revision, o.removedAt[section])}
-	rows, dropped, err := parseRows(section, v.Text)
+	rows, dropped, err := parseRows(section, v.Content)
 	obs.delta = fullDelta(version, rows)
 	obs.isRemoval = o.removedAt[section] > v.Revision
 	obs.droppedEntries = dropped
@@ -175,10 +175,10 @@
 	parsed, problems := table.Parse(newest, pages)
 	if err := problems.Err(); err != nil {
 		obs.invalid = err
-		obs.delta.Version = rollout.Version{Epoch: table.EpochOf(pages), Revision: newest}
+		obs.delta.Version = rollout.Version{Epoch: table.ParseEpoch(pages), Revision: newest}
 		return obs, true
 	}
-	lines := parsed.Lines()
+	lines := parsed.EncodeRows()
 	rows := make([]rollout.Row, len(lines))
 	for i, line := range lines {
 		rows[i] = rollout.Row(line)
@@ -189,14 +189,14 @@
 
 func fullDelta(version rollout.Version, rows []rollout.Row) rollout.Delta {
 	return rollout.Delta{
-		Head: rollout.Head{Version: version, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows,
+		Head: rollout.Head{Version: version, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows,
 	}
 }
 
-func parseRows(section Section, text string) ([]rollout.Row, configservice.Dropped, error) {
+func parseRows(section Section, text string) ([]rollout.Row, configservice.DroppedEntries, error) {
 	switch section {
 	case SectionDrain:
-		return drainRows(configservice.ParseDrain(text)), 0, nil
+		return drainRows(configservice.ParseDrainList(text)), 0, nil
 	case SectionHosts:
 		hosts, dropped, err := configservice.ParseHosts(text)
 		return toRows(hosts), dropped, err
--- a/internal/controller/configwatch/publish.go
+++ b/internal/controller/configwatch/publish.go
@@ -66,15 +66,15 @@
 	for _, r := range s.docs[SectionDrain].Rows() {
 		drained = append(drained, r.Key)
 	}
-	s.writers.table.Publish(s.table.With(drained, s.tableTargets))
+	s.writers.table.Publish(s.table.WithDrainAndTargets(drained, s.tableTargets))
 }
 
 func (s *Store) publishState() {
-	state := &State{Service: s.serviceState, Ready: s.ready, PeersAsked: s.join.Confirmed()}
+	state := &State{Service: s.serviceState, Ready: s.ready, PeersConfirmed: s.join.Confirmed()}
 	for _, name := range Sections {
 		doc := s.docs[name]
 		state.Documents = append(state.Documents, DocumentState{
-			Section: name, Head: doc.Head(), Rows: doc.Len(), Since: doc.inForceSince, Refused: doc.Refused(),
+			Section: name, Head: doc.Head(), Rows: doc.Len(), InForceSince: doc.inForceSince, LatestRefusal: doc.Refused(),
 		})
 	}
 	s.writers.rollout.Publish(state)
--- a/internal/controller/configwatch/readiness.go
+++ b/internal/controller/configwatch/readiness.go
@@ -51,7 +51,7 @@
 func (s *Store) RecordSyncedPeer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.join.Peer(address); s.join.Confirmed() && !s.peersConfirmed {
+	if s.join.RecordPeer(address); s.join.Confirmed() && !s.peersConfirmed {
 		s.peersConfirmed = true
 		s.publishState()
 	}
@@ -62,12 +62,12 @@
 func (s *Store) UnsyncedPeers(peers []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.join.Unasked(peers)
+	return s.join.RemainingPeers(peers)
 }
 
-// Ready reports whether this process may serve with the table in force. Once
+// IsReady reports whether this process may serve with the table in force. Once
 // ready, it stays ready.
-func (s *Store) Ready() bool {
+func (s *Store) IsReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ready && s.join.Ready(s.now().Sub(s.startedAt), s.peerCount, s.table != nil, s.isBehindPeers()) {
@@ -85,11 +85,11 @@
 	behind := s.isServiceBehind(observed)
 	s.mu.Lock()
 	if !behind {
-		s.join.Service()
+		s.join.RecordService()
 	}
 	s.mu.Unlock()
 	s.updateServiceState(func(state *ServiceState) {
-		state.AnsweredAt, state.Revision, state.Behind, state.Failure = s.now(), observed.revision, behind, ""
+		state.AnsweredAt, state.Revision, state.Behind, state.LastFailure = s.now(), observed.revision, behind, ""
 	})
 	if behind {
 		s.metrics.GetOrRegister("configwatch.answers_behind", metrics.NewCounter).(metrics.Counter).Inc(1)
--- a/internal/controller/configwatch/restore.go
+++ b/internal/controller/configwatch/restore.go
@@ -27,7 +27,7 @@
 	}
 	observedHead := obs.delta.Head
 	lineage, known := s.history.Lineage(string(obs.section), observedHead)
-	epochRaised := slices.Contains(operatorSections, obs.section) && rollout.Version{Epoch: lineage}.Operators() < operatorEpoch
+	epochRaised := slices.Contains(operatorSections, obs.section) && rollout.Version{Epoch: lineage}.OperatorEpoch() < operatorEpoch
 	if known && lineage < epoch && !epochRaised {
 		// A replica that still serves the state from before a restore. When
 		// operators raise the epoch, the documents that they edit take the new
@@ -64,10 +64,10 @@
 			newest = v
 		}
 	}
-	if newest.Operators() == operatorEpoch {
+	if newest.OperatorEpoch() == operatorEpoch {
 		return newest.Epoch
 	}
-	return rollout.EpochOf(operatorEpoch, 0)
+	return rollout.CombineEpoch(operatorEpoch, 0)
 }
 
 // newestRevisionIn returns the newest revision in force within an epoch.
@@ -87,13 +87,13 @@
 // with the state in which the service was first seen after its revision went
 // back.
 func (s *Store) detectRestore(observed *observedState, obs observation, observedHead rollout.Head) bool {
-	if obs.fullRead || obs.isRemoval || observed.baseline == nil || !s.history.Foreign(string(obs.section), observedHead) {
+	if obs.fullRead || obs.isRemoval || observed.baseline == nil || !s.history.ProvesRestore(string(obs.section), observedHead) {
 		return false
 	}
 	s.overlays = map[string]rollout.Overlay{}
 	keptRows := 0
 	for _, section := range operatorSections {
-		overlay := rollout.Lost(s.docs[section].Rows(), observed.baseline[section])
+		overlay := rollout.LostEdits(s.docs[section].Rows(), observed.baseline[section])
 		s.overlays[string(section)] = overlay
 		keptRows += len(overlay)
 	}
@@ -111,7 +111,7 @@
 	if len(overlays) == 0 {
 		return append(s.clearKeptRows(version), sectionDelta{obs.section, delta})
 	}
-	rows, remaining := overlay.Resolve(obs.delta.Rows)
+	rows, remaining := overlay.Apply(obs.delta.Rows)
 	deltas := []sectionDelta{}
 	if len(remaining) != len(overlay) || s.docs[SectionKept].Head().Version.Epoch < version.Epoch {
 		updated := map[string]rollout.Overlay{}
@@ -119,7 +119,7 @@
 			updated[name] = other
 		}
 		updated[string(obs.section)] = remaining
-		deltas = append(deltas, sectionDelta{SectionKept, fullDelta(version, rollout.OverlayRows(updated))})
+		deltas = append(deltas, sectionDelta{SectionKept, fullDelta(version, rollout.EncodeOverlays(updated))})
 	}
 	return append(deltas, sectionDelta{obs.section, fullDelta(version, rows)})
 }
@@ -129,7 +129,7 @@
 func (s *Store) overlaysIn(epoch uint64) map[string]rollout.Overlay {
 	kept := s.docs[SectionKept]
 	if kept.Head().Version.Epoch == epoch {
-		return rollout.OverlaysOf(kept.Rows())
+		return rollout.DecodeOverlays(kept.Rows())
 	}
 	if s.overlaysEpoch == epoch {
 		return s.overlays
--- a/internal/controller/configwatch/store.go
+++ b/internal/controller/configwatch/store.go
@@ -34,14 +34,14 @@
 	tableTargets     map[string][]table.Target
 	hostsConfirmedAt time.Time
 	serviceState     ServiceState
-	join             *rollout.Join
+	join             *rollout.Readiness
 	ready            bool
 	peersConfirmed   bool
 	peerCount        int
 	changed          chan struct{}
 	writers          sectionWriters
 
-	history *rollout.History
+	history *rollout.RevisionHistory
 	// overlays holds the rows lost in a restore that this process detected.
 	// They apply in overlaysEpoch until the document of kept rows is in force
 	// in that epoch.
@@ -89,8 +89,8 @@
 	s := &Store{
 		log: cfg.Log, metrics: cfg.Metrics, now: cfg.Now, startedAt: cfg.Now(),
 		docs: map[Section]*document{}, hosts: map[string]configservice.Host{},
-		targets: map[string]configservice.Target{}, join: rollout.NewJoin(0), writers: writers,
-		history: rollout.NewHistory(),
+		targets: map[string]configservice.Target{}, join: rollout.NewReadiness(0), writers: writers,
+		history: rollout.NewRevisionHistory(),
 	}
 	for _, name := range Sections {
 		s.docs[name] = &document{Document: rollout.NewDocument()}
@@ -120,10 +120,10 @@
 	defer s.mu.Unlock()
 	doc, ok := s.docs[name]
 	if !ok {
-		return rollout.VerdictOld
+		return rollout.VerdictStale
 	}
-	verdict, changed := doc.Judge(delta)
-	if verdict != rollout.VerdictTake {
+	verdict, changed := doc.Evaluate(delta)
+	if verdict != rollout.VerdictApply {
 		s.countVerdict(name, verdict)
 		return verdict
 	}
@@ -152,9 +152,9 @@
 	case SectionTable:
 		return s.applyTableRows(delta, changed)
 	case SectionHosts:
-		return updateParsedRows(s.hosts, changed, configservice.HostFromRow)
+		return updateParsedRows(s.hosts, changed, configservice.ParseHostRow)
 	case SectionTargets:
-		return updateParsedRows(s.targets, changed, configservice.TargetFromRow)
+		return updateParsedRows(s.targets, changed, configservice.ParseTargetRow)
 	}
 	return nil
 }
@@ -164,18 +164,18 @@
 	if base == nil {
 		base = &table.Table{
 			Accounts: map[string]*table.Account{}, Services: map[string]*table.Service{},
-			ByKey: map[[32]byte]*table.Account{},
+			AccountByKeyHash: map[[32]byte]*table.Account{},
 		}
 	}
-	changes := make([]table.Change, len(changed))
+	changes := make([]table.RowChange, len(changed))
 	for i, r := range changed {
-		changes[i] = table.Change(r)
+		changes[i] = table.RowChange(r)
 	}
-	next, problems := base.Apply(delta.Version.Operators(), delta.Version.Revision, changes)
+	next, problems := base.Apply(delta.Version.OperatorEpoch(), delta.Version.Revision, changes)
 	if err := problems.Err(); err != nil {
 		return err
 	}
-	next.Restores = delta.Version.Restores()
+	next.Restores = delta.Version.RestoreCount()
 	s.table = next
 	return nil
 }
@@ -253,7 +253,7 @@
 	if !ok {
 		return rollout.Delta{}
 	}
-	return doc.Since(from)
+	return doc.DeltaSince(from)
 }
 
 // FullDelta returns a whole document.
@@ -302,6 +302,6 @@
 // that were not applied. Deltas whose version is already in force are routine
 // and are not counted.
 var verdictCounters = map[rollout.Verdict]string{
-	rollout.VerdictOld: "older", rollout.VerdictGap: "gap",
+	rollout.VerdictStale: "older", rollout.VerdictGap: "gap",
 	rollout.VerdictConflict: "conflict", rollout.VerdictRefused: "refused_again",
 }
--- a/internal/controller/configwatch/watch.go
+++ b/internal/controller/configwatch/watch.go
@@ -33,7 +33,7 @@
 
 // Source is the configuration service; *configservice.Client implements it.
 type Source interface {
-	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Answer, error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (configservice.Response, error)
 }
 
 // Watcher reads the configuration service into the store while this process is
@@ -67,7 +67,7 @@
 		return
 	}
 	w.reader = isReader
-	w.store.updateServiceState(func(s *ServiceState) { s.Reader = isReader })
+	w.store.updateServiceState(func(s *ServiceState) { s.IsReader = isReader })
 	w.store.log.Info("role of reader changed", "reader", isReader)
 	if !isReader && w.cancelRead != nil {
 		w.cancelRead()
@@ -122,8 +122,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.store.updateServiceState(func(s *ServiceState) { s.Failure = string(failure.KindOf(err)) })
-		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.From(err).RetryAfter)
+		w.store.updateServiceState(func(s *ServiceState) { s.LastFailure = string(failure.KindOf(err)) })
+		wait := max(retryDelay/2+rand.N(retryDelay/2), failure.FromError(err).RetryAfter)
 		wake.Sleep(ctx, wait)
 		retryDelay = min(2*retryDelay, maxRetryDelay)
 	}
--- a/internal/controller/gossip/cluster_test.go
+++ b/internal/controller/gossip/cluster_test.go
@@ -30,7 +30,7 @@
 // startCluster starts n nodes in two data centres. Their readers watch the
 // service; the other nodes get the documents by gossip.
 func startCluster(n int, probeInterval time.Duration) *cluster {
-	cl := &cluster{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultRate})}
+	cl := &cluster{service: standin.NewServer(standin.Config{CallsPerSecond: standin.DefaultCallsPerSecond})}
 	cl.server = httptest.NewServer(cl.service.Handler())
 	listeners, addresses := make([]net.Listener, n), make([]string, n)
 	var hosts []string
@@ -95,7 +95,7 @@
 	resp, err := http.Get(cl.server.URL + "/v1/values")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
-	var answer configservice.Answer
+	var answer configservice.Response
 	Expect(json.NewDecoder(resp.Body).Decode(&answer)).To(Succeed())
 	return answer.Revision
 }
@@ -137,7 +137,7 @@
 		l, a := listen()
 		newNode := cl.startNode(l, a, []string{cl.nodes[0].address, cl.nodes[1].address, cl.nodes[2].address}, "dc0", defaultProbeInterval)
 		cl.nodes = append(cl.nodes, newNode)
-		Eventually(newNode.store.Ready, hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(newNode.store.IsReady, hangTimeout, pollInterval).Should(BeTrue())
 		Expect(hasWeights(3, 1)(newNode)).To(BeTrue(), "a host started while the service is down")
 
 		cl.service.SetMode(standin.ModeNormal, 0)
--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -57,29 +57,29 @@
 // supply data are called for each message and must return quickly; the others
 // receive what a peer supplied.
 type Hooks struct {
-	SupplyPools  func() []*filbertv1.PoolNews
-	TakePools    func([]*filbertv1.PoolNews)
-	SupplyPoison func() []*filbertv1.PoisonNews
-	TakePoison   func([]*filbertv1.PoisonNews)
+	SupplyPools   func() []*filbertv1.PoolNews
+	ReceivePools  func([]*filbertv1.PoolNews)
+	SupplyPoison  func() []*filbertv1.PoisonNews
+	ReceivePoison func([]*filbertv1.PoisonNews)
 	// SupplyLoads is called only for messages to neighbours: in a large fleet
 	// the counts change hundreds of times a second, and processes that only ask
 	// a reader of the store already get them from their own neighbours.
 	// SupplyPublished is called for each message to any peer.
-	SupplyLoads func(peer string) []*filbertv1.TargetLoad
-	TakeLoads   func(peer string, loads []*filbertv1.TargetLoad)
+	SupplyLoads  func(peer string) []*filbertv1.TargetLoad
+	ReceiveLoads func(peer string, loads []*filbertv1.TargetLoad)
 	// SupplyAlerts, like SupplyLoads, is called only for messages to
 	// neighbours.
 	SupplyAlerts    func(peer string) []*filbertv1.TargetLoad
-	TakeAlerts      func(peer string, alerts []*filbertv1.TargetLoad)
+	ReceiveAlerts   func(peer string, alerts []*filbertv1.TargetLoad)
 	SupplyPublished func(peer string) *filbertv1.PublishedNews
-	// TakePublished receives the time at which the request was sent that the
+	// ReceivePublished receives the time at which the request was sent that the
 	// news answers; zero for news that was not requested.
-	TakePublished func(peer string, news *filbertv1.PublishedNews, requestSentAt time.Time)
-	// GiveBulk answers a peer's Fetch call.
-	GiveBulk func(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply
-	// Urgent receives a value when there are updates that should not wait for
+	ReceivePublished func(peer string, news *filbertv1.PublishedNews, requestSentAt time.Time)
+	// ServeFetch answers a peer's Fetch call.
+	ServeFetch func(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply
+	// PushRequests receives a value when there are updates that should not wait for
 	// the next probes.
-	Urgent <-chan struct{}
+	PushRequests <-chan struct{}
 }
 
 // Board holds the blackboard section that this package writes.
@@ -214,15 +214,15 @@
 		case <-storeChanged:
 			storeChanged = c.cfg.Store.Changed()
 			c.pushDocuments(ctx)
-		case <-c.cfg.Hooks.Urgent:
+		case <-c.cfg.Hooks.PushRequests:
 			c.probeNeighbours(ctx)
 		}
 	}
 }
 
-// Leave announces a planned stop to the neighbours, so that no process has to
+// AnnounceLeave announces a planned stop to the neighbours, so that no process has to
 // detect it as a failure.
-func (c *Controller) Leave(ctx context.Context) {
+func (c *Controller) AnnounceLeave(ctx context.Context) {
 	c.mu.Lock()
 	actions := c.core.Leave()
 	c.mu.Unlock()
@@ -248,7 +248,7 @@
 		c.cfg.SetReader(view.IsReader())
 		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.LiveAddresses(""))-1))
 	}
-	c.cfg.Store.Ready()
+	c.cfg.Store.IsReady()
 	c.probeUnsyncedPeer(ctx, view)
 	for _, action := range actions {
 		c.spawn(func() { c.perform(ctx, action) })
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -151,7 +151,7 @@
 		rows = append(rows, rollout.Row{Key: "account/" + name, Text: fmt.Sprintf("account,%s,%d,20,500,0,%064x,,,,,,", name, w, i+1)})
 	}
 	n.store.Apply(configwatch.SectionTable, rollout.Delta{Full: true, Rows: rows,
-		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}})
+		Head: rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.ComputeDigest(rows)}})
 }
 
 func (n *node) revision() uint64 { return n.store.Head(configwatch.SectionTable).Version.Revision }
@@ -229,7 +229,7 @@
 	It("makes a new process fetch the newest table from peers before it is ready", func() {
 		nodes := startPlainFleet(4)
 		nodes[0].putTable(9, 11_000, 7)
-		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
 		// With a frozen clock the startup grace period never ends: only peers
 		// can make the process ready, however busy the test machine is.
@@ -238,9 +238,9 @@
 		newNode := startNode(l, a, []string{nodes[0].address, nodes[1].address, nodes[2].address}, frozenClock)
 		DeferCleanup(newNode.stop)
 		newNode.putTable(3, 10, 1)
-		Eventually(newNode.store.Ready, hangTimeout, "1ms").Should(BeTrue())
+		Eventually(newNode.store.IsReady, hangTimeout, "1ms").Should(BeTrue())
 		Expect(newNode.revision()).To(Equal(uint64(9)))
-		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersConfirmed }, hangTimeout, pollInterval).Should(BeTrue())
 	})
 
 	// Guards against a new process in a small fleet with fewer neighbours than
@@ -250,11 +250,11 @@
 		nodes := startPlainFleet(4)
 		Eventually(onAll(nodes, hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[0].putTable(9, 10, 7)
-		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.Ready() }), hangTimeout, pollInterval).Should(BeTrue())
+		Eventually(onAll(nodes, func(n *node) bool { return n.revision() == 9 && n.store.IsReady() }), hangTimeout, pollInterval).Should(BeTrue())
 		l, a := listen()
 		newNode := startNode(l, a, []string{nodes[0].address}, nodeConfig{ringCount: 1})
 		DeferCleanup(newNode.stop)
-		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersAsked }, "1m", pollInterval).Should(BeTrue())
+		Eventually(func() bool { return newNode.docs.Rollout.Get().PeersConfirmed }, "1m", pollInterval).Should(BeTrue())
 	})
 
 	It("distributes the time of the host list's confirmation, and never a later one", func() {
@@ -282,8 +282,8 @@
 			}
 		}
 		second := startNode(m, b, []string{a}, nodeConfig{hooks: gossip.Hooks{
-			TakePools:  func(p []*filbertv1.PoolNews) { record(p[0].GetPool()) },
-			TakePoison: func(p []*filbertv1.PoisonNews) { record(fmt.Sprint(p[0].GetId())) },
+			ReceivePools:  func(p []*filbertv1.PoolNews) { record(p[0].GetPool()) },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { record(fmt.Sprint(p[0].GetId())) },
 		}})
 		DeferCleanup(second.stop)
 		Eventually(received, hangTimeout).Should(Receive(Equal("reports/0")))
@@ -298,11 +298,11 @@
 		m, b := listen()
 		urgent, received := make(chan struct{}), make(chan uint64, 100)
 		first := startNode(l, a, []string{b}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
-			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, Urgent: urgent,
+			SupplyPoison: func() []*filbertv1.PoisonNews { return []*filbertv1.PoisonNews{{Id: 7}} }, PushRequests: urgent,
 		}})
 		DeferCleanup(first.stop)
 		second := startNode(m, b, []string{a}, nodeConfig{probeInterval: time.Hour, hooks: gossip.Hooks{
-			TakePoison: func(p []*filbertv1.PoisonNews) { received <- p[0].GetId() },
+			ReceivePoison: func(p []*filbertv1.PoisonNews) { received <- p[0].GetId() },
 		}})
 		DeferCleanup(second.stop)
 		Eventually(urgent, hangTimeout).Should(BeSent(struct{}{}))
@@ -312,7 +312,7 @@
 	It("announces a planned stop, and detects a crash", func() {
 		nodes := startPlainFleet(5)
 		Eventually(onAll(nodes, hasLiveMembers(5)), hangTimeout, pollInterval).Should(BeTrue())
-		nodes[4].ctl.Leave(context.Background())
+		nodes[4].ctl.AnnounceLeave(context.Background())
 		nodes[4].stop()
 		Eventually(onAll(nodes[:4], hasLiveMembers(4)), hangTimeout, pollInterval).Should(BeTrue())
 		nodes[3].stop()
--- a/internal/controller/gossip/message.go
+++ b/internal/controller/gossip/message.go
@@ -27,7 +27,7 @@
 	store := c.cfg.Store
 	msg := &filbertv1.GossipMessage{
 		From: toMember(self), Members: toMembers(updates), MemberDigest: memberDigest,
-		Ready: store.Ready(),
+		Ready: store.IsReady(),
 	}
 	heads := c.localHeads()
 	msg.HeadsDigest = headsDigest(heads)
@@ -110,20 +110,20 @@
 	for _, r := range msg.GetRefusals() {
 		c.cfg.Store.RecordRefusal(configwatch.Section(r.GetSection()), fromRefusal(r))
 	}
-	if c.cfg.Hooks.TakePools != nil && len(msg.GetPools()) > 0 {
-		c.cfg.Hooks.TakePools(msg.GetPools())
+	if c.cfg.Hooks.ReceivePools != nil && len(msg.GetPools()) > 0 {
+		c.cfg.Hooks.ReceivePools(msg.GetPools())
 	}
-	if c.cfg.Hooks.TakePoison != nil && len(msg.GetPoison()) > 0 {
-		c.cfg.Hooks.TakePoison(msg.GetPoison())
+	if c.cfg.Hooks.ReceivePoison != nil && len(msg.GetPoison()) > 0 {
+		c.cfg.Hooks.ReceivePoison(msg.GetPoison())
 	}
-	if c.cfg.Hooks.TakeLoads != nil && len(msg.GetLoads()) > 0 {
-		c.cfg.Hooks.TakeLoads(msg.GetFrom().GetAddress(), msg.GetLoads())
+	if c.cfg.Hooks.ReceiveLoads != nil && len(msg.GetLoads()) > 0 {
+		c.cfg.Hooks.ReceiveLoads(msg.GetFrom().GetAddress(), msg.GetLoads())
 	}
-	if c.cfg.Hooks.TakeAlerts != nil && len(msg.GetAlerts()) > 0 {
-		c.cfg.Hooks.TakeAlerts(msg.GetFrom().GetAddress(), msg.GetAlerts())
+	if c.cfg.Hooks.ReceiveAlerts != nil && len(msg.GetAlerts()) > 0 {
+		c.cfg.Hooks.ReceiveAlerts(msg.GetFrom().GetAddress(), msg.GetAlerts())
 	}
-	if c.cfg.Hooks.TakePublished != nil && msg.GetPublished() != nil {
-		c.cfg.Hooks.TakePublished(msg.GetFrom().GetAddress(), msg.GetPublished(), requestSentAt)
+	if c.cfg.Hooks.ReceivePublished != nil && msg.GetPublished() != nil {
+		c.cfg.Hooks.ReceivePublished(msg.GetFrom().GetAddress(), msg.GetPublished(), requestSentAt)
 	}
 	return remoteHeads, c.isBehind(stated)
 }
--- a/internal/controller/gossip/peers.go
+++ b/internal/controller/gossip/peers.go
@@ -87,7 +87,7 @@
 		p.metrics.redials.Inc(1)
 		p.retire(address, conn)
 	}
-	return failure.Wrap(err, failure.KindControlLost, "peer %s did not answer", address).Unknown()
+	return failure.Wrap(err, failure.KindControlLost, "peer %s did not answer", address).WithExecutionUnknown()
 }
 
 // acquire returns the connection to a peer, opening it if necessary, and counts
--- a/internal/controller/gossip/push.go
+++ b/internal/controller/gossip/push.go
@@ -30,7 +30,7 @@
 		return
 	}
 	c.lastUnsyncedProbe = time.Now()
-	c.Ask(ctx, unsynced[rand.IntN(len(unsynced))])
+	c.ProbeNow(ctx, unsynced[rand.IntN(len(unsynced))])
 }
 
 // pushDocuments sends changes of the documents to the neighbours without
@@ -67,13 +67,13 @@
 	}
 }
 
-// Ask probes one process immediately, which exchanges updates with it.
-func (c *Controller) Ask(ctx context.Context, address string) {
+// ProbeNow probes one process immediately, which exchanges updates with it.
+func (c *Controller) ProbeNow(ctx context.Context, address string) {
 	c.spawn(func() { c.probe(ctx, membership.Action{To: address, Timeout: c.probeTimeout()}) })
 }
 
-// FetchFrom fetches from a process the configuration that it announced.
-func (c *Controller) FetchFrom(ctx context.Context, address string, timeout time.Duration, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
+// FetchConfig fetches from a process the configuration that it announced.
+func (c *Controller) FetchConfig(ctx context.Context, address string, timeout time.Duration, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
 	req.From = c.cfg.Membership.Self.Address
 	var reply *filbertv1.FetchReply
 	err := c.peers.call(ctx, address, timeout, func(ctx context.Context, peer filbertv1.GossipClient) (err error) {
--- a/internal/controller/gossip/server.go
+++ b/internal/controller/gossip/server.go
@@ -84,10 +84,10 @@
 
 // Fetch returns the configuration that this process announced.
 func (c *Controller) Fetch(_ context.Context, req *filbertv1.FetchRequest) (*filbertv1.FetchReply, error) {
-	if c.cfg.Hooks.GiveBulk == nil {
+	if c.cfg.Hooks.ServeFetch == nil {
 		return nil, status.Error(codes.Unimplemented, "this process does not serve configuration")
 	}
-	reply := c.cfg.Hooks.GiveBulk(req.GetFrom(), req)
+	reply := c.cfg.Hooks.ServeFetch(req.GetFrom(), req)
 	c.metrics.fetchSent.Inc(int64(proto.Size(reply)))
 	return reply, nil
 }
--- a/internal/controller/published/controller.go
+++ b/internal/controller/recordsync/controller.go
@@ -1,8 +1,8 @@
-// Package published keeps an up-to-date view of the configuration that
+// Package recordsync keeps an up-to-date view of the configuration that
 // operators publish and the records that targets publish. It reads the store
 // and writes the newest records to the blackboard. internal/decide/mirror
 // decides which records are valid.
-package published
+package recordsync
 
 import (
 	"context"
@@ -65,8 +65,8 @@
 	Metrics metrics.Registry
 	// Now is the monotonic clock of the process.
 	Now func() time.Duration
-	// Reads reports whether this host is to read the store; nil means always.
-	Reads func() bool
+	// ShouldRead reports whether this host is to read the store; nil means always.
+	ShouldRead func() bool
 }
 
 // Controller reads the store and maintains the mirror.
@@ -174,7 +174,7 @@
 			wake.Sleep(ctx, minCallInterval-(c.cfg.Now()-startedAt))
 		case failure.KindOf(err) == failure.KindHistoryGone:
 		default:
-			wake.Sleep(ctx, max(retryDelay/2+rand.N(retryDelay/2), min(failure.From(err).RetryAfter, maxRetryDelay)))
+			wake.Sleep(ctx, max(retryDelay/2+rand.N(retryDelay/2), min(failure.FromError(err).RetryAfter, maxRetryDelay)))
 			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
@@ -182,7 +182,7 @@
 
 // updateRole updates and returns whether this host is to read the store.
 func (c *Controller) updateRole() bool {
-	isReader := c.cfg.Reads == nil || c.cfg.Reads()
+	isReader := c.cfg.ShouldRead == nil || c.cfg.ShouldRead()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if isReader != c.isReader {
@@ -275,10 +275,10 @@
 	wake.Signal(c.newsSignal)
 }
 
-// News returns a channel that receives a value when other hosts should be
+// NewsReady returns a channel that receives a value when other hosts should be
 // updated immediately: something was published, or calls to the store began to
 // fail or to succeed.
-func (c *Controller) News() <-chan struct{} { return c.newsSignal }
+func (c *Controller) NewsReady() <-chan struct{} { return c.newsSignal }
 
 // sourceStore is the source of records that this host read from the store
 // itself.
--- a/internal/controller/published/document.go
+++ b/internal/controller/recordsync/document.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"bytes"
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	head := rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.DigestOf(rows)}
+	head := rollout.Head{Version: rollout.Version{Revision: revision}, Digest: rollout.ComputeDigest(rows)}
 	inForce, _, err := d.applyDelta(rollout.Delta{Head: head, Full: true, Rows: rows})
 	return inForce, err
 }
@@ -84,8 +84,8 @@
 // reports that the delta does not apply to the revision in force and the whole
 // configuration has to be fetched.
 func (d *document) applyDelta(delta rollout.Delta) (c *directory.Config, gap bool, err error) {
-	verdict, changed := d.rows.Judge(delta)
-	if verdict != rollout.VerdictTake {
+	verdict, changed := d.rows.Evaluate(delta)
+	if verdict != rollout.VerdictApply {
 		return nil, verdict == rollout.VerdictGap, nil
 	}
 	parsed, err := parseRows(changed)
@@ -108,7 +108,7 @@
 	if revision >= d.revision() || revision == 0 {
 		return nil
 	}
-	delta := d.rows.Since(rollout.Version{Revision: revision})
+	delta := d.rows.DeltaSince(rollout.Version{Revision: revision})
 	size := 0
 	for _, r := range delta.Rows {
 		size += len(r.Key) + len(r.Text)
@@ -127,7 +127,7 @@
 			return cached.bytes, nil
 		}
 	}
-	plain, err := proto.Marshal(rolloutwire.ToDelta("", d.rows.Since(rollout.Version{Revision: revision})))
+	plain, err := proto.Marshal(rolloutwire.ToDelta("", d.rows.DeltaSince(rollout.Version{Revision: revision})))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindInternal, "encode configuration")
 	}
--- a/internal/controller/published/news.go
+++ b/internal/controller/recordsync/news.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"encoding/json"
@@ -35,25 +35,25 @@
 
 // News is what one process tells another about published records.
 type News struct {
-	// Records holds the records that changed after the revision From, up to
+	// Records holds the records that changed after the revision BaseRevision, up to
 	// Revision; from 0 these are all records. The configuration is not
 	// included.
-	From, Revision uint64
-	// Withheld reports that there are too many records and they have to be
+	BaseRevision, Revision uint64
+	// RecordsWithheld reports that there are too many records and they have to be
 	// fetched.
-	Withheld bool
+	RecordsWithheld bool
 	// Age is the time between the sender's records last being known to be
 	// current and the sending; negative if they never were.
 	Age time.Duration
-	// Reading reports that the sender reads the store and the store answers.
-	Reading bool
-	// StoreRejects reports that the store recently rejected a call of the
+	// IsReader reports that the sender reads the store and the store answers.
+	IsReader bool
+	// StoreRejectedRecently reports that the store recently rejected a call of the
 	// sender.
-	StoreRejects bool
-	// Overdue is the time between an answer of the store being due and the
+	StoreRejectedRecently bool
+	// AnswerOverdue is the time between an answer of the store being due and the
 	// sending, if that answer did not arrive; 0 if no answer is overdue.
-	Overdue time.Duration
-	Records []json.RawMessage
+	AnswerOverdue time.Duration
+	Records       []json.RawMessage
 	// Config is the head of the configuration in force at the sender. Delta is
 	// the change that leads to it; nil if it is too large or not needed.
 	Config rollout.Head
@@ -88,11 +88,11 @@
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
 	news := News{
-		From: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
-		Reading: c.isReader && !c.storeFailed && c.everCurrent, StoreRejects: c.storeRejectsAt(now), Config: c.doc.rows.Head(),
+		BaseRevision: c.mirror.Revision(), Revision: c.mirror.Revision(), Age: c.ageAt(now),
+		IsReader: c.isReader && !c.storeFailed && c.everCurrent, StoreRejectedRecently: c.storeRejectsAt(now), Config: c.doc.rows.Head(),
 	}
 	if due, known := c.silence.LastOverdue(); known && c.silence.IsSuspect(c.currentAt) {
-		news.Overdue = max(now-due, time.Millisecond)
+		news.AnswerOverdue = max(now-due, time.Millisecond)
 	}
 	peer := c.peers[address]
 	if peer == nil || now-peer.statedAt >= statedTTL {
@@ -103,14 +103,14 @@
 	}
 	held := peer.knownRevisions(now)
 	if records := c.mirror.Delta(held.records); len(records) > maxInlineRecords {
-		news.Withheld = true
+		news.RecordsWithheld = true
 	} else {
-		news.From, news.Records = c.mirror.DeltaBase(held.records), c.encodeRecords(records)
+		news.BaseRevision, news.Records = c.mirror.DeltaBase(held.records), c.encodeRecords(records)
 	}
 	news.Delta = c.doc.deltaFrom(held.config, maxInlineDeltaBytes)
 	if len(news.Records) > 0 || news.Delta != nil {
 		peer.sent, peer.sentAt = held, now
-		if !news.Withheld {
+		if !news.RecordsWithheld {
 			peer.sent.records = news.Revision
 		}
 		if news.Delta != nil {
@@ -133,12 +133,12 @@
 	return bodies
 }
 
-// TakeNews applies news from a peer. requestSentAt is the time, on the
+// ApplyNews applies news from a peer. requestSentAt is the time, on the
 // monotonic clock, at which the request was sent that the news answers, and
 // negative for news that was not requested: its age is not used then, since it
 // may have been delayed in a paused process. behind reports that the peer, when
 // it answered, held less than this host.
-func (c *Controller) TakeNews(address string, news News, requestSentAt time.Duration) (behind bool) {
+func (c *Controller) ApplyNews(address string, news News, requestSentAt time.Duration) (behind bool) {
 	records, err := decodeRecords(news.Records)
 	if err != nil {
 		c.cfg.Log.Warn("failed to decode news from a peer", "peer", address, "error", err)
@@ -149,11 +149,11 @@
 	now := c.cfg.Now()
 	c.peers[address] = &peerState{stated: revisions{news.Revision, news.Config.Version.Revision}, statedAt: now}
 	c.announcedConfig = max(c.announcedConfig, news.Config.Version.Revision)
-	if news.Overdue > 0 {
-		c.recordOverdue(now-news.Overdue, address)
+	if news.AnswerOverdue > 0 {
+		c.recordOverdue(now-news.AnswerOverdue, address)
 	}
 	previous := c.mirror.Revision()
-	changed := c.applyRecordChanges(now, news.From, news.Revision, records)
+	changed := c.applyRecordChanges(now, news.BaseRevision, news.Revision, records)
 	if news.Delta != nil {
 		changed = c.applyConfigDelta(now, address, *news.Delta) || changed
 	}
@@ -204,30 +204,30 @@
 	return c.mirror.ApplyChanges(now, []directory.Record{record}, 0)
 }
 
-// Holds returns the store's revision of the configuration in force, 0 if there
+// HeldRevisions returns the store's revision of the configuration in force, 0 if there
 // is none, the revision up to which all other records are known, and the one up
 // to which both are.
-func (c *Controller) Holds() (config, records, both uint64) {
+func (c *Controller) HeldRevisions() (config, records, both uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.doc.revision(), c.mirror.Revision(), c.completeRevisionLocked()
 }
 
-// Bulk is what another process lacks, compressed once for all processes that
+// DeltaBundle is what another process lacks, compressed once for all processes that
 // lack the same. Parts that the process has are empty.
-type Bulk struct{ Config, Records []byte }
+type DeltaBundle struct{ Config, Records []byte }
 
 // Size returns the size in bytes.
-func (b Bulk) Size() int { return len(b.Config) + len(b.Records) }
+func (b DeltaBundle) Size() int { return len(b.Config) + len(b.Records) }
 
-// Pack returns the changes from the given revisions of the configuration and
+// BuildBundle returns the changes from the given revisions of the configuration and
 // the records to those held here.
-func (c *Controller) Pack(config, records uint64) (b Bulk, err error) {
+func (c *Controller) BuildBundle(config, records uint64) (b DeltaBundle, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.doc.revision() > config {
 		if b.Config, err = c.doc.compressedSince(config); err != nil {
-			return Bulk{}, err
+			return DeltaBundle{}, err
 		}
 	}
 	if c.mirror.Revision() > records {
@@ -259,10 +259,10 @@
 	return compressed, nil
 }
 
-// TakeBulk applies what a peer sent in answer to a fetch. gap reports that the
+// ApplyBundle applies what a peer sent in answer to a fetch. gap reports that the
 // configuration does not apply to the revision held here and has to be fetched
 // whole.
-func (c *Controller) TakeBulk(address string, b Bulk) (gap bool, err error) {
+func (c *Controller) ApplyBundle(address string, b DeltaBundle) (gap bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, previous := c.cfg.Now(), c.mirror.Revision()
@@ -329,19 +329,19 @@
 	c.mirror.ConfirmUpToDate(c.currentAt)
 }
 
-// RejectedFor is how long a host is avoided as a source of news after the store
+// RejectionTTL is how long a host is avoided as a source of news after the store
 // rejected one of its calls.
-const RejectedFor = 3 * time.Second
+const RejectionTTL = 3 * time.Second
 
-// StoreRejects reports whether the store recently rejected a call of this host.
-func (c *Controller) StoreRejects() bool {
+// StoreRejectedRecently reports whether the store recently rejected a call of this host.
+func (c *Controller) StoreRejectedRecently() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.storeRejectsAt(c.cfg.Now())
 }
 
 func (c *Controller) storeRejectsAt(now time.Duration) bool {
-	return c.storeFailed && now-c.failedAt < RejectedFor
+	return c.storeFailed && now-c.failedAt < RejectionTTL
 }
 
 // ageAt is Age at a time, negative if the records were never known to be
@@ -361,9 +361,9 @@
 	return c.cfg.Now() - c.currentAt, c.everCurrent
 }
 
-// Suspects reports whether the store may have stopped answering: an answer is
+// SuspectsStoreOutage reports whether the store may have stopped answering: an answer is
 // overdue here or at another host, and no later call was answered.
-func (c *Controller) Suspects() bool {
+func (c *Controller) SuspectsStoreOutage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silence.IsSuspect(c.currentAt)
@@ -382,9 +382,9 @@
 	}
 }
 
-// Asks reports whether this host depends on other hosts for published records:
+// NeedsPeerNews reports whether this host depends on other hosts for published records:
 // it does not read the store, or its calls to the store fail.
-func (c *Controller) Asks() bool {
+func (c *Controller) NeedsPeerNews() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.storeFailed || !c.isReader
--- a/internal/controller/published/published_test.go
+++ b/internal/controller/recordsync/recordsync_test.go
@@ -1,4 +1,4 @@
-package published
+package recordsync
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 }
 
 func (s *fakeStore) ReadAll(context.Context) ([]directory.Record, uint64, error) {
-	present := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Gone })
+	present := slices.DeleteFunc(slices.Clone(s.records), func(r directory.Record) bool { return r.Deleted })
 	return present, s.revision, nil
 }
 
@@ -101,8 +101,8 @@
 	}
 	for i := range routes {
 		c.Routes = append(c.Routes, directory.Route{
-			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.Once,
-			Timeout: time.Second, Attempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
+			Name: fmt.Sprint("r-", i), Host: "a.example", Prefix: fmt.Sprintf("/%d/", i), Kind: directory.AtMostOnce,
+			Timeout: time.Second, MaxAttempts: 2, Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 	}
 	return c
@@ -126,13 +126,13 @@
 // remove deletes a record as the store does: a watch from an earlier revision
 // returns the removal, and a full read omits the record.
 func (s *fakeStore) remove(key string) {
-	s.put(directory.Record{Key: key, Revision: s.revision + 1, Gone: true})
+	s.put(directory.Record{Key: key, Revision: s.revision + 1, Deleted: true})
 }
 
 // exchangeNews updates one host from another until it lacks nothing.
 func exchangeNews(from, to *testHost) {
-	from.TakeNews("to", to.NewsFor("from"), -1)
-	to.TakeNews("from", from.NewsFor("to"), -1)
+	from.ApplyNews("to", to.NewsFor("from"), -1)
+	to.ApplyNews("from", from.NewsFor("to"), -1)
 	fetchFrom(from, to)
 }
 
@@ -158,7 +158,7 @@
 		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 884)
 		reader.readStore()
 		total := 0
@@ -174,13 +174,13 @@
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 5)
 		reader.readStore()
 		news := reader.NewsFor("other")
 		Expect(newsBytes(news)).To(BeNumerically(">", 0))
 		Expect(newsBytes(reader.NewsFor("other"))).To(BeZero())
-		other.TakeNews("reader", news, -1)
+		other.ApplyNews("reader", news, -1)
 		Expect(other.routeCount()).To(Equal(5))
 	})
 
@@ -195,17 +195,17 @@
 			reader.source.put(directory.Record{Key: directory.TargetKey(id), Revision: uint64(i + 1), Target: &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", Slots: 4}})
 		}
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		news := reader.NewsFor("other")
-		Expect(news.Withheld).To(BeTrue())
+		Expect(news.RecordsWithheld).To(BeTrue())
 		Expect(newsBytes(news)).To(BeZero())
-		other.TakeNews("reader", news, 0)
+		other.ApplyNews("reader", news, 0)
 		Expect(other.Revision()).To(BeZero())
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
 		Expect(other.Revision()).To(Equal(reader.Revision()))
-		Expect(other.board.View.Get().Pool("llm")).To(HaveLen(3000))
+		Expect(other.board.View.Get().ServiceTargets("llm")).To(HaveLen(3000))
 	})
 
 	// Guards against a lost message: a neighbour that counted as updated
@@ -215,12 +215,12 @@
 		reader.source.putConfig(3, 1, 4)
 		reader.readStore()
 		fetchFrom(reader, other)
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
 		reader.source.putConfig(4, 2, 5)
 		reader.readStore()
 		reader.NewsFor("other")
 		reader.now += sentTTL
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routeCount()).To(Equal(5))
 	})
 
@@ -231,12 +231,12 @@
 		reader, other := newTestHost(&fakeStore{}), newTestHost(&fakeStore{})
 		reader.source.putConfig(3, 1, 880)
 		reader.readStore()
-		reader.TakeNews("other", other.NewsFor("reader"), -1)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		reader.ApplyNews("other", other.NewsFor("reader"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known := other.Age()
 		Expect(known).To(BeFalse())
 		fetchFrom(reader, other)
-		other.TakeNews("reader", reader.NewsFor("other"), 0)
+		other.ApplyNews("reader", reader.NewsFor("other"), 0)
 		_, known = other.Age()
 		Expect(known).To(BeTrue())
 	})
@@ -252,9 +252,9 @@
 		reader.readStore()
 		other.readStore()
 		store.putConfig(5, 2, 900)
-		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Gone: true})
+		store.put(directory.Record{Key: directory.TargetKey("i-1"), Revision: 6, Deleted: true})
 		reader.readStore()
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
 		Expect(other.routeCount()).To(Equal(4))
 		other.readStore()
 		Expect(other.routeCount()).To(Equal(900))
@@ -263,24 +263,24 @@
 
 // fetchFrom makes one host fetch what it lacks from another.
 func fetchFrom(from, to *testHost) {
-	config, records, _ := to.Holds()
-	bulk, err := from.Pack(config, records)
+	config, records, _ := to.HeldRevisions()
+	bulk, err := from.BuildBundle(config, records)
 	Expect(err).NotTo(HaveOccurred())
-	gap, err := to.TakeBulk("peer", bulk)
+	gap, err := to.ApplyBundle("peer", bulk)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(gap).To(BeFalse())
 }
 
 var _ = Describe("news of a process that has just started", func() {
 	targetRecord := func(id string, revision uint64) directory.Record {
-		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
+		t := &directory.Target{ID: id, Service: "app", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, StartedUnixMilli: 1}
 		return directory.Record{Key: directory.TargetKey(id), Revision: revision, Target: t}
 	}
 	// readyTargets returns the targets that a host considers ready.
 	readyTargets := func(h *testHost) []string {
 		var ids []string
-		for _, t := range h.board.View.Get().Pool("app") {
-			if h.board.View.Get().TakesNew(t) {
+		for _, t := range h.board.View.Get().ServiceTargets("app") {
+			if h.board.View.Get().AcceptsNewRequests(t) {
 				ids = append(ids, t.ID)
 			}
 		}
@@ -345,8 +345,8 @@
 						continue
 					}
 					for _, r := range store.records {
-						if r.Gone {
-							Expect(readyTargets(h)).NotTo(ContainElement(directory.TargetOf(r.Key)), "seed %d", seed)
+						if r.Deleted {
+							Expect(readyTargets(h)).NotTo(ContainElement(directory.TargetID(r.Key)), "seed %d", seed)
 						}
 					}
 				}
@@ -394,12 +394,12 @@
 		reader.readStore()
 		reader.source.putConfig(4, 2, 881)
 		reader.readStore()
-		fullBulk, err := reader.Pack(0, reader.Revision())
+		fullBulk, err := reader.BuildBundle(0, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
-		deltaBulk, err := reader.Pack(3, reader.Revision())
+		deltaBulk, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(deltaBulk.Size()).To(BeNumerically("<", fullBulk.Size()/10))
-		cachedBulk, err := reader.Pack(3, reader.Revision())
+		cachedBulk, err := reader.BuildBundle(3, reader.Revision())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(&cachedBulk.Config[0]).To(BeIdenticalTo(&deltaBulk.Config[0]))
 	})
@@ -408,9 +408,9 @@
 		h := newTestHost(&fakeStore{})
 		h.source.putConfig(3, 1, 4)
 		h.readStore()
-		_, err := h.TakeBulk("peer", Bulk{Config: compressed})
+		_, err := h.ApplyBundle("peer", DeltaBundle{Config: compressed})
 		Expect(err).To(HaveOccurred())
-		_, err = h.TakeBulk("peer", Bulk{Records: compressed})
+		_, err = h.ApplyBundle("peer", DeltaBundle{Records: compressed})
 		Expect(err).To(HaveOccurred())
 		Expect(h.routeCount()).To(Equal(4))
 	},
@@ -429,7 +429,7 @@
 	isReady := func(h *testHost) bool {
 		view := h.board.View.Get()
 		t, known := view.Target("i-0")
-		return known && view.TakesNew(t)
+		return known && view.AcceptsNewRequests(t)
 	}
 	failStore := func(h *testHost) {
 		h.recordCallResult(failure.New(failure.KindConfigUnreadable, "the store answered 503"))
@@ -463,7 +463,7 @@
 		for range 100 {
 			h.now, other.now = h.now+100*time.Millisecond, other.now+100*time.Millisecond
 			other.readStore()
-			h.TakeNews("other", other.NewsFor("h"), h.now)
+			h.ApplyNews("other", other.NewsFor("h"), h.now)
 		}
 		h.readStore()
 		h.source.remove(directory.TargetKey("i-0"))
@@ -495,26 +495,26 @@
 		reader, other := newTestHost(store), newTestHost(store)
 		reader.readStore()
 		fetchFrom(reader, other)
-		Expect(reader.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
 
 		reader.cfg.Source = &silentStore{store}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- reader.readOnce(ctx, false) }()
-		Eventually(reader.Suspects, "5s").Should(BeTrue())
-		Eventually(reader.News()).Should(Receive())
+		Eventually(reader.SuspectsStoreOutage, "5s").Should(BeTrue())
+		Eventually(reader.NewsReady()).Should(Receive())
 		reader.now, other.now = time.Second, time.Second
-		other.TakeNews("reader", reader.NewsFor("other"), -1)
-		Expect(other.Suspects()).To(BeTrue())
+		other.ApplyNews("reader", reader.NewsFor("other"), -1)
+		Expect(other.SuspectsStoreOutage()).To(BeTrue())
 		cancel()
 		Expect(<-done).To(HaveOccurred())
 
 		reader.cfg.Source = store
 		reader.now, other.now = 2*time.Second, 2*time.Second
 		reader.readStore()
-		Expect(reader.Suspects()).To(BeFalse())
-		Expect(reader.NewsFor("other").Overdue).To(BeZero())
-		other.TakeNews("reader", reader.NewsFor("other"), other.now)
-		Expect(other.Suspects()).To(BeFalse())
+		Expect(reader.SuspectsStoreOutage()).To(BeFalse())
+		Expect(reader.NewsFor("other").AnswerOverdue).To(BeZero())
+		other.ApplyNews("reader", reader.NewsFor("other"), other.now)
+		Expect(other.SuspectsStoreOutage()).To(BeFalse())
 	})
 })
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -52,7 +52,7 @@
 
 func rolloutOf(version, refused string) adminapi.RolloutDocument {
 	return adminapi.RolloutDocument{Ready: true, Documents: []adminapi.DocumentStatus{
-		{Document: "table", Version: version, Digest: "d" + version, Refused: refused, RefusedReason: strings.Repeat("weight", min(1, len(refused)))}}}
+		{Document: "table", Version: version, Digest: "d" + version, RefusedVersion: refused, RefusedReason: strings.Repeat("weight", min(1, len(refused)))}}}
 }
 
 const good = "kind,name,weight\nservice,reports,\naccount,clinic,2\n"
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -65,7 +65,7 @@
 				fault = true
 			}
 			inForce[d.Document] = held
-			fault = fault || d.Refused != ""
+			fault = fault || d.RefusedVersion != ""
 			rows = append(rows, []any{a.Control, d.Document, d.Version, since(d.Since), state(a.Value, d), d.RefusedReason})
 		}
 	}
@@ -87,8 +87,8 @@
 // state says in words how one document stands on a host.
 func state(r *adminapi.RolloutDocument, d adminapi.DocumentStatus) string {
 	switch {
-	case d.Refused != "":
-		return "refused " + d.Refused
+	case d.RefusedVersion != "":
+		return "refused " + d.RefusedVersion
 	case r.Service.Reader && r.Service.Behind:
 		return "in force; service behind"
 	case !r.Ready:
@@ -135,8 +135,8 @@
 			// The allocator of a target has its figures; the first host that
 			// answered names those that no host asked admits to.
 			if t.Known || i == 0 {
-				rows = append(rows, []any{t.Service, t.Address, t.DataCentre, t.Published, t.Drained, a.Control,
-					t.Known, t.Running, t.Waiting, t.Bears, fmt.Sprintf("%d/%d", t.UsedTokens, t.MemoryTokens), t.Preemptions})
+				rows = append(rows, []any{t.Service, t.Address, t.DataCentre, t.PublishedState, t.Drained, a.Control,
+					t.Known, t.Running, t.Waiting, t.Capacity, fmt.Sprintf("%d/%d", t.UsedTokens, t.MemoryTokens), t.Preemptions})
 			}
 		}
 	}
--- a/internal/decide/delivery/delivery.go
+++ b/internal/decide/delivery/delivery.go
@@ -245,6 +245,6 @@
 	if cause != nil {
 		e = failure.Wrap(cause, failure.KindTargetLost, text, o.deliveredTokens)
 	}
-	e.Delivered = int(o.deliveredTokens)
-	return e.Ran()
+	e.DeliveredTokens = int(o.deliveredTokens)
+	return e.WithExecuted()
 }
--- a/internal/decide/delivery/delivery_test.go
+++ b/internal/decide/delivery/delivery_test.go
@@ -91,7 +91,7 @@
 			lostErr := o.LostError(errors.New("reset"))
 			Expect(lostErr.Kind).To(Equal(failure.KindTargetLost))
 			Expect(lostErr.Executed).To(Equal(failure.ExecutedYes))
-			Expect(lostErr.Delivered).To(Equal(frames))
+			Expect(lostErr.DeliveredTokens).To(Equal(frames))
 		},
 		Entry("streamed, nothing sent", delivery.Stream, 0, false, true),
 		Entry("streamed, one token sent", delivery.Stream, 1, false, false),
@@ -112,7 +112,7 @@
 			Expect(o.TryResume()).To(BeFalse())
 			Expect(o.Check(newFrame("g", o.NextOffset(), 1))).To(Equal(pass), "a new token resets the limit")
 		}
-		Expect(o.LostError(nil).Delivered).To(Equal(3))
+		Expect(o.LostError(nil).DeliveredTokens).To(Equal(3))
 	})
 
 	// The target's connection breaks after the last token, or the caller
--- a/internal/decide/idempotency/idempotency.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -175,15 +175,15 @@
 	switch rec.state {
 	case stateDone:
 		if rec.answer == nil {
-			return refuse(failure.New(failure.KindOutcomeUnknown, "the call ran; its answer was too large to keep").Ran())
+			return refuse(failure.New(failure.KindOutcomeUnknown, "the call ran; its answer was too large to keep").WithExecuted())
 		}
 		return Decision{Action: Replay, Answer: rec.answer}
 	case stateOutcomeUnknown:
-		return refuse(failure.New(failure.KindOutcomeUnknown, "the call was sent and no answer came back").Unknown())
+		return refuse(failure.New(failure.KindOutcomeUnknown, "the call was sent and no answer came back").WithExecutionUnknown())
 	case stateExpired:
-		return refuse(failure.New(failure.KindKeyExpired, "the key's period of use has ended").Unknown())
+		return refuse(failure.New(failure.KindKeyExpired, "the key's period of use has ended").WithExecutionUnknown())
 	default:
-		return refuse(failure.New(failure.KindInProgress, "the call with this key is in progress").Unknown().After(inProgressRetryAfter))
+		return refuse(failure.New(failure.KindInProgress, "the call with this key is in progress").WithExecutionUnknown().WithRetryAfter(inProgressRetryAfter))
 	}
 }
 
@@ -210,7 +210,7 @@
 	case owner == "" || call.Forwarded:
 		// A forwarded call is not forwarded again: entries with different lists
 		// could pass it back and forth without end.
-		return refuse(notExclusiveError("the owner of this key is not known here").After(r.cfg.MaxConfirmationAge)), false
+		return refuse(notExclusiveError("the owner of this key is not known here").WithRetryAfter(r.cfg.MaxConfirmationAge)), false
 	default:
 		return Decision{Action: Forward, Owner: Process{Address: owner}}, false
 	}
@@ -231,7 +231,7 @@
 }
 
 func ownerLostError() *failure.Error {
-	return failure.New(failure.KindOwnerLost, "the entry that could run this call is gone").Unknown()
+	return failure.New(failure.KindOwnerLost, "the entry that could run this call is gone").WithExecutionUnknown()
 }
 
 // OwnerUnreachable returns the error for a call whose owner does not answer.
@@ -240,7 +240,7 @@
 // when it is back.
 func OwnerUnreachable(cause error) *failure.Error {
 	return failure.Wrap(cause, failure.KindOwnerLost, "the entry that may run this call can't be reached").
-		Unknown().After(ownerRetryAfter)
+		WithExecutionUnknown().WithRetryAfter(ownerRetryAfter)
 }
 
 // ownerRetryAfter is the retry time for an owner that did not answer. It is
@@ -248,7 +248,7 @@
 const ownerRetryAfter = 5 * time.Second
 
 func notExclusiveError(reason string) *failure.Error {
-	return failure.New(failure.KindKeyUnvouched, "%s; it may have run at another entry", reason).Unknown()
+	return failure.New(failure.KindKeyUnvouched, "%s; it may have run at another entry", reason).WithExecutionUnknown()
 }
 
 // Check must be called right before the first byte is sent to the target. It
--- a/internal/decide/idempotency/key.go
+++ b/internal/decide/idempotency/key.go
@@ -65,7 +65,7 @@
 	}
 	if text == "" || len(text) > maxKeyBytes || !isVisibleASCII(text) {
 		return Key{}, failure.New(failure.KindKeyInvalid,
-			"idempotency key must have 1 to %d visible ASCII characters", maxKeyBytes).Unknown()
+			"idempotency key must have 1 to %d visible ASCII characters", maxKeyBytes).WithExecutionUnknown()
 	}
 	id, err := uuid.Parse(text)
 	if err != nil || len(text) != len(id.String()) {
--- a/internal/decide/idempotency/validity.go
+++ b/internal/decide/idempotency/validity.go
@@ -26,7 +26,7 @@
 func (r *Registry) validateMinted(now time.Duration, key Key) (keyValidity, *failure.Error) {
 	expires := key.MintedAt + r.cfg.MintedTTL
 	if now >= expires {
-		return keyValidity{}, failure.New(failure.KindKeyExpired, "the idempotency key has expired").Unknown()
+		return keyValidity{}, failure.New(failure.KindKeyExpired, "the idempotency key has expired").WithExecutionUnknown()
 	}
 	return keyValidity{earliestAccept: key.MintedAt, expires: expires}, nil
 }
@@ -34,10 +34,10 @@
 func (r *Registry) validateTimeOrdered(now time.Duration, call Call, id string) (keyValidity, *failure.Error) {
 	age := call.WallTime.Sub(call.Key.Timestamp)
 	if age < -r.cfg.MaxFutureTimestamp {
-		return keyValidity{}, failure.New(failure.KindKeyInvalid, "the key's timestamp is in the future").Unknown()
+		return keyValidity{}, failure.New(failure.KindKeyInvalid, "the key's timestamp is in the future").WithExecutionUnknown()
 	}
 	if age >= r.cfg.TimeOrderedTTL {
-		return keyValidity{}, failure.New(failure.KindKeyExpired, "the idempotency key has expired").Unknown()
+		return keyValidity{}, failure.New(failure.KindKeyExpired, "the idempotency key has expired").WithExecutionUnknown()
 	}
 	validity := keyValidity{
 		earliestAccept: now - age - r.cfg.MaxFutureTimestamp - r.cfg.MaxClockSkew,
@@ -57,7 +57,7 @@
 	validity := keyValidity{earliestAccept: now - r.cfg.OpaqueTTL, expires: now + r.cfg.OpaqueTTL}
 	exclusiveSince, err := r.exclusiveOwnerSince(now, id)
 	if err == nil && validity.earliestAccept < exclusiveSince {
-		err = notExclusiveError("this entry became the key's owner too recently").After(exclusiveSince - validity.earliestAccept)
+		err = notExclusiveError("this entry became the key's owner too recently").WithRetryAfter(exclusiveSince - validity.earliestAccept)
 	}
 	return validity, err
 }
@@ -69,13 +69,13 @@
 func (r *Registry) exclusiveOwnerSince(now time.Duration, id string) (exclusiveSince time.Duration, err *failure.Error) {
 	since, ok := r.ownership.ownerSince(hashOf(id))
 	if !ok {
-		return 0, notExclusiveError("this entry is not the key's owner").After(r.cfg.MaxConfirmationAge)
+		return 0, notExclusiveError("this entry is not the key's owner").WithRetryAfter(r.cfg.MaxConfirmationAge)
 	}
 	if now-r.ownership.confirmedAt > r.cfg.MaxConfirmationAge {
-		return 0, notExclusiveError("the host list is not confirmed").After(r.cfg.MaxConfirmationAge)
+		return 0, notExclusiveError("the host list is not confirmed").WithRetryAfter(r.cfg.MaxConfirmationAge)
 	}
 	if r.ownership.peerRevision > r.ownership.revision {
-		return 0, notExclusiveError("a newer host list exists").After(r.cfg.MaxConfirmationAge)
+		return 0, notExclusiveError("a newer host list exists").WithRetryAfter(r.cfg.MaxConfirmationAge)
 	}
 	return since + r.cfg.handoverDelay(), nil
 }
@@ -92,5 +92,5 @@
 	if !full() {
 		return nil
 	}
-	return failure.New(failure.KindOverloaded, "the record of idempotency keys is full").After(r.expiry.timeToNextExpiry(now))
+	return failure.New(failure.KindOverloaded, "the record of idempotency keys is full").WithRetryAfter(r.expiry.timeToNextExpiry(now))
 }
--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -63,7 +63,7 @@
 	removalFloor uint64
 	config       *directory.Config
 	index        *directory.Index
-	targets      map[string]*directory.Seen
+	targets      map[string]*directory.ObservedTarget
 	// departed holds the targets that were reported to leave, or were removed,
 	// and not yet collected by the caller.
 	departed []string
@@ -95,7 +95,7 @@
 	if cfg.RemovalRetention == 0 {
 		cfg.RemovalRetention = DefaultRemovalRetention
 	}
-	return &Mirror{cfg: cfg, records: map[string]entry{}, targets: map[string]*directory.Seen{}, recoveredAt: -cfg.RecoveryGrace, index: directory.NewIndex(nil)}
+	return &Mirror{cfg: cfg, records: map[string]entry{}, targets: map[string]*directory.ObservedTarget{}, recoveredAt: -cfg.RecoveryGrace, index: directory.NewIndex(nil)}
 }
 
 // Revision returns the store's revision up to which all changes are known here.
@@ -131,8 +131,8 @@
 	}
 	changed := false
 	for key, e := range m.records {
-		if key != directory.ConfigKey && !present[key] && !e.Gone && e.Revision <= at {
-			changed = m.put(now, directory.Record{Key: key, Revision: at, Gone: true}) || changed
+		if key != directory.ConfigKey && !present[key] && !e.Deleted && e.Revision <= at {
+			changed = m.put(now, directory.Record{Key: key, Revision: at, Deleted: true}) || changed
 		}
 	}
 	return m.ApplyChanges(now, records, at) || changed
@@ -170,10 +170,10 @@
 // not.
 func (m *Mirror) put(now time.Duration, r directory.Record) bool {
 	old, known := m.records[r.Key]
-	if known && old.Revision >= r.Revision || (!known || old.Gone) && m.knownRemoved(r) {
+	if known && old.Revision >= r.Revision || (!known || old.Deleted) && m.knownRemoved(r) {
 		return false
 	}
-	if r.Fault != "" && old.Config != nil {
+	if r.ReadError != "" && old.Config != nil {
 		// An unreadable configuration revokes nothing: the last readable one
 		// stays in force.
 		r.Config = old.Config
@@ -183,7 +183,7 @@
 	changed := m.apply(now, r, old.Record)
 	// A removal is passed on even if it changes nothing here, because peers may
 	// hold the record that this process never had.
-	if changed || r.Gone {
+	if changed || r.Deleted {
 		e.routingRevision = r.Revision
 	}
 	m.records[r.Key] = e
@@ -200,7 +200,7 @@
 		m.departed = append(m.departed, old.Target.ID)
 		return true
 	}
-	return r.DrainedOut != "" || old.DrainedOut != ""
+	return r.DrainedDataCentre != "" || old.DrainedDataCentre != ""
 }
 
 // applyConfig ignores a configuration that is not newer: versions only
@@ -217,7 +217,7 @@
 // removed by the revision up to which all changes are known. The configuration
 // is exempt, since it may arrive later than the records around it.
 func (m *Mirror) knownRemoved(r directory.Record) bool {
-	return r.Key != directory.ConfigKey && !r.Gone && r.Revision <= m.revision
+	return r.Key != directory.ConfigKey && !r.Deleted && r.Revision <= m.revision
 }
 
 // keepLeaving returns t, marked as leaving if the target is known to leave
@@ -227,7 +227,7 @@
 	if t == nil || t.Leaving {
 		return t
 	}
-	if old := m.targets[t.ID]; old == nil || old.Started != t.Started || !old.Leaving {
+	if old := m.targets[t.ID]; old == nil || old.StartedUnixMilli != t.StartedUnixMilli || !old.Leaving {
 		return t
 	}
 	leaving := *t
@@ -239,29 +239,29 @@
 // different one, even under the same id.
 func (m *Mirror) applyTarget(now time.Duration, t *directory.Target) bool {
 	old := m.targets[t.ID]
-	next := &directory.Seen{Target: *t, Since: now, Listed: true}
-	if t.ColdFor > 0 {
-		next.ColdUntil = now + t.ColdFor
+	next := &directory.ObservedTarget{Target: *t, FirstSeen: now, Published: true}
+	if t.WarmUpRemaining > 0 {
+		next.WarmAt = now + t.WarmUpRemaining
 	}
-	if old != nil && old.Started == t.Started {
-		next.Since = old.Since
-		if t.ColdFor > 0 && old.ColdUntil > 0 {
-			next.ColdUntil = min(old.ColdUntil, next.ColdUntil)
+	if old != nil && old.StartedUnixMilli == t.StartedUnixMilli {
+		next.FirstSeen = old.FirstSeen
+		if t.WarmUpRemaining > 0 && old.WarmAt > 0 {
+			next.WarmAt = min(old.WarmAt, next.WarmAt)
 		}
 	}
 	m.targets[t.ID] = next
-	if t.Leaving && (old == nil || !old.Leaving || old.Started != t.Started) {
+	if t.Leaving && (old == nil || !old.Leaving || old.StartedUnixMilli != t.StartedUnixMilli) {
 		m.departed = append(m.departed, t.ID)
 	}
-	return old == nil || old.Target != *t && !sameForRouting(old, next) || !old.Listed
+	return old == nil || old.Target != *t && !sameForRouting(old, next) || !old.Published
 }
 
 // sameForRouting reports whether two records of a target are equivalent for
 // requests.
-func sameForRouting(old, updated *directory.Seen) bool {
+func sameForRouting(old, updated *directory.ObservedTarget) bool {
 	oldTarget, newTarget := old.Target, updated.Target
-	oldTarget.ColdFor, newTarget.ColdFor = 0, 0
-	return oldTarget == newTarget && (old.ColdUntil > 0) == (updated.ColdUntil > 0)
+	oldTarget.WarmUpRemaining, newTarget.WarmUpRemaining = 0, 0
+	return oldTarget == newTarget && (old.WarmAt > 0) == (updated.WarmAt > 0)
 }
 
 // TakeDeparted returns the targets that were reported to leave, or whose entries were
@@ -294,7 +294,7 @@
 	if after >= m.removalFloor {
 		return m.ChangedSince(after)
 	}
-	return slices.DeleteFunc(m.ChangedSince(0), func(r directory.Record) bool { return r.Gone })
+	return slices.DeleteFunc(m.ChangedSince(0), func(r directory.Record) bool { return r.Deleted })
 }
 
 // DeltaBase returns the revision at which a delta starts: the requested one or,
@@ -310,33 +310,33 @@
 // View builds the snapshot on which decisions about requests are based.
 func (m *Mirror) View(now time.Duration) *directory.View {
 	m.expireRemovals(now)
-	targets := map[string]*directory.Seen{}
+	targets := map[string]*directory.ObservedTarget{}
 	var drained []string
 	for _, e := range m.records {
 		switch {
-		case e.Gone:
-		case e.DrainedOut != "":
-			drained = append(drained, e.DrainedOut)
+		case e.Deleted:
+		case e.DrainedDataCentre != "":
+			drained = append(drained, e.DrainedDataCentre)
 		}
 	}
 	for id, s := range m.targets {
 		targets[id] = m.withListed(now, s)
 	}
 	slices.SortFunc(drained, strings.Compare)
-	return directory.NewIndexedView(m.revision, m.index, targets, drained)
+	return directory.NewViewFromIndex(m.revision, m.index, targets, drained)
 }
 
 // withListed returns a target with Listed set if its entry exists. An entry
 // that was removed while the store was down counts as existing for the grace
 // period after the recovery.
-func (m *Mirror) withListed(now time.Duration, s *directory.Seen) *directory.Seen {
+func (m *Mirror) withListed(now time.Duration, s *directory.ObservedTarget) *directory.ObservedTarget {
 	e := m.records[directory.TargetKey(s.ID)]
-	if e.Target != nil && !e.Gone {
+	if e.Target != nil && !e.Deleted {
 		return s
 	}
 	out := *s
-	lapsedWithStore := e.Gone && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.RecoveryGrace
-	out.Listed = lapsedWithStore && now < m.recoveredAt+m.cfg.RecoveryGrace
+	lapsedWithStore := e.Deleted && e.receivedAt >= m.recoveredAt && e.receivedAt < m.recoveredAt+m.cfg.RecoveryGrace
+	out.Published = lapsedWithStore && now < m.recoveredAt+m.cfg.RecoveryGrace
 	return &out
 }
 
@@ -353,10 +353,10 @@
 // the removed records any more.
 func (m *Mirror) expireRemovals(now time.Duration) {
 	for key, e := range m.records {
-		if e.Gone && now-e.receivedAt > m.cfg.RemovalRetention {
+		if e.Deleted && now-e.receivedAt > m.cfg.RemovalRetention {
 			m.removalFloor = max(m.removalFloor, e.Revision)
 			delete(m.records, key)
-			delete(m.targets, directory.TargetOf(key))
+			delete(m.targets, directory.TargetID(key))
 		}
 	}
 }
--- a/internal/decide/mirror/mirror_test.go
+++ b/internal/decide/mirror/mirror_test.go
@@ -18,7 +18,7 @@
 }
 
 func targetRecord(id string, revision uint64, modify func(*directory.Target)) directory.Record {
-	t := &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, Started: 1}
+	t := &directory.Target{ID: id, Service: "llm", Address: "10.0.0.1:80", DataCentre: "dc-1", Slots: 4, StartedUnixMilli: 1}
 	if modify != nil {
 		modify(t)
 	}
@@ -26,7 +26,7 @@
 }
 
 func removalRecord(key string, revision uint64) directory.Record {
-	return directory.Record{Key: key, Revision: revision, Gone: true}
+	return directory.Record{Key: key, Revision: revision, Deleted: true}
 }
 
 func configRecord(version, revision uint64) directory.Record {
@@ -36,7 +36,7 @@
 func acceptsRequests(m *mirror.Mirror, now time.Duration, id string) bool {
 	v := m.View(now)
 	t, ok := v.Target(id)
-	return ok && v.TakesNew(t)
+	return ok && v.AcceptsNewRequests(t)
 }
 
 var _ = Describe("the mirror", func() {
@@ -121,7 +121,7 @@
 		peer.ApplySnapshot(0, m.Delta(0), m.Revision())
 		Expect(acceptsRequests(peer, 0, "i-1")).To(BeFalse())
 
-		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 9, func(t *directory.Target) { t.Started = 2 })}, 9)
+		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 9, func(t *directory.Target) { t.StartedUnixMilli = 2 })}, 9)
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeTrue())
 	})
 
@@ -131,7 +131,7 @@
 		m := mirror.New(mirror.Config{})
 		m.ApplyChanges(0, []directory.Record{configRecord(3, 2), targetRecord("i-1", 3, nil)}, 3)
 		m.ApplyChanges(0, []directory.Record{
-			{Key: "config", Revision: 4, Fault: "no JSON"}, {Key: directory.TargetKey("i-1"), Revision: 5, Fault: "no JSON"},
+			{Key: "config", Revision: 4, ReadError: "no JSON"}, {Key: directory.TargetKey("i-1"), Revision: 5, ReadError: "no JSON"},
 		}, 5)
 		Expect(m.View(0).Config.Version).To(Equal(uint64(3)))
 		Expect(acceptsRequests(m, 0, "i-1")).To(BeFalse())
--- a/internal/decide/pools/account_index.go
+++ b/internal/decide/pools/account_index.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Accounts indexes the owner of each account with limits. It gives the same
+// AccountIndex indexes the owner of each account with limits. It gives the same
 // results as AccountOwner, but updates incrementally: at the target scale the
 // host list changes twice a minute, and ranking 3,300 hosts again for each of
 // 11,000 accounts would take a second of CPU time per change. It is not safe
 // for concurrent use.
-type Accounts struct {
+type AccountIndex struct {
 	hosts  []hashedHost
 	byName map[string]*accountRecord
 }
@@ -27,13 +27,13 @@
 	owner hashedHost
 }
 
-// NewAccounts returns an index without hosts or accounts.
-func NewAccounts() *Accounts { return &Accounts{byName: map[string]*accountRecord{}} }
+// NewAccountIndex returns an index without hosts or accounts.
+func NewAccountIndex() *AccountIndex { return &AccountIndex{byName: map[string]*accountRecord{}} }
 
 // SetHosts replaces the host list with a newly published one. An account
 // changes its owner only if the owner was removed from the list, or if an added
 // host ranks higher.
-func (a *Accounts) SetHosts(hosts []Host) {
+func (a *AccountIndex) SetHosts(hosts []Host) {
 	eligible := eligibleHosts(hosts)
 	added := difference(eligible, a.hosts)
 	removed := difference(a.hosts, eligible)
@@ -52,7 +52,7 @@
 }
 
 // SetAccounts replaces the set of accounts that have limits.
-func (a *Accounts) SetAccounts(names []string) {
+func (a *AccountIndex) SetAccounts(names []string) {
 	old := a.byName
 	a.byName = make(map[string]*accountRecord, len(names))
 	for _, name := range names {
@@ -67,7 +67,7 @@
 
 // Owner returns the address of the control process that owns an account. ok is
 // false for an account without limits, and while no host is known.
-func (a *Accounts) Owner(account string) (control string, ok bool) {
+func (a *AccountIndex) Owner(account string) (control string, ok bool) {
 	record := a.byName[account]
 	if record == nil || record.owner.control == "" {
 		return "", false
@@ -75,8 +75,8 @@
 	return record.owner.control, true
 }
 
-// Owned returns the names of the accounts that a control process owns, sorted.
-func (a *Accounts) Owned(control string) []string {
+// OwnedBy returns the names of the accounts that a control process owns, sorted.
+func (a *AccountIndex) OwnedBy(control string) []string {
 	var out []string
 	for name, record := range a.byName {
 		if record.owner.control == control {
@@ -96,7 +96,7 @@
 	}
 	out := make([]hashedHost, len(live))
 	for i, h := range live {
-		out[i] = hashedHost{control: h.Control, hash: hash(h.Control)}
+		out[i] = hashedHost{control: h.ControlAddress, hash: hash(h.ControlAddress)}
 	}
 	slices.SortFunc(out, func(a, b hashedHost) int { return cmp.Compare(a.control, b.control) })
 	return out
--- a/internal/decide/pools/backlogs.go
+++ b/internal/decide/pools/backlogs.go
@@ -10,48 +10,48 @@
 // whose allocator is gone is removed.
 const maxReportAge = 30 * time.Second
 
-// Item is the gossiped backlog report of a pool's allocator.
-type Item struct {
-	Pool    string
-	Control string
+// BacklogReport is the gossiped backlog report of a pool's allocator.
+type BacklogReport struct {
+	Pool           string
+	ControlAddress string
 	// Backlog is the expected wait of a request that arrives now.
 	Backlog time.Duration
 	// Version increases with each report of one control process.
 	Version uint64
 }
 
-// News stores the latest report of each pool. It is not safe for concurrent
+// BacklogTable stores the latest report of each pool. It is not safe for concurrent
 // use.
-type News struct {
+type BacklogTable struct {
 	reports map[string]storedReport
 }
 
 type storedReport struct {
-	Item
+	BacklogReport
 	receivedAt time.Duration
 	// timesSent counts the gossip messages that included the report.
 	timesSent int
 }
 
-// NewNews returns an empty table.
-func NewNews() *News { return &News{reports: map[string]storedReport{}} }
+// NewBacklogTable returns an empty table.
+func NewBacklogTable() *BacklogTable { return &BacklogTable{reports: map[string]storedReport{}} }
 
-// Hear stores a report and reports whether it was new. A report that is not
+// Update stores a report and reports whether it was new. A report that is not
 // newer than the stored one of the same control process is dropped: gossip
 // arrives in any order, and an outdated short backlog would attract requests to
 // a full pool. A report of another control process, which has become the pool's
 // owner, replaces the stored one only after takeoverAfter: otherwise two
 // processes that both consider themselves the owner would replace each other's
 // report with every message.
-func (n *News) Hear(now time.Duration, item Item) bool {
+func (n *BacklogTable) Update(now time.Duration, item BacklogReport) bool {
 	known, ok := n.reports[item.Pool]
 	switch {
-	case ok && known.Control == item.Control && item.Version <= known.Version:
+	case ok && known.ControlAddress == item.ControlAddress && item.Version <= known.Version:
 		return false
-	case ok && known.Control != item.Control && now-known.receivedAt < takeoverAfter:
+	case ok && known.ControlAddress != item.ControlAddress && now-known.receivedAt < takeoverAfter:
 		return false
 	}
-	n.reports[item.Pool] = storedReport{Item: item, receivedAt: now}
+	n.reports[item.Pool] = storedReport{BacklogReport: item, receivedAt: now}
 	return true
 }
 
@@ -59,11 +59,11 @@
 // report of another one replaces it: two report intervals.
 const takeoverAfter = 2 * time.Second
 
-// Spread returns up to limit reports for the next gossip message: those sent
+// NextBroadcast returns up to limit reports for the next gossip message: those sent
 // least often first, and the latest first among these. A report that was sent
 // rounds times is assumed to be known to all hosts and is omitted, so that
 // gossip traffic stays low while little changes.
-func (n *News) Spread(now time.Duration, limit, rounds int) []Item {
+func (n *BacklogTable) NextBroadcast(now time.Duration, limit, rounds int) []BacklogReport {
 	n.removeExpired(now)
 	var due []storedReport
 	for _, report := range n.reports {
@@ -74,9 +74,9 @@
 	slices.SortFunc(due, func(a, b storedReport) int {
 		return cmp.Or(cmp.Compare(a.timesSent, b.timesSent), cmp.Compare(b.receivedAt, a.receivedAt), cmp.Compare(a.Pool, b.Pool))
 	})
-	out := make([]Item, 0, min(limit, len(due)))
+	out := make([]BacklogReport, 0, min(limit, len(due)))
 	for _, report := range due[:min(limit, len(due))] {
-		out = append(out, report.Item)
+		out = append(out, report.BacklogReport)
 		report.timesSent++
 		n.reports[report.Pool] = report
 	}
@@ -85,7 +85,7 @@
 
 // Backlog returns the last reported wait of a pool. It returns false if there
 // is no report or the report is older than maxReportAge.
-func (n *News) Backlog(now time.Duration, pool string) (time.Duration, bool) {
+func (n *BacklogTable) Backlog(now time.Duration, pool string) (time.Duration, bool) {
 	report, ok := n.reports[pool]
 	if !ok || now-report.receivedAt > maxReportAge {
 		return 0, false
@@ -93,7 +93,7 @@
 	return report.Backlog, true
 }
 
-func (n *News) removeExpired(now time.Duration) {
+func (n *BacklogTable) removeExpired(now time.Duration) {
 	for pool, report := range n.reports {
 		if now-report.receivedAt > maxReportAge {
 			delete(n.reports, pool)
--- a/internal/decide/pools/choose.go
+++ b/internal/decide/pools/choose.go
@@ -25,8 +25,8 @@
 	// 200 ms: such a pool is tried, but only after pools that are known to be
 	// free.
 	UnknownBacklog time.Duration
-	// NewsFor is how long a gossiped backlog is used. Default 5 s.
-	NewsFor time.Duration
+	// BacklogMaxAge is how long a gossiped backlog is used. Default 5 s.
+	BacklogMaxAge time.Duration
 }
 
 const (
@@ -42,62 +42,62 @@
 	c.AffinityBonus = cmp.Or(c.AffinityBonus, defaultAffinityBonus)
 	c.PendingRequestCost = cmp.Or(c.PendingRequestCost, defaultPendingRequestCost)
 	c.UnknownBacklog = cmp.Or(c.UnknownBacklog, defaultUnknownBacklog)
-	c.NewsFor = cmp.Or(c.NewsFor, defaultBacklogMaxAge)
+	c.BacklogMaxAge = cmp.Or(c.BacklogMaxAge, defaultBacklogMaxAge)
 	return c
 }
 
-// View is what an entry knows of one pool. Requests read a slice of views as a
+// PoolView is what an entry knows of one pool. Requests read a slice of views as a
 // snapshot, without a lock.
-type View struct {
+type PoolView struct {
 	ID         string
 	DataCentre string
 	// HashKey is the mixed hash of ID, for ranking. It is set when the view is
 	// created.
 	HashKey uint64
-	// Control is the address of the control process that admits for the pool.
-	Control string
+	// ControlAddress is the address of the control process that admits for the pool.
+	ControlAddress string
 	// Backlog is the gossiped wait, received at BacklogAt.
 	Backlog   time.Duration
 	BacklogAt time.Duration
-	// Heard reports whether a backlog has been received.
-	Heard bool
-	// Sent counts the requests that this entry has sent to the pool since the
+	// BacklogKnown reports whether a backlog has been received.
+	BacklogKnown bool
+	// PendingRequests counts the requests that this entry has sent to the pool since the
 	// last report and that the pool has not answered yet.
-	Sent int
+	PendingRequests int
 	// Share is the fraction of new requests that the data centre accepts: 1 in
 	// normal operation, less while it returns to service, 0 once it is drained
 	// (see package drain).
 	Share float64
 }
 
-// NewView returns the view of a pool without a backlog report, at full share.
-func NewView(pool Pool, control string) View {
-	return View{ID: pool.ID, DataCentre: pool.DataCentre, HashKey: mix(hash(pool.ID)), Control: control, Share: 1}
+// NewPoolView returns the view of a pool without a backlog report, at full share.
+func NewPoolView(pool Pool, control string) PoolView {
+	return PoolView{ID: pool.ID, DataCentre: pool.DataCentre, HashKey: mix(hash(pool.ID)), ControlAddress: control, Share: 1}
 }
 
 // Request holds the properties of a request that pool selection depends on.
 type Request struct {
 	// DataCentre is the data centre of the entry.
 	DataCentre string
-	// Affinity is the hash of the prompt's first blocks, or the fingerprint of
+	// AffinityKey is the hash of the prompt's first blocks, or the fingerprint of
 	// a request without a prefix. Equal requests have the same affinity
 	// candidates, so that a request that crashes targets is repeated to the
 	// same few allocators.
-	Affinity uint64
-	// Cached reports whether the affinity stands for a prefix that a target may
+	AffinityKey uint64
+	// HasPrefix reports whether the affinity stands for a prefix that a target may
 	// have cached.
-	Cached bool
-	// Avoid lists the IDs of the pools that refused this request or were
+	HasPrefix bool
+	// ExcludedPools lists the IDs of the pools that refused this request or were
 	// unreachable.
-	Avoid []string
+	ExcludedPools []string
 }
 
-// Draw holds the random numbers for one selection.
-type Draw struct {
-	// Other selects the random candidates.
-	Other uint64
-	// Share is in [0, 1), and excludes pools whose share is not above it.
-	Share float64
+// RandomDraw holds the random numbers for one selection.
+type RandomDraw struct {
+	// CandidateSeed selects the random candidates.
+	CandidateSeed uint64
+	// ShareSample is in [0, 1), and excludes pools whose share is not above it.
+	ShareSample float64
 }
 
 // Choose returns the index of the pool to ask for admission, or -1 if there is
@@ -108,16 +108,16 @@
 // If all remaining pools are in data centres that are returning to service,
 // they get all requests regardless of their share: refusing requests would be
 // worse than a fast return.
-func Choose(now time.Duration, cfg Config, views []View, r Request, d Draw) int {
+func Choose(now time.Duration, cfg Config, views []PoolView, r Request, d RandomDraw) int {
 	cfg = cfg.withDefaults()
 	if best := chooseBest(now, &cfg, views, &r, d); best >= 0 {
 		return best
 	}
-	d.Share = 0
+	d.ShareSample = 0
 	return chooseBest(now, &cfg, views, &r, d)
 }
 
-func chooseBest(now time.Duration, cfg *Config, views []View, r *Request, d Draw) int {
+func chooseBest(now time.Duration, cfg *Config, views []PoolView, r *Request, d RandomDraw) int {
 	c := candidates(views, r, d)
 	best, bestScore := -1, time.Duration(0)
 	for n, i := range c {
@@ -125,7 +125,7 @@
 			continue
 		}
 		score := score(now, cfg, &views[i], r)
-		if r.Cached && n == 0 {
+		if r.HasPrefix && n == 0 {
 			score -= cfg.AffinityBonus
 		}
 		if best < 0 || score < bestScore {
@@ -139,20 +139,20 @@
 // affinity, of a random one, all in the entry's data centre, and of a random
 // one elsewhere; -1 where there is none. The random ones are those that rank
 // first for a random number, so that one pass over the views suffices.
-func candidates(views []View, r *Request, d Draw) [4]int {
+func candidates(views []PoolView, r *Request, d RandomDraw) [4]int {
 	first, second, randomLocal, randomRemote := topRanked{index: -1}, topRanked{index: -1}, topRanked{index: -1}, topRanked{index: -1}
 	for i := range views {
 		v := &views[i]
 		if !isEligible(v, r, d) {
 			continue
 		}
-		randomRank := mix(d.Other ^ v.HashKey)
+		randomRank := mix(d.CandidateSeed ^ v.HashKey)
 		if v.DataCentre != r.DataCentre {
 			randomRemote.consider(i, randomRank)
 			continue
 		}
 		randomLocal.consider(i, randomRank)
-		affinityRank := mix(r.Affinity ^ v.HashKey)
+		affinityRank := mix(r.AffinityKey ^ v.HashKey)
 		if previousFirst := first; first.consider(i, affinityRank) {
 			second = previousFirst
 		} else {
@@ -177,29 +177,29 @@
 	return true
 }
 
-func isEligible(v *View, r *Request, d Draw) bool {
-	excluded := len(r.Avoid) > 0 && slices.Contains(r.Avoid, v.ID)
-	return d.Share < v.Share && !excluded
+func isEligible(v *PoolView, r *Request, d RandomDraw) bool {
+	excluded := len(r.ExcludedPools) > 0 && slices.Contains(r.ExcludedPools, v.ID)
+	return d.ShareSample < v.Share && !excluded
 }
 
-func score(now time.Duration, cfg *Config, v *View, r *Request) time.Duration {
+func score(now time.Duration, cfg *Config, v *PoolView, r *Request) time.Duration {
 	total := cfg.UnknownBacklog
-	if v.Heard && now-v.BacklogAt < cfg.NewsFor {
+	if v.BacklogKnown && now-v.BacklogAt < cfg.BacklogMaxAge {
 		total = v.Backlog
 	}
-	total += time.Duration(v.Sent) * cfg.PendingRequestCost
+	total += time.Duration(v.PendingRequests) * cfg.PendingRequestCost
 	if v.DataCentre != r.DataCentre {
 		total += cfg.RemotePenalty
 	}
 	return total
 }
 
-// Subset returns the pools of a data centre that an entry keeps sessions with:
+// SessionPools returns the pools of a data centre that an entry keeps sessions with:
 // the n that rank first for the entry. At the target scale a service has some
 // eighty pools in a data centre; with a session to each of them, pings alone
 // would use up the entry's network budget. Different entries get different
 // subsets, and adding or removing a pool changes few sessions.
-func Subset(entry string, pools []Pool, n int) []Pool {
+func SessionPools(entry string, pools []Pool, n int) []Pool {
 	out := slices.Clone(pools)
 	entryHash := hash(entry)
 	slices.SortFunc(out, func(a, b Pool) int {
--- a/internal/decide/pools/owner.go
+++ b/internal/decide/pools/owner.go
@@ -7,9 +7,9 @@
 
 // Host is a published host that runs a control process.
 type Host struct {
-	// Control is the address of the control process.
-	Control    string
-	DataCentre string
+	// ControlAddress is the address of the control process.
+	ControlAddress string
+	DataCentre     string
 	// Leaving hosts own nothing, unless all hosts are leaving.
 	Leaving bool
 }
@@ -51,8 +51,8 @@
 		return c
 	}
 	return cmp.Or(
-		cmp.Compare(rank(key, hash(b.Control)), rank(key, hash(a.Control))),
-		cmp.Compare(a.Control, b.Control),
+		cmp.Compare(rank(key, hash(b.ControlAddress)), rank(key, hash(a.ControlAddress))),
+		cmp.Compare(a.ControlAddress, b.ControlAddress),
 	)
 }
 
--- a/internal/decide/pools/pools_test.go
+++ b/internal/decide/pools/pools_test.go
@@ -29,7 +29,7 @@
 
 func hosts(n int) (out []pools.Host) {
 	for i := range n {
-		out = append(out, pools.Host{Control: fmt.Sprintf("10.1.0.%d:90", i), DataCentre: []string{"east", "west"}[i%2]})
+		out = append(out, pools.Host{ControlAddress: fmt.Sprintf("10.1.0.%d:90", i), DataCentre: []string{"east", "west"}[i%2]})
 	}
 	return out
 }
@@ -104,7 +104,7 @@
 		hs[slices.Index(hs, first)].Leaving = true
 		second, _ := pools.Owner(pool, hs)
 		Expect(second).To(Equal(ranked[1]))
-		Expect(pools.RankHosts(pool, hs)[19].Control).To(Equal(first.Control))
+		Expect(pools.RankHosts(pool, hs)[19].ControlAddress).To(Equal(first.ControlAddress))
 		_, ok := pools.Owner(pool, nil)
 		Expect(ok).To(BeFalse())
 	})
@@ -113,7 +113,7 @@
 		counts := map[string]int{}
 		for i := range 2000 {
 			o, _ := pools.AccountOwner(fmt.Sprint(i), hosts(20))
-			counts[o.Control]++
+			counts[o.ControlAddress]++
 		}
 		Expect(counts).To(And(HaveLen(20), HaveEach(BeNumerically("~", 100, 40))))
 	})
@@ -124,7 +124,7 @@
 func FuzzAccounts(f *testing.F) {
 	f.Add([]byte("abcAdBeCfDgEhFaGbHc"))
 	f.Fuzz(func(t *testing.T, ops []byte) {
-		index, all, names := pools.NewAccounts(), hosts(20), []string{"a", "b", "c"}
+		index, all, names := pools.NewAccountIndex(), hosts(20), []string{"a", "b", "c"}
 		for i, op := range ops {
 			h := &all[op%20]
 			h.Leaving = op >= 'a'
@@ -137,8 +137,8 @@
 			for _, name := range names[3:] {
 				got, _ := index.Owner(name)
 				want, _ := pools.AccountOwner(name, listed)
-				if got != want.Control || !slices.Contains(index.Owned(got), name) {
-					t.Fatalf("%s: %s, want %s", name, got, want.Control)
+				if got != want.ControlAddress || !slices.Contains(index.OwnedBy(got), name) {
+					t.Fatalf("%s: %s, want %s", name, got, want.ControlAddress)
 				}
 			}
 		}
@@ -147,11 +147,11 @@
 
 // views returns n pools in each data centre, all with a reported backlog of
 // zero.
-func views(n int) (out []pools.View) {
+func views(n int) (out []pools.PoolView) {
 	for _, dc := range []string{"east", "west"} {
 		for i := range n {
-			v := pools.NewView(pools.Pool{ID: fmt.Sprint(dc, i), DataCentre: dc}, "")
-			v.Heard = true
+			v := pools.NewPoolView(pools.Pool{ID: fmt.Sprint(dc, i), DataCentre: dc}, "")
+			v.BacklogKnown = true
 			out = append(out, v)
 		}
 	}
@@ -159,24 +159,24 @@
 }
 
 var _ = Describe("Choose", func() {
-	localRequest := pools.Request{DataCentre: "east", Affinity: 42, Cached: true}
-	choose := func(vs []pools.View, r pools.Request, d pools.Draw) int {
+	localRequest := pools.Request{DataCentre: "east", AffinityKey: 42, HasPrefix: true}
+	choose := func(vs []pools.PoolView, r pools.Request, d pools.RandomDraw) int {
 		return pools.Choose(0, pools.Config{}, vs, r, d)
 	}
 
 	It("prefers the local pool with the cached prefix until its backlog outweighs the bonus", func() {
 		vs := views(8)
-		preferred := choose(vs, localRequest, pools.Draw{})
+		preferred := choose(vs, localRequest, pools.RandomDraw{})
 		Expect(vs[preferred].DataCentre).To(Equal("east"))
 		for i := range uint64(10) {
-			Expect(choose(vs, localRequest, pools.Draw{Other: i})).To(Equal(preferred))
+			Expect(choose(vs, localRequest, pools.RandomDraw{CandidateSeed: i})).To(Equal(preferred))
 		}
 		vs[preferred].Backlog = 150 * ms
-		Expect(choose(vs, localRequest, pools.Draw{Other: 5})).NotTo(Equal(preferred))
+		Expect(choose(vs, localRequest, pools.RandomDraw{CandidateSeed: 5})).NotTo(Equal(preferred))
 		for i := range 8 {
 			vs[i].Backlog = time.Second
 		}
-		Expect(vs[choose(vs, localRequest, pools.Draw{Other: 3})].DataCentre).To(Equal("west"))
+		Expect(vs[choose(vs, localRequest, pools.RandomDraw{CandidateSeed: 3})].DataCentre).To(Equal("west"))
 	})
 
 	// Operators drain a data centre while an entry still receives reports of
@@ -188,7 +188,7 @@
 			vs[i].Share, vs[4+i].Share, vs[4+i].Backlog = east, west, time.Minute
 		}
 		for i := range uint64(20) {
-			got := choose(vs, localRequest, pools.Draw{Other: i, Share: draw})
+			got := choose(vs, localRequest, pools.RandomDraw{CandidateSeed: i, ShareSample: draw})
 			if want == "" {
 				Expect(got).To(Equal(-1))
 				continue
@@ -205,13 +205,13 @@
 
 	It("skips avoided pools, ignores outdated reports and counts its own pending requests", func() {
 		vs := views(2)[:2]
-		r := pools.Request{DataCentre: "east", Avoid: []string{"east0"}}
-		Expect(choose(vs, r, pools.Draw{})).To(Equal(1))
-		r.Avoid = nil
-		vs[0].Backlog, vs[1].Sent = 50*ms, 20
-		Expect(choose(vs, r, pools.Draw{})).To(Equal(0))
+		r := pools.Request{DataCentre: "east", ExcludedPools: []string{"east0"}}
+		Expect(choose(vs, r, pools.RandomDraw{})).To(Equal(1))
+		r.ExcludedPools = nil
+		vs[0].Backlog, vs[1].PendingRequests = 50*ms, 20
+		Expect(choose(vs, r, pools.RandomDraw{})).To(Equal(0))
 		vs[0].BacklogAt = -time.Minute
-		Expect(choose(vs, r, pools.Draw{})).To(Equal(1))
+		Expect(choose(vs, r, pools.RandomDraw{})).To(Equal(1))
 	})
 
 	It("avoids the herding of always selecting the least backlog", func() {
@@ -222,9 +222,9 @@
 
 	It("gives each entry its own subset of pools", func() {
 		all := pools.Partition("report", targets(320))
-		a := pools.Subset("a", all, 8)
-		Expect(a).To(And(HaveLen(8), Not(Equal(pools.Subset("b", all, 8)))))
-		Expect(pools.Subset("a", all[:3], 8)).To(HaveLen(3))
+		a := pools.SessionPools("a", all, 8)
+		Expect(a).To(And(HaveLen(8), Not(Equal(pools.SessionPools("b", all, 8)))))
+		Expect(pools.SessionPools("a", all[:3], 8)).To(HaveLen(3))
 	})
 })
 
@@ -233,22 +233,22 @@
 	// the owner of a pool. An outdated short backlog, or one that changes with
 	// each message, would attract requests to a full pool.
 	It("keep the latest report of one allocator, send it a few times and expire it", func() {
-		n := pools.NewNews()
-		item := pools.Item{Pool: "p", Control: "a", Backlog: time.Second, Version: 2}
-		older, otherProcess := pools.Item{Pool: "p", Control: "a", Version: 1}, pools.Item{Pool: "p", Control: "b"}
-		Expect([]bool{n.Hear(0, item), n.Hear(0, older), n.Hear(time.Second, otherProcess)}).To(Equal([]bool{true, false, false}))
+		n := pools.NewBacklogTable()
+		item := pools.BacklogReport{Pool: "p", ControlAddress: "a", Backlog: time.Second, Version: 2}
+		older, otherProcess := pools.BacklogReport{Pool: "p", ControlAddress: "a", Version: 1}, pools.BacklogReport{Pool: "p", ControlAddress: "b"}
+		Expect([]bool{n.Update(0, item), n.Update(0, older), n.Update(time.Second, otherProcess)}).To(Equal([]bool{true, false, false}))
 		for range 3 {
-			Expect(n.Spread(0, 10, 3)).To(Equal([]pools.Item{item}))
+			Expect(n.NextBroadcast(0, 10, 3)).To(Equal([]pools.BacklogReport{item}))
 		}
-		Expect(n.Spread(0, 10, 3)).To(BeEmpty())
+		Expect(n.NextBroadcast(0, 10, 3)).To(BeEmpty())
 		backlogAt := func(now time.Duration) time.Duration {
 			backlog, _ := n.Backlog(now, "p")
 			return backlog
 		}
 		Expect(backlogAt(0)).To(Equal(time.Second))
-		Expect(n.Hear(3*time.Second, otherProcess)).To(BeTrue())
+		Expect(n.Update(3*time.Second, otherProcess)).To(BeTrue())
 		Expect(backlogAt(3 * time.Second)).To(BeZero())
-		n.Spread(time.Minute, 1, 1)
+		n.NextBroadcast(time.Minute, 1, 1)
 		_, ok := n.Backlog(time.Minute, "p")
 		Expect(ok).To(BeFalse())
 	})
@@ -276,13 +276,13 @@
 			sentByEntry := &sent[rnd.IntN(len(sent))]
 			leastLoaded := 0
 			for i := range vs {
-				vs[i].Sent = sentByEntry[i]
+				vs[i].PendingRequests = sentByEntry[i]
 				if vs[i].Backlog < vs[leastLoaded].Backlog {
 					leastLoaded = i
 				}
 			}
-			r := pools.Request{DataCentre: "east", Affinity: rnd.Uint64(), Cached: rnd.IntN(2) == 0}
-			chosen := pools.Choose(now, pools.Config{}, vs, r, pools.Draw{Other: rnd.Uint64()})
+			r := pools.Request{DataCentre: "east", AffinityKey: rnd.Uint64(), HasPrefix: rnd.IntN(2) == 0}
+			chosen := pools.Choose(now, pools.Config{}, vs, r, pools.RandomDraw{CandidateSeed: rnd.Uint64()})
 			if leastBacklogOnly {
 				chosen = leastLoaded
 			}
@@ -297,14 +297,14 @@
 
 // BenchmarkAccounts replaces one of 3,300 hosts in an index of 11,000 accounts.
 func BenchmarkAccounts(b *testing.B) {
-	index, all, names := pools.NewAccounts(), hosts(3300), make([]string, 11000)
+	index, all, names := pools.NewAccountIndex(), hosts(3300), make([]string, 11000)
 	for i := range names {
 		names[i] = fmt.Sprint(i)
 	}
 	index.SetHosts(all)
 	index.SetAccounts(names)
 	for i := range b.N {
-		all[i%3300].Control = fmt.Sprint("new", i)
+		all[i%3300].ControlAddress = fmt.Sprint("new", i)
 		index.SetHosts(all)
 	}
 }
@@ -313,7 +313,7 @@
 	vs, rnd := views(8), rand.New(rand.NewPCG(1, 1))
 	b.ReportAllocs()
 	for range b.N {
-		r := pools.Request{DataCentre: "east", Affinity: rnd.Uint64(), Cached: true}
-		pools.Choose(0, pools.Config{}, vs, r, pools.Draw{Other: rnd.Uint64(), Share: 0.2})
+		r := pools.Request{DataCentre: "east", AffinityKey: rnd.Uint64(), HasPrefix: true}
+		pools.Choose(0, pools.Config{}, vs, r, pools.RandomDraw{CandidateSeed: rnd.Uint64(), ShareSample: 0.2})
 	}
 }
--- a/internal/decide/pools/ranking.go
+++ b/internal/decide/pools/ranking.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// Ranking ranks one list of hosts for many pools. It gives the same order as
+// HostRanking ranks one list of hosts for many pools. It gives the same order as
 // RankHosts, but computes only the first hosts: at the target scale a plan has
 // 2,500 pools and 3,300 hosts, and sorting all hosts for each pool took eight
 // seconds.
-type Ranking struct {
+type HostRanking struct {
 	hosts []rankedHost
 	// liveCount is the number of hosts in each data centre that are not
 	// leaving.
@@ -20,11 +20,11 @@
 	mixedHash uint64
 }
 
-// NewRanking returns a ranking of a list of hosts.
-func NewRanking(hosts []Host) *Ranking {
-	r := &Ranking{hosts: make([]rankedHost, len(hosts)), liveCount: map[string]int{}, byDataCentre: map[string][]int{}}
+// NewHostRanking returns a ranking of a list of hosts.
+func NewHostRanking(hosts []Host) *HostRanking {
+	r := &HostRanking{hosts: make([]rankedHost, len(hosts)), liveCount: map[string]int{}, byDataCentre: map[string][]int{}}
 	for i, h := range hosts {
-		r.hosts[i] = rankedHost{Host: h, mixedHash: mix(hash(h.Control))}
+		r.hosts[i] = rankedHost{Host: h, mixedHash: mix(hash(h.ControlAddress))}
 		r.byDataCentre[h.DataCentre] = append(r.byDataCentre[h.DataCentre], i)
 		if !h.Leaving {
 			r.liveCount[h.DataCentre]++
@@ -33,8 +33,8 @@
 	return r
 }
 
-// First returns the first n hosts of RankHosts.
-func (r *Ranking) First(pool Pool, n int) []Host {
+// TopHosts returns the first n hosts of RankHosts.
+func (r *HostRanking) TopHosts(pool Pool, n int) []Host {
 	best := make([]candidate, 0, n+1)
 	key := hash(pool.ID)
 	if r.liveCount[pool.DataCentre] >= n {
@@ -60,7 +60,7 @@
 
 // insert adds a host to the sorted list of the best n candidates if it ranks
 // among them.
-func (r *Ranking) insert(best []candidate, n int, key uint64, dc string, index int) []candidate {
+func (r *HostRanking) insert(best []candidate, n int, key uint64, dc string, index int) []candidate {
 	h := &r.hosts[index]
 	c := candidate{index: index, tier: hostTier(dc, h.Host), rank: mix(key ^ h.mixedHash)}
 	pos := len(best)
@@ -76,9 +76,9 @@
 	return best[:min(len(best), n)]
 }
 
-func (r *Ranking) less(a, b candidate) bool {
+func (r *HostRanking) less(a, b candidate) bool {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier), cmp.Compare(b.rank, a.rank),
-		cmp.Compare(r.hosts[a.index].Control, r.hosts[b.index].Control),
+		cmp.Compare(r.hosts[a.index].ControlAddress, r.hosts[b.index].ControlAddress),
 	) < 0
 }
--- a/internal/decide/pools/ranking_test.go
+++ b/internal/decide/pools/ranking_test.go
@@ -15,7 +15,7 @@
 	out := make([]pools.Host, n)
 	for i := range out {
 		out[i] = pools.Host{
-			Control: fmt.Sprintf("10.0.%d.%d:81", i/250, i%250), DataCentre: fmt.Sprint("dc", r.IntN(3)), Leaving: r.IntN(4) == 0,
+			ControlAddress: fmt.Sprintf("10.0.%d.%d:81", i/250, i%250), DataCentre: fmt.Sprint("dc", r.IntN(3)), Leaving: r.IntN(4) == 0,
 		}
 	}
 	return out
@@ -29,10 +29,10 @@
 		r := rand.New(rand.NewPCG(7, 0))
 		for range 300 {
 			hosts := randomHosts(r, r.IntN(12))
-			ranking := pools.NewRanking(hosts)
+			ranking := pools.NewHostRanking(hosts)
 			pool := pools.Pool{ID: fmt.Sprint("reports/", r.IntN(50)), DataCentre: fmt.Sprint("dc", r.IntN(4))}
 			want := pools.RankHosts(pool, hosts)
-			Expect(ranking.First(pool, 3)).To(Equal(want[:min(3, len(want))]))
+			Expect(ranking.TopHosts(pool, 3)).To(Equal(want[:min(3, len(want))]))
 		}
 	})
 })
@@ -46,10 +46,10 @@
 		}
 	})
 	b.Run("first three", func(b *testing.B) {
-		ranking := pools.NewRanking(hosts)
+		ranking := pools.NewHostRanking(hosts)
 		b.ReportAllocs()
 		for b.Loop() {
-			_ = ranking.First(pool, 3)
+			_ = ranking.TopHosts(pool, 3)
 		}
 	})
 }
--- a/internal/decide/quota/holder.go
+++ b/internal/decide/quota/holder.go
@@ -27,17 +27,17 @@
 	return &Holder{cfg: cfg.withDefaults(), leases: map[string]*heldLease{}}
 }
 
-// Granted applies the answer to a demand that was sent at asked. An answer with
+// ApplyGrant applies the answer to a demand that was sent at asked. An answer with
 // a lower serial than the grant in force is dropped, because the owner no
 // longer counts it. An answer without a lease, from a new owner, leaves the
 // lease of the previous owner in force.
-func (h *Holder) Granted(asked time.Duration, g Grant) {
+func (h *Holder) ApplyGrant(asked time.Duration, g Grant) {
 	l := h.leases[g.Account]
 	if l == nil {
 		l = &heldLease{refilledAt: asked}
 		h.leases[g.Account] = l
 	}
-	if g.LeaseFor == 0 {
+	if g.LeaseDuration == 0 {
 		l.retryAt = max(l.retryAt, asked+g.RetryAfter)
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 	l.grantAskedAt = asked
 	l.refill(asked, h.cfg.RateBurst)
-	l.grant, l.expires = g, asked+g.LeaseFor
+	l.grant, l.expires = g, asked+g.LeaseDuration
 }
 
 // MayStart reports whether a request of the account may start while the given
@@ -65,9 +65,9 @@
 	return withinRunning && withinRate
 }
 
-// Running returns the number of requests that the account's lease allows in
+// RunningLimit returns the number of requests that the account's lease allows in
 // this pool.
-func (h *Holder) Running(now time.Duration, account string) int {
+func (h *Holder) RunningLimit(now time.Duration, account string) int {
 	l := h.leases[account]
 	if l == nil || now >= l.expires {
 		return 0
@@ -75,16 +75,16 @@
 	return l.grant.Running
 }
 
-// Charge subtracts produced tokens from the account's token balance.
-func (h *Holder) Charge(now time.Duration, account string, tokens int) {
+// ChargeTokens subtracts produced tokens from the account's token balance.
+func (h *Holder) ChargeTokens(now time.Duration, account string, tokens int) {
 	if l := h.leases[account]; l != nil {
 		l.refill(now, h.cfg.RateBurst)
 		l.tokens -= float64(tokens)
 	}
 }
 
-// RenewAt returns when the account's next demand is due.
-func (h *Holder) RenewAt(account string) time.Duration {
+// NextRenewal returns when the account's next demand is due.
+func (h *Holder) NextRenewal(account string) time.Duration {
 	l := h.leases[account]
 	if l == nil {
 		return 0
--- a/internal/decide/quota/owner.go
+++ b/internal/decide/quota/owner.go
@@ -64,7 +64,7 @@
 // from another owner and is ignored.
 func (g *runningGrants) acknowledge(now time.Duration, d Demand) {
 	g.inProgress = d.Running
-	knownSerial := d.Known
+	knownSerial := d.KnownSerial
 	if knownSerial > g.lastSerial {
 		knownSerial = 0
 	}
@@ -118,14 +118,14 @@
 	return &Owner{cfg: cfg.withDefaults(), accounts: map[string]*ownedAccount{}}
 }
 
-// SetOwned sets the accounts that this process owns by the host list of the
+// SetOwnedAccounts sets the accounts that this process owns by the host list of the
 // given revision (see package pools). It must be called for each host list that
 // is read and whenever accounts are added or removed. An account that is new in
 // the table counts as owned since the host list was first seen, because no
 // other process can have leased it by this list. When an account moves to
 // another process, its leases remain in force at their holders, and the next
 // owner waits until they have expired.
-func (o *Owner) SetOwned(now time.Duration, revision uint64, owned []string) {
+func (o *Owner) SetOwnedAccounts(now time.Duration, revision uint64, owned []string) {
 	ownedSince := now
 	if revision == o.listRevision && o.listKnown {
 		ownedSince = o.listSince
@@ -146,31 +146,31 @@
 	}
 }
 
-// Confirm records that the host list was the newest at the given time.
-func (o *Owner) Confirm(at time.Duration) { o.confirmedAt = max(o.confirmedAt, at) }
+// ConfirmHostList records that the host list was the newest at the given time.
+func (o *Owner) ConfirmHostList(at time.Duration) { o.confirmedAt = max(o.confirmedAt, at) }
 
-// Ask handles a demand, which also renews the holder's lease, and grants a part
+// HandleDemand handles a demand, which also renews the holder's lease, and grants a part
 // of the limits by demand.
-func (o *Owner) Ask(now time.Duration, limits Limits, d Demand) Grant {
+func (o *Owner) HandleDemand(now time.Duration, limits Limits, d Demand) Grant {
 	a := o.accounts[d.Account]
 	if a == nil {
-		return Grant{Account: d.Account, NotOwner: true, RetryAfter: o.cfg.LeaseFor / 3}
+		return Grant{Account: d.Account, NotOwner: true, RetryAfter: o.cfg.LeaseDuration / 3}
 	}
 	l := a.recordDemand(now, d, o.cfg.SilentHolderGrace)
 	a.tenure.Confirm(o.confirmedAt)
 	if !a.tenure.IsExclusive(now, o.cfg.ownershipConfig()) {
-		return Grant{Account: d.Account, RetryAfter: max(a.tenure.ExclusiveFrom(o.cfg.ownershipConfig())-now, o.cfg.LeaseFor/3)}
+		return Grant{Account: d.Account, RetryAfter: max(a.tenure.ExclusiveFrom(o.cfg.ownershipConfig())-now, o.cfg.LeaseDuration/3)}
 	}
-	end := now + o.cfg.LeaseFor + o.cfg.ExpiryMargin
+	end := now + o.cfg.LeaseDuration + o.cfg.ExpiryMargin
 	running := a.grantableRunning(now, limits.Running, l)
 	rate := a.grantable(now, limits.TokensPerSecond, l, rateAmounts)
 	o.serial = max(o.serial, o.listRevision<<serialBits) + 1
-	l.running.add(runningGrant{o.serial, running, end + o.cfg.LeaseFor})
+	l.running.add(runningGrant{o.serial, running, end + o.cfg.LeaseDuration})
 	l.rate.add(now, end, rate)
 	l.expires = end
 	return Grant{
 		Account: d.Account, Running: running, TokensPerSecond: rate,
-		LeaseFor: o.cfg.LeaseFor, RetryAfter: o.cfg.LeaseFor / 3, Serial: o.serial,
+		LeaseDuration: o.cfg.LeaseDuration, RetryAfter: o.cfg.LeaseDuration / 3, Serial: o.serial,
 	}
 }
 
@@ -211,7 +211,7 @@
 	if a == nil {
 		return
 	}
-	if l := a.leases[r.Holder]; l != nil && l.running.lastSerial == r.Known {
+	if l := a.leases[r.Holder]; l != nil && l.running.lastSerial == r.KnownSerial {
 		delete(a.leases, r.Holder)
 	}
 }
--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -48,9 +48,9 @@
 
 // Config holds the parameters of leases. A zero field means its default.
 type Config struct {
-	// LeaseFor is the duration of a lease at its holder. Default 3 s: with a
+	// LeaseDuration is the duration of a lease at its holder. Default 3 s: with a
 	// renewal every second, the loss of one of them has no effect.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// ExpiryMargin is how much longer the owner counts a lease than its holder.
 	// Default 500 ms, which allows for clock rates that differ by less than a
 	// tenth.
@@ -76,7 +76,7 @@
 )
 
 func (c Config) withDefaults() Config {
-	c.LeaseFor = cmp.Or(c.LeaseFor, defaultLeaseDuration)
+	c.LeaseDuration = cmp.Or(c.LeaseDuration, defaultLeaseDuration)
 	c.ExpiryMargin = cmp.Or(c.ExpiryMargin, defaultExpiryMargin)
 	c.ConfirmationTTL = cmp.Or(c.ConfirmationTTL, defaultConfirmationTTL)
 	c.SilentHolderGrace = cmp.Or(c.SilentHolderGrace, defaultSilentHolderGrace)
@@ -85,7 +85,7 @@
 }
 
 func (c Config) ownershipConfig() ownership.Config {
-	return ownership.Config{ConfirmationTTL: c.ConfirmationTTL, ActionTTL: c.LeaseFor + c.ExpiryMargin}
+	return ownership.Config{ConfirmationTTL: c.ConfirmationTTL, ActionTTL: c.LeaseDuration + c.ExpiryMargin}
 }
 
 // Limits are the limits in an account's row; 0 means no limit.
@@ -105,17 +105,17 @@
 	Running, Waiting int
 	// TokensPerSecond is the rate that the holder would use.
 	TokensPerSecond float64
-	// Known is the serial number of the grant in force at the holder, 0 for
+	// KnownSerial is the serial number of the grant in force at the holder, 0 for
 	// none.
-	Known uint64
+	KnownSerial uint64
 }
 
 // Release tells the owner that a holder's lease of an account has expired and
 // that it has no requests of the account in progress.
 type Release struct {
 	Account, Holder string
-	// Known is the serial number of the last grant that the holder received.
-	Known uint64
+	// KnownSerial is the serial number of the last grant that the holder received.
+	KnownSerial uint64
 }
 
 // Grant is the answer to a demand: the holder's part of the limits.
@@ -123,9 +123,9 @@
 	Account         string
 	Running         int
 	TokensPerSecond float64
-	// LeaseFor is the duration of the lease, counted from before the demand was
+	// LeaseDuration is the duration of the lease, counted from before the demand was
 	// sent; 0 means no lease.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// NotOwner is set when another process owns the account.
 	NotOwner bool
 	// RetryAfter is the delay before the next demand.
