--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -23,8 +23,8 @@
 // the owner, when all leases of its predecessor have expired.
 func newConfirmedOwner() *quota.Owner {
 	o := quota.NewOwner(quota.Config{})
-	o.SetOwned(0, 1, []string{"park"})
-	o.Confirm(10 * time.Second)
+	o.SetOwnedAccounts(0, 1, []string{"park"})
+	o.ConfirmHostList(10 * time.Second)
 	return o
 }
 
@@ -40,16 +40,16 @@
 	// continue to run.
 	It("grants by demand, and frees capacity for another pool once the holder has acknowledged a smaller grant", func() {
 		o := newConfirmedOwner()
-		Expect(o.Ask(now, accountLimits, demand("a", 0, 500)).Running).To(Equal(100))
-		Expect(o.Ask(now, accountLimits, demand("b", 0, 10)).Running).To(BeZero())
-		reduced := o.Ask(now+time.Second, accountLimits, demand("a", 40, 500))
+		Expect(o.HandleDemand(now, accountLimits, demand("a", 0, 500)).Running).To(Equal(100))
+		Expect(o.HandleDemand(now, accountLimits, demand("b", 0, 10)).Running).To(BeZero())
+		reduced := o.HandleDemand(now+time.Second, accountLimits, demand("a", 40, 500))
 		Expect(reduced.Running).To(Equal(90), "b wants ten")
-		o.Confirm(now + 4*time.Second)
-		Expect(o.Ask(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(BeZero(), "a may not have received the smaller grant")
+		o.ConfirmHostList(now + 4*time.Second)
+		Expect(o.HandleDemand(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(BeZero(), "a may not have received the smaller grant")
 		acknowledged := demand("a", 40, 500)
-		acknowledged.Known = reduced.Serial
-		o.Ask(now+4*time.Second, accountLimits, acknowledged)
-		Expect(o.Ask(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(Equal(10))
+		acknowledged.KnownSerial = reduced.Serial
+		o.HandleDemand(now+4*time.Second, accountLimits, acknowledged)
+		Expect(o.HandleDemand(now+4*time.Second, accountLimits, demand("b", 0, 10)).Running).To(Equal(10))
 		Expect(o.TotalLeased(now+4*time.Second, "park").Running).To(Equal(100))
 	})
 
@@ -57,46 +57,46 @@
 	// granting its part to another pool at once would exceed the limit.
 	It("counts a silent holder for a minute unless it releases its lease", func() {
 		o := newConfirmedOwner()
-		o.Ask(now, accountLimits, demand("a", 0, 80))
-		o.Confirm(now + 20*time.Second)
-		Expect(o.Ask(now+20*time.Second, accountLimits, demand("b", 0, 80)).Running).To(Equal(20))
-		o.Confirm(now + 90*time.Second)
-		c := o.Ask(now+90*time.Second, accountLimits, demand("c", 0, 80))
+		o.HandleDemand(now, accountLimits, demand("a", 0, 80))
+		o.ConfirmHostList(now + 20*time.Second)
+		Expect(o.HandleDemand(now+20*time.Second, accountLimits, demand("b", 0, 80)).Running).To(Equal(20))
+		o.ConfirmHostList(now + 90*time.Second)
+		c := o.HandleDemand(now+90*time.Second, accountLimits, demand("c", 0, 80))
 		Expect(c.Running).To(Equal(80))
-		o.Confirm(now + 91*time.Second)
-		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial - 1})
-		Expect(o.Ask(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(20), "c has received a later lease")
-		o.Release(quota.Release{Account: "park", Holder: "c", Known: c.Serial})
-		Expect(o.Ask(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(90))
+		o.ConfirmHostList(now + 91*time.Second)
+		o.Release(quota.Release{Account: "park", Holder: "c", KnownSerial: c.Serial - 1})
+		Expect(o.HandleDemand(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(20), "c has received a later lease")
+		o.Release(quota.Release{Account: "park", Holder: "c", KnownSerial: c.Serial})
+		Expect(o.HandleDemand(now+91*time.Second, accountLimits, demand("b", 0, 90)).Running).To(Equal(90))
 	})
 
 	It("grants no leases while it is new or unconfirmed", func() {
 		o := newConfirmedOwner()
-		Expect(o.Ask(5*time.Second, accountLimits, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(15*time.Second, accountLimits, demand("a", 0, 1)).LeaseFor).To(BeZero())
-		Expect(o.Ask(5*time.Second, accountLimits, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
-		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
-		o.SetOwned(now, 1, []string{"park", "new"})
-		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an unchanged host list")
-		o.SetOwned(now, 2, []string{"park", "third"})
-		Expect(o.Ask(now, accountLimits, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseFor).To(BeZero(), "the previous owner's leases may still be in force")
-		Expect(o.Ask(now, accountLimits, demand("a", 0, 1)).Running).To(Equal(1), "owned under both lists")
+		Expect(o.HandleDemand(5*time.Second, accountLimits, demand("a", 0, 1)).LeaseDuration).To(BeZero())
+		Expect(o.HandleDemand(15*time.Second, accountLimits, demand("a", 0, 1)).LeaseDuration).To(BeZero())
+		Expect(o.HandleDemand(5*time.Second, accountLimits, demand("a", 0, 1)).RetryAfter).To(BeNumerically(">", 0))
+		Expect(o.HandleDemand(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).NotOwner).To(BeTrue())
+		o.SetOwnedAccounts(now, 1, []string{"park", "new"})
+		Expect(o.HandleDemand(now, accountLimits, quota.Demand{Account: "new", Holder: "a", Waiting: 1}).Running).To(Equal(1), "a new row under an unchanged host list")
+		o.SetOwnedAccounts(now, 2, []string{"park", "third"})
+		Expect(o.HandleDemand(now, accountLimits, quota.Demand{Account: "third", Holder: "a", Waiting: 1}).LeaseDuration).To(BeZero(), "the previous owner's leases may still be in force")
+		Expect(o.HandleDemand(now, accountLimits, demand("a", 0, 1)).Running).To(Equal(1), "owned under both lists")
 	})
 
 	It("leases rates, and a holder that exceeds one stops until it has made up for it", func() {
 		rate := quota.Limits{TokensPerSecond: 90}
 		o, h := newConfirmedOwner(), quota.NewHolder(quota.Config{})
-		g := o.Ask(now, rate, quota.Demand{Account: "park", Holder: "a", TokensPerSecond: 60})
+		g := o.HandleDemand(now, rate, quota.Demand{Account: "park", Holder: "a", TokensPerSecond: 60})
 		Expect(g.TokensPerSecond).To(Equal(60.0))
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeFalse())
-		h.Granted(now, g)
+		h.ApplyGrant(now, g)
 		Expect(h.MayStart(now, "park", rate, 0)).To(BeTrue())
-		h.Charge(now+time.Second, "park", 150)
+		h.ChargeTokens(now+time.Second, "park", 150)
 		Expect(h.MayStart(now+2*time.Second, "park", rate, 0)).To(BeFalse(), "balance of -30 tokens")
 		Expect(h.MayStart(now+2600*time.Millisecond, "park", rate, 0)).To(BeTrue())
-		h.Charge(now+2600*time.Millisecond, "park", 1000)
+		h.ChargeTokens(now+2600*time.Millisecond, "park", 1000)
 		Expect(h.MayStart(now+3*time.Second, "park", rate, 0)).To(BeFalse(), "the lease has expired")
-		h.Granted(now+20*time.Second, g)
+		h.ApplyGrant(now+20*time.Second, g)
 		Expect(h.MayStart(now+20*time.Second, "park", rate, 0)).To(BeFalse(), "no tokens are added without a lease")
 		Expect(h.MayStart(now, "other", quota.Limits{}, 1000)).To(BeTrue(), "no limits")
 	})
@@ -109,9 +109,9 @@
 		got := map[string]float64{}
 		for at := range 10 {
 			t := now + time.Duration(at)*time.Second
-			o.Confirm(t)
+			o.ConfirmHostList(t)
 			for _, holder := range []string{"a", "b", "c"} {
-				got[holder] = o.Ask(t, rate, quota.Demand{Account: "park", Holder: holder, TokensPerSecond: 90}).TokensPerSecond
+				got[holder] = o.HandleDemand(t, rate, quota.Demand{Account: "park", Holder: holder, TokensPerSecond: 90}).TokensPerSecond
 			}
 			Expect(o.TotalLeased(t, "park").TokensPerSecond).To(BeNumerically("<=", 90))
 		}
@@ -126,11 +126,11 @@
 		known := map[string]uint64{}
 		for at := range 40 {
 			t := now + time.Duration(at)*time.Second
-			o.Confirm(t)
+			o.ConfirmHostList(t)
 			for _, holder := range []string{"a", "b", "c", "d"} {
 				d := demand(holder, 0, 5)
-				d.Known = known[holder]
-				g := o.Ask(t, limits, d)
+				d.KnownSerial = known[holder]
+				g := o.HandleDemand(t, limits, d)
 				known[holder] = g.Serial
 				granted[holder] += g.Running
 			}
@@ -141,19 +141,19 @@
 
 	It("sends demands when due, earlier when starved, and drops unused accounts", func() {
 		h := quota.NewHolder(quota.Config{})
-		due := func(now time.Duration, uses ...quota.Use) []quota.Demand { return h.Due(now, "a", uses, 10) }
-		use := quota.Use{Account: "park", Running: 2, Waiting: 6}
+		due := func(now time.Duration, uses ...quota.Usage) []quota.Demand { return h.DueDemands(now, "a", uses, 10) }
+		use := quota.Usage{Account: "park", Running: 2, Waiting: 6}
 		Expect(due(0, use)).To(Equal([]quota.Demand{{Account: "park", Holder: "a", Running: 2, Waiting: 8, TokensPerSecond: 50}}))
 		Expect(due(100*time.Millisecond, use)).To(BeEmpty())
-		h.Granted(0, quota.Grant{Account: "park", Running: 2, LeaseFor: 3 * time.Second, RetryAfter: time.Second, Serial: 9})
-		h.Granted(1, quota.Grant{Account: "park", Running: 50, LeaseFor: 3 * time.Second, Serial: 8})
-		Expect(h.Running(1, "park")).To(Equal(2), "an outdated grant")
+		h.ApplyGrant(0, quota.Grant{Account: "park", Running: 2, LeaseDuration: 3 * time.Second, RetryAfter: time.Second, Serial: 9})
+		h.ApplyGrant(1, quota.Grant{Account: "park", Running: 50, LeaseDuration: 3 * time.Second, Serial: 8})
+		Expect(h.RunningLimit(1, "park")).To(Equal(2), "an outdated grant")
 		Expect(due(300*time.Millisecond, use)).To(HaveLen(1), "starved")
 		use.Waiting = 0
 		Expect(due(700*time.Millisecond, use)).To(BeEmpty())
-		Expect(due(time.Second, use, quota.Use{Account: "new"})).To(HaveLen(2))
+		Expect(due(time.Second, use, quota.Usage{Account: "new"})).To(HaveLen(2))
 		Expect(due(4 * time.Second)).To(BeEmpty())
-		Expect(h.RenewAt("park")).To(BeZero())
+		Expect(h.NextRenewal("park")).To(BeZero())
 	})
 
 	It("never leases more than the limit for any seed, unlike counting by gossip", func() {
@@ -212,10 +212,10 @@
 			if seenRevision%2 == i {
 				owned = append(owned, "park")
 			}
-			o.SetOwned(s.now, uint64(seenRevision), owned)
+			o.SetOwnedAccounts(s.now, uint64(seenRevision), owned)
 		}
 		if seenRevision == s.publishedRevision && s.IntN(10) == 0 {
-			o.Confirm(s.now)
+			o.ConfirmHostList(s.now)
 		}
 	}
 }
@@ -237,25 +237,25 @@
 			disconnectedUntil = s.now + 10*time.Second
 		}
 		o, asked := s.owners[s.publishedRevision%2], s.now
-		uses := []quota.Use{{Account: "park", Running: s.running[i], Waiting: max(0, desired-s.running[i])}}
+		uses := []quota.Usage{{Account: "park", Running: s.running[i], Waiting: max(0, desired-s.running[i])}}
 		if s.allowIdle && desired == 0 && s.running[i] == 0 {
 			uses = nil
 		}
-		for _, r := range holder.Drop(s.now, fmt.Sprint(i), uses) {
+		for _, r := range holder.DropIdle(s.now, fmt.Sprint(i), uses) {
 			if s.now >= disconnectedUntil {
 				s.send(func() { o.Release(r) })
 			}
 		}
-		for _, d := range holder.Due(s.now, fmt.Sprint(i), uses, 1) {
+		for _, d := range holder.DueDemands(s.now, fmt.Sprint(i), uses, 1) {
 			if s.now < disconnectedUntil {
 				continue
 			}
 			s.send(func() {
-				g := o.Ask(s.now, accountLimits, d)
-				s.send(func() { holder.Granted(asked, g) })
+				g := o.HandleDemand(s.now, accountLimits, d)
+				s.send(func() { holder.ApplyGrant(asked, g) })
 			})
 		}
-		allowed := holder.Running(s.now, "park")
+		allowed := holder.RunningLimit(s.now, "park")
 		s.leased += allowed
 		if countByGossip {
 			allowed = accountLimits.Running
@@ -324,7 +324,7 @@
 
 func BenchmarkMayStart(b *testing.B) {
 	h := quota.NewHolder(quota.Config{})
-	h.Granted(0, quota.Grant{Account: "park", Running: 5, LeaseFor: time.Hour})
+	h.ApplyGrant(0, quota.Grant{Account: "park", Running: 5, LeaseDuration: time.Hour})
 	b.ReportAllocs()
 	for range b.N {
 		h.MayStart(time.Second, "park", accountLimits, 3)
--- a/internal/decide/quota/schedule.go
+++ b/internal/decide/quota/schedule.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Use is the usage of one account in a pool.
-type Use struct {
+// Usage is the usage of one account in a pool.
+type Usage struct {
 	Account string
 	// Running is the number of requests in progress, Waiting the number in the
 	// queue.
@@ -28,20 +28,20 @@
 	minTokensPerSecond = 50
 )
 
-// Due returns the demands that should be sent now for the accounts that use
+// DueDemands returns the demands that should be sent now for the accounts that use
 // this pool, the most urgent first and at most limit of them, because one
 // message carries the demands for an owner. Accounts without usage whose lease
 // has expired are dropped; the owner's lease of such an account expires by
 // itself.
-func (h *Holder) Due(now time.Duration, holder string, uses []Use, limit int) []Demand {
-	h.Drop(now, holder, uses)
-	due := make([]Use, 0, len(uses))
+func (h *Holder) DueDemands(now time.Duration, holder string, uses []Usage, limit int) []Demand {
+	h.DropIdle(now, holder, uses)
+	due := make([]Usage, 0, len(uses))
 	for _, u := range uses {
-		if h.RenewAt(u.Account) <= now || h.starved(now, u) {
+		if h.NextRenewal(u.Account) <= now || h.starved(now, u) {
 			due = append(due, u)
 		}
 	}
-	slices.SortFunc(due, func(a, b Use) int {
+	slices.SortFunc(due, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(h.expiry(a.Account), h.expiry(b.Account)), cmp.Compare(a.Account, b.Account))
 	})
 	due = due[:min(limit, len(due))]
@@ -63,12 +63,12 @@
 	return 0
 }
 
-func (u Use) demand(holder string, knownSerial uint64) Demand {
+func (u Usage) demand(holder string, knownSerial uint64) Demand {
 	total := u.Running + u.Waiting
 	spare := max(minSpareRequests, int(headroomFraction*float64(total)))
 	return Demand{
 		Account: u.Account, Holder: holder, Running: u.Running, Waiting: u.Waiting + spare,
-		TokensPerSecond: max(minTokensPerSecond, (1+headroomFraction)*u.TokensPerSecond), Known: knownSerial,
+		TokensPerSecond: max(minTokensPerSecond, (1+headroomFraction)*u.TokensPerSecond), KnownSerial: knownSerial,
 	}
 }
 
@@ -76,12 +76,12 @@
 // holder then sends the next demand earlier than the renewal is due, but not in
 // every step: otherwise an owner with nothing left to grant would receive
 // demands at the rate of requests.
-func (h *Holder) starved(now time.Duration, u Use) bool {
+func (h *Holder) starved(now time.Duration, u Usage) bool {
 	l := h.leases[u.Account]
 	if l == nil || u.Waiting == 0 {
 		return false
 	}
-	return u.Running >= h.Running(now, u.Account) && now-l.sentAt >= h.cfg.LeaseFor/retriesPerLease
+	return u.Running >= h.RunningLimit(now, u.Account) && now-l.sentAt >= h.cfg.LeaseDuration/retriesPerLease
 }
 
 // retriesPerLease is the number of demands per lease duration that a holder may
@@ -97,7 +97,7 @@
 		h.leases[account] = l
 	}
 	l.sentAt = now
-	l.retryAt = max(l.retryAt, now+h.cfg.LeaseFor/retriesPerLease)
+	l.retryAt = max(l.retryAt, now+h.cfg.LeaseDuration/retriesPerLease)
 }
 
 func (h *Holder) expiry(account string) time.Duration {
@@ -111,11 +111,11 @@
 // has expired, so that an account can't clear it by a short pause.
 const debtRetention = time.Minute
 
-// Drop removes the accounts without usage whose lease has expired, and returns
+// DropIdle removes the accounts without usage whose lease has expired, and returns
 // the releases to send to their owners. Without a release the owner would treat
 // the holder as silent and count for a minute what it could have had in
 // progress: a small limit would be used up by idle pools.
-func (h *Holder) Drop(now time.Duration, holder string, uses []Use) []Release {
+func (h *Holder) DropIdle(now time.Duration, holder string, uses []Usage) []Release {
 	used := make(map[string]bool, len(uses))
 	for _, u := range uses {
 		used[u.Account] = true
@@ -126,7 +126,7 @@
 			continue
 		}
 		if l.grant.Serial > 0 {
-			out = append(out, Release{Account: account, Holder: holder, Known: l.grant.Serial})
+			out = append(out, Release{Account: account, Holder: holder, KnownSerial: l.grant.Serial})
 		}
 		l.grant = Grant{}
 		if l.tokens >= 0 || now >= l.expires+debtRetention {
@@ -137,5 +137,5 @@
 	return out
 }
 
-// Expires returns when the account's lease expires; 0 without a lease.
-func (h *Holder) Expires(account string) time.Duration { return h.expiry(account) }
+// ExpiresAt returns when the account's lease expires; 0 without a lease.
+func (h *Holder) ExpiresAt(account string) time.Duration { return h.expiry(account) }
--- a/internal/decide/retrybudget/budget.go
+++ b/internal/decide/retrybudget/budget.go
@@ -30,20 +30,20 @@
 
 // Config holds the parameters of a budget. A zero field means its default.
 type Config struct {
-	// Share is the fraction of first attempts that may be retried. Default 0.1:
+	// RetryRatio is the fraction of first attempts that may be retried. Default 0.1:
 	// it covers the loss of one of ten targets at once, and adds at most a
 	// tenth to an overload.
-	Share float64
+	RetryRatio float64
 	// Burst is the capacity of an account's bucket, in tokens. Default 10.
 	Burst float64
 	// ServiceBurst is the capacity of a service's bucket, in tokens. Default
 	// ten times Burst.
 	ServiceBurst float64
-	// Trickle is the number of tokens that an account's bucket gains per second
+	// RefillPerSecond is the number of tokens that an account's bucket gains per second
 	// regardless of traffic; a service's bucket gains ten times as many.
 	// Default 0.2: an account that sends one request a minute can always retry
 	// it.
-	Trickle float64
+	RefillPerSecond float64
 	// MaxBuckets limits the number of buckets for accounts and services; full
 	// ones are evicted first. Default 4096, some 600 KB.
 	MaxBuckets int
@@ -57,15 +57,15 @@
 	// serviceBurstFactor is the ratio of a service's default burst and refill
 	// rate to those of an account.
 	serviceBurstFactor = 10
-	// NoTrickle, as the refill rate of a Config, disables the refill over time.
-	NoTrickle = -1
+	// NoRefill, as the refill rate of a Config, disables the refill over time.
+	NoRefill = -1
 )
 
 func (c Config) withDefaults() Config {
-	c.Share = cmp.Or(c.Share, defaultRetryRatio)
+	c.RetryRatio = cmp.Or(c.RetryRatio, defaultRetryRatio)
 	c.Burst = cmp.Or(c.Burst, defaultBurst)
 	c.ServiceBurst = cmp.Or(c.ServiceBurst, serviceBurstFactor*c.Burst)
-	c.Trickle = max(cmp.Or(c.Trickle, defaultRefillPerSecond), 0)
+	c.RefillPerSecond = max(cmp.Or(c.RefillPerSecond, defaultRefillPerSecond), 0)
 	c.MaxBuckets = cmp.Or(c.MaxBuckets, defaultMaxBuckets)
 	return c
 }
@@ -155,10 +155,10 @@
 	return &Budget{cfg: cfg.withDefaults(), buckets: map[Key]*Bucket{}, hosts: 1}
 }
 
-// ShareAmong sets the number of hosts that share the bursts, so that the
+// SetHostCount sets the number of hosts that share the bursts, so that the
 // retries of all hosts stay within one bound. Tokens above a bucket's new
 // capacity are discarded.
-func (b *Budget) ShareAmong(hosts int) {
+func (b *Budget) SetHostCount(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	hostCount := float64(max(hosts, 1))
@@ -171,15 +171,15 @@
 	b.hosts = hostCount
 }
 
-// First records a first attempt.
-func (b *Budget) First(now time.Duration, k Key) {
-	b.bucketFor(now, k).Deposit(b.cfg.Share)
-	b.serviceBucket(now, k).Deposit(b.cfg.Share)
+// RecordFirstAttempt records a first attempt.
+func (b *Budget) RecordFirstAttempt(now time.Duration, k Key) {
+	b.bucketFor(now, k).Deposit(b.cfg.RetryRatio)
+	b.serviceBucket(now, k).Deposit(b.cfg.RetryRatio)
 }
 
-// Retry reports whether a request may be retried, and takes the tokens if so.
+// AllowRetry reports whether a request may be retried, and takes the tokens if so.
 // If not, the caller gets the failure as the answer.
-func (b *Budget) Retry(now time.Duration, k Key) bool {
+func (b *Budget) AllowRetry(now time.Duration, k Key) bool {
 	accountBucket := b.bucketFor(now, k)
 	if !accountBucket.Take(now) {
 		return false
@@ -221,7 +221,7 @@
 	if len(b.buckets) >= b.cfg.MaxBuckets {
 		b.evict(now)
 	}
-	burst, refillPerSecond := b.cfg.Burst, b.cfg.Trickle
+	burst, refillPerSecond := b.cfg.Burst, b.cfg.RefillPerSecond
 	if k.Account == "" {
 		burst, refillPerSecond = b.cfg.ServiceBurst, refillPerSecond*serviceBurstFactor
 	}
--- a/internal/decide/retrybudget/budget_test.go
+++ b/internal/decide/retrybudget/budget_test.go
@@ -29,31 +29,31 @@
 		b := retrybudget.New(retrybudget.Config{})
 		retries := 0
 		for range 1000 {
-			b.First(0, clinic)
-			if b.Retry(0, clinic) {
+			b.RecordFirstAttempt(0, clinic)
+			if b.AllowRetry(0, clinic) {
 				retries++
 			}
 		}
 		Expect(retries).To(BeNumerically("~", 110, 1), "a tenth of the attempts and the burst")
-		Expect(b.Retry(0, radio)).To(BeTrue())
-		Expect(b.Retry(5*time.Second, clinic)).To(BeTrue(), "refilled over time")
-		Expect(b.Retry(5*time.Second, clinic)).To(BeFalse())
+		Expect(b.AllowRetry(0, radio)).To(BeTrue())
+		Expect(b.AllowRetry(5*time.Second, clinic)).To(BeTrue(), "refilled over time")
+		Expect(b.AllowRetry(5*time.Second, clinic)).To(BeFalse())
 	})
 
 	It("limits the retries of a service over all accounts, and the number of buckets", func() {
 		b := retrybudget.New(retrybudget.Config{MaxBuckets: 64})
 		retries := 0
 		for i := range 1000 {
-			if b.Retry(0, retrybudget.Key{Account: fmt.Sprint(i % 50), Service: "report"}) {
+			if b.AllowRetry(0, retrybudget.Key{Account: fmt.Sprint(i % 50), Service: "report"}) {
 				retries++
 			}
 		}
 		Expect(retries).To(Equal(100))
 		for range 9 { // refill of the service's bucket; tokens that the service's bucket refused went back to the account
-			Expect(b.Retry(5*time.Second, retrybudget.Key{Account: "0", Service: "report"})).To(BeTrue())
+			Expect(b.AllowRetry(5*time.Second, retrybudget.Key{Account: "0", Service: "report"})).To(BeTrue())
 		}
 		for i := range 1000 {
-			b.First(0, retrybudget.Key{Account: fmt.Sprint(i), Service: "report"})
+			b.RecordFirstAttempt(0, retrybudget.Key{Account: fmt.Sprint(i), Service: "report"})
 		}
 		Expect(b.BucketCount()).To(BeNumerically("<=", 64))
 	})
@@ -81,7 +81,7 @@
 			capacity = 70
 		}
 		for range 100 {
-			b.First(now, clinic)
+			b.RecordFirstAttempt(now, clinic)
 		}
 		attempts := [3]int{100, retriesAllowed[0], retriesAllowed[1]}
 		load := attempts[0] + attempts[1] + attempts[2]
@@ -89,7 +89,7 @@
 		retriesAllowed = [3]int{}
 		for n, count := range attempts {
 			for range count {
-				if rnd.Float64() >= served*served && n < 2 && (!budgeted || b.Retry(now, clinic)) {
+				if rnd.Float64() >= served*served && n < 2 && (!budgeted || b.AllowRetry(now, clinic)) {
 					retriesAllowed[n]++
 				}
 			}
@@ -106,8 +106,8 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			budget.First(0, clinic)
-			budget.Retry(0, clinic)
+			budget.RecordFirstAttempt(0, clinic)
+			budget.AllowRetry(0, clinic)
 		}
 	})
 }
--- a/internal/decide/rollout/document.go
+++ b/internal/decide/rollout/document.go
@@ -25,14 +25,14 @@
 
 // Results of comparing a delta with a document.
 const (
-	// VerdictKnown means that the document already has this version.
-	VerdictKnown Verdict = iota + 1
-	// VerdictOld means that the document has a newer version: the peer or the
+	// VerdictCurrent means that the document already has this version.
+	VerdictCurrent Verdict = iota + 1
+	// VerdictStale means that the document has a newer version: the peer or the
 	// service is behind.
-	VerdictOld
-	// VerdictTake means that the delta leads to a newer version and can be
+	VerdictStale
+	// VerdictApply means that the delta leads to a newer version and can be
 	// committed.
-	VerdictTake
+	VerdictApply
 	// VerdictGap means that the delta starts after the document's version or
 	// that its digest does not match; the whole document must be fetched.
 	VerdictGap
@@ -80,15 +80,15 @@
 	return rows
 }
 
-// Judge compares a delta with the document. If the delta can be committed, it
+// Evaluate compares a delta with the document. If the delta can be committed, it
 // also returns the changed rows, for validation. It does not modify the
 // document.
-func (d *Document) Judge(delta Delta) (Verdict, []Row) {
+func (d *Document) Evaluate(delta Delta) (Verdict, []Row) {
 	switch c := delta.Version.Compare(d.head.Version); {
 	case c < 0:
-		return VerdictOld, nil
+		return VerdictStale, nil
 	case c == 0 && delta.Digest == d.head.Digest:
-		return VerdictKnown, nil
+		return VerdictCurrent, nil
 	case c == 0 && delta.Digest < d.head.Digest:
 		// Nothing shows which of two contents of one version is newer, so all
 		// nodes converge on the one with the larger digest.
@@ -106,7 +106,7 @@
 	if digest != delta.Digest {
 		return VerdictGap, nil
 	}
-	return VerdictTake, changes
+	return VerdictApply, changes
 }
 
 // changedRows returns the rows of a delta that differ from those in force,
@@ -170,12 +170,12 @@
 	d.log = slices.Delete(d.log, 0, removeCount)
 }
 
-// Since returns the delta for a peer at the given version: the whole document
+// DeltaSince returns the delta for a peer at the given version: the whole document
 // if the log does not reach back that far, or if the changes would have more
 // rows than the document.
-func (d *Document) Since(from Version) Delta {
+func (d *Document) DeltaSince(from Version) Delta {
 	if from == (Version{}) || d.logFrom.After(from) {
-		return d.All()
+		return d.FullDelta()
 	}
 	start, _ := slices.BinarySearchFunc(d.log, from, func(e logEntry, v Version) int {
 		if e.version.After(v) {
@@ -192,13 +192,13 @@
 		}
 	}
 	if len(delta.Rows) > len(d.rows) {
-		return d.All()
+		return d.FullDelta()
 	}
 	return delta
 }
 
-// All returns the whole document as a delta.
-func (d *Document) All() Delta { return Delta{Head: d.head, Full: true, Rows: d.Rows()} }
+// FullDelta returns the whole document as a delta.
+func (d *Document) FullDelta() Delta { return Delta{Head: d.head, Full: true, Rows: d.Rows()} }
 
 // Refuse records that a version failed validation and reports whether this was
 // new. Only the newest refusal is kept. A version that is in force or older
--- a/internal/decide/rollout/join.go
+++ b/internal/decide/rollout/join.go
@@ -18,32 +18,32 @@
 	joinTimeout = 30 * time.Second
 )
 
-// Join decides when a new process is ready to serve. Without it, a host that is
+// Readiness decides when a new process is ready to serve. Without it, a host that is
 // replaced while the configuration service is stale or restored would serve
 // from a table older than the one in force, and edits would revert on that
 // host.
-type Join struct {
+type Readiness struct {
 	startedAt   time.Duration
 	syncedPeers map[string]bool
 	serviceRead bool
 	ready       bool
 }
 
-// NewJoin returns the state of a process that started at now.
-func NewJoin(now time.Duration) *Join {
-	return &Join{startedAt: now, syncedPeers: map[string]bool{}}
+// NewReadiness returns the state of a process that started at now.
+func NewReadiness(now time.Duration) *Readiness {
+	return &Readiness{startedAt: now, syncedPeers: map[string]bool{}}
 }
 
-// Peer records that everything a peer holds was fetched and applied.
-func (j *Join) Peer(address string) {
+// RecordPeer records that everything a peer holds was fetched and applied.
+func (j *Readiness) RecordPeer(address string) {
 	if len(j.syncedPeers) < minJoinPeers {
 		j.syncedPeers[address] = true
 	}
 }
 
-// Unasked returns those of the given peers that have not been recorded yet, or
+// RemainingPeers returns those of the given peers that have not been recorded yet, or
 // none once enough have been.
-func (j *Join) Unasked(peers []string) []string {
+func (j *Readiness) RemainingPeers(peers []string) []string {
 	if j.Confirmed() {
 		return nil
 	}
@@ -56,8 +56,8 @@
 	return out
 }
 
-// Service records that the documents were read from the configuration service.
-func (j *Join) Service() { j.serviceRead = true }
+// RecordService records that the documents were read from the configuration service.
+func (j *Readiness) RecordService() { j.serviceRead = true }
 
 // Ready reports whether the process may serve. peers is the number of other
 // processes, hasTable whether a table is in force in this process, and behind
@@ -67,7 +67,7 @@
 // The grace period does not apply while the process is behind: the transfer of
 // a table of 11,000 rows to a busy host takes longer than that, and the host
 // would meanwhile serve from the old one.
-func (j *Join) Ready(now time.Duration, peers int, hasTable, behind bool) bool {
+func (j *Readiness) Ready(now time.Duration, peers int, hasTable, behind bool) bool {
 	if j.ready {
 		return true
 	}
@@ -85,4 +85,4 @@
 
 // Confirmed reports whether enough peers were read, for display to operators: a
 // process that became ready by waiting knows only what the service returns.
-func (j *Join) Confirmed() bool { return len(j.syncedPeers) >= minJoinPeers }
+func (j *Readiness) Confirmed() bool { return len(j.syncedPeers) >= minJoinPeers }
--- a/internal/decide/rollout/restore.go
+++ b/internal/decide/rollout/restore.go
@@ -20,9 +20,9 @@
 // edits a day it covers five hours of edits before the restore.
 const maxHistoryRevisions = 4096
 
-// History records the content of each revision of the service, with the lineage
+// RevisionHistory records the content of each revision of the service, with the lineage
 // that was current at the time.
-type History struct {
+type RevisionHistory struct {
 	byRevision map[uint64][]revisionContent
 	revisions  []uint64
 }
@@ -33,11 +33,13 @@
 	lineage uint64
 }
 
-// NewHistory returns an empty history.
-func NewHistory() *History { return &History{byRevision: map[uint64][]revisionContent{}} }
+// NewRevisionHistory returns an empty history.
+func NewRevisionHistory() *RevisionHistory {
+	return &RevisionHistory{byRevision: map[uint64][]revisionContent{}}
+}
 
 // Record records the content of a document at a version.
-func (h *History) Record(section string, head Head) {
+func (h *RevisionHistory) Record(section string, head Head) {
 	recorded := revisionContent{section, head.Digest, head.Version.Epoch}
 	contents := h.byRevision[head.Version.Revision]
 	for _, content := range contents {
@@ -58,7 +60,7 @@
 // Lineage returns the newest epoch in which this content was seen at the head's
 // revision, which distinguishes a replica of an abandoned lineage from one of
 // the current lineage. It returns false if the content was never seen.
-func (h *History) Lineage(section string, head Head) (uint64, bool) {
+func (h *RevisionHistory) Lineage(section string, head Head) (uint64, bool) {
 	lineage, found := uint64(0), false
 	for _, content := range h.byRevision[head.Version.Revision] {
 		if content.section == section && content.digest == head.Digest {
@@ -68,9 +70,9 @@
 	return lineage, found
 }
 
-// Foreign reports whether the head's revision is known in its lineage but only
+// ProvesRestore reports whether the head's revision is known in its lineage but only
 // with other content, which proves that the service was restored.
-func (h *History) Foreign(section string, head Head) bool {
+func (h *RevisionHistory) ProvesRestore(section string, head Head) bool {
 	differs := false
 	for _, content := range h.byRevision[head.Version.Revision] {
 		if content.lineage != head.Version.Epoch {
@@ -84,8 +86,8 @@
 	return differs
 }
 
-// Kept is a row with an edit that a restore lost.
-type Kept struct {
+// PreservedRow is a row with an edit that a restore lost.
+type PreservedRow struct {
 	// Baseline is the row's text in the restored service.
 	Baseline string
 	// Text is the row's text that was in force.
@@ -93,14 +95,14 @@
 }
 
 // Overlay holds the preserved rows of one document by key.
-type Overlay map[string]Kept
+type Overlay map[string]PreservedRow
 
-// Lost returns the rows in force that differ from those of the restored
+// LostEdits returns the rows in force that differ from those of the restored
 // service.
-func Lost(inForce, restored []Row) Overlay {
+func LostEdits(inForce, restored []Row) Overlay {
 	out := Overlay{}
 	for _, r := range inForce {
-		out[r.Key] = Kept{Text: r.Text}
+		out[r.Key] = PreservedRow{Text: r.Text}
 	}
 	for _, r := range restored {
 		preserved := out[r.Key]
@@ -114,12 +116,12 @@
 	return out
 }
 
-// Resolve applies the overlay to the service's rows and returns the resulting
+// Apply applies the overlay to the service's rows and returns the resulting
 // rows and the remaining overlay. A row whose text in the service differs from
 // its baseline has been edited since the restore: the edit takes precedence,
 // and the row is removed from the overlay for good, even if it is changed back
 // later.
-func (o Overlay) Resolve(service []Row) ([]Row, Overlay) {
+func (o Overlay) Apply(service []Row) ([]Row, Overlay) {
 	remaining := Overlay{}
 	rows := make([]Row, 0, len(service))
 	listed := make(map[string]bool, len(service))
@@ -146,9 +148,9 @@
 // do not contain this character.
 const overlaySeparator = "\x00"
 
-// OverlayRows encodes the overlays of several documents as the rows of one
+// EncodeOverlays encodes the overlays of several documents as the rows of one
 // document, so that gossip distributes them like any other document.
-func OverlayRows(overlays map[string]Overlay) []Row {
+func EncodeOverlays(overlays map[string]Overlay) []Row {
 	var rows []Row
 	for section, o := range overlays {
 		for key, preserved := range o {
@@ -158,9 +160,9 @@
 	return rows
 }
 
-// OverlaysOf decodes overlays from the rows of a document. Rows in another
+// DecodeOverlays decodes overlays from the rows of a document. Rows in another
 // format are skipped.
-func OverlaysOf(rows []Row) map[string]Overlay {
+func DecodeOverlays(rows []Row) map[string]Overlay {
 	out := map[string]Overlay{}
 	for _, r := range rows {
 		section, key, keyOK := strings.Cut(r.Key, overlaySeparator)
@@ -171,7 +173,7 @@
 		if out[section] == nil {
 			out[section] = Overlay{}
 		}
-		out[section][key] = Kept{baseline, text}
+		out[section][key] = PreservedRow{baseline, text}
 	}
 	return out
 }
--- a/internal/decide/rollout/restore_test.go
+++ b/internal/decide/rollout/restore_test.go
@@ -11,7 +11,7 @@
 	headAt := func(epoch, revision, digest uint64) rollout.Head {
 		return rollout.Head{Version: version(epoch, revision), Digest: digest}
 	}
-	h := rollout.NewHistory()
+	h := rollout.NewRevisionHistory()
 	h.Record("table", headAt(0, 10, 1))
 	h.Record("hosts", headAt(0, 11, 2))
 	h.Record("table", headAt(1, 11, 3))
@@ -20,7 +20,7 @@
 	// a restored service returns other content under a known revision.
 	DescribeTable("detects a restore only by other content under a known revision",
 		func(section string, head rollout.Head, restored bool) {
-			Expect(h.Foreign(section, head)).To(Equal(restored))
+			Expect(h.ProvesRestore(section, head)).To(Equal(restored))
 		},
 		Entry("the recorded content", "table", headAt(0, 10, 1), false),
 		Entry("other content", "table", headAt(0, 10, 9), true),
@@ -37,23 +37,23 @@
 	})
 
 	It("removes the oldest revisions", func() {
-		history := rollout.NewHistory()
+		history := rollout.NewRevisionHistory()
 		for i := range uint64(5000) {
 			history.Record("table", headAt(0, i, i+1))
 		}
-		Expect(history.Foreign("table", headAt(0, 1, 9))).To(BeFalse())
-		Expect(history.Foreign("table", headAt(0, 4999, 9))).To(BeTrue())
+		Expect(history.ProvesRestore("table", headAt(0, 1, 9))).To(BeFalse())
+		Expect(history.ProvesRestore("table", headAt(0, 4999, 9))).To(BeTrue())
 	})
 })
 
 var _ = Describe("an overlay of lost rows", func() {
 	inForce := []rollout.Row{{Key: "a", Text: "new"}, {Key: "b", Text: "same"}, {Key: "added", Text: "x"}}
 	restored := []rollout.Row{{Key: "a", Text: "old"}, {Key: "b", Text: "same"}, {Key: "removed", Text: "y"}}
-	lost := rollout.Lost(inForce, restored)
+	lost := rollout.LostEdits(inForce, restored)
 
 	DescribeTable("keeps lost rows in force until they change in the service",
 		func(service, want []rollout.Row, keptCount int) {
-			rows, overlay := lost.Resolve(service)
+			rows, overlay := lost.Apply(service)
 			Expect(rows).To(ConsistOf(want))
 			Expect(overlay).To(HaveLen(keptCount))
 		},
@@ -68,8 +68,8 @@
 	)
 
 	It("encodes to rows and back", func() {
-		decoded := rollout.OverlaysOf(rollout.OverlayRows(map[string]rollout.Overlay{"table": lost}))
+		decoded := rollout.DecodeOverlays(rollout.EncodeOverlays(map[string]rollout.Overlay{"table": lost}))
 		Expect(decoded).To(Equal(map[string]rollout.Overlay{"table": lost}))
-		Expect(rollout.OverlaysOf([]rollout.Row{{Key: "x", Text: "y"}})).To(BeEmpty())
+		Expect(rollout.DecodeOverlays([]rollout.Row{{Key: "x", Text: "y"}})).To(BeEmpty())
 	})
 })
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -30,13 +30,13 @@
 	for k, t := range content {
 		d.Rows = append(d.Rows, rollout.Row{Key: k, Text: t})
 	}
-	d.Head = rollout.Head{Version: v, Digest: rollout.DigestOf(d.Rows)}
+	d.Head = rollout.Head{Version: v, Digest: rollout.ComputeDigest(d.Rows)}
 	return d
 }
 
 func apply(d *rollout.Document, delta rollout.Delta) rollout.Verdict {
-	verdict, changes := d.Judge(delta)
-	if verdict == rollout.VerdictTake {
+	verdict, changes := d.Evaluate(delta)
+	if verdict == rollout.VerdictApply {
 		d.Commit(delta, changes)
 	}
 	return verdict
@@ -54,15 +54,15 @@
 	var d *rollout.Document
 	BeforeEach(func() {
 		d = rollout.NewDocument()
-		Expect(apply(d, fullDelta(version(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictTake))
+		Expect(apply(d, fullDelta(version(0, 10), rows{"a": "1", "b": "1"}))).To(Equal(rollout.VerdictApply))
 	})
 
 	// The service is restored from a backup. An operator had cut the limit of a
 	// runaway account to a tenth. If the old row were applied, that account
 	// would overload the service again and an accepted edit would be undone.
 	It("never reverts to an older revision, whatever its source", func() {
-		Expect(apply(d, fullDelta(version(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictOld))
-		Expect(apply(d, rollout.Delta{From: version(0, 8), Head: rollout.Head{Version: version(0, 9)}})).To(Equal(rollout.VerdictOld))
+		Expect(apply(d, fullDelta(version(0, 9), rows{"a": "0"}))).To(Equal(rollout.VerdictStale))
+		Expect(apply(d, rollout.Delta{From: version(0, 8), Head: rollout.Head{Version: version(0, 9)}})).To(Equal(rollout.VerdictStale))
 		Expect(contentOf(d)).To(Equal(rows{"a": "1", "b": "1"}))
 	})
 
@@ -70,18 +70,18 @@
 	// edits would be ignored until it has caught up. The operators raise the
 	// epoch.
 	It("applies an edit of a higher epoch despite its lower revision", func() {
-		Expect(apply(d, fullDelta(version(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictTake))
+		Expect(apply(d, fullDelta(version(1, 3), rows{"a": "2"}))).To(Equal(rollout.VerdictApply))
 		Expect(contentOf(d)).To(Equal(rows{"a": "2"}))
-		Expect(apply(d, fullDelta(version(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictOld))
+		Expect(apply(d, fullDelta(version(0, 99), rows{"a": "1"}))).To(Equal(rollout.VerdictStale))
 	})
 
 	DescribeTable("compares deltas", func(delta rollout.Delta, want rollout.Verdict) {
 		before := contentOf(d)
-		verdict, _ := d.Judge(delta)
+		verdict, _ := d.Evaluate(delta)
 		Expect(verdict).To(Equal(want))
 		Expect(contentOf(d)).To(Equal(before))
 	},
-		Entry("the version in force", fullDelta(version(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictKnown),
+		Entry("the version in force", fullDelta(version(0, 10), rows{"a": "1", "b": "1"}), rollout.VerdictCurrent),
 		Entry("a delta that starts later", rollout.Delta{From: version(0, 11), Head: rollout.Head{Version: version(0, 12)}}, rollout.VerdictGap),
 		Entry("a delta whose digest does not match", rollout.Delta{From: version(0, 10), Head: rollout.Head{Version: version(0, 12), Digest: 1},
 			Rows: []rollout.Row{{Key: "a", Text: "2"}}}, rollout.VerdictGap),
@@ -106,11 +106,11 @@
 		for i := range uint64(5) {
 			apply(d, fullDelta(version(0, 11+i), rows{"a": fmt.Sprint(i), "b": "1"}))
 		}
-		delta := d.Since(version(0, 12))
+		delta := d.DeltaSince(version(0, 12))
 		Expect(delta.Full).To(BeFalse())
 		Expect(delta.Rows).To(Equal([]rollout.Row{{Key: "a", Text: "4"}}))
-		Expect(d.Since(version(0, 3)).Full).To(BeTrue())
-		Expect(d.Since(rollout.Version{}).Full).To(BeTrue())
+		Expect(d.DeltaSince(version(0, 3)).Full).To(BeTrue())
+		Expect(d.DeltaSince(rollout.Version{}).Full).To(BeTrue())
 	})
 
 	It("refuses a version until a newer one is in force", func() {
@@ -119,7 +119,7 @@
 		Expect(d.Refuse(rollout.Refusal{Version: version(0, 11), Reason: "weight"})).To(BeFalse(), "already known")
 		Expect(d.Refuse(rollout.Refusal{Version: version(0, 10)})).To(BeFalse(), "the version in force can't be refused")
 		Expect(apply(d, bad)).To(Equal(rollout.VerdictRefused))
-		Expect(apply(d, fullDelta(version(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictTake))
+		Expect(apply(d, fullDelta(version(0, 12), rows{"a": "good"}))).To(Equal(rollout.VerdictApply))
 		Expect(d.Refused()).To(BeZero())
 	})
 })
@@ -171,7 +171,7 @@
 			if rng.IntN(5) == 0 {
 				from = version(0, uint64(rng.IntN(len(s.history)+1)))
 			}
-			deliver(n, peer.Since(from))
+			deliver(n, peer.DeltaSince(from))
 		}
 		check(s)
 	}
@@ -233,12 +233,12 @@
 
 var _ = DescribeTable("a starting process is ready",
 	func(ready bool, now time.Duration, peers, peersRead int, serviceRead, hasTable, behind bool) {
-		join := rollout.NewJoin(0)
+		join := rollout.NewReadiness(0)
 		for i := range peersRead {
-			join.Peer(fmt.Sprint(i))
+			join.RecordPeer(fmt.Sprint(i))
 		}
 		if serviceRead {
-			join.Service()
+			join.RecordService()
 		}
 		Expect(join.Ready(now, peers, hasTable, behind)).To(Equal(ready))
 	},
--- a/internal/decide/rollout/version.go
+++ b/internal/decide/rollout/version.go
@@ -28,23 +28,25 @@
 // recognised restores.
 const restoreBits = 16
 
-// EpochOf combines the operators' epoch, in the high bits, and the number of
+// CombineEpoch combines the operators' epoch, in the high bits, and the number of
 // recognised restores.
-func EpochOf(operatorEpoch, restores uint64) uint64 { return operatorEpoch<<restoreBits | restores }
+func CombineEpoch(operatorEpoch, restores uint64) uint64 {
+	return operatorEpoch<<restoreBits | restores
+}
 
-// Operators returns the operators' part of the epoch.
-func (v Version) Operators() uint64 { return v.Epoch >> restoreBits }
+// OperatorEpoch returns the operators' part of the epoch.
+func (v Version) OperatorEpoch() uint64 { return v.Epoch >> restoreBits }
 
-// Restores returns the number of restores that were recognised in this epoch.
-func (v Version) Restores() uint64 { return v.Epoch & (1<<restoreBits - 1) }
+// RestoreCount returns the number of restores that were recognised in this epoch.
+func (v Version) RestoreCount() uint64 { return v.Epoch & (1<<restoreBits - 1) }
 
 // String returns the version as epoch.revision, or as epoch+restores.revision
 // if restores were recognised.
 func (v Version) String() string {
-	if v.Restores() > 0 {
-		return fmt.Sprintf("%d+%d.%d", v.Operators(), v.Restores(), v.Revision)
+	if v.RestoreCount() > 0 {
+		return fmt.Sprintf("%d+%d.%d", v.OperatorEpoch(), v.RestoreCount(), v.Revision)
 	}
-	return fmt.Sprintf("%d.%d", v.Operators(), v.Revision)
+	return fmt.Sprintf("%d.%d", v.OperatorEpoch(), v.Revision)
 }
 
 // Head is what two nodes compare to find out whether their documents are equal.
@@ -75,8 +77,8 @@
 	return d.Sum64()
 }
 
-// DigestOf returns the digest of a whole document.
-func DigestOf(rows []Row) uint64 {
+// ComputeDigest returns the digest of a whole document.
+func ComputeDigest(rows []Row) uint64 {
 	var sum uint64
 	for _, r := range rows {
 		sum += r.hash()
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -18,7 +18,7 @@
 }
 
 func (d *demo) url(host int, path string) string {
-	return "http://" + d.fleet.Hosts[host].Callers + path
+	return "http://" + d.fleet.Hosts[host].ClientAddress + path
 }
 
 func (d *demo) report(ctx context.Context) error {
--- a/internal/demo/changes.go
+++ b/internal/demo/changes.go
@@ -16,7 +16,7 @@
 
 func (d *demo) edit(ctx context.Context) error {
 	begun := time.Now()
-	if err := d.fleet.Put("table/0001", tableText(3)); err != nil {
+	if err := d.fleet.PutValue("table/0001", tableText(3)); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
@@ -39,7 +39,7 @@
 func (d *demo) waitState(ctx context.Context, h *fleet.Host, begun time.Time, ok func(entryState) bool) (time.Duration, error) {
 	for time.Since(begun) < inForceLimit && ctx.Err() == nil {
 		var s entryState
-		if err := d.fleet.GetJSON("http://"+h.EntryAdmin+"/state", &s); err == nil && ok(s) {
+		if err := d.fleet.GetJSON("http://"+h.EntryAdminAddress+"/state", &s); err == nil && ok(s) {
 			return time.Since(begun), nil
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -81,7 +81,7 @@
 
 func (d *demo) takeOut(ctx context.Context) error {
 	begun := time.Now()
-	if err := d.fleet.Put("drain", "south\n"); err != nil {
+	if err := d.fleet.PutValue("drain", "south\n"); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
@@ -139,7 +139,7 @@
 
 func (d *demo) bringBack(ctx context.Context) error {
 	begun := time.Now()
-	if err := d.fleet.Put("drain", ""); err != nil {
+	if err := d.fleet.PutValue("drain", ""); err != nil {
 		return err
 	}
 	for _, h := range d.fleet.Hosts {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -34,8 +34,8 @@
 	header := "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n"
 	account := "account,%s,%d,,,,%s,,,,,,\n"
 	return header +
-		fmt.Sprintf(account, village, weight, fleet.Digest(villageKey)) +
-		fmt.Sprintf(account, clinic, 1, fleet.Digest(clinicKey)) +
+		fmt.Sprintf(account, village, weight, fleet.KeyDigest(villageKey)) +
+		fmt.Sprintf(account, clinic, 1, fleet.KeyDigest(clinicKey)) +
 		"service,reports,,,,,,,generation,stream,20000,30000,200\n" +
 		"service,summaries,,,,,,,generation,whole,4000,30000,200\n" +
 		"service,sites,,,,,,,lookup,,,5000,500\n" +
--- a/internal/directory/types.go
+++ b/internal/directory/types.go
@@ -16,15 +16,15 @@
 
 // The kinds of requests.
 const (
-	// Once requests run at most once for each attempt of a client.
-	Once RequestKind = iota + 1
+	// AtMostOnce requests run at most once for each attempt of a client.
+	AtMostOnce RequestKind = iota + 1
 	// Repeatable requests may run more than once.
 	Repeatable
 	// Generation requests are answered by a stream of events from one run.
 	Generation
 )
 
-var kindNames = map[RequestKind]string{Once: "once", Repeatable: "repeatable", Generation: "generation"}
+var kindNames = map[RequestKind]string{AtMostOnce: "once", Repeatable: "repeatable", Generation: "generation"}
 
 // String names the kind for logs.
 func (k RequestKind) String() string { return kindNames[k] }
@@ -44,12 +44,12 @@
 	Kind   RequestKind `json:"kind"`
 	// Timeout is the longest that a client is kept waiting for the end.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the time to the answer, of generations to the first event.
-	Objective time.Duration `json:"objective"`
+	// LatencyObjective is the time to the answer, of generations to the first event.
+	LatencyObjective time.Duration `json:"objective"`
 	// PauseObjective is the longest pause between two events.
 	PauseObjective time.Duration `json:"pause_objective"`
-	// Attempts bounds the targets that one request is sent to.
-	Attempts int `json:"attempts"`
+	// MaxAttempts bounds the targets that one request is sent to.
+	MaxAttempts int `json:"attempts"`
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int       `json:"priority"`
 	Backends []Backend `json:"backends"`
@@ -63,21 +63,21 @@
 type Engine struct {
 	Slots        int `json:"slots"`
 	MemoryTokens int `json:"memory_tokens"`
-	// Moves says that engines copy running generations to each other, Backups
+	// CanMigrate says that engines copy running generations to each other, Backups
 	// that they keep copies of each other's as these grow.
-	Moves   bool `json:"moves"`
-	Backups bool `json:"backups"`
+	CanMigrate   bool `json:"moves"`
+	KeepsBackups bool `json:"backups"`
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int `json:"tokens_per_event"`
 	// BytesPerToken and LinkMbps give the time that a copy takes.
 	BytesPerToken float64 `json:"bytes_per_token"`
 	LinkMbps      float64 `json:"link_mbps"`
-	// CopyKept is how long an engine keeps a copy that nothing is added to;
+	// CopyTTL is how long an engine keeps a copy that nothing is added to;
 	// 0 when unknown.
-	CopyKept time.Duration `json:"copy_kept"`
-	// HoldLimit is the longest time for which an engine keeps memory and a place
+	CopyTTL time.Duration `json:"copy_kept"`
+	// MaxReservationTime is the longest time for which an engine keeps memory and a place
 	// for a request that is to come; 0 when engines don't.
-	HoldLimit time.Duration `json:"hold_limit"`
+	MaxReservationTime time.Duration `json:"hold_limit"`
 }
 
 // Service is a kind of target.
@@ -86,9 +86,9 @@
 	HealthPath string `json:"health_path"`
 	// MaxConnections is what a target takes from all hosts together.
 	MaxConnections int `json:"max_connections"`
-	// ColdRate is the requests a second that a cold target bears; 0 when
+	// ColdRequestsPerSecond is the requests a second that a cold target bears; 0 when
 	// targets of the service don't start cold.
-	ColdRate float64 `json:"cold_rate"`
+	ColdRequestsPerSecond float64 `json:"cold_rate"`
 	// Engine is nil for plain services.
 	Engine *Engine `json:"engine,omitempty"`
 }
@@ -129,11 +129,11 @@
 	Slots      int    `json:"slots"`
 	// Leaving targets get no new work.
 	Leaving bool `json:"leaving"`
-	// ColdFor is how much longer the target was cold when it said so.
-	ColdFor time.Duration `json:"cold_for"`
-	// Started is when the target started, in Unix milliseconds. A target may
+	// WarmUpRemaining is how much longer the target was cold when it said so.
+	WarmUpRemaining time.Duration `json:"cold_for"`
+	// StartedUnixMilli is when the target started, in Unix milliseconds. A target may
 	// start again under the same id.
-	Started int64 `json:"started"`
+	StartedUnixMilli int64 `json:"started"`
 }
 
 // Record is one published item. Exactly one of the typed fields is set, or
@@ -142,13 +142,13 @@
 	Key string `json:"key"`
 	// Revision is the store's at the record's last change; it only rises.
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
-	// Fault says why the item can't be read; what held before holds on for a
+	Deleted  bool   `json:"gone,omitempty"`
+	// ReadError says why the item can't be read; what held before holds on for a
 	// configuration, and a target without a readable item is not used.
-	Fault      string  `json:"fault,omitempty"`
-	Config     *Config `json:"config,omitempty"`
-	Target     *Target `json:"target,omitempty"`
-	DrainedOut string  `json:"drained,omitempty"`
+	ReadError         string  `json:"fault,omitempty"`
+	Config            *Config `json:"config,omitempty"`
+	Target            *Target `json:"target,omitempty"`
+	DrainedDataCentre string  `json:"drained,omitempty"`
 }
 
 // ConfigKey is the key of the configuration's record.
@@ -159,6 +159,6 @@
 // TargetKey is the key of a target's record.
 func TargetKey(id string) string { return targetPrefix + id }
 
-// TargetOf gives the id of the target whose record has a key; of another
+// TargetID gives the id of the target whose record has a key; of another
 // record, its key.
-func TargetOf(key string) string { return strings.TrimPrefix(key, targetPrefix) }
+func TargetID(key string) string { return strings.TrimPrefix(key, targetPrefix) }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -13,21 +13,21 @@
 	// Config is nil until a configuration is known.
 	Config  *Config
 	index   *Index
-	targets map[string]*Seen
-	pools   map[string][]*Seen
+	targets map[string]*ObservedTarget
+	pools   map[string][]*ObservedTarget
 	drained map[string]bool
 }
 
-// Seen is a target with the moment at which this process first saw it in its
+// ObservedTarget is a target with the moment at which this process first saw it in its
 // present life, on the process's steady clock.
-type Seen struct {
+type ObservedTarget struct {
 	Target
-	Since time.Duration
-	// ColdUntil is when the target says it is warm, on the steady clock.
-	ColdUntil time.Duration
-	// Listed is false once the target's item is gone; it is kept for those
+	FirstSeen time.Duration
+	// WarmAt is when the target says it is warm, on the steady clock.
+	WarmAt time.Duration
+	// Published is false once the target's item is gone; it is kept for those
 	// requests that still run there.
-	Listed bool
+	Published bool
 }
 
 // Index finds the parts of one configuration. Targets come and go many times
@@ -67,15 +67,15 @@
 
 // NewView builds a view of a configuration, nil for none. Targets are keyed by
 // id.
-func NewView(revision uint64, cfg *Config, targets map[string]*Seen, drained []string) *View {
-	return NewIndexedView(revision, NewIndex(cfg), targets, drained)
+func NewView(revision uint64, cfg *Config, targets map[string]*ObservedTarget, drained []string) *View {
+	return NewViewFromIndex(revision, NewIndex(cfg), targets, drained)
 }
 
-// NewIndexedView builds a view of a configuration that was indexed before.
-func NewIndexedView(revision uint64, index *Index, targets map[string]*Seen, drained []string) *View {
+// NewViewFromIndex builds a view of a configuration that was indexed before.
+func NewViewFromIndex(revision uint64, index *Index, targets map[string]*ObservedTarget, drained []string) *View {
 	v := &View{
 		Revision: revision, Config: index.config, index: index, targets: targets,
-		pools: map[string][]*Seen{}, drained: map[string]bool{},
+		pools: map[string][]*ObservedTarget{}, drained: map[string]bool{},
 	}
 	for _, dc := range drained {
 		v.drained[dc] = true
@@ -84,7 +84,7 @@
 		v.pools[t.Service] = append(v.pools[t.Service], t)
 	}
 	for _, pool := range v.pools {
-		slices.SortFunc(pool, func(a, b *Seen) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(pool, func(a, b *ObservedTarget) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return v
 }
@@ -115,25 +115,25 @@
 }
 
 // Target gives a target by id.
-func (v *View) Target(id string) (*Seen, bool) {
+func (v *View) Target(id string) (*ObservedTarget, bool) {
 	t, ok := v.targets[id]
 	return t, ok
 }
 
-// Pool gives a service's targets, leaving and drained ones included, in the
+// ServiceTargets gives a service's targets, leaving and drained ones included, in the
 // order of their ids. The caller must not change it.
-func (v *View) Pool(service string) []*Seen { return v.pools[service] }
+func (v *View) ServiceTargets(service string) []*ObservedTarget { return v.pools[service] }
 
-// Drained tells whether operators have taken a data centre out.
-func (v *View) Drained(dataCentre string) bool { return v.drained[dataCentre] }
+// IsDrained tells whether operators have taken a data centre out.
+func (v *View) IsDrained(dataCentre string) bool { return v.drained[dataCentre] }
 
-// TakesNew tells whether a target may get new work as far as is published.
-func (v *View) TakesNew(t *Seen) bool {
-	return t.Listed && !t.Leaving && !v.drained[t.DataCentre]
+// AcceptsNewRequests tells whether a target may get new work as far as is published.
+func (v *View) AcceptsNewRequests(t *ObservedTarget) bool {
+	return t.Published && !t.Leaving && !v.drained[t.DataCentre]
 }
 
-// Pick chooses one of a route's backends by weight; draw is in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses one of a route's backends by weight; draw is in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/internal/entry/admit/client.go
+++ b/internal/entry/admit/client.go
@@ -88,7 +88,7 @@
 // decision. A refusal is returned as an error with executed "no". When a control
 // process is lost, the ask goes to the owner with the next rank.
 func (c *Client) Acquire(ctx context.Context, ask *filbertv1.Ask) (*Lease, error) {
-	var lastErr error = failure.New(failure.KindControlLost, "no control process is known for pool %s", ask.Pool).After(controlLostRetryAfter)
+	var lastErr error = failure.New(failure.KindControlLost, "no control process is known for pool %s", ask.Pool).WithRetryAfter(controlLostRetryAfter)
 	for _, control := range c.reachableOwners(ask.Pool) {
 		lease, err := c.acquireFrom(ctx, control, ask)
 		if err == nil {
@@ -100,7 +100,7 @@
 		}
 		c.markUnreachable(control)
 	}
-	return nil, failure.From(lastErr).After(controlLostRetryAfter)
+	return nil, failure.FromError(lastErr).WithRetryAfter(controlLostRetryAfter)
 }
 
 // reachableOwners returns the pool's owners without those that failed within
@@ -207,7 +207,7 @@
 	if !ok {
 		kind = failure.KindOverloaded
 	}
-	return failure.New(kind, "admission was refused").After(time.Duration(r.RetryAfterMs) * time.Millisecond)
+	return failure.New(kind, "admission was refused").WithRetryAfter(time.Duration(r.RetryAfterMs) * time.Millisecond)
 }
 
 // pendingDial is a connection that is being opened; session and err are valid
--- a/internal/entry/admit/client_test.go
+++ b/internal/entry/admit/client_test.go
@@ -52,6 +52,6 @@
 		var err error
 		Eventually(acquireErr).WithTimeout(20 * time.Second).Should(Receive(&err))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindControlLost))
-		Expect(failure.From(err).Executed).To(Equal(failure.ExecutedNo))
+		Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedNo))
 	})
 })
--- a/internal/entry/admit/lease.go
+++ b/internal/entry/admit/lease.go
@@ -46,8 +46,8 @@
 	return failure.New(failure.KindLeaseLost, "the lease expired before the request was sent")
 }
 
-// Produced sets the number of tokens produced so far.
-func (l *Lease) Produced(n int) { l.produced.Store(uint32(n)) }
+// SetProduced sets the number of tokens produced so far.
+func (l *Lease) SetProduced(n int) { l.produced.Store(uint32(n)) }
 
 // Settle ends the lease and reports the outcome; calls after the first have no
 // effect.
--- a/internal/entry/callers/api.go
+++ b/internal/entry/callerapi/api.go
@@ -1,6 +1,6 @@
-// Package callers implements the HTTP API for callers: completions, chat
+// Package callerapi implements the HTTP API for callers: completions, chat
 // completions, calls to plain services, and idempotency keys.
-package callers
+package callerapi
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"filbertdeck/internal/accounting"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -39,12 +39,12 @@
 // API serves the HTTP requests of callers.
 type API struct {
 	Board       *state.Board
-	Accounting  *accounting.Book
+	Accounting  *accounting.Recorder
 	Lifecycle   *lifecycle.Lifecycle
-	KeyRing     *handle.Ring
+	KeyRing     *handle.KeyRing
 	Generations *generation.Relay
-	Idempotent  *plain.IdempotentRelay
-	AtMostOnce  *plain.AtMostOnceRelay
+	Idempotent  *servicecall.IdempotentRelay
+	AtMostOnce  *servicecall.AtMostOnceRelay
 	BodyLimit   int64
 }
 
@@ -91,7 +91,7 @@
 // withAccount counts the request as in progress, authenticates it, and calls h.
 func (a *API) withAccount(h requestHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		end, err := a.Lifecycle.Begin()
+		end, err := a.Lifecycle.BeginRequest()
 		if err != nil {
 			a.refuse(w, unknownName, unknownName, err)
 			return
@@ -99,7 +99,7 @@
 		defer end()
 		t := a.Board.Table.Get()
 		if t == nil || !a.Board.Ready() {
-			a.refuse(w, unknownName, unknownName, failure.New(failure.KindNotReady, "the table has not been read yet").After(notReadyRetryAfter))
+			a.refuse(w, unknownName, unknownName, failure.New(failure.KindNotReady, "the table has not been read yet").WithRetryAfter(notReadyRetryAfter))
 			return
 		}
 		account, err := authenticate(t, r)
@@ -114,7 +114,7 @@
 // refuse accounts for a request that fails before it is relayed, and writes the
 // error.
 func (a *API) refuse(w http.ResponseWriter, account, service string, err error) {
-	a.Accounting.Begin(account, service).End(err)
+	a.Accounting.Begin(account, service).RecordOutcome(err)
 	failure.Write(w, err)
 }
 
@@ -139,7 +139,7 @@
 		}
 		req.Accounting = a.Accounting.Begin(r.account.Name, req.Service.Name)
 		req.Accounting.Update(func(c *accounting.Counts) { c.PromptTokens += uint64(req.PromptTokens) })
-		req.Accounting.End(a.Generations.Serve(r.Context(), w, req))
+		req.Accounting.RecordOutcome(a.Generations.Serve(r.Context(), w, req))
 	}
 }
 
@@ -198,7 +198,7 @@
 		return err
 	}
 	if h.Service != req.Service.Name || !req.Stream {
-		return failure.New(failure.KindHandleInvalid, "the handle belongs to a stream of another service").Unknown()
+		return failure.New(failure.KindHandleInvalid, "the handle belongs to a stream of another service").WithExecutionUnknown()
 	}
 	req.Resume = &h
 	return nil
@@ -221,16 +221,16 @@
 		return
 	}
 	usage := a.Accounting.Begin(r.account.Name, s.Name)
-	usage.End(a.relayCall(w, r, s, usage))
+	usage.RecordOutcome(a.relayCall(w, r, s, usage))
 }
 
-func (a *API) relayCall(w http.ResponseWriter, r request, s *table.Service, usage *accounting.Entry) error {
+func (a *API) relayCall(w http.ResponseWriter, r request, s *table.Service, usage *accounting.RequestRecorder) error {
 	body, err := readBody(w, r.Request, a.BodyLimit)
 	if err != nil {
 		failure.Write(w, err)
 		return err
 	}
-	call := plain.Call{
+	call := servicecall.Call{
 		Account: r.account, Service: s, Method: r.Method, Path: targetPath(r),
 		Header: r.Header, Body: body, Accounting: usage, ArrivedAt: r.arrivedAt,
 	}
--- a/internal/entry/callers/auth.go
+++ b/internal/entry/callerapi/auth.go
@@ -1,4 +1,4 @@
-package callers
+package callerapi
 
 import (
 	"crypto/sha256"
@@ -26,7 +26,7 @@
 		return nil, failure.New(failure.KindUnauthorized, "the Authorization header has no valid bearer key")
 	}
 	digest := sha256.Sum256([]byte(key))
-	a, ok := t.ByKey[digest]
+	a, ok := t.AccountByKeyHash[digest]
 	if !ok || !hasKeyDigest(a, digest) {
 		return nil, failure.New(failure.KindUnauthorized, "unknown bearer key")
 	}
--- a/internal/entry/callers/completion_request.go
+++ b/internal/entry/callerapi/completion_request.go
@@ -1,4 +1,4 @@
-package callers
+package callerapi
 
 import (
 	"encoding/json"
--- a/internal/entry/generation/attempt.go
+++ b/internal/entry/generation/attempt.go
@@ -12,7 +12,7 @@
 	"filbertdeck/internal/entry/admit"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
-	"filbertdeck/internal/prefix"
+	"filbertdeck/internal/promptprefix"
 )
 
 func (a *activeRequest) serve(ctx context.Context) error {
@@ -23,14 +23,14 @@
 		return a.resumeGeneration(ctx)
 	}
 	key := retrybudget.Key{Account: a.Account.Name, Service: a.Service.Name}
-	a.retryBudget.First(time.Since(a.startTime), key)
+	a.retryBudget.RecordFirstAttempt(time.Since(a.startTime), key)
 	for attempt := 1; ; attempt++ {
 		err := a.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		retry := attempt < maxAttempts && a.retryable(ctx, err) && a.order.MayRestart()
-		if !retry || !a.retryBudget.Retry(time.Since(a.startTime), key) {
+		if !retry || !a.retryBudget.AllowRetry(time.Since(a.startTime), key) {
 			return a.finalError(ctx, err)
 		}
 		a.order.Restart(uuid.NewString())
@@ -55,7 +55,7 @@
 // finalError returns the error to report, with what reached the caller and
 // whether the request may have run.
 func (a *activeRequest) finalError(ctx context.Context, err error) error {
-	f := failure.From(err)
+	f := failure.FromError(err)
 	if ctx.Err() != nil {
 		f = failure.Wrap(err, failure.KindDeadline, "the caller left")
 	}
@@ -63,15 +63,15 @@
 	case a.order.DeliveredTokens() > 0:
 		f = a.order.LostError(err)
 	case a.mayHaveStarted && f.Executed == failure.ExecutedNo && f.Kind != failure.KindPoison:
-		_ = f.Unknown()
+		_ = f.WithExecutionUnknown()
 	}
 	return f
 }
 
 // attempt runs one generation on one target.
 func (a *activeRequest) attempt(ctx context.Context) error {
-	chain := prefix.Chain(a.Prompt)
-	fingerprint := prefix.Fingerprint(a.Service.Name, a.Prompt, a.MaxTokens)
+	chain := promptprefix.BlockHashes(a.Prompt)
+	fingerprint := promptprefix.Fingerprint(a.Service.Name, a.Prompt, a.MaxTokens)
 	choice, err := a.picker.Pick(a.poolRequest(chain, fingerprint))
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	if ctx.Err() != nil {
 		return filbertv1.Outcome_OUTCOME_CALLER_LEFT
 	}
-	f := failure.From(err)
+	f := failure.FromError(err)
 	switch {
 	case f.Kind == failure.KindTargetLost:
 		return filbertv1.Outcome_OUTCOME_TARGET_CRASHED
@@ -139,7 +139,7 @@
 	a.lastProgressAt = startedAt
 	a.sink.restart(generation, lease.Target)
 	events, err := a.engine.start(ctx, lease, generation, a.EngineBody)
-	if err != nil && failure.From(err).Executed == failure.ExecutedNo {
+	if err != nil && failure.FromError(err).Executed == failure.ExecutedNo {
 		return err
 	}
 	a.mayHaveStarted = true
@@ -147,7 +147,7 @@
 		if a.timeToFirstToken == 0 {
 			a.timeToFirstToken = time.Since(startedAt)
 		}
-		lease.Produced(int(a.order.NextOffset()))
+		lease.SetProduced(int(a.order.NextOffset()))
 	}
 	err = a.relayWithReconnects(ctx, events, err, lease.Target, progress)
 	a.cancelAbandoned(ctx, lease.Target, generation, err)
@@ -172,7 +172,7 @@
 	events, err := a.engine.resume(ctx, h.Target, h.Generation, h.Offset)
 	progress := func() {
 		if lease != nil {
-			lease.Produced(int(a.order.NextOffset()))
+			lease.SetProduced(int(a.order.NextOffset()))
 		}
 	}
 	err = a.relayWithReconnects(ctx, events, err, h.Target, progress)
--- a/internal/entry/generation/bench_test.go
+++ b/internal/entry/generation/bench_test.go
@@ -27,7 +27,7 @@
 // BenchmarkToken measures the relay of one token without network I/O: parsing,
 // offset check, accounting, sealing the handle, and encoding the event.
 func BenchmarkToken(b *testing.B) {
-	ring, err := handle.NewRing(handle.RandomSecrets())
+	ring, err := handle.NewKeyRing(handle.RandomSecret())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/entry/generation/document.go
+++ b/internal/entry/generation/document.go
@@ -29,7 +29,7 @@
 		return failure.Wrap(err, failure.KindTargetFailed, "the target sent text that is not a valid JSON string")
 	}
 	if s.text.Len()+len(text) > maxBufferedTextBytes {
-		return failure.New(failure.KindTargetFailed, "the answer exceeds the buffer limit").Ran()
+		return failure.New(failure.KindTargetFailed, "the answer exceeds the buffer limit").WithExecuted()
 	}
 	s.text.WriteString(text)
 	s.tokens += f.Tokens
@@ -102,13 +102,13 @@
 func (s *documentSink) finish() error {
 	body, err := json.Marshal(s.response())
 	if err != nil {
-		return failure.Wrap(err, failure.KindInternal, "could not encode the answer").Ran()
+		return failure.Wrap(err, failure.KindInternal, "could not encode the answer").WithExecuted()
 	}
 	h := s.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
 	if _, err := s.w.Write(append(body, '\n')); err != nil {
-		return failure.Wrap(err, failure.KindDeadline, "the caller left before the answer").Ran()
+		return failure.Wrap(err, failure.KindDeadline, "the caller left before the answer").WithExecuted()
 	}
 	return nil
 }
--- a/internal/entry/generation/engine_client.go
+++ b/internal/entry/generation/engine_client.go
@@ -110,7 +110,7 @@
 	f := failure.New(failure.KindTargetFailed, "the target answered with status %d", resp.StatusCode)
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		f = failure.New(failure.KindGenerationGone, "the target no longer holds this generation").Ran()
+		f = failure.New(failure.KindGenerationGone, "the target no longer holds this generation").WithExecuted()
 	case resp.Header.Get(headerExecuted) == string(failure.ExecutedNo), resp.StatusCode == http.StatusPreconditionFailed:
 		f.Executed = failure.ExecutedNo
 	default:
--- a/internal/entry/generation/frame.go
+++ b/internal/entry/generation/frame.go
@@ -41,7 +41,7 @@
 // break the framing of the caller's stream.
 func (f *engineFrame) parse(data []byte) error {
 	if !json.Valid(data) {
-		return failure.New(failure.KindTargetFailed, "the target sent an event that is not JSON").Unknown()
+		return failure.New(failure.KindTargetFailed, "the target sent an event that is not JSON").WithExecutionUnknown()
 	}
 	f.Offset, f.Tokens = 0, 0
 	f.Generation, f.Text, f.FinishReason = f.Generation[:0], f.Text[:0], f.FinishReason[:0]
@@ -55,10 +55,10 @@
 		}
 	}, fieldPaths...)
 	if parseErr != nil {
-		return failure.Wrap(parseErr, failure.KindTargetFailed, "the target sent an invalid event").Unknown()
+		return failure.Wrap(parseErr, failure.KindTargetFailed, "the target sent an invalid event").WithExecutionUnknown()
 	}
 	if len(f.Text) == 0 {
-		return failure.New(failure.KindTargetFailed, "the target sent an event without text").Unknown()
+		return failure.New(failure.KindTargetFailed, "the target sent an event without text").WithExecutionUnknown()
 	}
 	return nil
 }
--- a/internal/entry/generation/frame_test.go
+++ b/internal/entry/generation/frame_test.go
@@ -24,7 +24,7 @@
 			var f engineFrame
 			err := f.parse([]byte(data))
 			Expect(failure.KindOf(err)).To(Equal(failure.KindTargetFailed))
-			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+			Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 		},
 		Entry("a truncated event", `{"generation":"g","text":"a`),
 		Entry("a raw line feed in the text", "{\"generation\":\"g\",\"offset\":0,\"tokens\":1,\"text\":\"a\nb\"}"),
--- a/internal/entry/generation/relay.go
+++ b/internal/entry/generation/relay.go
@@ -54,7 +54,7 @@
 type Relay struct {
 	admission   *admit.Client
 	engine      engineClient
-	keyRing     *handle.Ring
+	keyRing     *handle.KeyRing
 	picker      Picker
 	lookupPool  PoolLookup
 	retryBudget *retrybudget.Budget
@@ -62,7 +62,7 @@
 }
 
 // NewRelay returns a relay that sends requests to targets through client.
-func NewRelay(admission *admit.Client, client Doer, keyRing *handle.Ring, picker Picker, lookupPool PoolLookup, retryBudget *retrybudget.Budget) *Relay {
+func NewRelay(admission *admit.Client, client Doer, keyRing *handle.KeyRing, picker Picker, lookupPool PoolLookup, retryBudget *retrybudget.Budget) *Relay {
 	return &Relay{
 		admission: admission, engine: engineClient{http: client}, keyRing: keyRing, picker: picker, lookupPool: lookupPool,
 		retryBudget: retryBudget, startTime: time.Now(),
@@ -84,7 +84,7 @@
 	Stream, Chat bool
 	// Resume is set if the caller resumes a generation that is already running.
 	Resume     *handle.Handle
-	Accounting *accounting.Entry
+	Accounting *accounting.RequestRecorder
 	// ArrivedAt is when the request arrived.
 	ArrivedAt time.Time
 }
@@ -115,7 +115,7 @@
 	defer active.sink.close()
 	err := active.serve(ctx)
 	if req.Service.Type == table.ServiceGeneration {
-		req.Accounting.Whole(err == nil)
+		req.Accounting.RecordCompleteness(err == nil)
 	}
 	if err != nil {
 		active.sink.fail(err)
@@ -125,7 +125,7 @@
 
 func (a *activeRequest) prepare(w http.ResponseWriter) {
 	mode := delivery.Stream
-	if a.Service.Delivery == table.DeliveryWhole || !a.Stream {
+	if a.Service.Delivery == table.DeliveryBuffered || !a.Stream {
 		mode = delivery.Buffered
 	}
 	id := uuid.NewString()
--- a/internal/entry/generation/sink.go
+++ b/internal/entry/generation/sink.go
@@ -64,7 +64,7 @@
 	closed             bool
 	w                  http.ResponseWriter
 	controller         *http.ResponseController
-	keyRing            *handle.Ring
+	keyRing            *handle.KeyRing
 	handle             handle.Handle
 	buf                []byte
 	eventPrefix        []byte
@@ -72,7 +72,7 @@
 	nextDeadlineUpdate time.Time
 }
 
-func newStreamSink(w http.ResponseWriter, keyRing *handle.Ring, h handle.Handle, info answerInfo) *streamSink {
+func newStreamSink(w http.ResponseWriter, keyRing *handle.KeyRing, h handle.Handle, info answerInfo) *streamSink {
 	sink := &streamSink{
 		w: w, controller: http.NewResponseController(w), keyRing: keyRing, handle: h,
 		buf: make([]byte, 0, eventBufferSize), eventPrefix: newEventPrefix(info),
@@ -136,7 +136,7 @@
 	defer s.mu.Unlock()
 	s.handle.Offset, s.handle.Finished = next, f.finished()
 	s.buf = append(s.buf[:0], "id: "...)
-	s.buf = s.keyRing.SealTo(s.buf, s.handle)
+	s.buf = s.keyRing.AppendSealed(s.buf, s.handle)
 	s.buf = append(s.buf, "\ndata: "...)
 	s.buf = s.appendEventData(s.buf, f)
 	s.buf = append(s.buf, "\n\n"...)
@@ -194,7 +194,7 @@
 		failure.Write(s.w, err)
 		return
 	}
-	body, marshalErr := json.Marshal(failure.From(err).Problem())
+	body, marshalErr := json.Marshal(failure.FromError(err).Problem())
 	if marshalErr != nil {
 		return
 	}
--- a/internal/entry/generation/sink_test.go
+++ b/internal/entry/generation/sink_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("a caller's stream", func() {
 	newSink := func() (*streamSink, *httptest.ResponseRecorder) {
-		ring, err := handle.NewRing(handle.RandomSecrets())
+		ring, err := handle.NewKeyRing(handle.RandomSecret())
 		Expect(err).NotTo(HaveOccurred())
 		rec := httptest.NewRecorder()
 		return newStreamSink(rec, ring, handle.Handle{}, answerInfo{id: "cmpl-1", model: "reports"}), rec
--- a/internal/entry/generation/stream.go
+++ b/internal/entry/generation/stream.go
@@ -85,7 +85,7 @@
 // the lease would be renewed, and its slot kept, forever.
 func (a *activeRequest) relayKeepAlive() error {
 	if time.Since(a.lastProgressAt) > noTokenTimeout {
-		return failure.New(failure.KindTargetTimeout, "the target produced no token for %v", noTokenTimeout).Unknown()
+		return failure.New(failure.KindTargetTimeout, "the target produced no token for %v", noTokenTimeout).WithExecutionUnknown()
 	}
 	return a.sink.keepAlive()
 }
@@ -94,12 +94,12 @@
 // answer was complete.
 func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
-		return failure.New(failure.KindTargetLost, "the target closed the stream early").Unknown()
+		return failure.New(failure.KindTargetLost, "the target closed the stream early").WithExecutionUnknown()
 	}
-	if f := failure.From(err); f.Kind != failure.KindInternal {
-		return f.Unknown()
+	if f := failure.FromError(err); f.Kind != failure.KindInternal {
+		return f.WithExecutionUnknown()
 	}
-	return failure.Wrap(err, failure.KindTargetLost, "the stream from the target failed").Unknown()
+	return failure.Wrap(err, failure.KindTargetLost, "the stream from the target failed").WithExecutionUnknown()
 }
 
 // relayEvent checks one event and relays its tokens.
@@ -116,8 +116,8 @@
 		return false, nil
 	case delivery.Pass:
 	default:
-		a.Accounting.Update(func(c *accounting.Counts) { c.OutOfPlace++ })
-		return false, failure.New(failure.KindFrameOutOfPlace, "the target sent a frame out of order").Unknown()
+		a.Accounting.Update(func(c *accounting.Counts) { c.MisplacedFrames++ })
+		return false, failure.New(failure.KindFrameOutOfPlace, "the target sent a frame out of order").WithExecutionUnknown()
 	}
 	progress()
 	a.countTokens(int(f.Tokens))
@@ -142,8 +142,8 @@
 	now := time.Now()
 	a.lastProgressAt = now
 	if a.order.NextOffset() == uint64(tokens) {
-		a.Accounting.FirstToken(now.Sub(a.ArrivedAt))
+		a.Accounting.RecordFirstToken(now.Sub(a.ArrivedAt))
 	}
-	a.Accounting.Tokens(tokens, now.Sub(a.lastTokenAt))
+	a.Accounting.RecordTokens(tokens, now.Sub(a.lastTokenAt))
 	a.lastTokenAt = now
 }
--- a/internal/entry/module.go
+++ b/internal/entry/module.go
@@ -19,9 +19,9 @@
 	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/entry/admit"
-	"filbertdeck/internal/entry/callers"
+	"filbertdeck/internal/entry/callerapi"
 	"filbertdeck/internal/entry/generation"
-	"filbertdeck/internal/entry/plain"
+	"filbertdeck/internal/entry/servicecall"
 	"filbertdeck/internal/entry/state"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/handle"
@@ -29,8 +29,8 @@
 	"filbertdeck/internal/metrics"
 	"filbertdeck/internal/process"
 	"filbertdeck/internal/rpc"
-	"filbertdeck/internal/secure"
 	"filbertdeck/internal/targetclient"
+	"filbertdeck/internal/tlsidentity"
 )
 
 // Options returns the fx options that build the program from its settings.
@@ -38,7 +38,7 @@
 	return []fx.Option{
 		fx.Supply(s),
 		fx.Provide(
-			secure.New, (*secure.Identity).Credentials, newProcessIdentity, newKeyRing, state.NewBoard, accounting.New, newLifecycle,
+			tlsidentity.New, (*tlsidentity.Identity).Credentials, newProcessIdentity, newKeyRing, state.NewBoard, accounting.New, newLifecycle,
 			newAdmissionClient, newTargetClient, newPicker, newRetryBudget, newGenerationRelay, newIdempotentRelay, newAtMostOnceRelay, newPeerForwarder, newAPI, newWatcher,
 		),
 		fx.Invoke(registerGauges, runWatcher, servePeers, serveAdmin, serveCallers, runHostListRefresh),
@@ -54,21 +54,21 @@
 // keyRingReloadInterval is how often the key ring file is checked for changes.
 const keyRingReloadInterval = 2 * time.Second
 
-func newKeyRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.Ring, error) {
+func newKeyRing(lc fx.Lifecycle, s *Settings, log *slog.Logger) (*handle.KeyRing, error) {
 	if s.KeyRing == "" {
 		log.Warn("no key ring is set; resume handles and minted keys are valid in this process only")
-		return handle.NewRing(handle.RandomSecrets())
+		return handle.NewKeyRing(handle.RandomSecret())
 	}
 	file, err := handle.OpenFile(s.KeyRing)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "--key-ring (FILBERT_ENTRY_KEY_RING) is %q", s.KeyRing)
 	}
-	process.Every(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
-	return file.Ring, nil
+	process.RunPeriodically(lc, keyRingReloadInterval, func() { reloadKeyRing(file, log) })
+	return file.KeyRing, nil
 }
 
-func reloadKeyRing(file *handle.File, log *slog.Logger) {
-	switch changed, err := file.Refresh(); {
+func reloadKeyRing(file *handle.KeyRingFile, log *slog.Logger) {
+	switch changed, err := file.ReloadIfChanged(); {
 	case err != nil:
 		log.Warn("key ring refused; keeping the current key ring", "error", err)
 	case changed:
@@ -105,27 +105,27 @@
 func newRetryBudget() *retrybudget.Budget { return retrybudget.New(retrybudget.Config{}) }
 
 func newGenerationRelay(
-	admission *admit.Client, client *targetclient.Client, ring *handle.Ring, b *state.Board, picker *state.Picker, budget *retrybudget.Budget,
+	admission *admit.Client, client *targetclient.Client, ring *handle.KeyRing, b *state.Board, picker *state.Picker, budget *retrybudget.Budget,
 ) *generation.Relay {
 	return generation.NewRelay(admission, client, ring, picker, b.PoolOf, budget)
 }
 
-func newIdempotentRelay(admission *admit.Client, client *targetclient.Client, b *state.Board, picker *state.Picker, budget *retrybudget.Budget) *plain.IdempotentRelay {
-	return &plain.IdempotentRelay{
+func newIdempotentRelay(admission *admit.Client, client *targetclient.Client, b *state.Board, picker *state.Picker, budget *retrybudget.Budget) *servicecall.IdempotentRelay {
+	return &servicecall.IdempotentRelay{
 		Admission: admission, Client: client, Picker: picker, RetryBudget: budget, Hedges: hedge.NewSet(hedge.Config{}),
 		Board: b, StartTime: time.Now(),
 	}
 }
 
-func newPeerForwarder(lc fx.Lifecycle, creds rpc.Credentials) *plain.PeerForwarder {
-	p := plain.NewPeerForwarder(creds)
+func newPeerForwarder(lc fx.Lifecycle, creds rpc.Credentials) *servicecall.PeerForwarder {
+	p := servicecall.NewPeerForwarder(creds)
 	lc.Append(fx.StopHook(p.Close))
 	return p
 }
 
-func newAtMostOnceRelay(admission *admit.Client, ring *handle.Ring, self idempotency.Process, b *state.Board, picker *state.Picker, p *plain.PeerForwarder) *plain.AtMostOnceRelay {
-	o := &plain.AtMostOnceRelay{
-		Admission: admission, Client: targetclient.NewOnce(targetclient.Settings{}), Picker: picker,
+func newAtMostOnceRelay(admission *admit.Client, ring *handle.KeyRing, self idempotency.Process, b *state.Board, picker *state.Picker, p *servicecall.PeerForwarder) *servicecall.AtMostOnceRelay {
+	o := &servicecall.AtMostOnceRelay{
+		Admission: admission, Client: targetclient.NewAtMostOnceClient(targetclient.Settings{}), Picker: picker,
 		KeyRing: ring, Self: self, Board: b, Forwarder: p,
 	}
 	o.Init()
@@ -133,15 +133,15 @@
 }
 
 func newAPI(
-	b *state.Board, usage *accounting.Book, life *lifecycle.Lifecycle, ring *handle.Ring,
-	generations *generation.Relay, idempotent *plain.IdempotentRelay, atMostOnce *plain.AtMostOnceRelay, s *Settings,
-) *callers.API {
-	return &callers.API{
+	b *state.Board, usage *accounting.Recorder, life *lifecycle.Lifecycle, ring *handle.KeyRing,
+	generations *generation.Relay, idempotent *servicecall.IdempotentRelay, atMostOnce *servicecall.AtMostOnceRelay, s *Settings,
+) *callerapi.API {
+	return &callerapi.API{
 		Board: b, Accounting: usage, Lifecycle: life, KeyRing: ring, Generations: generations, Idempotent: idempotent, AtMostOnce: atMostOnce, BodyLimit: s.BodyLimit,
 	}
 }
 
-func newWatcher(b *state.Board, usage *accounting.Book, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
+func newWatcher(b *state.Board, usage *accounting.Recorder, self idempotency.Process, s *Settings, creds rpc.Credentials, log *slog.Logger) (*state.Watcher, error) {
 	controls := s.Control
 	if len(controls) == 0 {
 		controls = []string{defaultControlAddress}
@@ -165,32 +165,32 @@
 	return body
 }
 
-func runWatcher(lc fx.Lifecycle, w *state.Watcher) { process.Background(lc, w.Run) }
+func runWatcher(lc fx.Lifecycle, w *state.Watcher) { process.RunInBackground(lc, w.Run) }
 
 // hostListRefreshInterval is how often the registry of idempotency keys reads
 // the host list. It is well below the time for which a confirmed list counts as
 // fresh.
 const hostListRefreshInterval = 500 * time.Millisecond
 
-func runHostListRefresh(lc fx.Lifecycle, o *plain.AtMostOnceRelay) {
-	process.Every(lc, hostListRefreshInterval, o.RefreshHosts)
+func runHostListRefresh(lc fx.Lifecycle, o *servicecall.AtMostOnceRelay) {
+	process.RunPeriodically(lc, hostListRefreshInterval, o.RefreshHosts)
 }
 
 // registerGauges registers gauges for the requests in progress and for the
 // number and size of recorded idempotency keys.
-func registerGauges(reg gometrics.Registry, o *plain.AtMostOnceRelay, life *lifecycle.Lifecycle) {
-	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.Running()) })
+func registerGauges(reg gometrics.Registry, o *servicecall.AtMostOnceRelay, life *lifecycle.Lifecycle) {
+	gometrics.NewRegisteredFunctionalGauge("entry.in_progress", reg, func() int64 { return int64(life.InProgress()) })
 	gometrics.NewRegisteredFunctionalGauge("once.keys", reg, func() int64 { keys, _ := o.RecordSize(); return int64(keys) })
 	gometrics.NewRegisteredFunctionalGauge("once.answer_bytes", reg, func() int64 { _, bytes := o.RecordSize(); return int64(bytes) })
 }
 
-func servePeers(lc fx.Lifecycle, id *secure.Identity, creds rpc.Credentials, o *plain.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
+func servePeers(lc fx.Lifecycle, id *tlsidentity.Identity, creds rpc.Credentials, o *servicecall.AtMostOnceRelay, b *state.Board, life *lifecycle.Lifecycle, s *Settings) {
 	server := rpc.NewServer(creds)
-	filbertv1.RegisterForwardServer(server, &plain.ForwardServer{Relay: o, Board: b, Begin: life.Begin})
+	filbertv1.RegisterForwardServer(server, &servicecall.ForwardServer{Relay: o, Board: b, Begin: life.BeginRequest})
 	process.ServeRPC(lc, server, id.Listen, s.PeerListen)
 }
 
-func serveAdmin(lc fx.Lifecycle, id *secure.Identity, reg gometrics.Registry, usage *accounting.Book, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
+func serveAdmin(lc fx.Lifecycle, id *tlsidentity.Identity, reg gometrics.Registry, usage *accounting.Recorder, b *state.Board, self idempotency.Process, life *lifecycle.Lifecycle, s *Settings) {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", life.Healthz)
 	r.HandleFunc("/readyz", life.Readyz)
@@ -205,8 +205,8 @@
 
 // serveCallers starts last and stops first. On stop it reports "not ready",
 // waits for the requests in progress, and then shuts the HTTP server down.
-func serveCallers(lc fx.Lifecycle, id *secure.Identity, api *callers.API, life *lifecycle.Lifecycle, s *Settings) {
-	server := callers.NewServer(api.Handler())
+func serveCallers(lc fx.Lifecycle, id *tlsidentity.Identity, api *callerapi.API, life *lifecycle.Lifecycle, s *Settings) {
+	server := callerapi.NewServer(api.Handler())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return process.StartHTTP(server, id.ListenHTTP, s.Listen) },
 		OnStop: func(ctx context.Context) error {
--- a/internal/entry/plain/at_most_once.go
+++ b/internal/entry/servicecall/at_most_once.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 const atMostOnceTimeout = 30 * time.Second
 
 // AtMostOnceDoer sends a request at most once and calls before right before the
-// first byte is sent; targetclient.Once implements it.
+// first byte is sent; targetclient.AtMostOnceClient implements it.
 type AtMostOnceDoer interface {
 	Do(req *http.Request, before func() error) (*http.Response, error)
 }
@@ -40,7 +40,7 @@
 	Admission *admit.Client
 	Client    AtMostOnceDoer
 	Picker    Picker
-	KeyRing   *handle.Ring
+	KeyRing   *handle.KeyRing
 	Self      idempotency.Process
 	Board     *state.Board
 	Forwarder Forwarder
@@ -64,9 +64,9 @@
 	r.mu.Lock()
 	sequence := r.registry.NextSequence()
 	r.mu.Unlock()
-	return r.KeyRing.Mint(handle.Minted{
+	return r.KeyRing.Mint(handle.MintedKey{
 		Account: account, Owner: r.Self.Address, Incarnation: r.Self.Incarnation,
-		Age0: r.now(), Sequence: sequence,
+		OwnerUptimeAtMint: r.now(), Sequence: sequence,
 	})
 }
 
@@ -93,7 +93,7 @@
 	}
 	owner := idempotency.Process{Address: minted.Owner, Incarnation: minted.Incarnation}
 	id := owner.Address + "/" + strconv.FormatUint(minted.Incarnation, 16) + "/" + strconv.FormatUint(minted.Sequence, 16)
-	return idempotency.MintedKey(id, owner, minted.Age0), nil
+	return idempotency.MintedKey(id, owner, minted.OwnerUptimeAtMint), nil
 }
 
 // Serve relays the call. It has already written the error that it returns to the
@@ -228,7 +228,7 @@
 		return err
 	}
 	if r.now() >= validUntil {
-		return failure.New(failure.KindKeyUnvouched, "the process was paused before the call was sent").Unknown()
+		return failure.New(failure.KindKeyUnvouched, "the process was paused before the call was sent").WithExecutionUnknown()
 	}
 	return nil
 }
@@ -246,7 +246,7 @@
 	switch {
 	case err == nil:
 		r.registry.MarkFinished(account, key, answer)
-	case failure.From(err).Executed == failure.ExecutedNo:
+	case failure.FromError(err).Executed == failure.ExecutedNo:
 		r.registry.MarkNotRun(account, key)
 	default:
 		r.registry.MarkLost(account, key)
--- a/internal/entry/plain/call.go
+++ b/internal/entry/servicecall/call.go
@@ -1,6 +1,6 @@
-// Package plain relays calls to plain services. Idempotent calls may be sent to
+// Package servicecall relays calls to plain services. Idempotent calls may be sent to
 // another target when one fails; at-most-once calls are never sent twice.
-package plain
+package servicecall
 
 import (
 	"bytes"
@@ -29,7 +29,7 @@
 	Path       string
 	Header     http.Header
 	Body       []byte
-	Accounting *accounting.Entry
+	Accounting *accounting.RequestRecorder
 	ArrivedAt  time.Time
 }
 
@@ -77,10 +77,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.KindTargetLost, "the target's response was incomplete").Unknown()
+		return nil, failure.Wrap(err, failure.KindTargetLost, "the target's response was incomplete").WithExecutionUnknown()
 	}
 	if len(body) > maxAnswerBytes {
-		return nil, failure.New(failure.KindTargetFailed, "the target's response exceeds %d bytes", maxAnswerBytes).Ran()
+		return nil, failure.New(failure.KindTargetFailed, "the target's response exceeds %d bytes", maxAnswerBytes).WithExecuted()
 	}
 	a := &idempotency.Answer{Status: resp.StatusCode, Body: body}
 	for _, name := range responseHeaders {
--- a/internal/entry/plain/forward.go
+++ b/internal/entry/servicecall/forward.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -116,7 +116,7 @@
 func (s *ForwardServer) RunOnce(ctx context.Context, r *filbertv1.RunOnceRequest) (*filbertv1.RunOnceReply, error) {
 	end, err := s.Begin()
 	if err != nil {
-		return problemReply(failure.From(err).Unknown()), nil
+		return problemReply(failure.FromError(err).WithExecutionUnknown()), nil
 	}
 	defer end()
 	call, err := s.parseCall(r)
@@ -157,7 +157,7 @@
 }
 
 func problemReply(err error) *filbertv1.RunOnceReply {
-	f := failure.From(err)
+	f := failure.FromError(err)
 	return &filbertv1.RunOnceReply{
 		Problem: string(f.Kind), Executed: string(f.Executed), RetryAfterMs: uint32(f.RetryAfter.Milliseconds()),
 	}
--- a/internal/entry/plain/idempotent.go
+++ b/internal/entry/servicecall/idempotent.go
@@ -1,4 +1,4 @@
-package plain
+package servicecall
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 // caller.
 func (r *IdempotentRelay) Serve(ctx context.Context, w http.ResponseWriter, call Call) error {
 	answer, err := r.sendWithRetries(ctx, call)
-	call.Accounting.Lookup(time.Since(call.ArrivedAt))
+	call.Accounting.RecordLookup(time.Since(call.ArrivedAt))
 	if err != nil {
 		failure.Write(w, err)
 		return err
@@ -64,7 +64,7 @@
 // safe.
 func (r *IdempotentRelay) sendWithRetries(ctx context.Context, call Call) (*idempotency.Answer, error) {
 	key := retrybudget.Key{Account: call.Account.Name, Service: call.Service.Name}
-	r.RetryBudget.First(r.now(), key)
+	r.RetryBudget.RecordFirstAttempt(r.now(), key)
 	var failedTargets []string
 	var mayHaveRun bool
 	for attempt := 1; ; attempt++ {
@@ -72,12 +72,12 @@
 		if result.err == nil {
 			return result.answer, nil
 		}
-		f := failure.From(result.err)
+		f := failure.FromError(result.err)
 		mayHaveRun = mayHaveRun || f.Executed != failure.ExecutedNo
 		final := result.target == "" || attempt == maxIdempotentAttempts || ctx.Err() != nil
-		if final || !r.RetryBudget.Retry(r.now(), key) {
+		if final || !r.RetryBudget.AllowRetry(r.now(), key) {
 			if mayHaveRun && f.Executed == failure.ExecutedNo {
-				_ = f.Unknown()
+				_ = f.WithExecutionUnknown()
 			}
 			return nil, f
 		}
@@ -192,7 +192,7 @@
 		return nil, err
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		return nil, failure.New(failure.KindTargetFailed, "the target answered with status %d", answer.Status).Ran()
+		return nil, failure.New(failure.KindTargetFailed, "the target answered with status %d", answer.Status).WithExecuted()
 	}
 	return answer, nil
 }
@@ -221,7 +221,7 @@
 		return filbertv1.Outcome_OUTCOME_DONE
 	}
 	switch {
-	case failure.From(err).Executed == failure.ExecutedNo:
+	case failure.FromError(err).Executed == failure.ExecutedNo:
 		return filbertv1.Outcome_OUTCOME_NOT_RUN
 	case ctx.Err() != nil:
 		return filbertv1.Outcome_OUTCOME_CALLER_LEFT
--- a/internal/entry/state/picker.go
+++ b/internal/entry/state/picker.go
@@ -52,7 +52,7 @@
 type viewSet struct {
 	pools       *Pools
 	table       *table.Table
-	byService   map[string][]decide.View
+	byService   map[string][]decide.PoolView
 	pendingAsks map[string]*atomic.Int64
 }
 
@@ -60,7 +60,7 @@
 func NewPicker(b *Board, entry, dataCentre string) *Picker {
 	return &Picker{
 		board: b, entry: entry, dataCentre: dataCentre, startTime: time.Now(),
-		config: decide.Config{NewsFor: backlogValidity}, dataCentres: drain.NewDataCentres(drain.RampConfig{}),
+		config: decide.Config{BacklogMaxAge: backlogValidity}, dataCentres: drain.NewDataCentres(drain.RampConfig{}),
 	}
 }
 
@@ -93,17 +93,17 @@
 func (p *Picker) Pick(r Request) (Choice, error) {
 	set := p.currentViews()
 	if set == nil {
-		return Choice{}, failure.New(failure.KindNotReady, "the pools have not been received yet").After(noTargetRetryAfter)
+		return Choice{}, failure.New(failure.KindNotReady, "the pools have not been received yet").WithRetryAfter(noTargetRetryAfter)
 	}
 	base := set.byService[r.Service]
-	views := make([]decide.View, len(base), maxLocalPools+maxRemotePools)
+	views := make([]decide.PoolView, len(base), maxLocalPools+maxRemotePools)
 	copy(views, base)
 	p.addLoad(set, views)
 	i := decide.Choose(p.now(), p.config, views, decide.Request{
-		DataCentre: p.dataCentre, Affinity: r.AffinityKey, Cached: r.PrefixAffinity, Avoid: fullyFailedPools(set.pools, views, r.FailedTargets),
-	}, decide.Draw{Other: rand.Uint64(), Share: rand.Float64()})
+		DataCentre: p.dataCentre, AffinityKey: r.AffinityKey, HasPrefix: r.PrefixAffinity, ExcludedPools: fullyFailedPools(set.pools, views, r.FailedTargets),
+	}, decide.RandomDraw{CandidateSeed: rand.Uint64(), ShareSample: rand.Float64()})
 	if i < 0 {
-		return Choice{}, failure.New(failure.KindNoTarget, "service %q has no available target", r.Service).After(noTargetRetryAfter)
+		return Choice{}, failure.New(failure.KindNoTarget, "service %q has no available target", r.Service).WithRetryAfter(noTargetRetryAfter)
 	}
 	c := Choice{Pool: views[i].ID, pendingAsks: set.pendingAsks[views[i].ID]}
 	c.pendingAsks.Add(1)
@@ -111,15 +111,15 @@
 }
 
 // addLoad sets the fields of the views that change from request to request.
-func (p *Picker) addLoad(set *viewSet, views []decide.View) {
+func (p *Picker) addLoad(set *viewSet, views []decide.PoolView) {
 	now := p.now()
 	backlogs := p.board.backlogs()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range views {
 		ms, known := backlogs[views[i].ID]
-		views[i].Backlog, views[i].Heard = time.Duration(ms)*time.Millisecond, known
-		views[i].Sent = int(set.pendingAsks[views[i].ID].Load())
+		views[i].Backlog, views[i].BacklogKnown = time.Duration(ms)*time.Millisecond, known
+		views[i].PendingRequests = int(set.pendingAsks[views[i].ID].Load())
 		views[i].Share = p.dataCentres.WorkShare(now, views[i].DataCentre)
 	}
 }
@@ -140,7 +140,7 @@
 // listed.
 func (p *Picker) buildViews(pools *Pools, t *table.Table, old *viewSet) *viewSet {
 	p.updateDrained(t)
-	next := &viewSet{pools: pools, table: t, byService: map[string][]decide.View{}, pendingAsks: map[string]*atomic.Int64{}}
+	next := &viewSet{pools: pools, table: t, byService: map[string][]decide.PoolView{}, pendingAsks: map[string]*atomic.Int64{}}
 	for service, list := range pools.ByService {
 		for _, pool := range p.selectPools(list) {
 			next.byService[service] = append(next.byService[service], newPoolView(pool))
@@ -177,8 +177,8 @@
 	p.dataCentres.SetDrained(p.now(), drained)
 }
 
-func newPoolView(pool *filbertv1.Pool) decide.View {
-	return decide.NewView(decide.Pool{ID: pool.Name, DataCentre: pool.DataCentre}, "")
+func newPoolView(pool *filbertv1.Pool) decide.PoolView {
+	return decide.NewPoolView(decide.Pool{ID: pool.Name, DataCentre: pool.DataCentre}, "")
 }
 
 // selectPools returns the subset of a service's pools that this entry uses.
@@ -198,7 +198,7 @@
 		}
 	}
 	var selected []*filbertv1.Pool
-	subset := append(decide.Subset(p.entry, local, maxLocalPools), decide.Subset(p.entry, remote, maxRemotePools)...)
+	subset := append(decide.SessionPools(p.entry, local, maxLocalPools), decide.SessionPools(p.entry, remote, maxRemotePools)...)
 	for _, pool := range subset {
 		selected = append(selected, byName[pool.ID])
 	}
@@ -207,7 +207,7 @@
 
 // fullyFailedPools returns the pools in which the request has failed on every
 // target.
-func fullyFailedPools(pools *Pools, views []decide.View, failedTargets []string) []string {
+func fullyFailedPools(pools *Pools, views []decide.PoolView, failedTargets []string) []string {
 	if len(failedTargets) == 0 {
 		return nil
 	}
--- a/internal/entry/state/watcher.go
+++ b/internal/entry/state/watcher.go
@@ -231,7 +231,7 @@
 		next.Drained[name] = true
 	}
 	w.streamTable = next
-	if current := w.board.Table.Get(); current != nil && current.Newer(next) {
+	if current := w.board.Table.Get(); current != nil && current.IsNewerThan(next) {
 		return nil
 	}
 	w.tables.Publish(next)
@@ -250,9 +250,9 @@
 	if base == nil {
 		base = &table.Table{}
 	}
-	changes := make([]table.Change, len(section.Changes))
+	changes := make([]table.RowChange, len(section.Changes))
 	for i, c := range section.Changes {
-		changes[i] = table.Change{Key: c.Key, Text: c.Text}
+		changes[i] = table.RowChange{Key: c.Key, Text: c.Text}
 	}
 	return base.Apply(section.Epoch, section.Revision, changes)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -100,7 +100,7 @@
 // while. It is limited by memory, not by the batch size.
 func warmEngineConfig() model.Config {
 	cfg := model.DefaultConfig()
-	cfg.RampTime, cfg.FullBears = 0, 256
+	cfg.WarmUpTime, cfg.WarmCapacity = 0, 256
 	return cfg
 }
 
@@ -273,8 +273,8 @@
 func lookupScenario(name string, hotLoad float64) Scenario {
 	const capacity = 2 * 16 / 0.020
 	cfg := model.DefaultConfig()
-	cfg.RampTime, cfg.FullBears, cfg.MaxBatch = 0, 16, 16
-	cfg.BaseStep, cfg.PerSequence, cfg.PerPrompt = 20*time.Millisecond, time.Nanosecond, time.Nanosecond
+	cfg.WarmUpTime, cfg.WarmCapacity, cfg.MaxBatch = 0, 16, 16
+	cfg.BaseStep, cfg.PerSequence, cfg.PerPromptToken = 20*time.Millisecond, time.Nanosecond, time.Nanosecond
 	lookupClass := func(account string, rate float64) RequestClass {
 		return RequestClass{
 			Account: account, Weight: 1, Rate: rate, Prompt: TokenDistribution{1, 0}, Output: TokenDistribution{1, 0},
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -127,11 +127,11 @@
 	e := sim.engines[f.Engine]
 	switch f.Kind {
 	case FaultSlow:
-		e.Slow(sim.now, f.Factor)
+		e.SetSlowFactor(sim.now, f.Factor)
 	case FaultCrash:
 		e.Crash(sim.now)
 	case FaultCold:
-		e.Cold(sim.now)
+		e.ResetWarmUp(sim.now)
 	case FaultLeave, FaultReturn:
 		sim.leaving[f.Engine] = f.Kind == FaultLeave
 		sim.policy.SetLeaving(sim.now, sim.leaving)
@@ -163,7 +163,7 @@
 	} else {
 		sim.result.recordGap(event.At, event.At-req.lastTokenAt)
 	}
-	req.producedTokens, req.lastTokenAt = event.Produced, event.At
+	req.producedTokens, req.lastTokenAt = event.ProducedTokens, event.At
 	sim.result.recordToken(req, event.At)
 }
 
@@ -246,7 +246,7 @@
 		return
 	}
 	err := sim.engines[req.engine].Submit(sim.now, model.Job{
-		ID: model.JobID(req.id), Priority: d.Priority, PromptTokens: req.promptTokens, Length: req.outputTokens,
+		ID: model.JobID(req.id), Priority: d.Priority, PromptTokens: req.promptTokens, OutputTokens: req.outputTokens,
 		Prefix: req.prefix, Crash: req.class.CrashesEngine,
 	})
 	if err != nil {
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -82,9 +82,9 @@
 	RetryAfter time.Duration
 	// Detail is for people; it never holds secrets or bodies.
 	Detail string
-	// Delivered counts the tokens that the caller received before the failure.
-	Delivered int
-	cause     error
+	// DeliveredTokens counts the tokens that the caller received before the failure.
+	DeliveredTokens int
+	cause           error
 }
 
 // New returns a failure of a request that did not run.
@@ -99,14 +99,14 @@
 	return e
 }
 
-// Unknown marks the failure as one of a request that may have run.
-func (e *Error) Unknown() *Error { e.Executed = ExecutedUnknown; return e }
+// WithExecutionUnknown marks the failure as one of a request that may have run.
+func (e *Error) WithExecutionUnknown() *Error { e.Executed = ExecutedUnknown; return e }
 
-// Ran marks the failure as one of a request that did run.
-func (e *Error) Ran() *Error { e.Executed = ExecutedYes; return e }
+// WithExecuted marks the failure as one of a request that did run.
+func (e *Error) WithExecuted() *Error { e.Executed = ExecutedYes; return e }
 
-// After says when asking again makes sense.
-func (e *Error) After(d time.Duration) *Error { e.RetryAfter = d; return e }
+// WithRetryAfter says when asking again makes sense.
+func (e *Error) WithRetryAfter(d time.Duration) *Error { e.RetryAfter = d; return e }
 
 // Error implements error.
 func (e *Error) Error() string {
@@ -141,14 +141,14 @@
 	return KindInternal
 }
 
-// From gives err as a failure; an error without a type is internal, and its
+// FromError gives err as a failure; an error without a type is internal, and its
 // outcome unknown.
-func From(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return Wrap(err, KindInternal, "unexpected error").Unknown()
+	return Wrap(err, KindInternal, "unexpected error").WithExecutionUnknown()
 }
 
 var statuses = map[Kind]int{
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("a problem document", func() {
 	It("carries type, outcome and the time to come back", func() {
 		rec := httptest.NewRecorder()
-		failure.Write(rec, failure.New(failure.KindOverloaded, "queue is full").After(1500*time.Millisecond))
+		failure.Write(rec, failure.New(failure.KindOverloaded, "queue is full").WithRetryAfter(1500*time.Millisecond))
 		Expect(rec.Code).To(Equal(503))
 		Expect(rec.Header().Get("Retry-After")).To(Equal("2"))
 		Expect(rec.Body.String()).To(ContainSubstring(`"executed":"no"`))
@@ -36,6 +36,6 @@
 	// after the call went out. Calling it "not run" would make the caller book
 	// a second time.
 	It("never says that an untyped error did not run", func() {
-		Expect(failure.From(errors.New("surprise")).Executed).To(Equal(failure.ExecutedUnknown))
+		Expect(failure.FromError(errors.New("surprise")).Executed).To(Equal(failure.ExecutedUnknown))
 	})
 })
--- a/internal/failure/problem.go
+++ b/internal/failure/problem.go
@@ -22,27 +22,27 @@
 	Detail   string   `json:"detail,omitempty"`
 	Executed Executed `json:"executed"`
 	// RetryAfterMS is in milliseconds; the header rounds up to whole seconds.
-	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	Delivered    int   `json:"delivered_tokens,omitempty"`
+	RetryAfterMS    int64 `json:"retry_after_ms,omitempty"`
+	DeliveredTokens int   `json:"delivered_tokens,omitempty"`
 }
 
 // Problem gives the failure as a document. The cause stays out of it: it may
 // name hosts and paths that are no caller's business.
 func (e *Error) Problem() Problem {
 	return Problem{
-		Type:         typePrefix + string(e.Kind),
-		Title:        string(e.Kind),
-		Status:       e.Status(),
-		Detail:       e.Detail,
-		Executed:     e.Executed,
-		RetryAfterMS: e.RetryAfter.Milliseconds(),
-		Delivered:    e.Delivered,
+		Type:            typePrefix + string(e.Kind),
+		Title:           string(e.Kind),
+		Status:          e.Status(),
+		Detail:          e.Detail,
+		Executed:        e.Executed,
+		RetryAfterMS:    e.RetryAfter.Milliseconds(),
+		DeliveredTokens: e.DeliveredTokens,
 	}
 }
 
 // Write answers a request with the failure's problem document.
 func Write(w http.ResponseWriter, err error) {
-	e := From(err)
+	e := FromError(err)
 	if e.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 	}
@@ -69,7 +69,7 @@
 		kind = KindInternal
 	}
 	return &Error{
-		Kind: kind, Executed: p.Executed, Detail: p.Detail, Delivered: p.Delivered,
+		Kind: kind, Executed: p.Executed, Detail: p.Detail, DeliveredTokens: p.DeliveredTokens,
 		RetryAfter: time.Duration(p.RetryAfterMS) * time.Millisecond,
 	}
 }
--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -8,9 +8,9 @@
 	"filbertdeck/internal/failure"
 )
 
-// Build compiles all programs of the module into dir, for tests that run real
+// BuildPrograms compiles all programs of the module into dir, for tests that run real
 // processes.
-func Build(dir string) error {
+func BuildPrograms(dir string) error {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "the module cannot be found")
--- a/internal/fleet/documents.go
+++ b/internal/fleet/documents.go
@@ -11,7 +11,7 @@
 
 // Publish writes the documents of the platform that describe the deployment.
 func (f *Fleet) Publish() error {
-	if err := f.Put("table/0001", f.spec.Table); err != nil {
+	if err := f.PutValue("table/0001", f.spec.Table); err != nil {
 		return err
 	}
 	if err := f.PublishHosts(nil); err != nil {
@@ -36,7 +36,7 @@
 	doc := hostsDocument{Revision: f.edits}
 	for _, h := range f.Hosts {
 		doc.Hosts = append(doc.Hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: stateOf(leaving[h.Name]),
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.PeerAddress, Control: h.ControlAddress, State: stateOf(leaving[h.Name]),
 		})
 	}
 	return f.putJSON(configservice.KeyHosts, doc)
@@ -72,21 +72,21 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "document %s cannot be written", key)
 	}
-	return f.Put(key, string(body))
+	return f.PutValue(key, string(body))
 }
 
-// Put writes a value of the platform stand-in, as an operator would.
-func (f *Fleet) Put(key, value string) error {
+// PutValue writes a value of the platform stand-in, as an operator would.
+func (f *Fleet) PutValue(key, value string) error {
 	return f.send(http.MethodPut, "http://"+f.Platform.Address+"/admin/values/"+key, []byte(value))
 }
 
-// Fault sets a fault of a stand-in.
-func (f *Fleet) Fault(t *Target, body string) error {
+// SetFault sets a fault of a stand-in.
+func (f *Fleet) SetFault(t *Target, body string) error {
 	return f.send(http.MethodPost, "http://"+t.Address+"/admin/fault", []byte(body))
 }
 
-// PlatformMode sets the mode of the platform stand-in.
-func (f *Fleet) PlatformMode(body string) error {
+// SetPlatformMode sets the mode of the platform stand-in.
+func (f *Fleet) SetPlatformMode(body string) error {
 	return f.send(http.MethodPost, "http://"+f.Platform.Address+"/admin/mode", []byte(body))
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -70,8 +70,8 @@
 	OperatorKey = "demo-operator-key"
 )
 
-// Digest gives the form in which the table holds a key.
-func Digest(key string) string {
+// KeyDigest gives the form in which the table holds a key.
+func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/fleet/hosts.go
+++ b/internal/fleet/hosts.go
@@ -11,17 +11,17 @@
 
 // Host is one entry host.
 type Host struct {
-	Name, DataCentre             string
-	Callers, Peer, EntryAdmin    string
-	Control, ControlAdmin        string
-	Entry, ControlProcess        *Process
-	entryCommand, controlCommand []string
+	Name, DataCentre                              string
+	ClientAddress, PeerAddress, EntryAdminAddress string
+	ControlAddress, ControlAdminAddress           string
+	EntryProcess, ControlProcess                  *Process
+	entryCommand, controlCommand                  []string
 }
 
 func (f *Fleet) planHosts() error {
 	for i, centre := range f.spec.Hosts {
 		h := &Host{Name: "host-" + strconv.Itoa(i+1), DataCentre: centre}
-		for _, address := range []*string{&h.Callers, &h.Peer, &h.EntryAdmin, &h.Control, &h.ControlAdmin} {
+		for _, address := range []*string{&h.ClientAddress, &h.PeerAddress, &h.EntryAdminAddress, &h.ControlAddress, &h.ControlAdminAddress} {
 			free, err := FreeAddress()
 			if err != nil {
 				return err
@@ -39,14 +39,14 @@
 func (f *Fleet) planCommands(h *Host) {
 	common := append(f.transportArgs(), "--host", h.Name, "--data-centre", h.DataCentre, "--stop-notice", "200ms")
 	h.controlCommand = append(append(append([]string{}, common...),
-		"--listen", h.Control, "--admin-listen", h.ControlAdmin, "--platform", f.Platform.Address,
-		"--operator-key-sha256", Digest(OperatorKey), "--monitor-key-sha256", Digest(MonitorKey)), f.spec.ControlArgs...)
+		"--listen", h.ControlAddress, "--admin-listen", h.ControlAdminAddress, "--platform", f.Platform.Address,
+		"--operator-key-sha256", KeyDigest(OperatorKey), "--monitor-key-sha256", KeyDigest(MonitorKey)), f.spec.ControlArgs...)
 	h.entryCommand = append(append([]string{}, common...),
-		"--listen", h.Callers, "--peer-listen", h.Peer, "--admin-listen", h.EntryAdmin, "--key-ring", f.ring,
-		"--control", h.Control)
+		"--listen", h.ClientAddress, "--peer-listen", h.PeerAddress, "--admin-listen", h.EntryAdminAddress, "--key-ring", f.ring,
+		"--control", h.ControlAddress)
 	for _, other := range f.Hosts {
 		if other != h && other.DataCentre == h.DataCentre {
-			h.entryCommand = append(h.entryCommand, "--control", other.Control)
+			h.entryCommand = append(h.entryCommand, "--control", other.ControlAddress)
 		}
 	}
 	h.entryCommand = append(h.entryCommand, f.spec.EntryArgs...)
@@ -85,7 +85,7 @@
 		return err
 	}
 	f.keep(p)
-	h.Entry = p
+	h.EntryProcess = p
 	return nil
 }
 
@@ -104,7 +104,7 @@
 
 func (f *Fleet) waitEntry(ctx context.Context, h *Host) error {
 	for {
-		resp, err := f.http.Get(f.scheme() + "://" + h.Callers + "/readyz")
+		resp, err := f.http.Get(f.scheme() + "://" + h.ClientAddress + "/readyz")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusNoContent {
@@ -113,9 +113,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.KindNotReady, "%s is not ready in time\nentry: %s\ncontrol: %s", h.Name, h.Entry.Log(), h.ControlProcess.Log())
-		case <-h.Entry.Done():
-			return failure.New(failure.KindInternal, "entry of %s ended: %s", h.Name, h.Entry.Log())
+			return failure.New(failure.KindNotReady, "%s is not ready in time\nentry: %s\ncontrol: %s", h.Name, h.EntryProcess.Log(), h.ControlProcess.Log())
+		case <-h.EntryProcess.Done():
+			return failure.New(failure.KindInternal, "entry of %s ended: %s", h.Name, h.EntryProcess.Log())
 		case <-time.After(readyEvery):
 		}
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -57,8 +57,8 @@
 // ExitCode is valid after Done; -1 stands for an end by a signal.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Pid is the process's id.
-func (p *Process) Pid() int { return p.cmd.Process.Pid }
+// PID is the process's id.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Log gives the last lines that the process logged.
 func (p *Process) Log() string { return p.log.String() }
--- a/internal/gateway/answers_test.go
+++ b/internal/gateway/answers_test.go
@@ -20,7 +20,7 @@
 	completeStream = "HTTP/1.1 200 OK\n" + requestID + ": ID\n" + seal + ": s1\nContent-Type: text/event-stream\n" +
 		"Transfer-Encoding: chunked\n\n14\nid: 1\ndata: one\n\n\n0\n\n"
 	serverError = "HTTP/1.1 500 Internal Server Error\n" + requestID + ": ID\n" + seal + ": s1\nContent-Length: 4\n\noops"
-	notExecuted = "HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.NotExecuted + ": 1\nContent-Length: 0\n\n"
+	notExecuted = "HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.HeaderNotExecuted + ": 1\nContent-Length: 0\n\n"
 )
 
 var _ = Describe("answers", func() {
@@ -35,8 +35,8 @@
 		Expect(sent.RequestURI).To(Equal("/book/a%2Fb//c?x=1&&y"))
 		Expect(sent.Host).To(Equal("a.example"))
 		Expect(sent.Header.Get("Authorization")).To(BeEmpty())
-		Expect(sent.Header.Get(standin.Tenant)).To(Equal("clinic"))
-		Expect(sent.Header.Get(standin.ExpectInstance)).To(Equal("i-1"))
+		Expect(sent.Header.Get(standin.HeaderTenant)).To(Equal("clinic"))
+		Expect(sent.Header.Get(standin.HeaderExpectInstance)).To(Equal("i-1"))
 		Expect(t.bodies[0]).To(Equal("hello"))
 	})
 
@@ -140,7 +140,7 @@
 				return
 			}
 			leavingID = chosen.ID
-			entries := []*directory.Seen{first.directoryEntry("app", "dc-1"), second.directoryEntry("app", "dc-1")}
+			entries := []*directory.ObservedTarget{first.directoryEntry("app", "dc-1"), second.directoryEntry("app", "dc-1")}
 			for i, e := range entries {
 				if e.ID == leavingID {
 					entries[i] = asLeaving(e)
@@ -193,11 +193,11 @@
 	beforeSend func(chosen directory.Target)
 }
 
-func (d *hookedDialect) WriteSend(ctx context.Context, s *call.Send) (*http.Request, error) {
+func (d *hookedDialect) BuildRequest(ctx context.Context, s *call.Attempt) (*http.Request, error) {
 	if d.beforeSend != nil {
 		d.beforeSend(s.Target)
 	}
-	return d.Dialect.WriteSend(ctx, s)
+	return d.Dialect.BuildRequest(ctx, s)
 }
 
 var _ = Describe("answers without a body", func() {
--- a/internal/gateway/backup.go
+++ b/internal/gateway/backup.go
@@ -21,8 +21,8 @@
 // placeBackup selects an engine with room to keep a backup of the generation
 // and names it in the send; nil when there is none. Generations that a new run
 // may continue need no backup.
-func (gen *generation) placeBackup(s *call.Send, target *directory.Seen) *backup {
-	if e := gen.service.Engine; e == nil || !e.Backups || gen.route.Resumable {
+func (gen *generation) placeBackup(s *call.Attempt, target *directory.ObservedTarget) *backup {
+	if e := gen.service.Engine; e == nil || !e.KeepsBackups || gen.route.Resumable {
 		return nil
 	}
 	backupTarget, reservation, ok := gen.g.cfg.Loads.ReserveBackup(gen.g.view(), gen.Prompt, target)
@@ -31,6 +31,6 @@
 	}
 	s.Backup = backupTarget.Address
 	// The backup is stored at the engine that keeps it, under the request's id.
-	memory := &memoryCopy{target: backupTarget, handoff: call.Handoff{From: backupTarget.Address, Handle: gen.ID}}
+	memory := &memoryCopy{target: backupTarget, handoff: call.CacheCopy{Source: backupTarget.Address, Handle: gen.ID}}
 	return &backup{memoryCopy: memory, reservation: reservation}
 }
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -79,13 +79,13 @@
 
 // coldRate returns the requests per second that a target takes while it is
 // cold, 0 when it is not.
-func (l *TargetLoads) coldRate(view *directory.View, t *directory.Seen) float64 {
+func (l *TargetLoads) coldRate(view *directory.View, t *directory.ObservedTarget) float64 {
 	s, ok := view.Service(t.Service)
-	if !ok || s.ColdRate <= 0 || l.coldBound.Rank == nil {
+	if !ok || s.ColdRequestsPerSecond <= 0 || l.coldBound.Rank == nil {
 		return 0
 	}
-	if l.now() < t.ColdUntil || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
-		return s.ColdRate
+	if l.now() < t.WarmAt || l.now()-l.loadOf(t.ID).unreachableAt < coldAfterUnreachable {
+		return s.ColdRequestsPerSecond
 	}
 	return 0
 }
@@ -131,7 +131,7 @@
 func (l *TargetLoads) eligible(view *directory.View, req PlacementRequest) targetCandidates {
 	var out targetCandidates
 	sums, alerts, defaultStep := l.hostLoads.Totals(l.now()), l.alerts.Totals(l.now()), l.speeds.Median()
-	for _, t := range view.Pool(req.Service) {
+	for _, t := range view.ServiceTargets(req.Service) {
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
 		}
@@ -142,19 +142,19 @@
 
 // acceptsRequest reports whether a target accepts a request according to the
 // published state.
-func acceptsRequest(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
-	return view.TakesNew(t) && !slices.Contains(req.Exclude, t.ID)
+func acceptsRequest(view *directory.View, req PlacementRequest, t *directory.ObservedTarget) bool {
+	return view.AcceptsNewRequests(t) && !slices.Contains(req.Exclude, t.ID)
 }
 
 // acceptsIgnoringRate reports whether a target accepts a request, leaving its
 // advertised rate aside.
-func (l *TargetLoads) acceptsIgnoringRate(view *directory.View, req PlacementRequest, t *directory.Seen) bool {
+func (l *TargetLoads) acceptsIgnoringRate(view *directory.View, req PlacementRequest, t *directory.ObservedTarget) bool {
 	return acceptsRequest(view, req, t) && !l.isLeavingLocked(t.ID) && l.withinColdShare(view, t)
 }
 
 // withinColdShare reports whether this host may send a target one more request
 // now: a cold target takes this host's share of its cold rate.
-func (l *TargetLoads) withinColdShare(view *directory.View, t *directory.Seen) bool {
+func (l *TargetLoads) withinColdShare(view *directory.View, t *directory.ObservedTarget) bool {
 	rate := l.coldRate(view, t)
 	return rate == 0 || l.loadOf(t.ID).coldGate.Allows(l.now(), l.coldShare(t.ID, rate))
 }
@@ -162,7 +162,7 @@
 // newCandidate returns the placement candidate for a target. others is the load
 // that other hosts have there, defaultStep the time per token assumed for
 // engines without measurements.
-func (l *TargetLoads) newCandidate(view *directory.View, t *directory.Seen, locality Locality, others targetload.Load, defaultStep time.Duration) placement.Candidate {
+func (l *TargetLoads) newCandidate(view *directory.View, t *directory.ObservedTarget, locality Locality, others targetload.Load, defaultStep time.Duration) placement.Candidate {
 	own := l.loadOf(t.ID)
 	all := own.Add(others)
 	c := placement.Candidate{
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -14,12 +14,12 @@
 var _ = Describe("cold targets", func() {
 	view := func(coldUntil time.Duration) *directory.View {
 		cfg := testConfig()
-		cfg.Services[1].ColdRate = 4
-		targets := map[string]*directory.Seen{}
+		cfg.Services[1].ColdRequestsPerSecond = 4
+		targets := map[string]*directory.ObservedTarget{}
 		for _, id := range []string{"cold", "warm"} {
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
-		targets["cold"].ColdUntil = coldUntil
+		targets["cold"].WarmAt = coldUntil
 		return directory.NewView(1, cfg, targets, nil)
 	}
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -55,8 +55,8 @@
 }
 
 // newSend returns a send of the request to a target.
-func (x *exchange) newSend(target *directory.Seen) *call.Send {
-	s := &call.Send{Request: x.Request, Target: target.Target, Left: time.Until(x.deadline), Priority: -1}
+func (x *exchange) newSend(target *directory.ObservedTarget) *call.Attempt {
+	s := &call.Attempt{Request: x.Request, Target: target.Target, TimeRemaining: time.Until(x.deadline), Priority: -1}
 	if x.account != nil {
 		s.Account = x.account.Name
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,7 +20,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -64,14 +64,14 @@
 
 // Config holds the settings and dependencies of a gateway.
 type Config struct {
-	Dialect     call.Dialect
-	Engines     call.Engines
-	Board       *published.Board
+	Dialect     call.Codec
+	Engines     call.EngineClient
+	Board       *recordsync.Board
 	Loads       *TargetLoads
 	RetryBudget *retrybudget.Budget
 	// CrashEvidence records the requests that crash targets.
 	CrashEvidence *CrashEvidence
-	Client        *targetclient.Once
+	Client        *targetclient.AtMostOnceClient
 	// Migration decides how generations are moved off an engine that stops.
 	Migration migration.Config
 	Log       *slog.Logger
@@ -149,7 +149,7 @@
 		g.refuse(w, nil, err)
 		return
 	}
-	req, err := g.cfg.Dialect.ReadRequest(r, body, arrived)
+	req, err := g.cfg.Dialect.ParseRequest(r, body, arrived)
 	if err != nil {
 		g.refuse(w, nil, err)
 		return
@@ -188,7 +188,7 @@
 // reason to refuse it.
 func (g *Gateway) admit(x *exchange) error {
 	if x.view == nil || x.view.Config == nil {
-		return failure.New(failure.KindNotReady, "no configuration is known yet").After(noConfigRetryAfter)
+		return failure.New(failure.KindNotReady, "no configuration is known yet").WithRetryAfter(noConfigRetryAfter)
 	}
 	var found bool
 	if x.route, found = x.view.Route(x.Host, x.Path); !found {
@@ -200,24 +200,24 @@
 		}
 	}
 	g.metrics.countReceived(x.route.Kind)
-	name := x.route.Pick(rand.Float64())
+	name := x.route.PickService(rand.Float64())
 	if x.service, found = x.view.Service(name); !found {
-		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).After(noTargetRetryAfter)
+		return failure.New(failure.KindNoTarget, "the route's service %q is not configured", name).WithRetryAfter(noTargetRetryAfter)
 	}
-	timeout := x.Patience
+	timeout := x.ClientTimeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
 	if x.route.Timeout > 0 {
 		timeout = min(timeout, x.route.Timeout)
 	}
-	x.deadline = x.Arrived.Add(timeout - deadlineMargin)
+	x.deadline = x.ArrivedAt.Add(timeout - deadlineMargin)
 	x.fingerprint = fingerprint(x)
 	if g.cfg.CrashEvidence.isPoison(x.fingerprint) {
-		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").After(poisonRetryAfter)
+		return failure.New(failure.KindOverloaded, "the request crashed every target that ran it").WithRetryAfter(poisonRetryAfter)
 	}
 	if x.route.Kind == directory.Generation && g.exitsBeforeEnd(x) {
-		return failure.New(failure.KindStopping, "the process is expected to exit before the generation ends").After(stoppingRetryAfter)
+		return failure.New(failure.KindStopping, "the process is expected to exit before the generation ends").WithRetryAfter(stoppingRetryAfter)
 	}
 	return nil
 }
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -54,7 +54,7 @@
 
 	mu sync.Mutex
 	// target is the target where the generation runs.
-	target *directory.Seen
+	target *directory.ObservedTarget
 	// cancelStream ends the stream from target.
 	cancelStream context.CancelFunc
 	// backup is the backup of the generation's memory, nil when there is none.
@@ -66,7 +66,7 @@
 
 // engineStream is the part of a generation's stream that one engine produces.
 type engineStream struct {
-	target      *directory.Seen
+	target      *directory.ObservedTarget
 	resp        *http.Response
 	reservation *Reservation
 	cancel      context.CancelFunc
@@ -93,14 +93,14 @@
 	errGenerationMoved = failure.New(failure.KindInternal, "the generation was moved")
 	// errEngineAnswered marks that the engine's own failure is the answer to
 	// the caller.
-	errEngineAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").Ran()
+	errEngineAnswered = failure.New(failure.KindTargetFailed, "the engine answered with a failure").WithExecuted()
 )
 
 // relayGeneration relays a generation.
 func (g *Gateway) relayGeneration(ctx context.Context, x *exchange) {
 	gen := &generation{exchange: x, g: g, ctx: ctx, ended: make(chan struct{})}
 	defer close(gen.ended)
-	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	g.generations.add(gen)
 	defer g.generations.remove(gen)
 	stream, err := gen.start()
@@ -133,7 +133,7 @@
 		}
 		gen.setTarget(target, nil, nil)
 		gen.g.cfg.Log.Info("generation placed", "request", gen.ID, "route", gen.route.Name, "target", target.ID,
-			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutput, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
+			"tokens", expectedTokens(gen.Prompt), "prompt", gen.Prompt.Tokens, "max", gen.Prompt.MaxOutputTokens, "hint", gen.Prompt.LengthHint, "basis", selection, "tries", counts.sent+counts.unsent+1,
 			"running", reservation.candidate.Running, "promised", reservation.candidate.ReservedTokens, "unread", reservation.candidate.UnreadTokens, "step", reservation.candidate.TimePerToken)
 		stream, err := gen.openStream(gen.newSend(target), target, reservation, selection)
 		if err == nil {
@@ -158,12 +158,12 @@
 // placementRequest returns the requirements for an engine that starts a new run
 // of the generation.
 func (gen *generation) placementRequest(exclude []string) PlacementRequest {
-	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.Objective, Locality: PreferLocal, Exclude: exclude}
+	return PlacementRequest{Service: gen.service.Name, Prompt: gen.Prompt, FirstEventLimit: gen.route.LatencyObjective, Locality: PreferLocal, Exclude: exclude}
 }
 
 // setTarget records where the generation runs. No move away from there has
 // begun.
-func (gen *generation) setTarget(target *directory.Seen, cancel context.CancelFunc, b *backup) {
+func (gen *generation) setTarget(target *directory.ObservedTarget, cancel context.CancelFunc, b *backup) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	gen.target, gen.cancelStream, gen.backup, gen.move = target, cancel, b, nil
@@ -179,7 +179,7 @@
 }
 
 // isAt reports whether the generation still runs at a target.
-func (gen *generation) isAt(target *directory.Seen) bool {
+func (gen *generation) isAt(target *directory.ObservedTarget) bool {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	return gen.target == target
@@ -187,12 +187,12 @@
 
 // openStream sends the request to an engine and waits for the header of the
 // answer.
-func (gen *generation) openStream(s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStream(s *call.Attempt, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	return gen.openStreamWithin(0, s, target, reservation, selection)
 }
 
 // openStreamWithin is openStream with a time limit; 0 means none.
-func (gen *generation) openStreamWithin(limit time.Duration, s *call.Send, target *directory.Seen, reservation *Reservation, selection *selectionState) (*engineStream, error) {
+func (gen *generation) openStreamWithin(limit time.Duration, s *call.Attempt, target *directory.ObservedTarget, reservation *Reservation, selection *selectionState) (*engineStream, error) {
 	ctx, cancel := context.WithCancel(gen.ctx)
 	if limit > 0 {
 		timer := time.AfterFunc(limit, cancel)
@@ -201,7 +201,7 @@
 	newBackup := gen.placeBackup(s, target)
 	end := gen.g.cfg.CrashEvidence.beginRequest(target, gen.fingerprint)
 	resp, answer, err := gen.g.send(ctx, s, selection)
-	if answer.Leaving && gen.movable() {
+	if answer.ShuttingDown && gen.movable() {
 		gen.g.checkClosingTarget(target)
 	}
 	if err == nil && answer.Status != http.StatusOK {
@@ -221,16 +221,16 @@
 // readFailedAnswer reads an engine's own failure answer, which is passed to the
 // caller when no other engine serves the request. Once a caller has events, no
 // other answer can follow them.
-func (gen *generation) readFailedAnswer(resp *http.Response, answer call.Answer) error {
+func (gen *generation) readFailedAnswer(resp *http.Response, answer call.ResponseHeader) error {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.KindTargetLost, "reading the engine's answer failed").Unknown()
+		return failure.Wrap(err, failure.KindTargetLost, "reading the engine's answer failed").WithExecutionUnknown()
 	}
 	if gen.headerSent {
-		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).Unknown()
+		return failure.New(failure.KindTargetFailed, "the engine answered with status %d instead of continuing the stream", resp.StatusCode).WithExecutionUnknown()
 	}
-	gen.failedAnswer = &completeAnswer{Answer: answer, header: resp.Header, body: body}
+	gen.failedAnswer = &completeAnswer{ResponseHeader: answer, header: resp.Header, body: body}
 	return errEngineAnswered
 }
 
@@ -239,7 +239,7 @@
 	gen.writeHeader(stream.resp)
 	split := sse.NewSplitter(stream.resp.Body, 0)
 	var window enginespeed.Window
-	var block sse.Block
+	var block sse.RawEvent
 	for {
 		if err := split.Next(&block); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -259,19 +259,19 @@
 
 // deliver passes one event to the caller, unless the generation has switched to
 // another engine, which produces the event again.
-func (gen *generation) deliver(block *sse.Block) error {
+func (gen *generation) deliver(block *sse.RawEvent) error {
 	gen.deliveryMu.Lock()
 	defer gen.deliveryMu.Unlock()
 	if gen.nextStream != nil {
 		return errGenerationMoved
 	}
-	if _, err := gen.w.Write(block.Raw); err != nil {
+	if _, err := gen.w.Write(block.Bytes); err != nil {
 		return failure.Wrap(err, failure.KindTargetLost, "writing to the caller failed")
 	}
 	if f, ok := gen.w.(http.Flusher); ok {
 		f.Flush()
 	}
-	gen.gaps.record(time.Since(gen.Arrived))
+	gen.gaps.record(time.Since(gen.ArrivedAt))
 	gaps := gen.gaps
 	gen.progress.Store(&gaps)
 	if block.ID != nil {
@@ -287,7 +287,7 @@
 	}
 	gen.headerSent = true
 	h := gen.w.Header()
-	gen.g.cfg.Dialect.CopyHeader(h, resp.Header)
+	gen.g.cfg.Dialect.CopyResponseHeader(h, resp.Header)
 	h.Del("Content-Length")
 	gen.w.WriteHeader(resp.StatusCode)
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -21,7 +21,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
 	"filbertdeck/internal/directory"
@@ -37,8 +37,8 @@
 }
 
 const (
-	requestID = standin.RequestID
-	seal      = standin.Seal
+	requestID = standin.HeaderRequestID
+	seal      = standin.HeaderSeal
 	// healthPath is the health check path of the service "llm".
 	healthPath = "/health"
 )
@@ -99,8 +99,8 @@
 	return append([]*http.Request(nil), t.received...)
 }
 
-func (t *fakeTarget) directoryEntry(service, dataCentre string) *directory.Seen {
-	return &directory.Seen{Listed: true, Target: directory.Target{
+func (t *fakeTarget) directoryEntry(service, dataCentre string) *directory.ObservedTarget {
+	return &directory.ObservedTarget{Published: true, Target: directory.Target{
 		ID: t.id, Service: service, Address: t.address, DataCentre: dataCentre, Slots: 6,
 	}}
 }
@@ -123,7 +123,7 @@
 	loads    *gateway.TargetLoads
 	gateway  *gateway.Gateway
 	suspects *gateway.CrashEvidence
-	targets  []*directory.Seen
+	targets  []*directory.ObservedTarget
 	// disconnected is set while the gateway has no access to the published
 	// state.
 	disconnected atomic.Bool
@@ -131,18 +131,18 @@
 
 // startGateway runs a gateway with the services "llm" and "app" and routes to
 // them.
-func startGateway(targets ...*directory.Seen) *fixture {
+func startGateway(targets ...*directory.ObservedTarget) *fixture {
 	return startGatewayWithLogs(slog.DiscardHandler, targets...)
 }
 
 // startGatewayWithLogs is startGateway with a log handler.
-func startGatewayWithLogs(logs slog.Handler, targets ...*directory.Seen) *fixture {
+func startGatewayWithLogs(logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
 	return startGatewayWithDialect(platform.Dialect{}, logs, targets...)
 }
 
 // startGatewayWithDialect is startGatewayWithLogs with a given dialect.
-func startGatewayWithDialect(dialect call.Dialect, logs slog.Handler, targets ...*directory.Seen) *fixture {
-	board := &published.Board{}
+func startGatewayWithDialect(dialect call.Codec, logs slog.Handler, targets ...*directory.ObservedTarget) *fixture {
+	board := &recordsync.Board{}
 	views, err := board.View.Claim()
 	Expect(err).NotTo(HaveOccurred())
 	start := time.Now()
@@ -151,7 +151,7 @@
 	g := gateway.New(gateway.Config{
 		Dialect: dialect, Engines: platform.NewEngines(), Board: board,
 		Loads: gw.loads, CrashEvidence: gw.suspects, RetryBudget: retrybudget.New(retrybudget.Config{}),
-		Client: targetclient.NewOnce(targetclient.Settings{Header: time.Minute, Silence: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
+		Client: targetclient.NewAtMostOnceClient(targetclient.Settings{ResponseHeaderTimeout: time.Minute, ReadIdleTimeout: time.Minute}), Migration: migration.Default(), Disconnected: gw.disconnected.Load, ViewCurrent: func() bool { return !gw.disconnected.Load() }, ViewAge: func() time.Duration { return 0 },
 		Log: slog.New(logs), Metrics: gometrics.NewRegistry(), Now: now,
 	})
 	gw.gateway = g
@@ -167,7 +167,7 @@
 func testConfig() *directory.Config {
 	route := func(prefix, service string, kind directory.RequestKind, attempts int) directory.Route {
 		return directory.Route{
-			Name: prefix, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second, Attempts: attempts,
+			Name: prefix, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 5 * time.Second, MaxAttempts: attempts,
 			Backends: []directory.Backend{{Service: service, Weight: 1}},
 		}
 	}
@@ -176,18 +176,18 @@
 	return &directory.Config{
 		Version: 1,
 		Routes: []directory.Route{
-			route("/book/", "app", directory.Once, 2), route("/look/", "app", directory.Repeatable, 2),
+			route("/book/", "app", directory.AtMostOnce, 2), route("/look/", "app", directory.Repeatable, 2),
 			route("/report/", "llm", directory.Generation, 1), resumable,
 		},
 		Services: []directory.Service{{Name: "app"}, {Name: "llm", HealthPath: healthPath, Engine: &directory.Engine{
-			Slots: 6, MemoryTokens: 10000, Moves: true, Backups: true, TokensPerEvent: 1,
+			Slots: 6, MemoryTokens: 10000, CanMigrate: true, KeepsBackups: true, TokensPerEvent: 1,
 		}}},
 		Accounts: []directory.Account{{Name: "clinic", Keys: []string{"key-1"}}},
 	}
 }
 
-func (gw *fixture) publish(targets ...*directory.Seen) {
-	seen := map[string]*directory.Seen{}
+func (gw *fixture) publish(targets ...*directory.ObservedTarget) {
+	seen := map[string]*directory.ObservedTarget{}
 	for _, t := range targets {
 		seen[t.ID] = t
 	}
@@ -195,7 +195,7 @@
 }
 
 // add publishes one more target beside those added before.
-func (gw *fixture) add(t *directory.Seen) {
+func (gw *fixture) add(t *directory.ObservedTarget) {
 	gw.targets = append(gw.targets, t)
 	gw.publish(gw.targets...)
 }
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -49,8 +49,8 @@
 }
 
 // targets returns the engines at which movable generations of this host run.
-func (s *generationSet) targets() []*directory.Seen {
-	seen := map[string]*directory.Seen{}
+func (s *generationSet) targets() []*directory.ObservedTarget {
+	seen := map[string]*directory.ObservedTarget{}
 	for _, gen := range s.list() {
 		gen.mu.Lock()
 		if gen.target != nil && gen.movable() {
@@ -118,13 +118,13 @@
 
 // checkClosingTarget checks the health of a target that closes a connection. A
 // target about to stop does so, but it also closes connections at other times.
-func (g *Gateway) checkClosingTarget(t *directory.Seen) {
+func (g *Gateway) checkClosingTarget(t *directory.ObservedTarget) {
 	if acceptsNewWork(g.view(), t.Target) {
 		go g.checkTarget(context.Background(), t)
 	}
 }
 
-func (g *Gateway) checkTarget(ctx context.Context, t *directory.Seen) {
+func (g *Gateway) checkTarget(ctx context.Context, t *directory.ObservedTarget) {
 	service, known := g.view().Service(t.Service)
 	if !known || g.cfg.Loads.Leaving(t.ID) {
 		return
@@ -156,19 +156,19 @@
 // each other. Those of plain services that answer with a stream cannot.
 func (gen *generation) movable() bool {
 	e := gen.service.Engine
-	return e != nil && e.Moves
+	return e != nil && e.CanMigrate
 }
 
 // beginMove begins a move if the generation's target leaves and no move was
 // begun.
-func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.Seen, *move, bool) {
+func (gen *generation) beginMove(view *directory.View, loads *TargetLoads) (*directory.ObservedTarget, *move, bool) {
 	gen.mu.Lock()
 	defer gen.mu.Unlock()
 	if gen.target == nil || gen.move != nil || !gen.movable() {
 		return nil, nil, false
 	}
 	now, known := view.Target(gen.target.ID)
-	if known && now.Listed && !now.Leaving && !loads.Leaving(gen.target.ID) {
+	if known && now.Published && !now.Leaving && !loads.Leaving(gen.target.ID) {
 		return nil, nil, false
 	}
 	gen.move = &move{done: make(chan struct{})}
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -206,7 +206,7 @@
 	load     targetload.Load
 	// entry is the target's directory entry and candidate its load, both as of
 	// the selection.
-	entry     *directory.Seen
+	entry     *directory.ObservedTarget
 	candidate placement.Candidate
 }
 
@@ -296,15 +296,15 @@
 // expectedOutputTokens returns the number of tokens that a generation is
 // expected to produce; 0 when the request gives no indication of it.
 func expectedOutputTokens(p call.Prompt) int {
-	defaultOutput := defaultOutputShare * float64(p.MaxOutput)
+	defaultOutput := defaultOutputShare * float64(p.MaxOutputTokens)
 	switch {
 	case p.LengthHint == 0:
 		return int(defaultOutput)
-	case p.MaxOutput == 0:
+	case p.MaxOutputTokens == 0:
 		return p.LengthHint
 	}
 	combined := math.Pow(float64(p.LengthHint), hintWeight) * math.Pow(defaultOutput, 1-hintWeight)
-	return min(int(combined), p.MaxOutput)
+	return min(int(combined), p.MaxOutputTokens)
 }
 
 // expectedTokens returns the memory, in tokens, that a request is expected to
--- a/internal/gateway/load_internal_test.go
+++ b/internal/gateway/load_internal_test.go
@@ -16,9 +16,9 @@
 		prompt      call.Prompt
 		least, most int
 	}{
-		{"estimate far too long", call.Prompt{MaxOutput: 2000, LengthHint: 20_000}, 800, 2000},
-		{"estimate far too short", call.Prompt{MaxOutput: 2000, LengthHint: 20}, 100, 400},
-		{"no estimate", call.Prompt{MaxOutput: 2000}, 800, 800},
+		{"estimate far too long", call.Prompt{MaxOutputTokens: 2000, LengthHint: 20_000}, 800, 2000},
+		{"estimate far too short", call.Prompt{MaxOutputTokens: 2000, LengthHint: 20}, 100, 400},
+		{"no estimate", call.Prompt{MaxOutputTokens: 2000}, 800, 800},
 		{"no output limit", call.Prompt{LengthHint: 300}, 300, 300},
 		{"neither limit nor estimate", call.Prompt{}, 0, 0},
 	} {
--- a/internal/gateway/memory_copy.go
+++ b/internal/gateway/memory_copy.go
@@ -18,7 +18,7 @@
 // copy must not be offered, because an engine that fails part of its requests
 // may run the request as a new one.
 func (gen *generation) copyRetention() time.Duration {
-	return cmp.Or(gen.service.Engine.CopyKept, defaultCopyRetention)
+	return cmp.Or(gen.service.Engine.CopyTTL, defaultCopyRetention)
 }
 
 // memoryCopy is a copy of a generation's memory at another engine, from which
@@ -29,8 +29,8 @@
 // offer is refused at best; an engine that fails part of its requests took one
 // for a new request, and a generation that may run once ran twice.
 type memoryCopy struct {
-	target  *directory.Seen
-	handoff call.Handoff
+	target  *directory.ObservedTarget
+	handoff call.CacheCopy
 	claimed atomic.Bool
 }
 
--- a/internal/gateway/memory_copy_test.go
+++ b/internal/gateway/memory_copy_test.go
@@ -14,7 +14,7 @@
 )
 
 // respondNotExecuted refuses a request and says that it did not run.
-var respondNotExecuted = respond("HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.NotExecuted + ": 1\nContent-Length: 0\n\n")
+var respondNotExecuted = respond("HTTP/1.1 503 Service Unavailable\n" + requestID + ": ID\n" + standin.HeaderNotExecuted + ": 1\nContent-Length: 0\n\n")
 
 // breakingEngine is an engine that produces one event and breaks the stream off
 // once breakStream is set.
@@ -55,7 +55,7 @@
 		done := make(chan result, 1)
 		go func() { done <- gw.do(gw.request("POST", "/report/")) }()
 		Eventually(first.eventsSent.Load).Should(Equal(int64(1)))
-		Expect(first.requests()[0].Header.Get(standin.Backup)).To(Equal(backupTarget.address))
+		Expect(first.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(backupTarget.address))
 		first.refuseMoves.Store(true)
 		gw.publish(asLeaving(first.directoryEntry("llm", "dc-1")), backupTarget.directoryEntry("llm", "dc-2"))
 		Eventually(func() int { return len(backupTarget.requests()) }).Should(Equal(1))
@@ -73,13 +73,13 @@
 		first := startBreakingEngine("i-1")
 		backupEngine := startEngine("i-2", 3, time.Millisecond)
 		gw := startGateway(first.directoryEntry("llm", "dc-1"))
-		gw.cfg.Services[1].Engine.CopyKept = 100 * time.Millisecond
+		gw.cfg.Services[1].Engine.CopyTTL = 100 * time.Millisecond
 		gw.publish(first.directoryEntry("llm", "dc-1"), backupEngine.directoryEntry("llm", "dc-2"))
 		gw.loads.RecordFailure("i-2")
 		done := make(chan result, 1)
 		go func() { done <- gw.do(gw.request("POST", "/report/")) }()
 		Eventually(first.eventsSent.Load).Should(Equal(int64(1)))
-		Expect(first.requests()[0].Header.Get(standin.Backup)).To(Equal(backupEngine.address))
+		Expect(first.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(backupEngine.address))
 		time.AfterFunc(200*time.Millisecond, func() { first.breakStream.Store(true) })
 		var got result
 		Eventually(done, "10s").Should(Receive(&got))
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -54,7 +54,7 @@
 		movedByCopy: counter("moved.copy"), movedToBackup: counter("moved.backup"), resumedAfterLoss: counter("moved.after_loss"), newRuns: counter("moved.anew"),
 		copiesFailed: counter("copies_failed"),
 	}
-	for _, kind := range []directory.RequestKind{directory.Once, directory.Repeatable, directory.Generation} {
+	for _, kind := range []directory.RequestKind{directory.AtMostOnce, directory.Repeatable, directory.Generation} {
 		m.byKind[kind] = &kindMetrics{
 			received: counter("received." + kind.String()), answered: counter("answered." + kind.String()),
 			duration: newHistogram("took_us."+kind.String(), r),
--- a/internal/gateway/move.go
+++ b/internal/gateway/move.go
@@ -55,7 +55,7 @@
 
 // moveAway continues the generation at another engine: at its backup, or from a
 // copy of its memory that is made while it runs on.
-func (gen *generation) moveAway(ctx context.Context, from *directory.Seen, m *move) {
+func (gen *generation) moveAway(ctx context.Context, from *directory.ObservedTarget, m *move) {
 	defer close(m.done)
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
@@ -104,7 +104,7 @@
 // full. Engines that refused are not tried again while there are others, so
 // that an engine with room is found in another data centre within the stop
 // notice, although copies to there take twice as long.
-func (gen *generation) copyToSomeTarget(ctx context.Context, from *directory.Seen, m *move, stopTime time.Time, exclude []string) ([]string, bool) {
+func (gen *generation) copyToSomeTarget(ctx context.Context, from *directory.ObservedTarget, m *move, stopTime time.Time, exclude []string) ([]string, bool) {
 	for range destinationsPerRound {
 		to, reservation, ok := gen.g.cfg.Loads.Acquire(gen.g.view(), PlacementRequest{Service: from.Service, Prompt: gen.Prompt, Locality: PreferDataCentre(from.DataCentre), Exclude: exclude})
 		if !ok {
@@ -128,7 +128,7 @@
 }
 
 // copyTo copies the generation's memory to another engine and switches to it.
-func (gen *generation) copyTo(ctx context.Context, from, to *directory.Seen, reservation *Reservation, m *move, stopTime time.Time) copyOutcome {
+func (gen *generation) copyTo(ctx context.Context, from, to *directory.ObservedTarget, reservation *Reservation, m *move, stopTime time.Time) copyOutcome {
 	start := time.Now()
 	result, err := gen.g.cfg.Engines.Move(ctx, from.Address, gen.ID, to.Address, false)
 	gen.g.cfg.Log.Info("generation copied", "request", gen.ID, "from", from.ID, "to", to.ID, "took", time.Since(start),
@@ -137,7 +137,7 @@
 		gen.g.metrics.copiesFailed.Inc(1)
 		return copyFailureOutcome(err)
 	}
-	m.copy = &memoryCopy{target: to, handoff: call.Handoff{From: from.Address, Handle: result.Handle}}
+	m.copy = &memoryCopy{target: to, handoff: call.CacheCopy{Source: from.Address, Handle: result.Handle}}
 	err = gen.switchTo(m.copy, reservation)
 	if err == nil {
 		gen.g.metrics.movedByCopy.Inc(1)
@@ -164,7 +164,7 @@
 
 // dropCopy frees a copy whose generation has ended. Otherwise the copy would
 // hold memory at an engine for seconds.
-func (gen *generation) dropCopy(from *directory.Seen, m *move) {
+func (gen *generation) dropCopy(from *directory.ObservedTarget, m *move) {
 	select {
 	case <-gen.ended:
 	default:
@@ -199,14 +199,14 @@
 }
 
 // timeUntilStop asks the engine when it stops.
-func (gen *generation) timeUntilStop(ctx context.Context, from *directory.Seen) time.Duration {
+func (gen *generation) timeUntilStop(ctx context.Context, from *directory.ObservedTarget) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := gen.g.cfg.Engines.Report(ctx, from.Address)
-	if err != nil || report.LeavesIn <= 0 {
+	if err != nil || report.ShutdownIn <= 0 {
 		return gen.g.cfg.Migration.Notice
 	}
-	return report.LeavesIn
+	return report.ShutdownIn
 }
 
 // endsWithin reports whether the generation will end on its own before the
@@ -216,6 +216,6 @@
 	if progress == nil {
 		return false
 	}
-	maxEvents := gen.Prompt.MaxOutput / max(gen.service.Engine.TokensPerEvent, 1)
+	maxEvents := gen.Prompt.MaxOutputTokens / max(gen.service.Engine.TokensPerEvent, 1)
 	return gen.g.cfg.Migration.CompletesInTime(migration.MaxRemaining(maxEvents, progress.events, progress.last-progress.first), leavesIn)
 }
--- a/internal/gateway/move_test.go
+++ b/internal/gateway/move_test.go
@@ -72,7 +72,7 @@
 			return
 		}
 		time.Sleep(e.copyDelay)
-		answer := standin.MoveAnswer("h-"+e.id, e.eventsSent.Load())
+		answer := standin.MoveResponse("h-"+e.id, e.eventsSent.Load())
 		respond(fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n", len(answer)))(conn, r)
 		_, _ = conn.Write(answer)
 	case healthPath:
@@ -87,7 +87,7 @@
 func (e *fakeEngine) health(conn net.Conn, r *http.Request) {
 	switch {
 	case e.busy.Load():
-		respond("HTTP/1.1 503 Service Unavailable\n"+standin.NotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
+		respond("HTTP/1.1 503 Service Unavailable\n"+standin.HeaderNotExecuted+": 1\nContent-Length: 0\n\n")(conn, r)
 	case e.unhealthy.Load():
 		respond("HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n")(conn, r)
 	default:
@@ -104,7 +104,7 @@
 		closing = "Connection: close\n"
 	}
 	respond("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s-"+e.id+"\n"+closing+"Transfer-Encoding: chunked\n\n")(conn, r)
-	from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+	from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 	gone := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, conn)
@@ -126,7 +126,7 @@
 	_, _ = io.WriteString(conn, "0\r\n\r\n")
 }
 
-func asLeaving(t *directory.Seen) *directory.Seen {
+func asLeaving(t *directory.ObservedTarget) *directory.ObservedTarget {
 	out := *t
 	out.Leaving = true
 	return &out
@@ -153,7 +153,7 @@
 		Expect(got.header.Get(seal)).To(Equal("s-i-1"))
 		Expect(first.connClosed.Load()).To(BeTrue())
 		resumed := second.requests()[0]
-		Expect(resumed.Header.Get(standin.CopyFrom)).To(Equal(first.address + "/h-i-1"))
+		Expect(resumed.Header.Get(standin.HeaderKVFrom)).To(Equal(first.address + "/h-i-1"))
 		Expect(resumed.Header.Get(requestID)).To(Equal("r-1"))
 	})
 
@@ -256,7 +256,7 @@
 	It("go to another data centre when the engines of theirs have no room", func() {
 		first := startEngine("i-0", 400, 5*time.Millisecond)
 		gw := startGateway(first.directoryEntry("llm", "dc-1"))
-		entries := []*directory.Seen{asLeaving(first.directoryEntry("llm", "dc-1"))}
+		entries := []*directory.ObservedTarget{asLeaving(first.directoryEntry("llm", "dc-1"))}
 		for i := range 8 {
 			full := startEngine(fmt.Sprint("i-", i+1), 400, time.Millisecond)
 			first.refusedAddresses = append(first.refusedAddresses, full.address)
@@ -324,7 +324,7 @@
 		first := startEngine("i-1", 10, 5*time.Millisecond)
 		gw := startGateway(first.directoryEntry("app", "dc-1"))
 		gw.cfg.Routes = append(gw.cfg.Routes, directory.Route{
-			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, Attempts: 1,
+			Name: "feed", Host: "a.example", Prefix: "/feed/", Kind: directory.Generation, MaxAttempts: 1,
 			Backends: []directory.Backend{{Service: "app", Weight: 1}},
 		})
 		gw.publish(first.directoryEntry("app", "dc-1"))
@@ -369,13 +369,13 @@
 		if second.eventsSent.Load() > 0 {
 			from, to = second, first
 		}
-		Expect(from.requests()[0].Header.Get(standin.Backup)).To(Equal(to.address))
+		Expect(from.requests()[0].Header.Get(standin.HeaderBackup)).To(Equal(to.address))
 		gw.publish(asLeaving(from.directoryEntry("llm", "dc-1")), to.directoryEntry("llm", "dc-1"))
 		var got result
 		Eventually(done, "5s").Should(Receive(&got))
 		Expect(got.body).To(Equal(eventStream(events)))
 		Expect(from.moveRequests.Load()).To(BeZero())
-		Expect(to.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(to.address + "/r-1"))
+		Expect(to.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(to.address + "/r-1"))
 	})
 })
 
@@ -395,7 +395,7 @@
 		got := gw.do(gw.request("POST", "/report/"))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.body).To(Equal(eventStream(events)))
-		Expect(second.requests()[0].Header.Get(standin.CopyFrom)).To(Equal(second.address + "/r-1"))
+		Expect(second.requests()[0].Header.Get(standin.HeaderKVFrom)).To(Equal(second.address + "/r-1"))
 	})
 })
 
@@ -432,11 +432,11 @@
 		var requestCount atomic.Int64
 		breaking := func(conn net.Conn, r *http.Request) {
 			requestCount.Add(1)
-			from, _ := strconv.Atoi(r.Header.Get(standin.LastEventID))
+			from, _ := strconv.Atoi(r.Header.Get(standin.HeaderLastEventID))
 			respond("HTTP/1.1 200 OK\n"+requestID+": ID\n"+seal+": s1\nTransfer-Encoding: chunked\n\n")(conn, r)
 			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event(from+1)), event(from+1))
 		}
-		var targets []*directory.Seen
+		var targets []*directory.ObservedTarget
 		for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
 			targets = append(targets, startTarget(id, breaking).directoryEntry("llm", "dc-1"))
 		}
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -81,7 +81,7 @@
 
 // queryOwner sends a target's owner this host's counts there and merges the
 // counts it returns; false without an answer.
-func (l *TargetLoads) queryOwner(t *directory.Seen) bool {
+func (l *TargetLoads) queryOwner(t *directory.ObservedTarget) bool {
 	l.mu.Lock()
 	own := l.hostLoads.Local(t.ID)
 	l.mu.Unlock()
--- a/internal/gateway/owner_query_test.go
+++ b/internal/gateway/owner_query_test.go
@@ -17,15 +17,15 @@
 
 var _ = Describe("simultaneous placements by many hosts", func() {
 	const hosts, engines = 40, 12
-	prompt := call.Prompt{Tokens: 2500, MaxOutput: 1000}
+	prompt := call.Prompt{Tokens: 2500, MaxOutputTokens: 1000}
 
 	view := func() *directory.View {
 		cfg := testConfig()
 		cfg.Services[1].Engine.MemoryTokens = 30_000
-		targets := map[string]*directory.Seen{}
+		targets := map[string]*directory.ObservedTarget{}
 		for i := range engines {
 			id := fmt.Sprintf("i-%d", i)
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
 		return directory.NewView(1, cfg, targets, nil)
 	}
@@ -123,12 +123,12 @@
 	// would bring the engine down.
 	It("avoid a cold engine once this host's share of it is used up", func() {
 		cfg := testConfig()
-		cfg.Services[1].ColdRate, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
-		targets := map[string]*directory.Seen{}
+		cfg.Services[1].ColdRequestsPerSecond, cfg.Services[1].Engine.MemoryTokens = 4, 30_000
+		targets := map[string]*directory.ObservedTarget{}
 		for _, id := range []string{"cold", "warm-1", "warm-2"} {
-			targets[id] = &directory.Seen{Listed: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
+			targets[id] = &directory.ObservedTarget{Published: true, Target: directory.Target{ID: id, Service: "llm", DataCentre: "dc-1", Slots: 24}}
 		}
-		targets["cold"].ColdUntil = time.Minute
+		targets["cold"].WarmAt = time.Minute
 		v := directory.NewView(1, cfg, targets, nil)
 		l := fleet(1)[0]
 		l.SetColdRateLimit(gateway.ColdRateLimit{Factor: 1.5, Extra: 2, Rank: func(string) (int, int) { return 0, 8 }})
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -45,7 +45,7 @@
 // When all targets are at their advertised rates, or an advertisement is so old
 // that its target may accept more, it borrows one request from a host that
 // shares the rate.
-func (l *TargetLoads) Acquire(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) Acquire(view *directory.View, req PlacementRequest) (*directory.ObservedTarget, *Reservation, bool) {
 	l.borrowForService(view, req, l.isStale)
 	t, reservation, ok := l.acquireWithinShare(view, req)
 	if !ok && l.borrowForService(view, req, anyAge) {
@@ -56,7 +56,7 @@
 
 // acquireWithinShare is Acquire without borrowing from other hosts' shares of a
 // rate.
-func (l *TargetLoads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) acquireWithinShare(view *directory.View, req PlacementRequest) (*directory.ObservedTarget, *Reservation, bool) {
 	sampled, firstCount := l.sample(view, req)
 	answered := l.queryOwners(req, sampled[:firstCount])
 	reservation, crowded := l.reserveBest(view, req, sampled[:firstCount], firstCount < len(sampled))
@@ -136,7 +136,7 @@
 
 // ReserveBackup chooses a target that keeps a backup of a generation running at
 // another target, and reserves memory there; false when none has room.
-func (l *TargetLoads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.Seen) (*directory.Seen, *Reservation, bool) {
+func (l *TargetLoads) ReserveBackup(view *directory.View, p call.Prompt, primary *directory.ObservedTarget) (*directory.ObservedTarget, *Reservation, bool) {
 	req := PlacementRequest{Service: primary.Service, Locality: AvoidDataCentre(primary.DataCentre), Exclude: []string{primary.ID}}
 	sampled, firstCount := l.sample(view, req)
 	sampled = sampled[:firstCount]
@@ -168,7 +168,7 @@
 // targetCandidate is a target that may be chosen, with its load.
 type targetCandidate struct {
 	placement.Candidate
-	target *directory.Seen
+	target *directory.ObservedTarget
 }
 
 // targetCandidates are the targets among which a choice is made.
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -20,7 +20,7 @@
 
 // completeAnswer is a target's complete answer.
 type completeAnswer struct {
-	call.Answer
+	call.ResponseHeader
 	header http.Header
 	body   []byte
 }
@@ -29,7 +29,7 @@
 // it is complete: a truncated answer must not look complete, and a repeatable
 // request can then be sent to another target instead.
 func (g *Gateway) relayPlain(ctx context.Context, x *exchange) {
-	g.cfg.RetryBudget.First(g.cfg.Now(), x.budgetKey())
+	g.cfg.RetryBudget.RecordFirstAttempt(g.cfg.Now(), x.budgetKey())
 	var exclude []string
 	var lastErr error
 	var answer *completeAnswer
@@ -53,10 +53,10 @@
 	}
 	switch {
 	case answer != nil:
-		g.metrics.countAnswered(x.route.Kind, time.Since(x.Arrived))
+		g.metrics.countAnswered(x.route.Kind, time.Since(x.ArrivedAt))
 		g.cfg.Log.Info("request answered", "request", x.ID, "route", x.route.Name, "account", accountName(x.account),
 			"config", x.view.Config.Version, "target", targetID, "status", answer.Status, "sends", counts.sent, "unreached", counts.unsent,
-			"basis", selection, "took", time.Since(x.Arrived))
+			"basis", selection, "took", time.Since(x.ArrivedAt))
 		g.writeAnswer(x, answer)
 	case lastErr != nil:
 		g.refuse(x.w, x.Request, lastErr)
@@ -74,9 +74,9 @@
 // noTargetError returns the failure of a request that no target accepts.
 func (g *Gateway) noTargetError(req PlacementRequest) error {
 	if wait, limited := g.cfg.Loads.RateWait(g.view(), req); limited {
-		return failure.New(failure.KindOverloaded, "all targets of %s are at their advertised rate limits", req.Service).After(wait)
+		return failure.New(failure.KindOverloaded, "all targets of %s are at their advertised rate limits", req.Service).WithRetryAfter(wait)
 	}
-	return failure.New(failure.KindNoTarget, "no target of %s accepts the request", req.Service).After(noTargetRetryAfter)
+	return failure.New(failure.KindNoTarget, "no target of %s accepts the request", req.Service).WithRetryAfter(noTargetRetryAfter)
 }
 
 // retryMayHelp reports whether another target may give a better answer.
@@ -127,15 +127,15 @@
 	if requestUnsent(err) {
 		return counts.unsent < maxUnsentAttempts
 	}
-	if counts.sent >= x.route.Attempts {
+	if counts.sent >= x.route.MaxAttempts {
 		return false
 	}
-	notRun := err != nil && failure.From(err).Executed == failure.ExecutedNo
+	notRun := err != nil && failure.FromError(err).Executed == failure.ExecutedNo
 	repeatable := x.route.Kind == directory.Repeatable || x.route.Resumable
 	if !notRun && !repeatable {
 		return false
 	}
-	if !g.cfg.RetryBudget.Retry(g.cfg.Now(), x.budgetKey()) {
+	if !g.cfg.RetryBudget.AllowRetry(g.cfg.Now(), x.budgetKey()) {
 		return false
 	}
 	g.metrics.retries.Inc(1)
@@ -144,7 +144,7 @@
 
 // attempt sends a request to one target. The error says whether the request
 // ran; an answer without error is the target's own, even when it is a failure.
-func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
+func (g *Gateway) attempt(ctx context.Context, x *exchange, target *directory.ObservedTarget, selection *selectionState) (*completeAnswer, error) {
 	end := g.cfg.CrashEvidence.beginRequest(target, x.fingerprint)
 	answer, err := g.fetch(ctx, x, target, selection)
 	g.recordFailure(ctx, target, err)
@@ -153,7 +153,7 @@
 }
 
 // fetch sends a request to one target and reads its complete answer.
-func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.Seen, selection *selectionState) (*completeAnswer, error) {
+func (g *Gateway) fetch(ctx context.Context, x *exchange, target *directory.ObservedTarget, selection *selectionState) (*completeAnswer, error) {
 	resp, answer, err := g.send(ctx, x.newSend(target), selection)
 	if err != nil {
 		return nil, err
@@ -161,9 +161,9 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		err = failure.Wrap(err, failure.KindTargetLost, "reading the answer failed").Unknown()
+		err = failure.Wrap(err, failure.KindTargetLost, "reading the answer failed").WithExecutionUnknown()
 	} else if len(body) > maxAnswerBytes {
-		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxAnswerBytes).Unknown()
+		err = failure.New(failure.KindTargetFailed, "the answer is longer than %d bytes", maxAnswerBytes).WithExecutionUnknown()
 	}
 	if err != nil {
 		return nil, err
@@ -171,15 +171,15 @@
 	if answer.Status >= http.StatusInternalServerError {
 		g.cfg.Loads.RecordFailure(target.ID)
 	}
-	return &completeAnswer{Answer: answer, header: resp.Header, body: body}, nil
+	return &completeAnswer{ResponseHeader: answer, header: resp.Header, body: body}, nil
 }
 
 // send sends a request and checks the header of its answer. When the target
 // says that it did not run the request, the error says so too.
-func (g *Gateway) send(ctx context.Context, s *call.Send, selection *selectionState) (*http.Response, call.Answer, error) {
-	req, err := g.cfg.Dialect.WriteSend(ctx, s)
+func (g *Gateway) send(ctx context.Context, s *call.Attempt, selection *selectionState) (*http.Response, call.ResponseHeader, error) {
+	req, err := g.cfg.Dialect.BuildRequest(ctx, s)
 	if err != nil {
-		return nil, call.Answer{}, err
+		return nil, call.ResponseHeader{}, err
 	}
 	resp, err := g.cfg.Client.Do(req, func() error {
 		selection.recordSend()
@@ -189,9 +189,9 @@
 		return ctx.Err()
 	})
 	if err != nil {
-		return nil, call.Answer{}, err
+		return nil, call.ResponseHeader{}, err
 	}
-	answer := g.cfg.Dialect.ReadAnswer(resp)
+	answer := g.cfg.Dialect.ParseResponseHeader(resp)
 	g.observeRate(s, answer)
 	if err := checkAnswer(s, answer); err != nil {
 		_ = resp.Body.Close()
@@ -201,34 +201,34 @@
 }
 
 // observeRate records the rate limit advertised in a target's answer.
-func (g *Gateway) observeRate(s *call.Send, a call.Answer) {
-	if a.OtherTarget || a.Echo != s.ID {
+func (g *Gateway) observeRate(s *call.Attempt, a call.ResponseHeader) {
+	if a.WrongTarget || a.RequestID != s.ID {
 		return
 	}
-	if g.cfg.Loads.ObserveRate(s.Target.ID, a.Rate) {
-		g.cfg.Log.Info("target's rate changed", "target", s.Target.ID, "request", s.ID, "limited", a.Rate != nil, "per_second", a.Rate)
+	if g.cfg.Loads.ObserveRate(s.Target.ID, a.RequestsPerSecond) {
+		g.cfg.Log.Info("target's rate changed", "target", s.Target.ID, "request", s.ID, "limited", a.RequestsPerSecond != nil, "per_second", a.RequestsPerSecond)
 	}
 }
 
 // checkAnswer returns what is wrong with an answer's header, nil when it is the
 // target's answer to this request.
-func checkAnswer(s *call.Send, a call.Answer) error {
+func checkAnswer(s *call.Attempt, a call.ResponseHeader) error {
 	switch {
-	case a.OtherTarget:
+	case a.WrongTarget:
 		return failure.New(failure.KindFenced, "the address of target %s belongs to another target", s.Target.ID)
-	case a.NotRun && a.Status >= http.StatusBadRequest:
-		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).After(max(a.RetryAfter, engineFullRetryAfter))
-	case a.Echo != s.ID:
-		return failure.New(failure.KindFrameOutOfPlace, "target %s answered with another request's id", s.Target.ID).Unknown()
+	case a.NotExecuted && a.Status >= http.StatusBadRequest:
+		return failure.New(failure.KindOverloaded, "target %s did not run the request (status %d)", s.Target.ID, a.Status).WithRetryAfter(max(a.RetryAfter, engineFullRetryAfter))
+	case a.RequestID != s.ID:
+		return failure.New(failure.KindFrameOutOfPlace, "target %s answered with another request's id", s.Target.ID).WithExecutionUnknown()
 	case a.Status < http.StatusMultipleChoices && !a.Sealed:
-		return failure.New(failure.KindTargetFailed, "target %s answered without a seal", s.Target.ID).Unknown()
+		return failure.New(failure.KindTargetFailed, "target %s answered without a seal", s.Target.ID).WithExecutionUnknown()
 	}
 	return nil
 }
 
 // recordFailure counts a failure against a target, unless the caller's
 // disconnect or deadline caused it.
-func (g *Gateway) recordFailure(ctx context.Context, target *directory.Seen, err error) {
+func (g *Gateway) recordFailure(ctx context.Context, target *directory.ObservedTarget, err error) {
 	if err == nil || ctx.Err() != nil || failure.KindOf(err) == failure.KindTargetLeft {
 		return
 	}
@@ -244,7 +244,7 @@
 
 // notStopping reports whether no planned stop of a target is known. The end of
 // a target that stops as planned is no evidence against its requests.
-func (g *Gateway) notStopping(target *directory.Seen) bool {
+func (g *Gateway) notStopping(target *directory.ObservedTarget) bool {
 	return acceptsNewWork(g.view(), target.Target) && !g.cfg.Loads.Leaving(target.ID)
 }
 
@@ -263,7 +263,7 @@
 // writeAnswer passes a target's answer on to the caller.
 func (g *Gateway) writeAnswer(x *exchange, a *completeAnswer) {
 	h := x.w.Header()
-	g.cfg.Dialect.CopyHeader(h, a.header)
+	g.cfg.Dialect.CopyResponseHeader(h, a.header)
 	if mayHaveBody(x.Method, a.Status) {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -140,7 +140,7 @@
 		return nil
 	}
 	var out []string
-	for _, t := range view.Pool(req.Service) {
+	for _, t := range view.ServiceTargets(req.Service) {
 		_, limited := l.rates.Limit(t.ID)
 		if limited && l.acceptsIgnoringRate(view, req, t) && !l.withinRate(t.ID) && filter(t.ID) {
 			out = append(out, t.ID)
--- a/internal/gateway/rate_test.go
+++ b/internal/gateway/rate_test.go
@@ -14,7 +14,7 @@
 
 // answerWithRate is a complete answer that advertises the target's rate limit.
 func answerWithRate(perSecond string) string {
-	return strings.Replace(completeAnswer, "Content-Length", standin.ServerLimit+": "+perSecond+"\nContent-Length", 1)
+	return strings.Replace(completeAnswer, "Content-Length", standin.HeaderServerLimit+": "+perSecond+"\nContent-Length", 1)
 }
 
 var _ = Describe("a target that advertises a rate limit", func() {
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -16,12 +16,12 @@
 	if g.cfg.ViewCurrent() {
 		return denial
 	}
-	return failure.Wrap(denial, failure.KindNotReady, "the configuration of this host may be out of date").After(notReadyRetryAfter)
+	return failure.Wrap(denial, failure.KindNotReady, "the configuration of this host may be out of date").WithRetryAfter(notReadyRetryAfter)
 }
 
 // Refuse answers a request that was not admitted, for example during shutdown.
 func (g *Gateway) Refuse(w http.ResponseWriter, r *http.Request, err error) {
-	req, readErr := g.cfg.Dialect.ReadRequest(r, nil, time.Now())
+	req, readErr := g.cfg.Dialect.ParseRequest(r, nil, time.Now())
 	if readErr != nil {
 		g.cfg.Log.Debug("cannot parse the refused request", "error", readErr)
 	}
@@ -31,7 +31,7 @@
 // refuse answers a request with a failure of the gateway's own. A status that
 // means that the request has not run is only sent where that is certain.
 func (g *Gateway) refuse(w http.ResponseWriter, req *call.Request, err error) {
-	f := withExecutedStatus(failure.From(err))
+	f := withExecutedStatus(failure.FromError(err))
 	id := ""
 	if req != nil {
 		id = req.ID
@@ -39,16 +39,16 @@
 	}
 	g.metrics.countRefused(f.Kind)
 	g.cfg.Log.Info("request refused", "request", id, "kind", f.Kind, "executed", f.Executed, "retry_after", f.RetryAfter, "cause", f.Error())
-	g.cfg.Dialect.WriteFailure(w, id, f)
+	g.cfg.Dialect.WriteError(w, id, f)
 }
 
 // capRetryAfter shortens a retry delay so that the client has time for another
 // try.
 func capRetryAfter(retry time.Duration, req *call.Request) time.Duration {
-	if req.Patience == 0 {
+	if req.ClientTimeout == 0 {
 		return retry
 	}
-	return min(retry, max(req.Patience-time.Since(req.Arrived), 0)/maxRetryAfterDivisor)
+	return min(retry, max(req.ClientTimeout-time.Since(req.ArrivedAt), 0)/maxRetryAfterDivisor)
 }
 
 // withExecutedStatus returns a failure whose status agrees with what is known
@@ -58,9 +58,9 @@
 func withExecutedStatus(f *failure.Error) *failure.Error {
 	switch {
 	case impliesNotExecuted(f.Status()) && f.Executed != failure.ExecutedNo:
-		return failure.Wrap(f, failure.KindOutcomeUnknown, "the request may have run").Unknown()
+		return failure.Wrap(f, failure.KindOutcomeUnknown, "the request may have run").WithExecutionUnknown()
 	case !impliesNotExecuted(f.Status()) && f.Executed == failure.ExecutedNo && !isClientError(f.Kind):
-		return failure.Wrap(f, failure.KindNoTarget, "the request did not run").After(unreachedRetryAfter)
+		return failure.Wrap(f, failure.KindNoTarget, "the request did not run").WithRetryAfter(unreachedRetryAfter)
 	}
 	return f
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -20,14 +20,14 @@
 
 // withTimeout sets the caller's timeout in milliseconds.
 func withTimeout(req *http.Request, ms int) *http.Request {
-	req.Header.Set(standin.Deadline, strconv.Itoa(ms))
+	req.Header.Set(standin.HeaderDeadline, strconv.Itoa(ms))
 	return req
 }
 
 // deadlineMillis returns the time that a target was given for a request, in
 // milliseconds.
 func deadlineMillis(r *http.Request) int {
-	ms, err := strconv.Atoi(r.Header.Get(standin.Deadline))
+	ms, err := strconv.Atoi(r.Header.Get(standin.HeaderDeadline))
 	Expect(err).NotTo(HaveOccurred())
 	return ms
 }
@@ -98,8 +98,8 @@
 })
 
 var _ = Describe("a drained data centre", func() {
-	publishDrained := func(gw *fixture, dataCentre string, targets ...*directory.Seen) {
-		seen := map[string]*directory.Seen{}
+	publishDrained := func(gw *fixture, dataCentre string, targets ...*directory.ObservedTarget) {
+		seen := map[string]*directory.ObservedTarget{}
 		for _, t := range targets {
 			seen[t.ID] = t
 		}
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -77,7 +77,7 @@
 		return nil, failure.New(failure.KindNoTarget, "the copy was already offered to engine %s", c.target.ID)
 	}
 	s := gen.newSend(c.target)
-	s.Resume, s.After = &c.handoff, gen.lastEventID
+	s.Resume, s.LastEventID = &c.handoff, gen.lastEventID
 	stream, err := gen.openStreamWithin(switchTimeout, s, c.target, reservation, selection)
 	if requestUnsent(err) {
 		c.unclaim()
@@ -92,7 +92,7 @@
 // work.
 func acceptsNewWork(view *directory.View, t directory.Target) bool {
 	now, known := view.Target(t.ID)
-	return known && now.Started == t.Started && view.TakesNew(now)
+	return known && now.StartedUnixMilli == t.StartedUnixMilli && view.AcceptsNewRequests(now)
 }
 
 // continueElsewhere finds where a generation continues whose stream ended early
@@ -179,7 +179,7 @@
 // sinceLastEvent returns the time since the last event, or since the request
 // arrived if there is none.
 func (gen *generation) sinceLastEvent() time.Duration {
-	since := time.Since(gen.Arrived)
+	since := time.Since(gen.ArrivedAt)
 	if progress := gen.progress.Load(); progress != nil {
 		since -= progress.last
 	}
@@ -189,11 +189,11 @@
 // startNewRun has another engine continue a generation, on a route that allows
 // it, after the last event that the caller has. A request that crashes engines
 // is not continued, since it would crash one after the other.
-func (gen *generation) startNewRun(from *directory.Seen, cause error) (*engineStream, error) {
-	if gen.attempts >= gen.route.Attempts || gen.g.cfg.CrashEvidence.isPoison(gen.fingerprint) {
+func (gen *generation) startNewRun(from *directory.ObservedTarget, cause error) (*engineStream, error) {
+	if gen.attempts >= gen.route.MaxAttempts || gen.g.cfg.CrashEvidence.isPoison(gen.fingerprint) {
 		return nil, cause
 	}
-	if !gen.g.cfg.RetryBudget.Retry(gen.g.cfg.Now(), gen.budgetKey()) {
+	if !gen.g.cfg.RetryBudget.AllowRetry(gen.g.cfg.Now(), gen.budgetKey()) {
 		return nil, cause
 	}
 	selection := gen.g.selectionState()
@@ -202,7 +202,7 @@
 		return nil, cause
 	}
 	s := gen.newSend(target)
-	s.After = gen.lastEventID
+	s.LastEventID = gen.lastEventID
 	stream, err := gen.openStream(s, target, reservation, selection)
 	if err != nil {
 		return nil, cause
--- a/internal/gateway/resume_internal_test.go
+++ b/internal/gateway/resume_internal_test.go
@@ -8,7 +8,7 @@
 
 	"filbertdeck/internal/blackboard"
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/directory"
 )
 
@@ -18,12 +18,12 @@
 	// reservation counted permanently.
 	It("is cancelled and releases its reservation", func() {
 		loads := NewTargetLoads("host-1", "dc-1", func() time.Duration { return 0 })
-		target := &directory.Seen{Listed: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
-		board := &published.Board{}
+		target := &directory.ObservedTarget{Published: true, Target: directory.Target{ID: "i-1", Service: "llm", Address: "127.0.0.1:1"}}
+		board := &recordsync.Board{}
 		var views *blackboard.Writer[directory.View]
 		views, err := board.View.Claim()
 		Expect(err).NotTo(HaveOccurred())
-		views.Publish(directory.NewView(1, nil, map[string]*directory.Seen{"i-1": target}, nil))
+		views.Publish(directory.NewView(1, nil, map[string]*directory.ObservedTarget{"i-1": target}, nil))
 		gen := &generation{exchange: &exchange{Request: &call.Request{}}, g: &Gateway{cfg: Config{Loads: loads, Board: board}}}
 		reservation := loads.Reserve("i-1", call.Prompt{Tokens: 10})
 		gen.closeNextStream()
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -80,7 +80,7 @@
 
 // beginRequest records that a request runs at a target. The returned function
 // records its end and whether it finished there.
-func (s *CrashEvidence) beginRequest(target *directory.Seen, fp uint64) (end func(finished bool)) {
+func (s *CrashEvidence) beginRequest(target *directory.ObservedTarget, fp uint64) (end func(finished bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running[target.ID] = append(s.running[target.ID], fp)
@@ -106,8 +106,8 @@
 // checkForCrash checks whether a target that broke a request's connection has
 // crashed: it has if its address refuses connections. A broken answer alone
 // proves nothing.
-func (s *CrashEvidence) checkForCrash(target *directory.Seen, dial func(ctx context.Context, address string) error) {
-	id := poison.CrashID(target.ID, uint64(target.Started))
+func (s *CrashEvidence) checkForCrash(target *directory.ObservedTarget, dial func(ctx context.Context, address string) error) {
+	id := poison.CrashID(target.ID, uint64(target.StartedUnixMilli))
 	s.mu.Lock()
 	suspects := slices.Clone(s.running[target.ID])
 	alreadyChecking := s.checking[id]
--- a/internal/gateway/suspects_test.go
+++ b/internal/gateway/suspects_test.go
@@ -14,7 +14,7 @@
 
 // startCrashingTarget runs a target that dies when the path contains "poison"
 // and answers all other requests.
-func startCrashingTarget(id string) (*directory.Seen, func() int) {
+func startCrashingTarget(id string) (*directory.ObservedTarget, func() int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = l.Close() })
--- a/internal/gatewayhost/exchange.go
+++ b/internal/gatewayhost/exchange.go
@@ -15,7 +15,7 @@
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/configwatch"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/poison"
 	"filbertdeck/internal/decide/targetload"
@@ -41,7 +41,7 @@
 // peerExchange exchanges loads, alerts, crash evidence and published changes
 // with other hosts.
 type peerExchange struct {
-	published    *published.Controller
+	published    *recordsync.Controller
 	roles        *readerRoles
 	loads        *gateway.TargetLoads
 	suspects     *gateway.CrashEvidence
@@ -56,7 +56,7 @@
 }
 
 func newPeerExchange(
-	p *published.Controller, roles *readerRoles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
+	p *recordsync.Controller, roles *readerRoles, loads *gateway.TargetLoads, suspects *gateway.CrashEvidence, fetcher *fetcher, now Clock,
 ) *peerExchange {
 	e := &peerExchange{
 		published: p, roles: roles, loads: loads, suspects: suspects, fetcher: fetcher, now: now,
@@ -77,10 +77,10 @@
 				continue
 			}
 		case <-e.loads.AlertsChanged():
-		case <-e.published.News():
+		case <-e.published.NewsReady():
 			if peers := e.roles.peersToNotify(); len(peers) > 0 {
 				for _, peer := range peers {
-					c.Ask(ctx, peer)
+					c.ProbeNow(ctx, peer)
 				}
 				wake.Sleep(ctx, broadcastInterval)
 				continue
@@ -106,13 +106,13 @@
 		case <-tick.C:
 		}
 		for peer := range e.takeLaggingPeers() {
-			c.Ask(ctx, peer)
+			c.ProbeNow(ctx, peer)
 		}
-		if !e.published.Asks() && !e.roles.readsAsSubstitute() {
+		if !e.published.NeedsPeerNews() && !e.roles.readsAsSubstitute() {
 			continue
 		}
 		if host, ok := e.roles.nextSource(); ok {
-			c.Ask(ctx, host)
+			c.ProbeNow(ctx, host)
 		} else {
 			wake.Signal(e.broadcastNow)
 		}
@@ -131,9 +131,9 @@
 
 func (e *peerExchange) hooks() gossip.Hooks {
 	return gossip.Hooks{
-		SupplyLoads: e.supplyLoads, TakeLoads: e.takeLoads, SupplyAlerts: e.supplyAlerts, TakeAlerts: e.takeAlerts,
-		SupplyPoison: e.supplyPoison, TakePoison: e.takePoison,
-		SupplyPublished: e.supplyPublished, TakePublished: e.takePublished, GiveBulk: e.fetcher.serveFetch, Urgent: e.broadcastNow,
+		SupplyLoads: e.supplyLoads, ReceiveLoads: e.takeLoads, SupplyAlerts: e.supplyAlerts, ReceiveAlerts: e.takeAlerts,
+		SupplyPoison: e.supplyPoison, ReceivePoison: e.takePoison,
+		SupplyPublished: e.supplyPublished, ReceivePublished: e.takePublished, ServeFetch: e.fetcher.serveFetch, PushRequests: e.broadcastNow,
 	}
 }
 
@@ -218,16 +218,16 @@
 func (e *peerExchange) supplyPublished(peer string) *filbertv1.PublishedNews {
 	news := e.published.NewsFor(peer)
 	out := &filbertv1.PublishedNews{
-		From: news.From, Revision: news.Revision, Withheld: news.Withheld, Reading: news.Reading, Relaying: e.roles.isRelay(),
-		StoreRejects: news.StoreRejects,
+		From: news.BaseRevision, Revision: news.Revision, Withheld: news.RecordsWithheld, Reading: news.IsReader, Relaying: e.roles.isRelay(),
+		StoreRejects: news.StoreRejectedRecently,
 	}
 	if news.Age >= 0 {
 		// Rounded up: an age truncated to whole milliseconds would make the
 		// data look more recent with each hop.
 		out.CurrentMs = uint64(news.Age.Milliseconds()) + 1
 	}
-	if news.Overdue > 0 {
-		out.OverdueMs = uint64(news.Overdue.Milliseconds()) + 1
+	if news.AnswerOverdue > 0 {
+		out.OverdueMs = uint64(news.AnswerOverdue.Milliseconds()) + 1
 	}
 	for _, r := range news.Records {
 		out.Records = append(out.Records, r)
@@ -242,15 +242,15 @@
 }
 
 func (e *peerExchange) takePublished(peer string, news *filbertv1.PublishedNews, requestedAt time.Time) {
-	decoded := published.News{
-		From: news.GetFrom(), Revision: news.GetRevision(), Age: -1, Reading: news.GetReading(),
+	decoded := recordsync.News{
+		BaseRevision: news.GetFrom(), Revision: news.GetRevision(), Age: -1, IsReader: news.GetReading(),
 		Config: rolloutwire.FromHead(news.GetConfig()),
 	}
 	if currentMs := news.GetCurrentMs(); currentMs > 0 {
 		decoded.Age = time.Duration(currentMs) * time.Millisecond
 	}
-	decoded.Overdue = time.Duration(news.GetOverdueMs()) * time.Millisecond
-	e.roles.recordPeerRoles(peer, decoded.Reading, news.GetRelaying(), news.GetStoreRejects(), decoded.Age)
+	decoded.AnswerOverdue = time.Duration(news.GetOverdueMs()) * time.Millisecond
+	e.roles.recordPeerRoles(peer, decoded.IsReader, news.GetRelaying(), news.GetStoreRejects(), decoded.Age)
 	for _, r := range news.GetRecords() {
 		decoded.Records = append(decoded.Records, json.RawMessage(r))
 	}
@@ -262,7 +262,7 @@
 	if !requestedAt.IsZero() {
 		requestTime = e.now() - time.Since(requestedAt)
 	}
-	if e.published.TakeNews(peer, decoded, requestTime) {
+	if e.published.ApplyNews(peer, decoded, requestTime) {
 		e.mu.Lock()
 		e.laggingPeers[peer] = true
 		e.mu.Unlock()
@@ -313,13 +313,13 @@
 	server := rpc.NewServer(rpc.Credentials{})
 	c.Register(server)
 	process.ServeRPC(lc, server, listen, s.Deployment.ListenPeers)
-	process.Background(lc, c.Run)
-	process.Background(lc, func(ctx context.Context) { e.announceChanges(ctx, c) })
-	process.Background(lc, func(ctx context.Context) { e.pollSources(ctx, c) })
-	process.Background(lc, func(ctx context.Context) { e.fetcher.run(ctx, c) })
+	process.RunInBackground(lc, c.Run)
+	process.RunInBackground(lc, func(ctx context.Context) { e.announceChanges(ctx, c) })
+	process.RunInBackground(lc, func(ctx context.Context) { e.pollSources(ctx, c) })
+	process.RunInBackground(lc, func(ctx context.Context) { e.fetcher.run(ctx, c) })
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		c.Leave(ctx)
+		c.AnnounceLeave(ctx)
 	}))
 }
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -9,7 +9,7 @@
 
 	"filbertdeck/internal/api/filbertv1"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/fetch"
 	"filbertdeck/internal/wake"
 )
@@ -21,7 +21,7 @@
 // fetcher transfers published data that is too large for gossip messages, in
 // both directions.
 type fetcher struct {
-	published    *published.Controller
+	published    *recordsync.Controller
 	roles        *readerRoles
 	now          Clock
 	log          *slog.Logger
@@ -39,7 +39,7 @@
 	needsFullCopy bool
 }
 
-func newFetcher(p *published.Controller, roles *readerRoles, now Clock, log *slog.Logger) *fetcher {
+func newFetcher(p *recordsync.Controller, roles *readerRoles, now Clock, log *slog.Logger) *fetcher {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &fetcher{
 		published: p, roles: roles, now: now, log: log, announcement: make(chan struct{}, 1),
@@ -50,7 +50,7 @@
 // recordAnnouncement records that a peer holds the published data up to a
 // revision.
 func (f *fetcher) recordAnnouncement(peer string, revision uint64) {
-	if _, _, heldRevision := f.published.Holds(); revision <= heldRevision {
+	if _, _, heldRevision := f.published.HeldRevisions(); revision <= heldRevision {
 		return
 	}
 	sameGroup := f.roles.inRelayGroup(peer)
@@ -64,7 +64,7 @@
 func (f *fetcher) run(ctx context.Context, c *gossip.Controller) {
 	for ctx.Err() == nil {
 		rank := f.roles.relayGroupRank()
-		_, _, heldRevision := f.published.Holds()
+		_, _, heldRevision := f.published.HeldRevisions()
 		f.mu.Lock()
 		peer, timeout, ok := f.plan.StartTransfer(f.now(), heldRevision, rank)
 		pending := f.plan.IsBehind()
@@ -87,12 +87,12 @@
 }
 
 func (f *fetcher) fetch(ctx context.Context, c *gossip.Controller, peer string, timeout time.Duration) fetch.Outcome {
-	configRevision, revision, _ := f.published.Holds()
+	configRevision, revision, _ := f.published.HeldRevisions()
 	if f.needsFullCopy {
 		configRevision = 0
 	}
 	requestedAt := time.Now()
-	reply, err := c.FetchFrom(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
+	reply, err := c.FetchConfig(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
 	if err != nil {
 		f.log.Info("not fetched", "peer", peer, "config", configRevision, "revision", revision, "timeout", timeout, "error", err)
 		return fetch.Failed
@@ -103,7 +103,7 @@
 		}
 		return fetch.Busy
 	}
-	f.needsFullCopy, err = f.published.TakeBulk(peer, published.Bulk{Config: reply.GetDelta(), Records: reply.GetRecords()})
+	f.needsFullCopy, err = f.published.ApplyBundle(peer, recordsync.DeltaBundle{Config: reply.GetDelta(), Records: reply.GetRecords()})
 	if err != nil {
 		f.log.Warn("data fetched from a peer can't be applied", "peer", peer, "error", err)
 		return fetch.Failed
@@ -114,7 +114,7 @@
 
 // serveFetch answers a peer's fetch request.
 func (f *fetcher) serveFetch(peer string, req *filbertv1.FetchRequest) *filbertv1.FetchReply {
-	bulk, err := f.published.Pack(req.GetConfigRevision(), req.GetRevision())
+	bulk, err := f.published.BuildBundle(req.GetConfigRevision(), req.GetRevision())
 	if err != nil {
 		f.log.Error("published data can't be packed for a peer", "peer", peer, "error", err)
 	}
--- a/internal/gatewayhost/module.go
+++ b/internal/gatewayhost/module.go
@@ -13,7 +13,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 	"go.uber.org/fx"
 
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/drain"
 	"filbertdeck/internal/decide/migration"
 	"filbertdeck/internal/decide/retrybudget"
@@ -92,14 +92,14 @@
 	return func() time.Duration { return time.Since(start) }
 }
 
-func newBoard() *published.Board { return &published.Board{} }
+func newBoard() *recordsync.Board { return &recordsync.Board{} }
 
-func newPublished(s *Settings, board *published.Board, roles *readerRoles, now Clock, log *slog.Logger, reg gometrics.Registry) (*published.Controller, error) {
-	c, err := published.New(published.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, Reads: roles.shouldRead}, board)
+func newPublished(s *Settings, board *recordsync.Board, roles *readerRoles, now Clock, log *slog.Logger, reg gometrics.Registry) (*recordsync.Controller, error) {
+	c, err := recordsync.New(recordsync.Config{Source: s.Deployment.Source, Log: log, Metrics: reg, Now: now, ShouldRead: roles.shouldRead}, board)
 	if err != nil {
 		return nil, err
 	}
-	roles.publishedAge, roles.storeRejects = c.Age, c.StoreRejects
+	roles.publishedAge, roles.storeRejects = c.Age, c.StoreRejectedRecently
 	return c, nil
 }
 
@@ -122,18 +122,18 @@
 func newBudget(lc fx.Lifecycle, s *Settings, fleet *fleetView) *retrybudget.Budget {
 	bound := s.Deployment.Retry
 	budget := retrybudget.New(retrybudget.Config{
-		Share: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, Trickle: retrybudget.NoTrickle,
+		RetryRatio: bound.Share, Burst: bound.Extra * accountBurstShare, ServiceBurst: bound.Extra, RefillPerSecond: retrybudget.NoRefill,
 	})
-	budget.ShareAmong(fleet.assumedHostCount())
-	process.Every(lc, fleetSizeInterval, func() { budget.ShareAmong(fleet.assumedHostCount()) })
+	budget.SetHostCount(fleet.assumedHostCount())
+	process.RunPeriodically(lc, fleetSizeInterval, func() { budget.SetHostCount(fleet.assumedHostCount()) })
 	return budget
 }
 
 func newGateway(
-	s *Settings, board *published.Board, roles *readerRoles, c *published.Controller, loads *gateway.TargetLoads,
+	s *Settings, board *recordsync.Board, roles *readerRoles, c *recordsync.Controller, loads *gateway.TargetLoads,
 	suspects *gateway.CrashEvidence, budget *retrybudget.Budget, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *gateway.Gateway {
-	client := targetclient.NewOnce(targetclient.Settings{Dial: targetDialTimeout, Header: responseTimeout, Silence: responseTimeout})
+	client := targetclient.NewAtMostOnceClient(targetclient.Settings{DialTimeout: targetDialTimeout, ResponseHeaderTimeout: responseTimeout, ReadIdleTimeout: responseTimeout})
 	return gateway.New(gateway.Config{
 		Dialect: s.Deployment.Dialect, Engines: s.Deployment.Engines, Board: board, Loads: loads, CrashEvidence: suspects, RetryBudget: budget,
 		Client: client, Migration: migration.Default(), Disconnected: func() bool { return mayMissChanges(c, roles) },
@@ -150,16 +150,16 @@
 // mayMissChanges reports whether the store may hold published changes that this
 // host does not know: its view is stale, the store is suspected not to respond,
 // or the host does not read the store and knows no peer that does.
-func mayMissChanges(c *published.Controller, r *readerRoles) bool {
+func mayMissChanges(c *recordsync.Controller, r *readerRoles) bool {
 	age, known := c.Age()
-	if !known || age > staleAfter || c.Suspects() {
+	if !known || age > staleAfter || c.SuspectsStoreOutage() {
 		return true
 	}
-	return c.Asks() && r.lacksSource()
+	return c.NeedsPeerNews() && r.lacksSource()
 }
 
 // viewAge returns the age of the published view, or -1 while nothing is known.
-func viewAge(c *published.Controller) time.Duration {
+func viewAge(c *recordsync.Controller) time.Duration {
 	if age, known := c.Age(); known {
 		return age
 	}
@@ -172,14 +172,14 @@
 
 // isCurrent reports whether the published view is recent enough to treat an
 // entry missing from it as not published.
-func isCurrent(c *published.Controller, deadline time.Duration) bool {
+func isCurrent(c *recordsync.Controller, deadline time.Duration) bool {
 	age, known := c.Age()
 	return known && age < deadline-requestMargin
 }
 
-func newLifecycle(s *Settings, board *published.Board) *lifecycle.Lifecycle {
+func newLifecycle(s *Settings, board *recordsync.Board) *lifecycle.Lifecycle {
 	grace := s.Deployment.StopGrace
-	return lifecycle.NewWithStop(func() error {
+	return lifecycle.NewWithStopConfig(func() error {
 		if view := board.View.Get(); view == nil || view.Config == nil {
 			return failure.New(failure.KindNotReady, "no configuration is known yet")
 		}
@@ -190,9 +190,9 @@
 	})
 }
 
-func runPublished(lc fx.Lifecycle, c *published.Controller) { process.Background(lc, c.Run) }
+func runPublished(lc fx.Lifecycle, c *recordsync.Controller) { process.RunInBackground(lc, c.Run) }
 
-func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.Background(lc, g.MoveGenerations) }
+func runGateway(lc fx.Lifecycle, g *gateway.Gateway) { process.RunInBackground(lc, g.MoveGenerations) }
 
 func serveMetrics(lc fx.Lifecycle, s *Settings, reg gometrics.Registry) {
 	r := mux.NewRouter()
@@ -250,7 +250,7 @@
 // them.
 func trackRequests(g *gateway.Gateway, state *lifecycle.Lifecycle) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		finish, err := state.Begin()
+		finish, err := state.BeginRequest()
 		if err != nil {
 			g.Refuse(w, r, err)
 			return
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/failure"
 	"filbertdeck/internal/gateway"
@@ -46,7 +46,7 @@
 	self  string
 	loads *gateway.TargetLoads
 	fleet *fleetView
-	board *published.Board
+	board *recordsync.Board
 	now   Clock
 	log   *slog.Logger
 
@@ -64,7 +64,7 @@
 }
 
 func newOwnerExchange(
-	s *Settings, loads *gateway.TargetLoads, fleet *fleetView, board *published.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
+	s *Settings, loads *gateway.TargetLoads, fleet *fleetView, board *recordsync.Board, now Clock, log *slog.Logger, reg gometrics.Registry,
 ) *ownerExchange {
 	return &ownerExchange{
 		self: s.Deployment.ListenPeers, loads: loads, fleet: fleet, board: board, now: now, log: log,
@@ -78,11 +78,11 @@
 	o.loads.SetOwnerQuery(o.queryOwner)
 	o.loads.SetRateBorrower(o.borrow)
 	lc.Append(fx.StartHook(o.listen))
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		context.AfterFunc(ctx, func() { _ = o.conn.Close() })
 		o.serve(ctx)
 	})
-	process.Every(lc, broadcastInterval, o.sendChangedLoads)
+	process.RunPeriodically(lc, broadcastInterval, o.sendChangedLoads)
 }
 
 func (o *ownerExchange) listen() error {
--- a/internal/gatewayhost/owners_test.go
+++ b/internal/gatewayhost/owners_test.go
@@ -14,7 +14,7 @@
 
 	"filbertdeck/internal/call"
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
 	"filbertdeck/internal/decide/targetload"
 	"filbertdeck/internal/decide/targetrate"
@@ -54,7 +54,7 @@
 	loads := gateway.NewTargetLoads(self, "dc-1", now)
 	s := &Settings{}
 	s.Deployment.ListenPeers = self
-	o := newOwnerExchange(s, loads, newFleetView(s, board, now), &published.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
+	o := newOwnerExchange(s, loads, newFleetView(s, board, now), &recordsync.Board{}, now, slog.New(slog.DiscardHandler), gometrics.NewRegistry())
 	if err := o.listen(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatewayhost/readerroles_test.go
+++ b/internal/gatewayhost/readerroles_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"filbertdeck/internal/controller/gossip"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/decide/membership"
 )
 
@@ -58,7 +58,7 @@
 		s.Deployment.ListenPeers, s.DataCentre = h.address, h.dataCentre
 		h.readerRoles = newReaderRoles(s, board, func() time.Duration { return f.now }, slog.New(slog.DiscardHandler))
 		h.publishedAge = func() (time.Duration, bool) { return f.now - h.currentAt, h.currentAt >= 0 }
-		h.storeRejects = func() bool { return f.now-h.rejectedAt < published.RejectedFor }
+		h.storeRejects = func() bool { return f.now-h.rejectedAt < recordsync.RejectionTTL }
 		f.hosts = append(f.hosts, h)
 	}
 	version := uint64(0)
--- a/internal/gatewayhost/reload.go
+++ b/internal/gatewayhost/reload.go
@@ -28,7 +28,7 @@
 	signal.Notify(hangUp, syscall.SIGHUP)
 	lc.Append(fx.StopHook(func() { signal.Stop(hangUp) }))
 	current := s.Deployment
-	process.Background(lc, func(ctx context.Context) {
+	process.RunInBackground(lc, func(ctx context.Context) {
 		tick := time.NewTicker(reloadInterval)
 		defer tick.Stop()
 		for {
--- a/internal/gatewayhost/settings.go
+++ b/internal/gatewayhost/settings.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"filbertdeck/internal/call"
-	"filbertdeck/internal/controller/published"
+	"filbertdeck/internal/controller/recordsync"
 	"filbertdeck/internal/settings"
 )
 
@@ -51,9 +51,9 @@
 	ConfigDeadline time.Duration
 	// Dialect, Engines and Source are the protocol adapters for the callers and
 	// targets, for the model engines and for the store.
-	Dialect call.Dialect
-	Engines call.Engines
-	Source  published.Source
+	Dialect call.Codec
+	Engines call.EngineClient
+	Source  recordsync.Source
 }
 
 // RetryLimit limits retries in any window of a few seconds to Share of a
--- a/internal/handle/file.go
+++ b/internal/handle/file.go
@@ -8,10 +8,10 @@
 	"filbertdeck/internal/failure"
 )
 
-// File is a ring whose keys come from a file that operators change to rotate
+// KeyRingFile is a ring whose keys come from a file that operators change to rotate
 // them, while processes run.
-type File struct {
-	*Ring
+type KeyRingFile struct {
+	*KeyRing
 	path string
 
 	mu   sync.Mutex
@@ -19,7 +19,7 @@
 }
 
 // OpenFile reads a ring's file; it fails with KindSettingInvalid.
-func OpenFile(path string) (*File, error) {
+func OpenFile(path string) (*KeyRingFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindSettingInvalid, "key ring %s", path)
@@ -28,18 +28,18 @@
 	if err != nil {
 		return nil, err
 	}
-	ring, err := NewRing(secrets)
+	ring, err := NewKeyRing(secrets)
 	if err != nil {
 		return nil, err
 	}
-	return &File{Ring: ring, path: path, seen: sha256.Sum256(text)}, nil
+	return &KeyRingFile{KeyRing: ring, path: path, seen: sha256.Sum256(text)}, nil
 }
 
-// Refresh takes a changed file over and tells whether there was a change. A
+// ReloadIfChanged takes a changed file over and tells whether there was a change. A
 // file that can't be used changes nothing: a rotation that is caught half-way
 // would otherwise make every handle and minted key invalid. Call it every few
 // seconds.
-func (f *File) Refresh() (changed bool, err error) {
+func (f *KeyRingFile) ReloadIfChanged() (changed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text, err := os.ReadFile(f.path)
--- a/internal/handle/handle.go
+++ b/internal/handle/handle.go
@@ -26,9 +26,9 @@
 	Issued, Expires time.Time
 }
 
-// SealTo appends the handle's text to dst and returns the longer slice. It
+// AppendSealed appends the handle's text to dst and returns the longer slice. It
 // does not allocate while dst has room (some 700 bytes for usual names).
-func (r *Ring) SealTo(dst []byte, h Handle) []byte {
+func (r *KeyRing) AppendSealed(dst []byte, h Handle) []byte {
 	keys := r.keys.Load()
 	bound := 1 + 3*binary.MaxVarintLen64 + 3*binary.MaxVarintLen32 + len(h.Service) + len(h.Target) + len(h.Generation)
 	return r.seal(dst, keys, keys.sealHandle, h.Account, bound, h.appendTo)
@@ -50,7 +50,7 @@
 // Open gives back a handle that was sealed for account. A text that is
 // garbage, altered or another account's fails with KindHandleInvalid, one that
 // is past its expiry with KindHandleExpired.
-func (r *Ring) Open(text, account string, now time.Time) (Handle, error) {
+func (r *KeyRing) Open(text, account string, now time.Time) (Handle, error) {
 	plain, ok := r.open(text, account, purposeHandle)
 	if !ok {
 		return Handle{}, invalidHandle()
@@ -67,7 +67,7 @@
 		return Handle{}, invalidHandle()
 	}
 	if now.After(h.Expires) {
-		return Handle{}, failure.New(failure.KindHandleExpired, "resume handle has expired").Ran()
+		return Handle{}, failure.New(failure.KindHandleExpired, "resume handle has expired").WithExecuted()
 	}
 	return h, nil
 }
@@ -75,7 +75,7 @@
 // invalidHandle claims nothing about the generation: whoever sends a wrong
 // handle may well have a request that ran.
 func invalidHandle() error {
-	return failure.New(failure.KindHandleInvalid, "resume handle is not valid here").Unknown()
+	return failure.New(failure.KindHandleInvalid, "resume handle is not valid here").WithExecutionUnknown()
 }
 
 func appendText(dst []byte, s string) []byte {
