--- a/internal/handle/handle_test.go
+++ b/internal/handle/handle_test.go
@@ -35,19 +35,19 @@
 	return handle.Secret{ID: id, Bytes: bytes.Repeat([]byte{byte(id)}, 32)}
 }
 
-func ring(ids ...uint32) *handle.Ring {
+func ring(ids ...uint32) *handle.KeyRing {
 	var secrets []handle.Secret
 	for _, id := range ids {
 		secrets = append(secrets, secret(id))
 	}
-	r, err := handle.NewRing(secrets)
+	r, err := handle.NewKeyRing(secrets)
 	Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
 var _ = Describe("a resume handle", func() {
 	It("opens at any entry that has the key, for its account only", func() {
-		text := string(ring(1).SealTo([]byte("id: "), sample()))[len("id: "):]
+		text := string(ring(1).AppendSealed([]byte("id: "), sample()))[len("id: "):]
 		Expect(ring(2, 1).Open(text, "foundation", start)).To(Equal(sample()))
 		Expect(text).NotTo(ContainSubstring("10.0.0.7"))
 	})
@@ -56,13 +56,13 @@
 	// try must look the same, or the answers would tell which handles exist.
 	It("fails in one way for whatever is wrong", func() {
 		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
+		text := string(r.AppendSealed(nil, sample()))
 		raw, _ := base64.RawURLEncoding.DecodeString(text)
 		var messages = map[string]bool{}
 		try := func(text, account string) {
 			_, err := r.Open(text, account, start)
 			Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
-			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+			Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 			messages[err.Error()] = true
 		}
 		for i := range raw {
@@ -74,15 +74,15 @@
 		try(text+"A", "foundation")
 		try("", "foundation")
 		try(strings.Repeat("A", 1<<20), "foundation")
-		try(string(ring(9).SealTo(nil, sample())), "foundation")
-		minted := r.Mint(handle.Minted{Account: "foundation", Owner: "10.0.0.1:1"})
+		try(string(ring(9).AppendSealed(nil, sample())), "foundation")
+		minted := r.Mint(handle.MintedKey{Account: "foundation", Owner: "10.0.0.1:1"})
 		try(strings.TrimPrefix(minted, "fdk1."), "foundation")
 		Expect(messages).To(HaveLen(1))
 	})
 
 	It("ends at its expiry", func() {
 		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
+		text := string(r.AppendSealed(nil, sample()))
 		_, err := r.Open(text, "foundation", start.Add(10*time.Minute+time.Second))
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleExpired))
 	})
@@ -91,10 +91,10 @@
 	// must open until it expires, and no longer than the old key stays.
 	It("survives a rotation while the old key stays", func() {
 		r := ring(1)
-		text := string(r.SealTo(nil, sample()))
+		text := string(r.AppendSealed(nil, sample()))
 		Expect(r.Replace([]handle.Secret{secret(2), secret(1)})).To(Succeed())
 		Expect(r.Open(text, "foundation", start)).To(Equal(sample()))
-		Expect(ring(2).Open(string(r.SealTo(nil, sample())), "foundation", start)).To(Equal(sample()))
+		Expect(ring(2).Open(string(r.AppendSealed(nil, sample())), "foundation", start)).To(Equal(sample()))
 		Expect(r.Replace([]handle.Secret{secret(2)})).To(Succeed())
 		_, err := r.Open(text, "foundation", start)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindHandleInvalid))
@@ -107,7 +107,7 @@
 		for range 3 {
 			r := ring(1)
 			for range 100 {
-				raw, _ := base64.RawURLEncoding.DecodeString(string(r.SealTo(nil, sample())))
+				raw, _ := base64.RawURLEncoding.DecodeString(string(r.AppendSealed(nil, sample())))
 				nonce := string(raw[:28])
 				Expect(seen[nonce]).To(BeFalse())
 				seen[nonce] = true
@@ -117,7 +117,7 @@
 })
 
 var _ = Describe("a minted key", func() {
-	minted := handle.Minted{Account: "park", Owner: "10.0.0.1:7001", Incarnation: 77, Age0: 90 * time.Second, Sequence: 5}
+	minted := handle.MintedKey{Account: "park", Owner: "10.0.0.1:7001", Incarnation: 77, OwnerUptimeAtMint: 90 * time.Second, Sequence: 5}
 
 	It("names its owner to every entry and opens for its account only", func() {
 		text := ring(1).Mint(minted)
@@ -175,34 +175,34 @@
 		write("1:" + good)
 		file, err := handle.OpenFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		text := string(file.SealTo(nil, sample()))
-		Expect(file.Refresh()).To(BeFalse())
+		text := string(file.AppendSealed(nil, sample()))
+		Expect(file.ReloadIfChanged()).To(BeFalse())
 		write("2:" + good[:10])
-		_, err = file.Refresh()
+		_, err = file.ReloadIfChanged()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		Expect(file.Open(text, "foundation", start)).To(Equal(sample()))
 		write("2:" + good + "\n1:" + good)
-		Expect(file.Refresh()).To(BeTrue())
+		Expect(file.ReloadIfChanged()).To(BeTrue())
 		Expect(file.Open(text, "foundation", start)).To(Equal(sample()))
 		Expect(os.Remove(path)).To(Succeed())
-		_, err = file.Refresh()
+		_, err = file.ReloadIfChanged()
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		_, err = handle.OpenFile(path)
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 	})
 	It("is not empty and has whole keys", func() {
-		_, err := handle.NewRing([]handle.Secret{{ID: 1, Bytes: []byte("short")}})
+		_, err := handle.NewKeyRing([]handle.Secret{{ID: 1, Bytes: []byte("short")}})
 		Expect(failure.KindOf(err)).To(Equal(failure.KindSettingInvalid))
 		Expect(ring(1).Replace(nil)).NotTo(Succeed())
-		_, err = handle.NewRing(handle.RandomSecrets())
+		_, err = handle.NewKeyRing(handle.RandomSecret())
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
 
 func FuzzOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
-	f.Add(string(r.SealTo(nil, sample())), "foundation")
-	f.Add(r.Mint(handle.Minted{Account: "a", Owner: "o"}), "a")
+	r, _ := handle.NewKeyRing([]handle.Secret{secret(1)})
+	f.Add(string(r.AppendSealed(nil, sample())), "foundation")
+	f.Add(r.Mint(handle.MintedKey{Account: "a", Owner: "o"}), "a")
 	f.Fuzz(func(t *testing.T, text, account string) {
 		if h, err := r.Open(text, account, start); err == nil && (account != "foundation" || h != sample()) {
 			t.Fatalf("opened %q for %q as %+v", text, account, h)
@@ -214,7 +214,7 @@
 }
 
 func FuzzSealOpen(f *testing.F) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
+	r, _ := handle.NewKeyRing([]handle.Secret{secret(1)})
 	f.Add("a", "s", "t", "g", uint64(0), int64(0))
 	f.Fuzz(func(t *testing.T, account, service, target, generation string, offset uint64, issued int64) {
 		if len(service)+len(target)+len(generation) > 1000 {
@@ -222,7 +222,7 @@
 		}
 		want := handle.Handle{Account: account, Service: service, Target: target, Generation: generation,
 			Offset: offset, Issued: time.Unix(issued%(1<<40), 0), Expires: time.Unix(1<<41, 0)}
-		got, err := r.Open(string(r.SealTo(nil, want)), account, start)
+		got, err := r.Open(string(r.AppendSealed(nil, want)), account, start)
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("want %+v got %+v %v", want, got, err)
 		}
@@ -230,20 +230,20 @@
 }
 
 func BenchmarkSealTo(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
+	r, _ := handle.NewKeyRing([]handle.Secret{secret(1)})
 	h := sample()
 	buf := make([]byte, 0, 1024)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Offset++
-		buf = r.SealTo(buf[:0], h)
+		buf = r.AppendSealed(buf[:0], h)
 	}
 	b.ReportMetric(float64(len(buf)), "bytes/handle")
 }
 
 func BenchmarkOpen(b *testing.B) {
-	r, _ := handle.NewRing([]handle.Secret{secret(1)})
-	text := string(r.SealTo(nil, sample()))
+	r, _ := handle.NewKeyRing([]handle.Secret{secret(1)})
+	text := string(r.AppendSealed(nil, sample()))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := r.Open(text, "foundation", start); err != nil {
--- a/internal/handle/minted.go
+++ b/internal/handle/minted.go
@@ -11,17 +11,17 @@
 // mintedPrefix tells a minted key from a key that a caller made up.
 const mintedPrefix = "fdk1."
 
-// Minted is an idempotency key that the system made. It names the one entry
+// MintedKey is an idempotency key that the system made. It names the one entry
 // process that may ever run the call.
-type Minted struct {
+type MintedKey struct {
 	Account string
 	// Owner is the forward address of the entry, Incarnation the number that
 	// its process drew at its start.
 	Owner       string
 	Incarnation uint64
-	// Age0 is the owner's monotonic time at minting, from its process start.
+	// OwnerUptimeAtMint is the owner's monotonic time at minting, from its process start.
 	// Only the owner reads it, so no other clock takes part in the expiry.
-	Age0 time.Duration
+	OwnerUptimeAtMint time.Duration
 	// Sequence is unique within the owner's incarnation.
 	Sequence uint64
 }
@@ -31,37 +31,37 @@
 func IsMinted(key string) bool { return strings.HasPrefix(key, mintedPrefix) }
 
 // Mint gives the text of a minted key.
-func (r *Ring) Mint(m Minted) string {
+func (r *KeyRing) Mint(m MintedKey) string {
 	keys := r.keys.Load()
 	bound := 2*binary.MaxVarintLen64 + 8 + binary.MaxVarintLen32 + len(m.Owner)
 	return string(r.seal([]byte(mintedPrefix), keys, keys.sealMinted, m.Account, bound, m.appendTo))
 }
 
-func (m Minted) appendTo(dst []byte) []byte {
+func (m MintedKey) appendTo(dst []byte) []byte {
 	dst = binary.BigEndian.AppendUint64(dst, m.Incarnation)
 	dst = binary.AppendUvarint(dst, m.Sequence)
-	dst = binary.AppendVarint(dst, m.Age0.Milliseconds())
+	dst = binary.AppendVarint(dst, m.OwnerUptimeAtMint.Milliseconds())
 	return appendText(dst, m.Owner)
 }
 
 // OpenMinted gives back a key that was minted for account, or a failure of
 // KindKeyInvalid.
-func (r *Ring) OpenMinted(text, account string) (Minted, error) {
+func (r *KeyRing) OpenMinted(text, account string) (MintedKey, error) {
 	sealed, found := strings.CutPrefix(text, mintedPrefix)
 	if !found {
-		return Minted{}, invalidKey()
+		return MintedKey{}, invalidKey()
 	}
 	plain, ok := r.open(sealed, account, purposeMinted)
 	if !ok || len(plain) < 8 {
-		return Minted{}, invalidKey()
+		return MintedKey{}, invalidKey()
 	}
-	m := Minted{Account: account, Incarnation: binary.BigEndian.Uint64(plain)}
+	m := MintedKey{Account: account, Incarnation: binary.BigEndian.Uint64(plain)}
 	d := decoder{rest: plain[8:]}
 	m.Sequence = d.uvarint()
-	m.Age0 = time.Duration(d.varint()) * time.Millisecond
+	m.OwnerUptimeAtMint = time.Duration(d.varint()) * time.Millisecond
 	m.Owner = d.text()
 	if d.bad || len(d.rest) != 0 {
-		return Minted{}, invalidKey()
+		return MintedKey{}, invalidKey()
 	}
 	return m, nil
 }
@@ -69,5 +69,5 @@
 // invalidKey leaves the outcome open: after a rotation that dropped a key too
 // early, a call that ran long ago would look just the same.
 func invalidKey() error {
-	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid here").Unknown()
+	return failure.New(failure.KindKeyInvalid, "idempotency key is not valid here").WithExecutionUnknown()
 }
--- a/internal/handle/ring.go
+++ b/internal/handle/ring.go
@@ -105,17 +105,17 @@
 	return Secret{ID: uint32(id), Bytes: key}, nil
 }
 
-// RandomSecrets returns a ring of one fresh key. Texts that it seals open in
+// RandomSecret returns a ring of one fresh key. Texts that it seals open in
 // this process only, which suits tests and a single host.
-func RandomSecrets() []Secret {
+func RandomSecret() []Secret {
 	key := make([]byte, secretSize)
 	_, _ = rand.Read(key) // never fails, see crypto/rand
 	return []Secret{{ID: 1, Bytes: key}}
 }
 
-// Ring seals and opens texts. It is safe for concurrent use; Replace swaps
+// KeyRing seals and opens texts. It is safe for concurrent use; Replace swaps
 // the keys under running requests (read-copy-update).
-type Ring struct {
+type KeyRing struct {
 	salt    [saltSize]byte
 	counter atomic.Uint64
 	keys    atomic.Pointer[ringKeys]
@@ -133,9 +133,9 @@
 	sealMinted cipher.AEAD
 }
 
-// NewRing returns a ring with the given keys, the sealing key first.
-func NewRing(secrets []Secret) (*Ring, error) {
-	r := &Ring{}
+// NewKeyRing returns a ring with the given keys, the sealing key first.
+func NewKeyRing(secrets []Secret) (*KeyRing, error) {
+	r := &KeyRing{}
 	_, _ = rand.Read(r.salt[:]) // never fails, see crypto/rand
 	if err := r.Replace(secrets); err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 }
 
 // Replace swaps the ring's keys.
-func (r *Ring) Replace(secrets []Secret) error {
+func (r *KeyRing) Replace(secrets []Secret) error {
 	if len(secrets) == 0 {
 		return failure.New(failure.KindSettingInvalid, "key ring holds no key")
 	}
@@ -184,7 +184,7 @@
 
 // seal appends the sealed text of what fill appends. All working space is the
 // room behind dst, so that a caller that reuses dst allocates nothing.
-func (r *Ring) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, bound int, fill func([]byte) []byte) []byte {
+func (r *KeyRing) seal(dst []byte, keys *ringKeys, aead cipher.AEAD, account string, bound int, fill func([]byte) []byte) []byte {
 	rawBound := headerSize + bound + tagSize
 	textBound := encoding.EncodedLen(rawBound)
 	start := len(dst)
@@ -212,7 +212,7 @@
 }
 
 // open gives back the plain bytes of a text that seal made for this account.
-func (r *Ring) open(text, account, purpose string) ([]byte, bool) {
+func (r *KeyRing) open(text, account, purpose string) ([]byte, bool) {
 	if len(text) > maxText {
 		return nil, false
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -36,26 +36,26 @@
 // served. notice is how long a stop stays open after it was announced, wait
 // how long it waits for requests in progress, 0 for as long as they last.
 func New(ready func() error, notice, wait time.Duration) *Lifecycle {
-	return NewWithStop(ready, drain.ShutdownConfig{
+	return NewWithStopConfig(ready, drain.ShutdownConfig{
 		MinAnnounce: notice, QuietPeriod: notice, MaxAnnounce: 3 * notice, LingerDuration: notice, DrainTimeout: wait,
 	})
 }
 
-// NewWithStop is New with the figures of the stop given one by one.
-func NewWithStop(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
+// NewWithStopConfig is New with the figures of the stop given one by one.
+func NewWithStopConfig(ready func() error, stop drain.ShutdownConfig) *Lifecycle {
 	return &Lifecycle{ready: ready, start: time.Now(), stop: drain.NewShutdown(stop)}
 }
 
 func (l *Lifecycle) now() time.Duration { return time.Since(l.start) }
 
-// Begin counts a request in progress; the returned function must be called
+// BeginRequest counts a request in progress; the returned function must be called
 // when it ends. It fails while the process refuses new work.
-func (l *Lifecycle) Begin() (end func(), err error) {
+func (l *Lifecycle) BeginRequest() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stop.NoteArrival(l.now())
 	if !l.stop.AcceptsNew() {
-		return nil, failure.New(failure.KindStopping, "the process is stopping").After(retryStopping)
+		return nil, failure.New(failure.KindStopping, "the process is stopping").WithRetryAfter(retryStopping)
 	}
 	l.running++
 	return l.end, nil
@@ -67,8 +67,8 @@
 	l.running--
 }
 
-// Running counts the requests in progress.
-func (l *Lifecycle) Running() int {
+// InProgress counts the requests in progress.
+func (l *Lifecycle) InProgress() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.running
@@ -93,11 +93,11 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return failure.Wrap(ctx.Err(), failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
+			return failure.Wrap(ctx.Err(), failure.KindStopping, "%d requests were in progress at the end of the stop", l.InProgress())
 		}
 	}
 	if l.cut() {
-		return failure.New(failure.KindStopping, "%d requests were in progress at the end of the stop", l.Running())
+		return failure.New(failure.KindStopping, "%d requests were in progress at the end of the stop", l.InProgress())
 	}
 	return nil
 }
--- a/internal/load/check.go
+++ b/internal/loadgen/check.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"strconv"
--- a/internal/load/client.go
+++ b/internal/loadgen/client.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -125,7 +125,7 @@
 }
 
 func lost(err error) error {
-	return failure.Wrap(err, kindConnectionLost, "connection to the entry was lost").Unknown()
+	return failure.Wrap(err, kindConnectionLost, "connection to the entry was lost").WithExecutionUnknown()
 }
 
 // answer sends a request and reads its whole answer; a refusal is an error.
@@ -155,7 +155,7 @@
 func refusal(resp *http.Response, body []byte) error {
 	var p failure.Problem
 	if json.Unmarshal(body, &p) != nil || p.Type == "" {
-		return failure.New(failure.KindInternal, "status %d without a problem document", resp.StatusCode).Unknown()
+		return failure.New(failure.KindInternal, "status %d without a problem document", resp.StatusCode).WithExecutionUnknown()
 	}
 	return failure.FromProblem(p)
 }
@@ -193,7 +193,7 @@
 // timeoutOr turns a loss that the call's own timeout caused into one.
 func timeoutOr(ctx context.Context, err error) error {
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return failure.Wrap(err, kindCallTimeout, "call took longer than its timeout").Unknown()
+		return failure.Wrap(err, kindCallTimeout, "call took longer than its timeout").WithExecutionUnknown()
 	}
 	return err
 }
--- a/internal/load/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,4 +1,4 @@
-// Package load makes an open-loop load on a running system and measures what
+// Package loadgen makes an open-loop load on a running system and measures what
 // its callers receive: the program filbert-load.
 //
 // The load pattern is a deployment's mix of calls (Profiles) whose arrivals
@@ -9,4 +9,4 @@
 //
 // Every answer is checked: tokens in order, once, of one generation and of the
 // right words; answers that belong to their call; keyed calls that ran once.
-package load
+package loadgen
--- a/internal/load/load_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -140,7 +140,7 @@
 	body, _ := io.ReadAll(r.Body)
 	switch {
 	case r.Header.Get("Authorization") != "Bearer KEY" || f.fault == "refuse":
-		failure.Write(w, failure.New(failure.KindOverloaded, "full").After(time.Second))
+		failure.Write(w, failure.New(failure.KindOverloaded, "full").WithRetryAfter(time.Second))
 	case f.fault == "drop":
 		panic(http.ErrAbortHandler)
 	case f.fault == "hang plain" && !f.silenced && strings.HasPrefix(r.URL.Path, "/v1/services/"):
@@ -429,7 +429,7 @@
 var _ = Describe("a trial", func() {
 	It("starts a deployment, disturbs it and compares it with its stand-ins alone", func() {
 		dir := GinkgoT().TempDir()
-		Expect(fleet.Build(dir)).To(Succeed())
+		Expect(fleet.BuildPrograms(dir)).To(Succeed())
 		var out, errOut bytes.Buffer
 		code := Main([]string{"trial", "--bin-dir", dir, "--hosts", "2", "--engines", "2", "--apps", "1", "--rate", "60",
 			"--duration", "700ms", "--length-scale", "0.01", "--direct", "--engine-args=--base-step 2ms",
--- a/internal/load/result.go
+++ b/internal/loadgen/result.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"cmp"
@@ -175,7 +175,7 @@
 		r.counts.Violated++
 		r.violations[o.violation]++
 	case o.err != nil:
-		f := failure.From(o.err)
+		f := failure.FromError(o.err)
 		r.counts.Refused++
 		if f.Executed == failure.ExecutedNo && f.RetryAfter == 0 {
 			r.counts.WithoutTime++
--- a/internal/load/stream.go
+++ b/internal/loadgen/stream.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -89,7 +89,7 @@
 func streamFailure(data []byte) error {
 	var p failure.Problem
 	if json.Unmarshal(data, &p) != nil {
-		return failure.New(failure.KindInternal, "stream failed without a problem document").Unknown()
+		return failure.New(failure.KindInternal, "stream failed without a problem document").WithExecutionUnknown()
 	}
 	return failure.FromProblem(p)
 }
--- a/internal/load/trial.go
+++ b/internal/loadgen/trial.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"cmp"
@@ -118,7 +118,7 @@
 	var t strings.Builder
 	t.WriteString(tableHeader)
 	for i := range s.Accounts {
-		fmt.Fprintf(&t, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.Digest(accountKey(i)))
+		fmt.Fprintf(&t, "account,%s,1,,,,%s,,,,,,\n", accountName(i), fleet.KeyDigest(accountKey(i)))
 	}
 	for _, k := range distinct(p.Kinds) {
 		kind, delivery, tokens := "generation", "stream", strconv.Itoa(k.Output.Max)
@@ -191,7 +191,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	cfg.Target.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.Callers })
+	cfg.Target.Entries = addresses(f.Hosts, func(h *fleet.Host) string { return h.ClientAddress })
 	if direct {
 		cfg = directly(cfg, f)
 	}
@@ -275,7 +275,7 @@
 // bring brings a fault about.
 func bring(f *fleet.Fleet, d disturbance) error {
 	if d.name == "platform" {
-		return f.PlatformMode(d.action)
+		return f.SetPlatformMode(d.action)
 	}
 	for _, t := range append(append([]*fleet.Target{}, f.Engines...), f.Apps...) {
 		if t.Name == d.name {
@@ -285,7 +285,7 @@
 	for _, h := range f.Hosts {
 		switch d.name {
 		case h.Name + "-entry":
-			return disturbProcess(h.Entry, d.action, func() error { return f.StartEntry(h) })
+			return disturbProcess(h.EntryProcess, d.action, func() error { return f.StartEntry(h) })
 		case h.Name + "-control":
 			return disturbProcess(h.ControlProcess, d.action, func() error { return f.StartControl(h) })
 		}
@@ -295,7 +295,7 @@
 
 func disturbTarget(f *fleet.Fleet, t *fleet.Target, action string) error {
 	if strings.HasPrefix(action, "{") {
-		return f.Fault(t, action)
+		return f.SetFault(t, action)
 	}
 	return disturbProcess(t.Process, action, func() error { return f.RestartTarget(t) })
 }
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -60,7 +60,7 @@
 // Run starts a fleet, runs all measurements and prints a line for each to out.
 func Run(ctx context.Context, cfg Config, out io.Writer) error {
 	f, err := fleet.Start(ctx, fleet.Spec{
-		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableTemplate, fleet.Digest(apiKey)),
+		BinDir: cfg.BinDir, Table: fmt.Sprintf(tableTemplate, fleet.KeyDigest(apiKey)),
 		Hosts: []string{"a"}, Engines: []string{"a"}, Apps: []string{"a"},
 		EngineServices: []string{"reports"}, AppServices: []string{"sites"},
 		EngineArgs: []string{
@@ -87,10 +87,10 @@
 func (m *measurement) printLine(format string, args ...any) { fmt.Fprintf(m.out, format+"\n", args...) }
 
 func (m *measurement) entryUsage() (usage.Usage, error) {
-	return usage.Of(m.fleet.Hosts[0].Entry.Pid())
+	return usage.ForProcess(m.fleet.Hosts[0].EntryProcess.PID())
 }
 func (m *measurement) controlUsage() (usage.Usage, error) {
-	return usage.Of(m.fleet.Hosts[0].ControlProcess.Pid())
+	return usage.ForProcess(m.fleet.Hosts[0].ControlProcess.PID())
 }
 
 // measureIdle measures the resource use of the control process without load.
@@ -109,7 +109,7 @@
 		return err
 	}
 	corePercent := float64(after.CPU-before.CPU) / float64(m.Idle) * 100
-	m.printLine("idle control process: %.2f%% of a core over %v, %.1f MB resident", corePercent, m.Idle, megabytes(after.Resident))
+	m.printLine("idle control process: %.2f%% of a core over %v, %.1f MB resident", corePercent, m.Idle, megabytes(after.ResidentBytes))
 	return nil
 }
 
@@ -149,13 +149,13 @@
 
 func (m *measurement) measureLookups(context.Context) error {
 	direct := "http://" + m.fleet.Apps[0].Address + "/x"
-	throughEntry := "http://" + m.fleet.Hosts[0].Callers + "/v1/services/sites/x"
+	throughEntry := "http://" + m.fleet.Hosts[0].ClientAddress + "/v1/services/sites/x"
 	return m.compareLatency("lookup", func() error { return m.get(direct) }, func() error { return m.get(throughEntry) })
 }
 
 func (m *measurement) measureFirstTokens(ctx context.Context) error {
 	direct := "http://" + m.fleet.Engines[0].Address + "/v1/completions"
-	throughEntry := "http://" + m.fleet.Hosts[0].Callers + "/v1/completions"
+	throughEntry := "http://" + m.fleet.Hosts[0].ClientAddress + "/v1/completions"
 	oneToken := func(url string) func() error {
 		return func() error { _, err := m.readStream(ctx, url, 1, nil); return err }
 	}
@@ -234,7 +234,7 @@
 
 // runStreams runs count concurrent streams and returns the sum of their events.
 func (m *measurement) runStreams(ctx context.Context, count, tokens int, onFirstEvent func()) (int, error) {
-	url := "http://" + m.fleet.Hosts[0].Callers + "/v1/completions"
+	url := "http://" + m.fleet.Hosts[0].ClientAddress + "/v1/completions"
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var total int
@@ -316,8 +316,8 @@
 	}
 	cancel()
 	<-done
-	kilobytesPerStream := float64(after.Resident-before.Resident) / float64(m.Open) / 1024
-	m.printLine("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB per stream", m.Open, megabytes(before.Resident), megabytes(after.Resident), kilobytesPerStream)
+	kilobytesPerStream := float64(after.ResidentBytes-before.ResidentBytes) / float64(m.Open) / 1024
+	m.printLine("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB per stream", m.Open, megabytes(before.ResidentBytes), megabytes(after.ResidentBytes), kilobytesPerStream)
 	return nil
 }
 
@@ -326,7 +326,7 @@
 	var metrics map[string]struct {
 		Value float64 `json:"value"`
 	}
-	if err := m.fleet.GetJSON("http://"+m.fleet.Hosts[0].EntryAdmin+"/metrics", &metrics); err != nil {
+	if err := m.fleet.GetJSON("http://"+m.fleet.Hosts[0].EntryAdminAddress+"/metrics", &metrics); err != nil {
 		return err
 	}
 	value := func(name string) float64 { return metrics["runtime."+name].Value }
@@ -341,7 +341,7 @@
 	if m.Heap == "" {
 		return nil
 	}
-	resp, err := m.client.Get("http://" + m.fleet.Hosts[0].EntryAdmin + "/debug/pprof/heap?gc=1")
+	resp, err := m.client.Get("http://" + m.fleet.Hosts[0].EntryAdminAddress + "/debug/pprof/heap?gc=1")
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "heap profile can't be requested")
 	}
--- a/internal/process/background.go
+++ b/internal/process/background.go
@@ -10,9 +10,9 @@
 	"google.golang.org/grpc"
 )
 
-// Background runs a controller from the program's start to its stop, and waits
+// RunInBackground runs a controller from the program's start to its stop, and waits
 // for its end.
-func Background(lc fx.Lifecycle, run func(context.Context)) {
+func RunInBackground(lc fx.Lifecycle, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
@@ -31,9 +31,9 @@
 	})
 }
 
-// Every runs a job at an interval from the program's start to its stop.
-func Every(lc fx.Lifecycle, interval time.Duration, job func()) {
-	Background(lc, func(ctx context.Context) {
+// RunPeriodically runs a job at an interval from the program's start to its stop.
+func RunPeriodically(lc fx.Lifecycle, interval time.Duration, job func()) {
+	RunInBackground(lc, func(ctx context.Context) {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -43,8 +43,8 @@
 	// Prepare, if given, completes the settings after they were parsed, such as
 	// from a file that the deployment writes.
 	Prepare func() error
-	// LogTo receives the log lines; standard error by default.
-	LogTo io.Writer
+	// LogOutput receives the log lines; standard error by default.
+	LogOutput io.Writer
 	// Options build the application from the settings.
 	Options func() []fx.Option
 }
@@ -62,10 +62,10 @@
 		fmt.Fprintln(os.Stderr, err)
 		return settings.ExitUsage
 	}
-	if p.LogTo == nil {
-		p.LogTo = os.Stderr
+	if p.LogOutput == nil {
+		p.LogOutput = os.Stderr
 	}
-	out := NewLogWriter(p.LogTo)
+	out := NewLogWriter(p.LogOutput)
 	defer func() { _ = out.Close() }()
 	log := NewLogger(out, p.Common).With("program", p.Name, "host", p.Common.Host)
 	return run(p, log)
--- a/internal/prefix/prefix.go
+++ b/internal/promptprefix/promptprefix.go
@@ -1,8 +1,8 @@
-// Package prefix computes the hashes by which engines name the parts of a
+// Package promptprefix computes the hashes by which engines name the parts of a
 // prompt that they hold in their cache. The chain is the one that the engines
 // publish (docs/protocols.md): xxhash64 over blocks of 64 bytes, each hash
 // covering the one before it, so that equal hashes mean equal beginnings.
-package prefix
+package promptprefix
 
 import (
 	"encoding/binary"
@@ -19,8 +19,8 @@
 	MaxBlocks = 32
 )
 
-// Chain returns the hashes of the prompt's whole leading blocks.
-func Chain(prompt string) []uint64 {
+// BlockHashes returns the hashes of the prompt's whole leading blocks.
+func BlockHashes(prompt string) []uint64 {
 	n := min(len(prompt)/BlockSize, MaxBlocks)
 	chain := make([]uint64, 0, n)
 	var earlier uint64
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"filbertdeck/internal/burn"
+	"filbertdeck/internal/burnreport"
 	"filbertdeck/internal/control"
 	"filbertdeck/internal/entry"
 	"filbertdeck/internal/gatewayhost"
@@ -25,7 +25,7 @@
 		{Name: entry.Program, About: entry.About, Settings: &entry.Settings{}},
 		{Name: control.Program, About: control.About, Settings: &control.Settings{}},
 		{Name: gatewayhost.Program, About: gatewayhost.About, Settings: &gatewayhost.Settings{}},
-		{Name: burn.Program, About: burn.About, Settings: &burn.Settings{}},
+		{Name: burnreport.Program, About: burnreport.About, Settings: &burnreport.Settings{}},
 	}
 }
 
--- a/internal/slopes/accounting.go
+++ b/internal/slopes/accounting.go
@@ -18,10 +18,10 @@
 		counters := accounting.New()
 		for i := range rows {
 			request := counters.Begin(accountName(i/3), serviceName+string(rune('a'+i%3)))
-			request.FirstToken(300 * time.Millisecond)
-			request.Tokens(230, 50*time.Millisecond)
-			request.Whole(true)
-			request.End(nil)
+			request.RecordFirstToken(300 * time.Millisecond)
+			request.RecordTokens(230, 50*time.Millisecond)
+			request.RecordCompleteness(true)
+			request.RecordOutcome(nil)
 		}
 		heapUsed := heapInUse() - heapBefore
 		var snapshot []byte
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -9,7 +9,7 @@
 	gometrics "github.com/rcrowley/go-metrics"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pool"
+	"filbertdeck/internal/control/poolrunner"
 	"filbertdeck/internal/control/sessions"
 	"filbertdeck/internal/control/state"
 	"filbertdeck/internal/decide/admission"
@@ -34,20 +34,20 @@
 
 // admissionBench serves one pool over gRPC on loopback.
 type admissionBench struct {
-	runner  *pool.Runner
+	runner  *poolrunner.Runner
 	traffic trafficCounter
 	client  *admit.Client
 	close   func()
 }
 
 // Runner implements sessions.Pools.
-func (b *admissionBench) Runner(string) (*pool.Runner, uint64, bool) { return b.runner, 1, true }
+func (b *admissionBench) Runner(string) (*poolrunner.Runner, uint64, bool) { return b.runner, 1, true }
 
 // newAdmissionBench starts serving a pool of four targets.
 func newAdmissionBench(ctx context.Context) (*admissionBench, error) {
 	b := &admissionBench{}
 	server := sessions.New(b)
-	b.runner = pool.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: unlimitedCapacity}, server.Deliver)
+	b.runner = poolrunner.NewRunner(poolName, admission.Config{Seed: 1, QueueLimit: unlimitedCapacity}, server.Deliver)
 	listener, err := b.traffic.listen()
 	if err != nil {
 		return nil, failure.Wrap(err, failure.KindInternal, "can't listen on a free port")
@@ -95,7 +95,7 @@
 		return err
 	}
 	time.Sleep(duration)
-	lease.Produced(230)
+	lease.SetProduced(230)
 	lease.Settle(filbertv1.Outcome_OUTCOME_DONE, 300*time.Millisecond, duration)
 	return nil
 }
--- a/internal/slopes/inputs.go
+++ b/internal/slopes/inputs.go
@@ -95,5 +95,5 @@
 	for i, target := range targets {
 		list[i] = table.Target{Address: target.Address, DataCentre: target.DataCentre}
 	}
-	return t.With(nil, map[string][]table.Target{serviceName: list})
+	return t.WithDrainAndTargets(nil, map[string][]table.Target{serviceName: list})
 }
--- a/internal/slopes/plan.go
+++ b/internal/slopes/plan.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"filbertdeck/internal/api/filbertv1"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/table"
 )
 
@@ -24,9 +24,9 @@
 		t = withTargets(t, targetList(size.targets))
 		hosts := hostList(size.hosts)
 		heapBefore := heapInUse()
-		plans := pools.Plans(t, hosts)
+		plans := poolmanager.ComputePlans(t, hosts)
 		heapUsed := heapInUse() - heapBefore
-		planCPU := meanCPU(planRounds, func() { pools.Plans(t, hosts) })
+		planCPU := meanCPU(planRounds, func() { poolmanager.ComputePlans(t, hosts) })
 		section := poolsSection(plans)
 		encoded, _ := proto.Marshal(section)
 		encodeCPU := meanCPU(planRounds, func() { _, _ = proto.Marshal(poolsSection(plans)) })
@@ -38,7 +38,7 @@
 }
 
 // poolsSection returns the message that a control process sends to its entry.
-func poolsSection(plans []pools.Plan) *filbertv1.PoolsSection {
+func poolsSection(plans []poolmanager.Plan) *filbertv1.PoolsSection {
 	section := &filbertv1.PoolsSection{}
 	for _, p := range plans {
 		section.Pools = append(section.Pools, &filbertv1.Pool{
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -102,8 +102,8 @@
 	printer.printLine("%s: %d hosts run, %d accounts, %d targets polled, %d hosts and %d targets published",
 		point.Name, point.Hosts, point.Accounts, point.PolledTargets, point.UnreachableHosts+point.Hosts, point.UnreachableTargets+point.PolledTargets)
 	printer.printLine("  unchanged: control %.2f%% of a core, %.1f MB resident, %.1f MB heap; entry %.2f%%, %.1f MB resident",
-		percentOfCore(idle.control.CPU, idle.duration)/hosts, megabytes(idle.control.Resident)/hosts, idle.counters["runtime.MemStats.HeapAlloc"]/hosts/(1<<20),
-		percentOfCore(idle.entry.CPU, idle.duration)/hosts, megabytes(idle.entry.Resident)/hosts)
+		percentOfCore(idle.control.CPU, idle.duration)/hosts, megabytes(idle.control.ResidentBytes)/hosts, idle.counters["runtime.MemStats.HeapAlloc"]/hosts/(1<<20),
+		percentOfCore(idle.entry.CPU, idle.duration)/hosts, megabytes(idle.entry.ResidentBytes)/hosts)
 	printer.printLine("  gossip %.0f bytes/s a host, sent and received; configuration %.1f calls/s in all; %.1f polls/s in all, %.0f payload bytes and %.1f segments a poll",
 		(idle.counters["gossip.bytes_sent"]+idle.counters["gossip.bytes_received"])/hosts/idleSeconds, idle.counters["configwatch.calls"]/idleSeconds,
 		idle.polls/idleSeconds, idle.payload/max(idle.polls, 1), idle.segments/max(idle.polls, 1))
@@ -113,7 +113,7 @@
 	busySeconds := busy.duration.Seconds()
 	printer.printLine("  %d edits in %.1fs: control %.2f ms and entry %.2f ms processor time per edit and host above that (control %.1f%% of a core); %.1f and %.1f MB resident; gossip %.0f bytes/s a host",
 		edits, busySeconds, extraMillis(busy.control.CPU, idle.control.CPU, busySeconds), extraMillis(busy.entry.CPU, idle.entry.CPU, busySeconds), percentOfCore(busy.control.CPU, busy.duration)/hosts,
-		megabytes(busy.control.Resident)/hosts, megabytes(busy.entry.Resident)/hosts,
+		megabytes(busy.control.ResidentBytes)/hosts, megabytes(busy.entry.ResidentBytes)/hosts,
 		(busy.counters["gossip.bytes_sent"]+busy.counters["gossip.bytes_received"])/hosts/busySeconds)
 }
 
@@ -121,18 +121,18 @@
 	hosts := hostList(point.UnreachableHosts)
 	for _, h := range f.Hosts {
 		hosts = append(hosts, configservice.Host{
-			Name: h.Name, DataCentre: h.DataCentre, Entry: h.Peer, Control: h.Control, State: configservice.StateLive,
+			Name: h.Name, DataCentre: h.DataCentre, Entry: h.PeerAddress, Control: h.ControlAddress, State: configservice.StateLive,
 		})
 	}
-	if err := f.Put(configservice.KeyHosts, toJSON(hostsDocument{2, hosts})); err != nil {
+	if err := f.PutValue(configservice.KeyHosts, toJSON(hostsDocument{2, hosts})); err != nil {
 		return err
 	}
 	targets := append(targetList(point.UnreachableTargets), polled...)
-	if err := f.Put(configservice.KeyTargets, toJSON(targetsDocument{2, targets})); err != nil {
+	if err := f.PutValue(configservice.KeyTargets, toJSON(targetsDocument{2, targets})); err != nil {
 		return err
 	}
 	for i, page := range tablePages(point.Accounts, 0) {
-		if err := f.Put(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
+		if err := f.PutValue(fmt.Sprintf("table/%04d", i+1), string(page)); err != nil {
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 	defer ticker.Stop()
 	for i := range count {
 		<-ticker.C
-		if err := f.Put("table/0001", string(tablePages(point.Accounts, i+1)[0])); err != nil {
+		if err := f.PutValue("table/0001", string(tablePages(point.Accounts, i+1)[0])); err != nil {
 			return err
 		}
 	}
--- a/internal/slopes/resourceuse.go
+++ b/internal/slopes/resourceuse.go
@@ -51,14 +51,14 @@
 		payload: float64(payload), segments: float64(segments),
 	}
 	for _, h := range f.Hosts {
-		if err := addUsage(&use.control, h.ControlProcess.Pid()); err != nil {
+		if err := addUsage(&use.control, h.ControlProcess.PID()); err != nil {
 			return use, err
 		}
-		if err := addUsage(&use.entry, h.Entry.Pid()); err != nil {
+		if err := addUsage(&use.entry, h.EntryProcess.PID()); err != nil {
 			return use, err
 		}
 		var metrics map[string]struct{ Count, Value float64 }
-		if err := f.GetJSON("http://"+h.ControlAdmin+"/metrics", &metrics); err != nil {
+		if err := f.GetJSON("http://"+h.ControlAdminAddress+"/metrics", &metrics); err != nil {
 			return use, err
 		}
 		for name, m := range metrics {
@@ -70,7 +70,7 @@
 
 // addUsage adds a process's usage to a sum.
 func addUsage(sum *usage.Usage, pid int) error {
-	processUsage, err := usage.Of(pid)
+	processUsage, err := usage.ForProcess(pid)
 	if err != nil {
 		return err
 	}
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -29,7 +29,7 @@
 		list := tablePages(accounts, 0)
 		Expect(list).To(HaveLen(pages))
 		for _, page := range list {
-			Expect(len(page)).To(BeNumerically("<=", table.MaxPage))
+			Expect(len(page)).To(BeNumerically("<=", table.MaxPageBytes))
 		}
 		before, faults := table.Parse(1, list)
 		Expect(faults).To(BeEmpty())
@@ -39,8 +39,8 @@
 		after, faults := before.Apply(0, 2, changed)
 		Expect(faults).To(BeEmpty())
 		edited, _ := table.Parse(2, tablePages(accounts, 1))
-		Expect(after.Lines()).To(Equal(edited.Lines()))
-		Expect(after.Lines()).NotTo(Equal(before.Lines()))
+		Expect(after.EncodeRows()).To(Equal(edited.EncodeRows()))
+		Expect(after.EncodeRows()).NotTo(Equal(before.EncodeRows()))
 	},
 		Entry("the current size", 10, 1), Entry("one full page", rowsPerPage, 1), Entry("full scale", FullScaleAccounts, 3),
 	)
@@ -66,12 +66,12 @@
 
 var _ = Describe("measurements", func() {
 	DescribeTable("parse the usage of a process", func(stat string, want usage.Usage, ok bool) {
-		got, read := usage.Parse(stat)
+		got, read := usage.ParseStat(stat)
 		Expect(read).To(Equal(ok))
 		Expect(got).To(Equal(want))
 	},
 		Entry("a name with a parenthesis", "7 (a) b) S 1 1 1 0 -1 0 0 0 0 0 250 50 0 0 20 0 9 0 99 1000 3 0",
-			usage.Usage{CPU: 3 * time.Second, Resident: 3 * int64(os.Getpagesize())}, true),
+			usage.Usage{CPU: 3 * time.Second, ResidentBytes: 3 * int64(os.Getpagesize())}, true),
 		Entry("missing name", "7", usage.Usage{}, false),
 		Entry("truncated", "7 (a) S 1 1", usage.Usage{}, false),
 		Entry("invalid numbers", "7 (a) "+strings.Repeat("x ", 23), usage.Usage{}, false),
--- a/internal/slopes/table.go
+++ b/internal/slopes/table.go
@@ -25,7 +25,7 @@
 		parseCPU := meanCPU(tableRounds, func() { _, _ = table.Parse(1, pages) })
 		changed := changedRow(accounts)
 		applyCPU := meanCPU(tableRounds, func() { _, _ = t.Apply(0, 2, changed) })
-		digestCPU := meanCPU(tableRounds, func() { rollout.DigestOf(rowsOf(t)) })
+		digestCPU := meanCPU(tableRounds, func() { rollout.ComputeDigest(rowsOf(t)) })
 		encoded, _ := proto.Marshal(tableSection(t))
 		sendCPU := meanCPU(tableRounds, func() { _, _ = proto.Marshal(tableSection(t)) })
 		receiveCPU := meanCPU(tableRounds, func() { decodeTable(encoded) })
@@ -36,18 +36,18 @@
 }
 
 // changedRow returns the first account's row after an edit.
-func changedRow(accounts int) []table.Change {
+func changedRow(accounts int) []table.RowChange {
 	edited, _ := table.Parse(2, tablePages(accounts, 1))
-	for _, l := range edited.Lines() {
+	for _, l := range edited.EncodeRows() {
 		if l.Key == table.AccountKey(accountName(0)) {
-			return []table.Change{table.Change(l)}
+			return []table.RowChange{table.RowChange(l)}
 		}
 	}
 	return nil
 }
 
 func rowsOf(t *table.Table) []rollout.Row {
-	lines := t.Lines()
+	lines := t.EncodeRows()
 	rows := make([]rollout.Row, len(lines))
 	for i, l := range lines {
 		rows[i] = rollout.Row(l)
@@ -56,7 +56,7 @@
 }
 
 func tableSection(t *table.Table) *filbertv1.TableSection {
-	return &filbertv1.TableSection{Revision: t.Revision, Pages: table.Encode(t)}
+	return &filbertv1.TableSection{Revision: t.Revision, Pages: table.EncodePages(t)}
 }
 
 func decodeTable(encoded []byte) {
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -103,7 +103,7 @@
 	for {
 		piece, err := r.in.ReadSlice('\n')
 		if len(r.buf)+len(piece) > r.limit {
-			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", r.limit).Unknown()
+			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", r.limit).WithExecutionUnknown()
 		}
 		r.buf = append(r.buf, piece...)
 		switch {
@@ -114,9 +114,9 @@
 		case errors.Is(err, io.EOF) && len(r.buf) == 0:
 			return io.EOF
 		case errors.Is(err, io.EOF):
-			return failure.New(failure.KindTargetLost, "stream ended within an event").Unknown()
+			return failure.New(failure.KindTargetLost, "stream ended within an event").WithExecutionUnknown()
 		default:
-			return failure.Wrap(err, failure.KindTargetLost, "stream broke").Unknown()
+			return failure.Wrap(err, failure.KindTargetLost, "stream broke").WithExecutionUnknown()
 		}
 	}
 }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -9,10 +9,10 @@
 	"filbertdeck/internal/failure"
 )
 
-// Block is one event of a stream as its bytes, with the blank line that ends
+// RawEvent is one event of a stream as its bytes, with the blank line that ends
 // it. Its slices are valid until the next call.
-type Block struct {
-	Raw []byte
+type RawEvent struct {
+	Bytes []byte
 	// ID is the event's id, nil when it has none.
 	ID []byte
 }
@@ -38,8 +38,8 @@
 // between two events, a failure of KindTargetLost when it ended within one or
 // the connection broke, and KindTargetFailed when an event is longer than the
 // limit.
-func (s *Splitter) Next(b *Block) error {
-	*b = Block{}
+func (s *Splitter) Next(b *RawEvent) error {
+	*b = RawEvent{}
 	s.buf = s.buf[:0]
 	id := span{}
 	for {
@@ -53,7 +53,7 @@
 			id = span{start + len(line) - len(value), start + len(line)}
 		}
 		if len(line) == 0 && start > 0 {
-			b.Raw = s.buf
+			b.Bytes = s.buf
 			if id.to > 0 {
 				b.ID = id.of(s.buf)
 			}
@@ -66,7 +66,7 @@
 	for {
 		piece, err := s.in.ReadSlice('\n')
 		if len(s.buf)+len(piece) > s.limit {
-			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", s.limit).Unknown()
+			return failure.New(failure.KindTargetFailed, "event exceeds %d bytes", s.limit).WithExecutionUnknown()
 		}
 		s.buf = append(s.buf, piece...)
 		switch {
@@ -77,9 +77,9 @@
 		case errors.Is(err, io.EOF) && len(s.buf) == 0:
 			return io.EOF
 		case errors.Is(err, io.EOF):
-			return failure.New(failure.KindTargetLost, "stream ended within an event").Unknown()
+			return failure.New(failure.KindTargetLost, "stream ended within an event").WithExecutionUnknown()
 		default:
-			return failure.Wrap(err, failure.KindTargetLost, "stream broke").Unknown()
+			return failure.Wrap(err, failure.KindTargetLost, "stream broke").WithExecutionUnknown()
 		}
 	}
 }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -73,7 +73,7 @@
 			got, err := readAll(in, 64)
 			Expect(got).To(Equal([]string{"||a"}))
 			Expect(failure.KindOf(err)).To(Equal(kind))
-			Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+			Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 		},
 		Entry("within a line", strings.NewReader("data: a\n\ndata: b"), failure.KindTargetLost),
 		Entry("within an event", strings.NewReader("data: a\n\ndata: b\n"), failure.KindTargetLost),
--- a/internal/standin/app/server.go
+++ b/internal/standin/app/server.go
@@ -162,7 +162,7 @@
 	defer s.leave()
 	if fault.Kind == FaultRefuse {
 		w.Header().Set("Filbert-Executed", "no")
-		failure.Write(w, failure.New(failure.KindOverloaded, "refused by a scripted fault").After(time.Second))
+		failure.Write(w, failure.New(failure.KindOverloaded, "refused by a scripted fault").WithRetryAfter(time.Second))
 		return
 	}
 	time.Sleep(s.cfg.Delay + time.Duration(fault.DelayMS)*time.Millisecond)
--- a/internal/standin/command/run.go
+++ b/internal/standin/command/run.go
@@ -148,8 +148,8 @@
 func (s *EngineSettings) model() model.Config {
 	m := model.DefaultConfig()
 	m.MemoryTokens, m.MaxBatch = s.MemoryTokens, s.MaxBatch
-	m.BaseStep, m.PerSequence, m.PerPrompt = s.BaseStep, s.PerSequence, s.PerPrompt
-	m.RampTime, m.FullBears, m.StallTime = s.RampTime, s.FullBears, s.StallTime
+	m.BaseStep, m.PerSequence, m.PerPromptToken = s.BaseStep, s.PerSequence, s.PerPrompt
+	m.WarmUpTime, m.WarmCapacity, m.StallTime = s.RampTime, s.FullBears, s.StallTime
 	if s.FallOver == "crash" {
 		m.FallOver = model.FallOverCrash
 	}
--- a/internal/standin/engine/driver.go
+++ b/internal/standin/engine/driver.go
@@ -61,7 +61,7 @@
 		}
 		switch event.Kind {
 		case model.EventToken:
-			g.produced = event.Produced
+			g.produced = event.ProducedTokens
 		case model.EventPreempted:
 			g.preemptions++
 		case model.EventFinished:
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -90,13 +90,13 @@
 		s.model.Crash(now)
 		s.take(s.model.Advance(now))
 	case FaultCold:
-		s.model.Cold(now)
+		s.model.ResetWarmUp(now)
 	case FaultCut:
 		s.each(f.Count, (*stream).sever)
 	case FaultSilent:
 		s.each(f.Count, func(st *stream) { st.silent = true; st.nudge() })
 	case FaultSlow:
-		s.model.Slow(now, orFactor(f.Factor))
+		s.model.SetSlowFactor(now, orFactor(f.Factor))
 	case FaultMisnumber:
 		return s.setMisnumber(f.Field)
 	case FaultReclaim:
@@ -104,7 +104,7 @@
 	case FaultNone:
 		s.frozenUntil, s.misnumber = time.Time{}, misnumberNone
 		s.model.Thaw(now)
-		s.model.Slow(now, 1)
+		s.model.SetSlowFactor(now, 1)
 	default:
 		return failure.New(failure.KindBadRequest, "kind: %q is no fault of an engine", f.Kind)
 	}
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -91,7 +91,7 @@
 	g.promptTokens = (len(body.Prompt) + charsPerToken - 1) / charsPerToken
 	g.length, g.finish = s.length(id, body)
 	return g, model.Job{
-		Priority: priority, PromptTokens: g.promptTokens, Length: g.length,
+		Priority: priority, PromptTokens: g.promptTokens, OutputTokens: g.length,
 		Prefix: model.PrefixChain(body.Prompt), Crash: strings.Contains(body.Prompt, crashMark),
 	}, nil
 }
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -45,7 +45,7 @@
 
 	start := func(change func(*engine.Config)) {
 		cfg := engine.Config{Model: model.Config{
-			BaseStep: 100 * time.Microsecond, PerSequence: time.Microsecond, PerPrompt: time.Nanosecond,
+			BaseStep: 100 * time.Microsecond, PerSequence: time.Microsecond, PerPromptToken: time.Nanosecond,
 			ReportLag: time.Millisecond,
 		}}
 		change(&cfg)
@@ -225,8 +225,8 @@
 	// ends in the middle, and nothing of it can be resumed.
 	It("dies of a poison request and comes back cold, with a new incarnation", func() {
 		start(func(c *engine.Config) {
-			c.RestartAfter, c.Model.RampTime = time.Millisecond, time.Hour
-			c.Model.FullBears = 1
+			c.RestartAfter, c.Model.WarmUpTime = time.Millisecond, time.Hour
+			c.Model.WarmCapacity = 1
 		})
 		s := begin("g1", "[tokens=5000] [crash]")
 		_, finish := rest(s, 0)
@@ -269,7 +269,7 @@
 	})
 
 	It("reports load and cache news in the protocol's form", func() {
-		start(func(c *engine.Config) { c.Model.FullBears = 3 })
+		start(func(c *engine.Config) { c.Model.WarmCapacity = 3 })
 		rest(begin("g1", strings.Repeat("p", 64)+"[tokens=1]"), 0)
 		body, _ := io.ReadAll(do("GET", "/v1/load", "").Body)
 		Expect(string(body)).To(MatchRegexp(
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -155,5 +155,5 @@
 		return
 	}
 	w.Header().Set(HeaderExecuted, string(failure.ExecutedNo))
-	web.WriteJSON(w, http.StatusPreconditionFailed, failure.From(err).Problem())
+	web.WriteJSON(w, http.StatusPreconditionFailed, failure.FromError(err).Problem())
 }
--- a/internal/standin/model/cold.go
+++ b/internal/standin/model/cold.go
@@ -4,11 +4,11 @@
 // bears one; the number grows in step with the time spent serving, up to
 // Config.FullBears when the ramp is over.
 func (e *Engine) Bears() int {
-	if e.served >= e.cfg.RampTime {
-		return e.cfg.FullBears
+	if e.served >= e.cfg.WarmUpTime {
+		return e.cfg.WarmCapacity
 	}
-	part := float64(e.served) / float64(e.cfg.RampTime)
-	return 1 + int(part*float64(e.cfg.FullBears-1))
+	part := float64(e.served) / float64(e.cfg.WarmUpTime)
+	return 1 + int(part*float64(e.cfg.WarmCapacity-1))
 }
 
 // checkBears lets a cold engine fall over when it got more than it bears. A
@@ -16,7 +16,7 @@
 // has a short grace, since no report could have told of it yet.
 func (e *Engine) checkBears() {
 	over := len(e.jobs) - e.Bears()
-	if over <= 0 || e.served >= e.cfg.RampTime {
+	if over <= 0 || e.served >= e.cfg.WarmUpTime {
 		return
 	}
 	e.stats.OverBears++
--- a/internal/standin/model/config.go
+++ b/internal/standin/model/config.go
@@ -22,14 +22,14 @@
 	// MaxBatch bounds the running sequences, MaxWaiting those in the queue.
 	MaxBatch, MaxWaiting int
 	// BaseStep is the time of an empty batch step; each decoding sequence adds
-	// PerSequence, each prompt token computed in the step adds PerPrompt.
-	BaseStep, PerSequence, PerPrompt time.Duration
+	// PerSequence, each prompt token computed in the step adds PerPromptToken.
+	BaseStep, PerSequence, PerPromptToken time.Duration
 	// PrefillChunk bounds the prompt tokens computed in one step.
 	PrefillChunk int
-	// RampTime is the time of serving in which a cold engine comes to bear
+	// WarmUpTime is the time of serving in which a cold engine comes to bear
 	// FullBears requests; it begins with one. 0 means that it starts warm.
-	RampTime  time.Duration
-	FullBears int
+	WarmUpTime   time.Duration
+	WarmCapacity int
 	// FallOver and StallTime say what too much load does to a cold engine.
 	FallOver  FallOver
 	StallTime time.Duration
@@ -71,8 +71,8 @@
 	return Config{
 		MemoryTokens: 100_000, MaxBatch: 256, MaxWaiting: 1024,
 		BaseStep: 10 * time.Millisecond, PerSequence: 250 * time.Microsecond,
-		PerPrompt: 20 * time.Microsecond, PrefillChunk: 512,
-		RampTime: 20 * time.Second, FullBears: 64,
+		PerPromptToken: 20 * time.Microsecond, PrefillChunk: 512,
+		WarmUpTime: 20 * time.Second, WarmCapacity: 64,
 		FallOver: FallOverStall, StallTime: 15 * time.Second, ColdGrace: time.Second,
 		ReportLag: 500 * time.Millisecond, CacheBlocks: 4096,
 		CacheLag: 300 * time.Millisecond, CacheLoss: 0.02, Incarnation: 1,
@@ -96,11 +96,11 @@
 	setInt(&c.MaxBatch, d.MaxBatch)
 	setInt(&c.MaxWaiting, d.MaxWaiting)
 	setInt(&c.PrefillChunk, d.PrefillChunk)
-	setInt(&c.FullBears, d.FullBears)
+	setInt(&c.WarmCapacity, d.WarmCapacity)
 	setInt(&c.CacheBlocks, d.CacheBlocks)
 	setTime(&c.BaseStep, d.BaseStep)
 	setTime(&c.PerSequence, d.PerSequence)
-	setTime(&c.PerPrompt, d.PerPrompt)
+	setTime(&c.PerPromptToken, d.PerPromptToken)
 	setTime(&c.StallTime, d.StallTime)
 	setTime(&c.ReportLag, d.ReportLag)
 	if c.Incarnation == 0 {
--- a/internal/standin/model/engine.go
+++ b/internal/standin/model/engine.go
@@ -131,12 +131,12 @@
 		return failure.New(failure.KindNotReady, "engine is not running")
 	case e.jobs[job.ID] != nil:
 		return failure.New(failure.KindInProgress, "job %d was submitted before", job.ID)
-	case job.Length < 1 || job.PromptTokens < 0:
+	case job.OutputTokens < 1 || job.PromptTokens < 0:
 		return failure.New(failure.KindBadRequest, "job needs a length of 1 or more")
-	case job.PromptTokens+job.Length > e.cfg.MemoryTokens:
+	case job.PromptTokens+job.OutputTokens > e.cfg.MemoryTokens:
 		return failure.New(failure.KindTooLarge, "job needs more than %d tokens of memory", e.cfg.MemoryTokens)
 	case len(e.waiting) >= e.cfg.MaxWaiting:
-		return failure.New(failure.KindOverloaded, "queue is full").After(time.Second)
+		return failure.New(failure.KindOverloaded, "queue is full").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -224,5 +224,5 @@
 }
 
 func (e *Engine) emit(kind EventKind, s *sequence) {
-	e.events = append(e.events, Event{At: e.now, Kind: kind, ID: s.job.ID, Produced: s.produced})
+	e.events = append(e.events, Event{At: e.now, Kind: kind, ID: s.job.ID, ProducedTokens: s.produced})
 }
--- a/internal/standin/model/faults.go
+++ b/internal/standin/model/faults.go
@@ -35,15 +35,15 @@
 	}
 }
 
-// Cold takes the engine's warmth without any other sign.
-func (e *Engine) Cold(now time.Duration) {
+// ResetWarmUp takes the engine's warmth without any other sign.
+func (e *Engine) ResetWarmUp(now time.Duration) {
 	e.catchUp(now)
 	e.served, e.turnedCold, e.coldSince = 0, true, e.now
 	e.record()
 }
 
-// Slow multiplies the time of each later step; 1 is the normal speed.
-func (e *Engine) Slow(now time.Duration, factor float64) {
+// SetSlowFactor multiplies the time of each later step; 1 is the normal speed.
+func (e *Engine) SetSlowFactor(now time.Duration, factor float64) {
 	e.catchUp(now)
 	e.slow = factor
 }
--- a/internal/standin/model/fuzz_test.go
+++ b/internal/standin/model/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // play turns bytes into calls, two bytes a call, and returns what happened.
 func play(script []byte) (string, error) {
-	e := small(func(c *model.Config) { c.RampTime, c.StallTime, c.CacheLoss = 300*ms, 200*ms, 0.3 })
+	e := small(func(c *model.Config) { c.WarmUpTime, c.StallTime, c.CacheLoss = 300*ms, 200*ms, 0.3 })
 	now, log, next := time.Duration(0), "", model.JobID(1)
 	produced := map[model.JobID]int{}
 	for i := 0; i+1 < len(script); i += 2 {
@@ -20,7 +20,7 @@
 		case 7:
 			e.Cancel(now, model.JobID(arg)%next)
 		case 8:
-			e.Cold(now)
+			e.ResetWarmUp(now)
 		case 9:
 			e.Freeze(now, time.Duration(arg)*ms)
 			if arg%4 == 0 {
@@ -28,7 +28,7 @@
 				now = e.Now()
 			}
 		case 10:
-			e.Slow(now, float64(1+arg%4))
+			e.SetSlowFactor(now, float64(1+arg%4))
 		case 11:
 			e.Crash(now)
 			e.Restart(now)
@@ -44,10 +44,10 @@
 			if event.Kind != model.EventToken {
 				continue
 			}
-			if last, seen := produced[event.ID]; seen && event.Produced != last+1 {
-				return log, fmt.Errorf("job %d: token %d follows %d", event.ID, event.Produced, last)
+			if last, seen := produced[event.ID]; seen && event.ProducedTokens != last+1 {
+				return log, fmt.Errorf("job %d: token %d follows %d", event.ID, event.ProducedTokens, last)
 			}
-			produced[event.ID] = event.Produced
+			produced[event.ID] = event.ProducedTokens
 		}
 		if err := e.Verify(); err != nil {
 			return log, err
--- a/internal/standin/model/job.go
+++ b/internal/standin/model/job.go
@@ -10,9 +10,9 @@
 	ID JobID
 	// Priority: higher is admitted first and preempted last.
 	Priority int
-	// PromptTokens are computed first, at least one; Length tokens are then
-	// produced. Nothing outside the engine knows Length ahead.
-	PromptTokens, Length int
+	// PromptTokens are computed first, at least one; OutputTokens tokens are then
+	// produced. Nothing outside the engine knows OutputTokens ahead.
+	PromptTokens, OutputTokens int
 	// Prefix is the chain of hashes of the prompt's leading blocks.
 	Prefix []uint64
 	// Crash makes the engine die when it runs the job.
@@ -39,8 +39,8 @@
 	At   time.Duration
 	Kind EventKind
 	ID   JobID
-	// Produced is the job's tokens so far.
-	Produced int
+	// ProducedTokens is the job's tokens so far.
+	ProducedTokens int
 }
 
 // sequence is a job in the engine.
--- a/internal/standin/model/model_test.go
+++ b/internal/standin/model/model_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	"filbertdeck/internal/failure"
-	"filbertdeck/internal/prefix"
+	"filbertdeck/internal/promptprefix"
 	"filbertdeck/internal/standin/model"
 )
 
@@ -25,8 +25,8 @@
 // ms a decoding sequence and 1 ms a prompt token. It is warm unless changed.
 func small(change ...func(*model.Config)) *model.Engine {
 	cfg := model.Config{
-		MemoryTokens: 100, MaxBatch: 8, MaxWaiting: 8, BaseStep: 10 * ms, PerSequence: ms, PerPrompt: ms,
-		PrefillChunk: 20, FullBears: 8, ReportLag: 100 * ms, CacheBlocks: 4,
+		MemoryTokens: 100, MaxBatch: 8, MaxWaiting: 8, BaseStep: 10 * ms, PerSequence: ms, PerPromptToken: ms,
+		PrefillChunk: 20, WarmCapacity: 8, ReportLag: 100 * ms, CacheBlocks: 4,
 	}
 	for _, c := range change {
 		c(&cfg)
@@ -35,7 +35,7 @@
 }
 
 func job(id model.JobID, priority, prompt, length int) model.Job {
-	return model.Job{ID: id, Priority: priority, PromptTokens: prompt, Length: length}
+	return model.Job{ID: id, Priority: priority, PromptTokens: prompt, OutputTokens: length}
 }
 
 func submit(e *model.Engine, now time.Duration, jobs ...model.Job) {
@@ -146,7 +146,7 @@
 	It("names blocks as the entries do", func() {
 		for n := range 400 {
 			prompt := strings.Repeat("0123456789 ", 40)[:n]
-			Expect(model.PrefixChain(prompt)).To(Equal(prefix.Chain(prompt)))
+			Expect(model.PrefixChain(prompt)).To(Equal(promptprefix.BlockHashes(prompt)))
 		}
 	})
 
@@ -155,16 +155,16 @@
 		chain := model.PrefixChain(strings.Repeat("a", 3*64+5))
 		other := model.PrefixChain(strings.Repeat("b", 2*64))
 		Expect(chain).To(HaveLen(3))
-		submit(e, 0, model.Job{ID: 1, PromptTokens: 50, Length: 1, Prefix: chain})
+		submit(e, 0, model.Job{ID: 1, PromptTokens: 50, OutputTokens: 1, Prefix: chain})
 		trace(e)
-		submit(e, e.Now(), model.Job{ID: 2, PromptTokens: 50, Length: 1, Prefix: chain})
+		submit(e, e.Now(), model.Job{ID: 2, PromptTokens: 50, OutputTokens: 1, Prefix: chain})
 		before := e.Now()
 		trace(e)
 		Expect(e.Now() - before).To(Equal(12 * ms))
 		Expect(e.CacheEvents(e.Now(), 0).Sequence).To(BeZero(), "the news is late")
 		news := e.CacheEvents(e.Now()+50*ms, 0)
 		Expect(news).To(Equal(model.CacheNews{Sequence: 1, Cached: chain}))
-		submit(e, e.Now(), model.Job{ID: 3, PromptTokens: 32, Length: 1, Prefix: other})
+		submit(e, e.Now(), model.Job{ID: 3, PromptTokens: 32, OutputTokens: 1, Prefix: other})
 		trace(e)
 		Expect(e.CacheEvents(e.Now()+time.Second, 1).Evicted).To(HaveLen(1))
 		Expect(e.CacheEvents(e.Now(), 99).Gap).To(BeTrue(), "a number of another incarnation")
@@ -172,14 +172,14 @@
 
 	It("shows lost events as a gap", func() {
 		e := small(func(c *model.Config) { c.CacheLoss = 1 })
-		submit(e, 0, model.Job{ID: 1, PromptTokens: 20, Length: 1, Prefix: []uint64{7}})
+		submit(e, 0, model.Job{ID: 1, PromptTokens: 20, OutputTokens: 1, Prefix: []uint64{7}})
 		trace(e)
 		Expect(e.CacheEvents(time.Second, 0)).To(Equal(model.CacheNews{Sequence: 1, Gap: true}))
 	})
 })
 
 // cold has a ramp of one second of serving.
-func cold(c *model.Config) { c.RampTime, c.StallTime, c.ColdGrace = time.Second, 500*ms, 200*ms }
+func cold(c *model.Config) { c.WarmUpTime, c.StallTime, c.ColdGrace = time.Second, 500*ms, 200*ms }
 
 var _ = Describe("a cold engine", func() {
 	It("bears one job and, as it serves, more", func() {
@@ -218,7 +218,7 @@
 		e.Advance(2 * time.Second)
 		submit(e, e.Now(), job(2, 0, 0, 200))
 		Expect(e.Report(e.Now() + ms).Bears).To(Equal(8))
-		e.Cold(e.Now())
+		e.ResetWarmUp(e.Now())
 		Expect(e.Report(e.Now() + ms).Bears).To(Equal(1))
 		submit(e, e.Now()+100*ms, job(3, 0, 0, 200))
 		Expect(e.Stats().FellOver).To(BeZero())
@@ -253,10 +253,10 @@
 		Entry("freeze", func(e *model.Engine) { e.Freeze(5*ms, 100*ms) }, "111:1 122:1"),
 		Entry("freeze twice", func(e *model.Engine) { e.Freeze(5*ms, 100*ms); e.Freeze(6*ms, 20*ms) }, "111:1 122:1"),
 		Entry("freeze, ended early", func(e *model.Engine) { e.Freeze(5*ms, 100*ms); e.Thaw(55 * ms); e.Thaw(56 * ms) }, "61:1 72:1"),
-		Entry("slow", func(e *model.Engine) { e.Slow(5*ms, 3) }, "11:1 44:1"),
+		Entry("slow", func(e *model.Engine) { e.SetSlowFactor(5*ms, 3) }, "11:1 44:1"),
 		Entry("crash", func(e *model.Engine) { e.Crash(15 * ms) }, ""),
 		Entry("reclaim", func(e *model.Engine) { e.Reclaim(5*ms, 10*ms) }, "11:1 15:0"),
-		Entry("poison", func(e *model.Engine) { _ = e.Submit(0, model.Job{ID: 6, Length: 1, Crash: true}) }, "11:1 23:1 23:6"),
+		Entry("poison", func(e *model.Engine) { _ = e.Submit(0, model.Job{ID: 6, OutputTokens: 1, Crash: true}) }, "11:1 23:1 23:6"),
 	)
 
 	It("leaves a dead engine dead until it starts again, cold and of a new incarnation", func() {
--- a/internal/standin/model/step.go
+++ b/internal/standin/model/step.go
@@ -123,8 +123,8 @@
 		budget -= s.chunk
 	}
 	prompt := e.cfg.PrefillChunk - budget
-	d := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(prompt)*e.cfg.PerPrompt
-	if e.served < e.cfg.RampTime && len(e.jobs) > e.Bears() {
+	d := e.cfg.BaseStep + time.Duration(decoding)*e.cfg.PerSequence + time.Duration(prompt)*e.cfg.PerPromptToken
+	if e.served < e.cfg.WarmUpTime && len(e.jobs) > e.Bears() {
 		d *= coldSlowdown
 	}
 	return time.Duration(float64(d) * e.slow)
@@ -164,7 +164,7 @@
 	e.used++
 	e.stats.Tokens++
 	e.emit(EventToken, s)
-	if s.produced == s.job.Length {
+	if s.produced == s.job.OutputTokens {
 		e.release(s)
 		delete(e.jobs, s.job.ID)
 		e.stats.Finished++
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -34,9 +34,9 @@
 // MaxValue bounds a value in bytes, as the platform's service does.
 const MaxValue = 1 << 20
 
-// DefaultRate is the calls a second that the platform's service bears over
+// DefaultCallsPerSecond is the calls a second that the platform's service bears over
 // all readers ("about two thousand").
-const DefaultRate = 2000
+const DefaultCallsPerSecond = 2000
 
 // Config holds the stand-in's settings.
 type Config struct {
@@ -173,7 +173,7 @@
 		web.Abort()
 	}
 	if !allowed {
-		failure.Write(w, failure.New(failure.KindAccountLimit, "call rate exceeded").After(time.Second))
+		failure.Write(w, failure.New(failure.KindAccountLimit, "call rate exceeded").WithRetryAfter(time.Second))
 	}
 	return allowed
 }
--- a/internal/table/apply.go
+++ b/internal/table/apply.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Change is one row that differs between two revisions. Text is empty when
+// RowChange is one row that differs between two revisions. Text is empty when
 // the row is gone.
-type Change struct {
+type RowChange struct {
 	Key  string
 	Text string
 }
@@ -18,12 +18,12 @@
 // it was. Only the changed rows are parsed; the others are shared. The rules
 // that span rows (a key of one account only, services that exist) hold for
 // the result, or nothing changes.
-func (t *Table) Apply(epoch, revision uint64, changes []Change) (*Table, Faults) {
+func (t *Table) Apply(epoch, revision uint64, changes []RowChange) (*Table, Faults) {
 	b := &builder{
 		table: &Table{
 			Epoch: epoch, Revision: revision,
 			Accounts: maps.Clone(t.Accounts), Services: maps.Clone(t.Services),
-			Drained: t.Drained, ByKey: maps.Clone(t.ByKey),
+			Drained: t.Drained, AccountByKeyHash: maps.Clone(t.AccountByKeyHash),
 		},
 		seen: map[string]place{}, places: map[*Account]place{},
 	}
@@ -49,11 +49,11 @@
 }
 
 // remove takes a row out; it tells whether a service is lost by it.
-func (b *builder) remove(c Change) bool {
+func (b *builder) remove(c RowChange) bool {
 	if name, ok := strings.CutPrefix(c.Key, accountPrefix); ok {
 		if old := b.table.Accounts[name]; old != nil {
 			for _, k := range old.KeyHashes {
-				delete(b.table.ByKey, k)
+				delete(b.table.AccountByKeyHash, k)
 			}
 			delete(b.table.Accounts, name)
 		}
@@ -65,7 +65,7 @@
 	return false
 }
 
-func (b *builder) replace(line int, c Change, faults *Faults) {
+func (b *builder) replace(line int, c RowChange, faults *Faults) {
 	if c.Text == "" {
 		return
 	}
@@ -93,9 +93,9 @@
 	}
 }
 
-// With gives the table with the drain list and the services' targets filled
+// WithDrainAndTargets gives the table with the drain list and the services' targets filled
 // in; rows are shared with t.
-func (t *Table) With(drained []string, targets map[string][]Target) *Table {
+func (t *Table) WithDrainAndTargets(drained []string, targets map[string][]Target) *Table {
 	out := *t
 	out.Drained = set(drained...)
 	out.Services = make(map[string]*Service, len(t.Services))
@@ -107,9 +107,9 @@
 	return &out
 }
 
-// Newer tells whether t comes after other in the order of edits: by epoch,
+// IsNewerThan tells whether t comes after other in the order of edits: by epoch,
 // recognised restores, then the configuration service's revision.
-func (t *Table) Newer(other *Table) bool {
+func (t *Table) IsNewerThan(other *Table) bool {
 	if other == nil {
 		return true
 	}
--- a/internal/table/build.go
+++ b/internal/table/build.go
@@ -17,7 +17,7 @@
 	return &builder{
 		table: &Table{
 			Revision: revision, Accounts: map[string]*Account{}, Services: map[string]*Service{},
-			Drained: map[string]bool{}, ByKey: map[[32]byte]*Account{},
+			Drained: map[string]bool{}, AccountByKeyHash: map[[32]byte]*Account{},
 		},
 		seen: map[string]place{}, places: map[*Account]place{},
 	}
@@ -59,11 +59,11 @@
 	b.table.Accounts[a.Name] = a
 	b.places[a] = r.at
 	for _, k := range a.KeyHashes {
-		if other, taken := b.table.ByKey[k]; taken {
+		if other, taken := b.table.AccountByKeyHash[k]; taken {
 			r.fault(colKeys, "", "a key of one account only; account "+other.Name+" has it too")
 			continue
 		}
-		b.table.ByKey[k] = a
+		b.table.AccountByKeyHash[k] = a
 	}
 }
 
@@ -117,7 +117,7 @@
 		QueueLimit: r.integer(colQueueLimit, defaultQueue, 0, queueLimitBound),
 	}
 	if s.Type == ServiceGeneration {
-		s.Delivery = choice(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryWhole)
+		s.Delivery = choice(r, colDelivery, DeliveryStream, DeliveryStream, DeliveryBuffered)
 		s.MaxTokens = r.integer(colMaxTokens, defaultMaxTokens, 1, maxTokensBound)
 		return s
 	}
--- a/internal/table/changes.go
+++ b/internal/table/changes.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// Changes gives the rows by which next differs from old, for Apply on a copy
+// ChangedRows gives the rows by which next differs from old, for Apply on a copy
 // of old elsewhere. Accounts that Apply shared between the two are recognised
 // without being encoded, so that an edit of one row among 11,000 costs a walk
 // over the map and one encoded row.
-func Changes(old, next *Table) []Change {
+func ChangedRows(old, next *Table) []RowChange {
 	enc := newLineEncoder()
 	out := epochChange(enc, old, next)
 	for name, a := range next.Accounts {
@@ -20,43 +20,43 @@
 		}
 		text := enc.account(a)
 		if !known || enc.account(was) != text {
-			out = append(out, Change{AccountKey(name), text})
+			out = append(out, RowChange{AccountKey(name), text})
 		}
 	}
 	for name := range old.Accounts {
 		if _, kept := next.Accounts[name]; !kept {
-			out = append(out, Change{Key: AccountKey(name)})
+			out = append(out, RowChange{Key: AccountKey(name)})
 		}
 	}
 	out = append(out, serviceChanges(enc, old, next)...)
-	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b RowChange) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
 // serviceChanges compares the rows themselves: With copies services to fill in
 // their targets, which are no part of the row.
-func serviceChanges(enc *lineEncoder, old, next *Table) []Change {
-	var out []Change
+func serviceChanges(enc *lineEncoder, old, next *Table) []RowChange {
+	var out []RowChange
 	for name, s := range next.Services {
 		text := enc.service(s)
 		if was, known := old.Services[name]; !known || enc.service(was) != text {
-			out = append(out, Change{ServiceKey(name), text})
+			out = append(out, RowChange{ServiceKey(name), text})
 		}
 	}
 	for name := range old.Services {
 		if _, kept := next.Services[name]; !kept {
-			out = append(out, Change{Key: ServiceKey(name)})
+			out = append(out, RowChange{Key: ServiceKey(name)})
 		}
 	}
 	return out
 }
 
-func epochChange(enc *lineEncoder, old, next *Table) []Change {
+func epochChange(enc *lineEncoder, old, next *Table) []RowChange {
 	switch {
 	case old.Epoch == next.Epoch:
 		return nil
 	case next.Epoch == 0:
-		return []Change{{Key: EpochKey}}
+		return []RowChange{{Key: EpochKey}}
 	}
-	return []Change{{EpochKey, enc.line(string(RowEpoch), strconv.FormatUint(next.Epoch, 10))}}
+	return []RowChange{{EpochKey, enc.line(string(RowEpoch), strconv.FormatUint(next.Epoch, 10))}}
 }
--- a/internal/table/columns.go
+++ b/internal/table/columns.go
@@ -70,6 +70,6 @@
 	defaultQueue     = 256
 )
 
-// MaxPage is the size of the largest page, in bytes: the configuration
+// MaxPageBytes is the size of the largest page, in bytes: the configuration
 // service's bound on a value.
-const MaxPage = 1 << 20
+const MaxPageBytes = 1 << 20
--- a/internal/table/diff.go
+++ b/internal/table/diff.go
@@ -72,7 +72,7 @@
 }
 
 func byKey(t *Table) map[string]string {
-	lines := t.Lines()
+	lines := t.EncodeRows()
 	m := make(map[string]string, len(lines))
 	for _, l := range lines {
 		m[l.Key] = l.Text
--- a/internal/table/encode.go
+++ b/internal/table/encode.go
@@ -32,9 +32,9 @@
 	Text string
 }
 
-// Lines gives the table's rows in canonical form and order. Drain list and
+// EncodeRows gives the table's rows in canonical form and order. Drain list and
 // targets are no part of them.
-func (t *Table) Lines() []Line {
+func (t *Table) EncodeRows() []Line {
 	lines := make([]Line, 0, len(t.Accounts)+len(t.Services)+1)
 	enc := newLineEncoder()
 	if t.Epoch > 0 {
@@ -49,14 +49,14 @@
 	return lines
 }
 
-// Encode gives the table as canonical pages, each at most MaxPage bytes; the
+// EncodePages gives the table as canonical pages, each at most MaxPage bytes; the
 // first has the header. Parse reads them back to an equal table.
-func Encode(t *Table) [][]byte {
+func EncodePages(t *Table) [][]byte {
 	page := bytes.NewBuffer(nil)
 	page.WriteString(strings.Join(columns, ",") + "\n")
 	var pages [][]byte
-	for _, l := range t.Lines() {
-		if page.Len()+len(l.Text)+1 > MaxPage {
+	for _, l := range t.EncodeRows() {
+		if page.Len()+len(l.Text)+1 > MaxPageBytes {
 			pages = append(pages, page.Bytes())
 			page = bytes.NewBuffer(nil)
 		}
--- a/internal/table/parse.go
+++ b/internal/table/parse.go
@@ -27,9 +27,9 @@
 	return p.build.table, nil
 }
 
-// EpochOf gives the epoch that pages carry, also when they have faults
+// ParseEpoch gives the epoch that pages carry, also when they have faults
 // elsewhere; 0 when they name none.
-func EpochOf(pages [][]byte) uint64 { return parse(0, pages).build.table.Epoch }
+func ParseEpoch(pages [][]byte) uint64 { return parse(0, pages).build.table.Epoch }
 
 func parse(revision uint64, pages [][]byte) *parser {
 	p := &parser{build: newBuilder(revision)}
@@ -61,7 +61,7 @@
 }
 
 func (p *parser) readPage(page []byte) {
-	if len(page) > MaxPage {
+	if len(page) > MaxPageBytes {
 		p.faults.add(Fault{Page: p.page, Column: colKind, Value: strconv.Itoa(len(page)) + " bytes", Allowed: "at most 1 MiB in a page"})
 	}
 	page = bytes.TrimPrefix(page, byteOrderMark)
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -36,8 +36,8 @@
 const (
 	// DeliveryStream passes tokens on at once.
 	DeliveryStream Delivery = "stream"
-	// DeliveryWhole holds them until the generation is complete.
-	DeliveryWhole Delivery = "whole"
+	// DeliveryBuffered holds them until the generation is complete.
+	DeliveryBuffered Delivery = "whole"
 )
 
 // Account is a client account's row.
@@ -58,8 +58,8 @@
 	Services []string
 }
 
-// Limited tells whether the row bounds what the account may use over the fleet.
-func (a *Account) Limited() bool { return a.MaxRunning > 0 || a.TokensPerSecond > 0 }
+// HasFleetLimit tells whether the row bounds what the account may use over the fleet.
+func (a *Account) HasFleetLimit() bool { return a.MaxRunning > 0 || a.TokensPerSecond > 0 }
 
 // Service is a service's row.
 type Service struct {
@@ -100,6 +100,6 @@
 	Services map[string]*Service
 	// Drained lists the data centres that operators have taken out.
 	Drained map[string]bool
-	// ByKey finds the account of a bearer key's digest.
-	ByKey map[[32]byte]*Account
+	// AccountByKeyHash finds the account of a bearer key's digest.
+	AccountByKeyHash map[[32]byte]*Account
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -61,10 +61,10 @@
 		a := t.Accounts["clinic-north"]
 		Expect([]any{a.Weight, a.MaxRunning, a.TokensPerSecond, a.Priority}).To(Equal([]any{2.5, 40, 900.0, 3}))
 		Expect(a.Services).To(Equal([]string{"reports", "bookings"}))
-		Expect(t.ByKey[a.KeyHashes[1]]).To(BeIdenticalTo(a))
+		Expect(t.AccountByKeyHash[a.KeyHashes[1]]).To(BeIdenticalTo(a))
 		Expect(t.Accounts["radio"].Weight).To(Equal(1.0))
 		Expect(*t.Services["reports"]).To(Equal(table.Service{Name: "reports", Type: table.ServiceGeneration,
-			Delivery: table.DeliveryWhole, MaxTokens: 8000, MaxWait: time.Minute, QueueLimit: 500}))
+			Delivery: table.DeliveryBuffered, MaxTokens: 8000, MaxWait: time.Minute, QueueLimit: 500}))
 		Expect(t.Services["bookings"].Type).To(Equal(table.ServiceOnce))
 	})
 
@@ -73,7 +73,7 @@
 			want, _ := parse(sample())
 			got, faults := parse(text)
 			Expect(faults).To(BeEmpty())
-			Expect(table.Encode(got)).To(Equal(table.Encode(want)))
+			Expect(table.EncodePages(got)).To(Equal(table.EncodePages(want)))
 		},
 		Entry("byte order mark and CRLF", "\ufeff"+strings.ReplaceAll(sample(), "\n", "\r\n")),
 		Entry("quoted cells", strings.ReplaceAll(sample(), "clinic-north", `"clinic-north"`)),
@@ -135,32 +135,32 @@
 		Entry("unknown column", "kind,name,colour\naccount,a,red\n"),
 		Entry("column twice", "kind,name,name\naccount,a,b\n"),
 		Entry("other header on page two", header+"account,a,,,,,,,,,,,\n", "kind,name\naccount,b\n"),
-		Entry("a page above a value's bound", header+strings.Repeat("\n", table.MaxPage)))
+		Entry("a page above a value's bound", header+strings.Repeat("\n", table.MaxPageBytes)))
 
 	It("pages 11,000 accounts into values below 1 MiB and reads them back", func() {
 		_, faults := parse(accounts(11_000))
 		Expect(faults).To(HaveLen(1), "one page would be too large")
-		pages := table.Encode(mustTable(11_000))
+		pages := table.EncodePages(mustTable(11_000))
 		Expect(len(pages)).To(BeNumerically(">", 1))
 		for _, p := range pages {
-			Expect(len(p)).To(BeNumerically("<=", table.MaxPage))
+			Expect(len(p)).To(BeNumerically("<=", table.MaxPageBytes))
 		}
 		again, faults := table.Parse(8, pages)
 		Expect(faults).To(BeEmpty())
-		Expect(table.Encode(again)).To(Equal(pages))
+		Expect(table.EncodePages(again)).To(Equal(pages))
 	})
 })
 
 var _ = Describe("Apply", func() {
-	change := func(key, text string) table.Change { return table.Change{Key: key, Text: text} }
+	change := func(key, text string) table.RowChange { return table.RowChange{Key: key, Text: text} }
 
 	It("gives what parsing the whole edited table gives", func() {
 		base, _ := parse(sample())
 		edited, faults := parse(strings.Replace(sample(), "radio,,", "radio,9,", 1) + "account,new,,,,,,,,,,,\n")
 		Expect(faults).To(BeEmpty())
-		var changes []table.Change
+		var changes []table.RowChange
 		for _, d := range table.Diff(base, edited) {
-			changes = append(changes, table.Change{Key: d.Key, Text: d.Text})
+			changes = append(changes, table.RowChange{Key: d.Key, Text: d.Text})
 		}
 		Expect(changes).To(HaveLen(2))
 		got, faults := base.Apply(0, 7, changes)
@@ -179,32 +179,32 @@
 			next, faults := parse(edited)
 			Expect(faults).To(BeEmpty())
 			for _, step := range [][2]*table.Table{{base, next}, {next, base}} {
-				got, faults := step[0].Apply(step[1].Epoch, 7, table.Changes(step[0], step[1]))
+				got, faults := step[0].Apply(step[1].Epoch, 7, table.ChangedRows(step[0], step[1]))
 				Expect(faults).To(BeEmpty())
 				Expect(got).To(Equal(step[1]))
 			}
 		}
-		shared, _ := base.Apply(0, 8, []table.Change{change("account/radio", "account,radio,3,0,0,0,,,,,,,")})
-		Expect(table.Changes(base, shared.With(nil, nil))).To(HaveLen(1))
+		shared, _ := base.Apply(0, 8, []table.RowChange{change("account/radio", "account,radio,3,0,0,0,,,,,,,")})
+		Expect(table.ChangedRows(base, shared.WithDrainAndTargets(nil, nil))).To(HaveLen(1))
 	})
 
 	It("lets a key move between accounts within one edit", func() {
 		base, _ := parse(sample())
-		got, faults := base.Apply(0, 8, []table.Change{
+		got, faults := base.Apply(0, 8, []table.RowChange{
 			change("account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
 			change("account/clinic-north", "account,clinic-north,1,0,0,0,"+keyB+",,,,,,"),
 		})
 		Expect(faults).To(BeEmpty())
-		Expect(got.ByKey[got.Accounts["radio"].KeyHashes[0]].Name).To(Equal("radio"))
+		Expect(got.AccountByKeyHash[got.Accounts["radio"].KeyHashes[0]].Name).To(Equal("radio"))
 	})
 
 	DescribeTable("refuses what breaks the table as a whole and leaves it alone",
 		func(key, text string) {
 			base, _ := parse(sample())
-			before := table.Encode(base)
-			_, faults := base.Apply(0, 8, []table.Change{change(key, text)})
+			before := table.EncodePages(base)
+			_, faults := base.Apply(0, 8, []table.RowChange{change(key, text)})
 			Expect(faults).NotTo(BeEmpty())
-			Expect(table.Encode(base)).To(Equal(before))
+			Expect(table.EncodePages(base)).To(Equal(before))
 		},
 		Entry("a service in use goes", "service/reports", ""),
 		Entry("a key stands twice", "account/radio", "account,radio,1,0,0,0,"+keyA+",,,,,,"),
@@ -274,12 +274,12 @@
 		if parsed == nil {
 			return
 		}
-		pages := table.Encode(parsed)
+		pages := table.EncodePages(parsed)
 		again, faults := table.Parse(1, pages)
 		if len(faults) > 0 {
 			t.Fatalf("canonical form refused: %v", faults)
 		}
-		if fmt.Sprint(table.Encode(again)) != fmt.Sprint(pages) {
+		if fmt.Sprint(table.EncodePages(again)) != fmt.Sprint(pages) {
 			t.Fatal("canonical form is not stable")
 		}
 	})
@@ -287,7 +287,7 @@
 
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
-		pages := table.Encode(mustTable(n))
+		pages := table.EncodePages(mustTable(n))
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -299,10 +299,10 @@
 
 func BenchmarkChangesOfOneRow(b *testing.B) {
 	t := mustTable(11_000)
-	next, _ := t.Apply(0, 2, []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}})
+	next, _ := t.Apply(0, 2, []table.RowChange{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if n := len(table.Changes(t, next)); n != 1 {
+		if n := len(table.ChangedRows(t, next)); n != 1 {
 			b.Fatal(n)
 		}
 	}
@@ -311,7 +311,7 @@
 func BenchmarkApplyOneRow(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 11_000} {
 		t := mustTable(n)
-		change := []table.Change{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}}
+		change := []table.RowChange{{Key: "account/member-00003", Text: fmt.Sprintf("account,member-00003,2,20,500,0,%064x,reports,,,,,", 4)}}
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/targetclient/client.go
+++ b/internal/targetclient/client.go
@@ -20,15 +20,15 @@
 // Settings bound the calls to a target; the zero value of a field means its
 // default.
 type Settings struct {
-	// Dial bounds the connecting, TLS included.
-	Dial time.Duration
-	// Header bounds the wait for the answer's header after the request was
+	// DialTimeout bounds the connecting, TLS included.
+	DialTimeout time.Duration
+	// ResponseHeaderTimeout bounds the wait for the answer's header after the request was
 	// written.
-	Header time.Duration
-	// Silence bounds the time without a single byte from the target once it
+	ResponseHeaderTimeout time.Duration
+	// ReadIdleTimeout bounds the time without a single byte from the target once it
 	// answers. A connection that some box between has forgotten stays open
 	// and silent for good; only this ends it.
-	Silence time.Duration
+	ReadIdleTimeout time.Duration
 	// IdlePerTarget bounds the idle connections that New keeps per target.
 	IdlePerTarget int
 	// TLS gives the settings of the next connection, so that they can follow
@@ -60,14 +60,14 @@
 const maxHeaderBytes = 64 << 10
 
 func (s Settings) withDefaults() Settings {
-	if s.Dial == 0 {
-		s.Dial = DefaultDial
+	if s.DialTimeout == 0 {
+		s.DialTimeout = DefaultDial
 	}
-	if s.Header == 0 {
-		s.Header = DefaultHeader
+	if s.ResponseHeaderTimeout == 0 {
+		s.ResponseHeaderTimeout = DefaultHeader
 	}
-	if s.Silence == 0 {
-		s.Silence = DefaultSilence
+	if s.ReadIdleTimeout == 0 {
+		s.ReadIdleTimeout = DefaultSilence
 	}
 	if s.IdlePerTarget == 0 {
 		s.IdlePerTarget = DefaultIdlePerTarget
@@ -82,9 +82,9 @@
 // dial connects, with the TLS handshake done: what is written to the
 // connection afterwards is the request and nothing else.
 func (s Settings) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.Dial)
+	ctx, cancel := context.WithTimeout(ctx, s.DialTimeout)
 	defer cancel()
-	raw, err := Dial(ctx, network, address, s.Dial)
+	raw, err := Dial(ctx, network, address, s.DialTimeout)
 	if err != nil || s.TLS == nil {
 		return raw, err
 	}
@@ -111,7 +111,7 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    s.IdlePerTarget,
 		IdleConnTimeout:        30 * time.Second,
-		ResponseHeaderTimeout:  s.Header,
+		ResponseHeaderTimeout:  s.ResponseHeaderTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{Conn: conn, silence: s.Silence + s.Header}, nil
+	return &watchedConn{Conn: conn, silence: s.ReadIdleTimeout + s.ResponseHeaderTimeout}, nil
 }
 
 // Do sends the request once. Redirects are handed back like any answer. A
--- a/internal/targetclient/once.go
+++ b/internal/targetclient/once.go
@@ -17,15 +17,17 @@
 // ExecutedHeader is how a target says that it did not run a call.
 const ExecutedHeader = "Filbert-Executed"
 
-// Once calls targets whose calls may run at most once. It is safe for
+// AtMostOnceClient calls targets whose calls may run at most once. It is safe for
 // concurrent use.
-type Once struct {
+type AtMostOnceClient struct {
 	settings Settings
 }
 
-// NewOnce returns a client that sends each request at most once: a connection
+// NewAtMostOnceClient returns a client that sends each request at most once: a connection
 // of its own for each call, which nothing can be re-sent on.
-func NewOnce(s Settings) *Once { return &Once{settings: s.withDefaults()} }
+func NewAtMostOnceClient(s Settings) *AtMostOnceClient {
+	return &AtMostOnceClient{settings: s.withDefaults()}
+}
 
 // Do sends the request. before, if given, runs after the connection stands and
 // right before the first byte is written; when it returns an error nothing is
@@ -34,7 +36,7 @@
 //
 // The failure says whether the call ran: no before the first byte and when the
 // target itself says so, unknown afterwards.
-func (o *Once) Do(req *http.Request, before func() error) (*http.Response, error) {
+func (o *AtMostOnceClient) Do(req *http.Request, before func() error) (*http.Response, error) {
 	gate := &gate{before: before}
 	t := o.settings.transport()
 	// The connection is closed after the answer, but the target is not asked to
@@ -84,7 +86,7 @@
 	case g.owner == conn:
 		return nil
 	case g.owner != nil:
-		return failure.New(failure.KindInternal, "a call must not be sent on a second connection").Unknown()
+		return failure.New(failure.KindInternal, "a call must not be sent on a second connection").WithExecutionUnknown()
 	case g.closed:
 		return failure.New(failure.KindInternal, "the call was given up before it was sent")
 	case g.refused != nil:
@@ -154,7 +156,7 @@
 	}
 	e := failure.Wrap(err, kind, "%s", text)
 	if sent {
-		return e.Unknown()
+		return e.WithExecutionUnknown()
 	}
 	return e
 }
--- a/internal/targetclient/targetclient_test.go
+++ b/internal/targetclient/targetclient_test.go
@@ -123,7 +123,7 @@
 
 			for name, do := range map[string]func(*http.Request) (*http.Response, error){
 				"once": func(req *http.Request) (*http.Response, error) {
-					return targetclient.NewOnce(targetclient.Settings{}).Do(req, nil)
+					return targetclient.NewAtMostOnceClient(targetclient.Settings{}).Do(req, nil)
 				},
 				"ordinary": targetclient.New(targetclient.Settings{}).Do,
 			} {
@@ -132,7 +132,7 @@
 				err := drain(do(target.request(method, "booking", header)))
 				Expect(target.count("booking")).To(Equal(1), name)
 				if name == "ordinary" {
-					Expect(failure.From(err).Executed).To(Equal(failure.ExecutedUnknown))
+					Expect(failure.FromError(err).Executed).To(Equal(failure.ExecutedUnknown))
 				} else {
 					Expect(err).NotTo(HaveOccurred(), "its own connection was healthy")
 				}
@@ -155,7 +155,7 @@
 		target := newRecorder(0, redirect)
 		_ = drain((&http.Client{}).Do(target.request("POST", "naive", "")))
 		Expect(target.count("naive")).To(BeNumerically(">", 1))
-		resp, err := targetclient.NewOnce(targetclient.Settings{}).Do(target.request("POST", "once", ""), nil)
+		resp, err := targetclient.NewAtMostOnceClient(targetclient.Settings{}).Do(target.request("POST", "once", ""), nil)
 		Expect(drain(resp, err)).To(Succeed())
 		Expect(resp.StatusCode).To(Equal(307))
 		Expect(target.count("once")).To(Equal(1))
@@ -201,7 +201,7 @@
 }
 
 var _ = Describe("what a failure says", func() {
-	short := targetclient.Settings{Dial: 200 * time.Millisecond, Header: 100 * time.Millisecond, Silence: 100 * time.Millisecond}
+	short := targetclient.Settings{DialTimeout: 200 * time.Millisecond, ResponseHeaderTimeout: 100 * time.Millisecond, ReadIdleTimeout: 100 * time.Millisecond}
 	freeze := func(net.Conn) { time.Sleep(time.Second) }
 	refused := errors.New("no right any more")
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -218,13 +218,13 @@
 			if dead {
 				req.URL.Host = nobody
 			}
-			err := drain(targetclient.NewOnce(short).Do(req, before))
+			err := drain(targetclient.NewAtMostOnceClient(short).Do(req, before))
 			Expect(failure.KindOf(err)).To(Equal(kind))
-			Expect(failure.From(err).Executed).To(Equal(executed))
+			Expect(failure.FromError(err).Executed).To(Equal(executed))
 			Expect(target.count("booking")).To(Equal(runs))
 		},
 		Entry("nobody listens", nil, nil, true, failure.KindTargetFailed, failure.ExecutedNo, 0),
-		Entry("the last check fails", func() error { return failure.Wrap(refused, failure.KindKeyUnvouched, "late").Unknown() },
+		Entry("the last check fails", func() error { return failure.Wrap(refused, failure.KindKeyUnvouched, "late").WithExecutionUnknown() },
 			nil, false, failure.KindKeyUnvouched, failure.ExecutedUnknown, 0),
 		Entry("it runs, then drops", nil, func(net.Conn) {}, false, failure.KindTargetLost, failure.ExecutedUnknown, 1),
 		Entry("it runs, then freezes", nil, freeze, false, failure.KindTargetTimeout, failure.ExecutedUnknown, 1),
@@ -238,7 +238,7 @@
 		func(code int, header string, want bool) {
 			answer := fmt.Sprintf("HTTP/1.1 %d X\r\nFilbert-Executed: %s\r\nContent-Length: 0\r\n\r\n", code, header)
 			target := newRecorder(0, func(c net.Conn) { _, _ = io.WriteString(c, answer) })
-			resp, err := targetclient.NewOnce(short).Do(target.request("POST", "x", ""), nil)
+			resp, err := targetclient.NewAtMostOnceClient(short).Do(target.request("POST", "x", ""), nil)
 			Expect(drain(resp, err)).To(Succeed())
 			Expect(targetclient.DidNotRun(resp)).To(Equal(want))
 		},
@@ -255,7 +255,9 @@
 		})
 		for _, do := range []func(*http.Request) (*http.Response, error){
 			targetclient.New(short).Do,
-			func(r *http.Request) (*http.Response, error) { return targetclient.NewOnce(short).Do(r, nil) },
+			func(r *http.Request) (*http.Response, error) {
+				return targetclient.NewAtMostOnceClient(short).Do(r, nil)
+			},
 		} {
 			resp, err := do(target.request("POST", "x", ""))
 			Expect(err).NotTo(HaveOccurred())
@@ -275,8 +277,8 @@
 			body := fmt.Sprint("call ", i)
 			ctx, cancel := context.WithCancel(context.Background())
 			go cancel()
-			err := drain(targetclient.NewOnce(short).Do(target.request("POST", body, "").WithContext(ctx), nil))
-			if err != nil && failure.From(err).Executed == failure.ExecutedNo {
+			err := drain(targetclient.NewAtMostOnceClient(short).Do(target.request("POST", body, "").WithContext(ctx), nil))
+			if err != nil && failure.FromError(err).Executed == failure.ExecutedNo {
 				denied = append(denied, body)
 			}
 		}
--- a/internal/secure/secure.go
+++ b/internal/tlsidentity/tlsidentity.go
@@ -1,6 +1,6 @@
-// Package secure turns the settings of a process into its TLS identity and its
+// Package tlsidentity turns the settings of a process into its TLS identity and its
 // listeners.
-package secure
+package tlsidentity
 
 import (
 	"crypto/tls"
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -14,13 +14,13 @@
 // Usage is what a process has used since its start.
 type Usage struct {
 	CPU time.Duration
-	// Resident is memory in bytes.
-	Resident int64
+	// ResidentBytes is memory in bytes.
+	ResidentBytes int64
 }
 
 // Add sums the usage of two processes.
 func (u Usage) Add(v Usage) Usage {
-	return Usage{CPU: u.CPU + v.CPU, Resident: u.Resident + v.Resident}
+	return Usage{CPU: u.CPU + v.CPU, ResidentBytes: u.ResidentBytes + v.ResidentBytes}
 }
 
 // clockTick is the unit of processor times in /proc on Linux (USER_HZ).
@@ -33,21 +33,21 @@
 	fieldResident = 21
 )
 
-// Of reads the usage of a process from /proc.
-func Of(pid int) (Usage, error) {
+// ForProcess reads the usage of a process from /proc.
+func ForProcess(pid int) (Usage, error) {
 	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return Usage{}, failure.Wrap(err, failure.KindInternal, "usage of process %d", pid)
 	}
-	u, ok := Parse(string(stat))
+	u, ok := ParseStat(string(stat))
 	if !ok {
 		return Usage{}, failure.New(failure.KindInternal, "usage of process %d cannot be read", pid)
 	}
 	return u, nil
 }
 
-// Parse reads the text of /proc/PID/stat.
-func Parse(stat string) (Usage, bool) {
+// ParseStat reads the text of /proc/PID/stat.
+func ParseStat(stat string) (Usage, bool) {
 	// The name may hold spaces and brackets; the last bracket ends it.
 	end := strings.LastIndex(stat, ") ")
 	if end < 0 {
@@ -61,5 +61,5 @@
 	system, errSystem := strconv.ParseInt(fields[fieldSystem], 10, 64)
 	pages, errPages := strconv.ParseInt(fields[fieldResident], 10, 64)
 	ok := errUser == nil && errSystem == nil && errPages == nil
-	return Usage{CPU: time.Duration(user+system) * clockTick, Resident: pages * int64(os.Getpagesize())}, ok
+	return Usage{CPU: time.Duration(user+system) * clockTick, ResidentBytes: pages * int64(os.Getpagesize())}, ok
 }
--- a/test/faults/callers_test.go
+++ b/test/faults/callers_test.go
@@ -108,7 +108,7 @@
 	}
 	if k == kindMinted {
 		h := w.hosts[first]
-		c.key = ring.Mint(handle.Minted{Account: c.account, Owner: h.name, Incarnation: h.inc, Age0: w.now, Sequence: w.ids})
+		c.key = ring.Mint(handle.MintedKey{Account: c.account, Owner: h.name, Incarnation: h.inc, OwnerUptimeAtMint: w.now, Sequence: w.ids})
 	}
 	return c
 }
@@ -128,7 +128,7 @@
 		return idempotency.CallerKey(c.key)
 	}
 	m, err := ring.OpenMinted(c.key, c.account)
-	return idempotency.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.Age0), err
+	return idempotency.MintedKey(fmt.Sprint(m.Owner, m.Incarnation, m.Sequence), idempotency.Process{Address: m.Owner, Incarnation: m.Incarnation}, m.OwnerUptimeAtMint), err
 }
 
 // try sends the call to the next entry that the balancer takes for ready.
@@ -138,7 +138,7 @@
 		return
 	}
 	if c.tries++; c.tries > maxTries {
-		c.ended = failure.New(failure.KindDeadline, "the caller gives up").Unknown()
+		c.ended = failure.New(failure.KindDeadline, "the caller gives up").WithExecutionUnknown()
 		return
 	}
 	var target *host
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"filbertdeck/internal/configservice"
-	"filbertdeck/internal/control/pools"
+	"filbertdeck/internal/control/poolmanager"
 	"filbertdeck/internal/decide/admission"
 	"filbertdeck/internal/decide/idempotency"
 	"filbertdeck/internal/decide/rollout"
@@ -23,7 +23,7 @@
 	*proc
 	w        *world
 	doc      *rollout.Document
-	join     *rollout.Join
+	join     *rollout.Readiness
 	ready    bool
 	hosts    idempotency.HostList
 	register *idempotency.Registry
@@ -65,7 +65,7 @@
 	w := h.w
 	h.inc++
 	h.up, h.wake, h.stopping, h.ready, h.serving = true, 0, false, false, 0
-	h.doc, h.join = rollout.NewDocument(), rollout.NewJoin(w.now)
+	h.doc, h.join = rollout.NewDocument(), rollout.NewReadiness(w.now)
 	h.hosts = idempotency.HostList{}
 	h.register = idempotency.New(idempotency.Config{Self: idempotency.Process{Address: h.name, Incarnation: h.inc}})
 	h.allocs, h.waiting, h.leases = map[string]*admission.Allocator{}, map[uint64]func(admission.Decision){}, map[admission.LeaseID]*lease{}
@@ -96,9 +96,9 @@
 
 func (h *host) read(s platformState, asked time.Duration) {
 	rows := []rollout.Row{{Key: "weight", Text: fmt.Sprintf("%03d", s.weight)}, {Key: "drain", Text: s.drained}, {Key: "leaving", Text: s.leaving}}
-	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.DigestOf(rows)}, Full: true, Rows: rows}
+	delta := rollout.Delta{Head: rollout.Head{Version: rollout.Version{Revision: s.revision}, Digest: rollout.ComputeDigest(rows)}, Full: true, Rows: rows}
 	h.take(delta)
-	h.join.Service()
+	h.join.RecordService()
 	h.hosts = idempotency.HostList{Revision: s.hostsRev, LiveHosts: s.hosts, ConfirmedAt: asked}
 	h.register.ConfirmHosts(h.w.now, h.hosts)
 	h.checkReady()
@@ -131,7 +131,7 @@
 	if h.w.naive.lastWord { // whatever came last is in force
 		h.doc = rollout.NewDocument()
 	}
-	if verdict, changed := h.doc.Judge(d); verdict == rollout.VerdictTake {
+	if verdict, changed := h.doc.Evaluate(d); verdict == rollout.VerdictApply {
 		h.doc.Commit(d, changed)
 	}
 }
@@ -141,14 +141,14 @@
 	w := h.w
 	h.checkReady()
 	peer := w.hosts[(slices.Index(w.hosts, h)+1+int(w.now/(300*time.Millisecond))%(len(w.hosts)-1))%len(w.hosts)]
-	news := h.doc.All()
+	news := h.doc.FullDelta()
 	h.spreadCrashes(peer)
 	w.message(h.proc, peer.proc, func() {
 		peer.take(news)
-		back := peer.doc.All()
+		back := peer.doc.FullDelta()
 		w.message(peer.proc, h.proc, func() {
 			h.take(back)
-			h.join.Peer(peer.name)
+			h.join.RecordPeer(peer.name)
 			h.checkReady()
 		}, nil)
 	}, nil)
@@ -179,7 +179,7 @@
 }
 
 // plans computes the pools from this host's own view.
-func (h *host) plans() []pools.Plan {
+func (h *host) plans() []poolmanager.Plan {
 	w := h.w
 	reports, orders := &table.Service{Name: "reports", Type: table.ServiceGeneration}, &table.Service{Name: "orders", Type: table.ServiceOnce}
 	leaving := h.row("leaving")
@@ -197,8 +197,8 @@
 			live = append(live, configservice.Host{DataCentre: w.hosts[i].centre, Control: name, State: configservice.StateLive})
 		}
 	}
-	plans := pools.Plans(t, live)
-	slices.SortFunc(plans, func(a, b pools.Plan) int { return strings.Compare(a.ID, b.ID) })
+	plans := poolmanager.ComputePlans(t, live)
+	slices.SortFunc(plans, func(a, b poolmanager.Plan) int { return strings.Compare(a.ID, b.ID) })
 	return plans
 }
 
--- a/test/faults/process_test.go
+++ b/test/faults/process_test.go
@@ -22,7 +22,7 @@
 const parkKey = "fault-test-park"
 
 var deckTable = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
-	"account,park,1,,,," + fleet.Digest(parkKey) + ",,,,,,\n" +
+	"account,park,1,,,," + fleet.KeyDigest(parkKey) + ",,,,,,\n" +
 	"service,reports,,,,,,,generation,stream,20000,30000,200\n" +
 	"service,summaries,,,,,,,generation,whole,20000,30000,200\n" +
 	"service,orders,,,,,,,once,,,5000,500\n"
@@ -44,7 +44,7 @@
 }
 
 func (d deck) request(ctx context.Context, host int, path, body string, header ...string) *http.Request {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Hosts[host].Callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Hosts[host].ClientAddress+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+parkKey)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -225,7 +225,7 @@
 
 var _ = BeforeSuite(func() {
 	binaries = GinkgoT().TempDir()
-	Expect(fleet.Build(binaries)).To(Succeed())
+	Expect(fleet.BuildPrograms(binaries)).To(Succeed())
 })
 
 var _ = Describe("real processes", func() {
@@ -235,7 +235,7 @@
 		d, r := newDeck(), &reading{}
 		Expect(r.read(d, 0, 300, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGKILL)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGKILL)
 			}
 		})).To(BeFalse())
 		Expect(len(r.words)).To(BeNumerically(">=", 60))
@@ -251,12 +251,12 @@
 		d, r := newDeck(), &reading{}
 		Expect(r.read(d, 0, 900, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGSTOP)
 			}
 		})).To(BeFalse())
 		Expect(r.read(d, 1, 900, func(n int) {
 			if n == 600 {
-				d.Hosts[0].Entry.Signal(syscall.SIGCONT)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGCONT)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
 		r.whole(900)
@@ -272,12 +272,12 @@
 		d, r := newDeck(), &reading{}
 		Expect(r.read(d, 0, 600, func(n int) {
 			if n == 60 {
-				Expect(d.Fault(d.engineOf(r.generation), `{"kind":"crash"}`)).To(Or(Succeed(), HaveOccurred()))
+				Expect(d.SetFault(d.engineOf(r.generation), `{"kind":"crash"}`)).To(Or(Succeed(), HaveOccurred()))
 			}
 		})).To(BeFalse())
 		Expect(r.problem.Title).To(Equal(string(failure.KindTargetLost)))
 		Expect(r.problem.Executed).To(Equal(failure.ExecutedYes))
-		Expect(r.problem.Delivered).To(Equal(len(r.words)))
+		Expect(r.problem.DeliveredTokens).To(Equal(len(r.words)))
 		r.whole(len(r.words))
 
 		d = newDeck()
@@ -285,7 +285,7 @@
 			defer GinkgoRecover()
 			var busy *fleet.Target
 			Eventually(func() *fleet.Target { busy = d.running(); return busy }, "10s", "20ms").ShouldNot(BeNil())
-			_ = d.Fault(busy, `{"kind":"crash"}`)
+			_ = d.SetFault(busy, `{"kind":"crash"}`)
 		}()
 		status, problem, text := d.post(0, "/v1/completions", `{"model":"summaries","prompt":"Lease. [tokens=200]","max_tokens":400}`)
 		Expect(status).To(Equal(200), "%+v", problem)
@@ -321,7 +321,7 @@
 	It("say unknown after a booking whose answer was lost, and never run it again", func() {
 		d := newDeck()
 		key := d.mint(0)
-		Expect(d.Fault(d.Apps[0], `{"kind":"drop_after_run","count":1}`)).To(Succeed())
+		Expect(d.SetFault(d.Apps[0], `{"kind":"drop_after_run","count":1}`)).To(Succeed())
 		for _, host := range []int{0, 1, 2} {
 			_, problem, _ := d.post(host, orders, "order", "Idempotency-Key", key)
 			Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
@@ -334,7 +334,7 @@
 	It("never run a minted key's booking once its owner is gone", func() {
 		d := newDeck()
 		key := d.mint(0)
-		d.Hosts[0].Entry.Kill()
+		d.Hosts[0].EntryProcess.Kill()
 		status, problem, _ := d.post(1, orders, "order", "Idempotency-Key", key)
 		Expect(status).To(Equal(502))
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
@@ -354,13 +354,13 @@
 	It("answer unknown while a minted key's owner sleeps, and run it once afterwards", func() {
 		d := newDeck()
 		key := d.mint(0)
-		d.Hosts[0].Entry.Signal(syscall.SIGSTOP)
+		d.Hosts[0].EntryProcess.Signal(syscall.SIGSTOP)
 		_, problem, _ := d.post(1, orders, "order", "Idempotency-Key", key)
 		Expect(problem.Title).To(Equal(string(failure.KindOwnerLost)))
 		Expect(problem.Executed).To(Equal(failure.ExecutedUnknown))
 		Expect(problem.RetryAfterMS).To(BeNumerically(">", 0))
 		Expect(d.booked()).To(BeZero())
-		d.Hosts[0].Entry.Signal(syscall.SIGCONT)
+		d.Hosts[0].EntryProcess.Signal(syscall.SIGCONT)
 		Eventually(func() int {
 			status, _, _ := d.post(1, orders, "order", "Idempotency-Key", key)
 			return status
@@ -375,7 +375,7 @@
 		d, r := newDeck(), &reading{}
 		d.settle()
 		before := d.booked()
-		Expect(d.PlatformMode(`{"mode":"down"}`)).To(Succeed())
+		Expect(d.SetPlatformMode(`{"mode":"down"}`)).To(Succeed())
 		Eventually(func() string {
 			_, problem, _ := d.post(0, orders, "order", "Idempotency-Key", newUUID())
 			return problem.Title
@@ -387,7 +387,7 @@
 		Expect(ran).To(BeNumerically(">=", before))
 		Expect(r.read(d, 2, 50, nil)).To(BeTrue())
 		r.whole(50)
-		Expect(d.PlatformMode(`{"mode":"normal"}`)).To(Succeed())
+		Expect(d.SetPlatformMode(`{"mode":"normal"}`)).To(Succeed())
 		d.settle()
 	})
 
@@ -399,7 +399,7 @@
 		whole := r.read(d, 0, 900, func(n int) {
 			switch {
 			case n == 60:
-				Expect(d.Put("drain", "a\n")).To(Succeed())
+				Expect(d.PutValue("drain", "a\n")).To(Succeed())
 				drained = time.Now()
 			case n > 60 && n%20 == 0:
 				before := d.started(inA)
@@ -423,13 +423,13 @@
 		d, r := newDeck(), &reading{}
 		Expect(r.read(d, 0, 400, func(n int) {
 			if n == 60 {
-				d.Hosts[0].Entry.Signal(syscall.SIGTERM)
+				d.Hosts[0].EntryProcess.Signal(syscall.SIGTERM)
 				d.Hosts[0].ControlProcess.Signal(syscall.SIGTERM)
 			}
 		})).To(BeTrue(), "%+v", r.problem)
 		r.whole(400)
-		Eventually(d.Hosts[0].Entry.Done(), "10s").Should(BeClosed())
-		Expect(d.Hosts[0].Entry.ExitCode()).To(BeZero())
+		Eventually(d.Hosts[0].EntryProcess.Done(), "10s").Should(BeClosed())
+		Expect(d.Hosts[0].EntryProcess.ExitCode()).To(BeZero())
 	})
 })
 
--- a/test/faults/serve_test.go
+++ b/test/faults/serve_test.go
@@ -14,7 +14,7 @@
 var epoch = time.Unix(1_800_000_000, 0)
 
 // ring is shared by all entries, as in a deployment.
-var ring, _ = handle.NewRing(handle.RandomSecrets())
+var ring, _ = handle.NewKeyRing(handle.RandomSecret())
 
 // receive takes a caller's request at the entry.
 func (h *host) receive(s *sending) {
@@ -74,7 +74,7 @@
 	}
 	at, err := ring.Open(s.resume, s.call.account, epoch.Add(h.w.now))
 	if err != nil {
-		s.finish(failure.From(err))
+		s.finish(failure.FromError(err))
 		return
 	}
 	r.order = delivery.Resume(mode, at.Generation, at.Offset)
@@ -116,7 +116,7 @@
 	if d.Reason == admission.RefusedPoison {
 		kind = failure.KindPoison
 	}
-	return failure.New(kind, "reason %d", d.Reason).After(d.RetryAfter)
+	return failure.New(kind, "reason %d", d.Reason).WithRetryAfter(d.RetryAfter)
 }
 
 func (r *run) start(l *lease) {
@@ -231,7 +231,7 @@
 // end tells the caller; once a target may have begun nobody says "no".
 func (r *run) end(err *failure.Error) {
 	if r.begun && err.Executed == failure.ExecutedNo && !r.h.w.naive.sayNo {
-		err = err.Unknown()
+		err = err.WithExecutionUnknown()
 	}
 	if r.h.w.naive.sayNo {
 		err.Executed = failure.ExecutedNo
@@ -280,7 +280,7 @@
 	if r.s.call.kind == kindWhole {
 		r.held = append(r.held, t)
 	} else {
-		id := string(ring.SealTo(nil, handle.Handle{
+		id := string(ring.AppendSealed(nil, handle.Handle{
 			Account: r.s.call.account, Service: "reports", Target: r.target.name, Generation: r.order.Generation(),
 			Offset: r.order.NextOffset(), Finished: r.order.Finished(), Expires: epoch.Add(r.h.w.now + time.Minute),
 		}))
@@ -311,7 +311,7 @@
 func (h *host) booking(s *sending, call idempotency.Call, reply func(*failure.Error)) {
 	key, err := s.call.parsedKey()
 	if err != nil {
-		reply(failure.From(err))
+		reply(failure.FromError(err))
 		return
 	}
 	call.Account, call.Key, call.Fingerprint, call.WallTime = s.call.account, key, 1, epoch.Add(h.w.now)
@@ -369,7 +369,7 @@
 			return
 		}
 		if w.now >= l.deadline {
-			notRun(failure.New(failure.KindLeaseLost, "slept").After(time.Second))
+			notRun(failure.New(failure.KindLeaseLost, "slept").WithRetryAfter(time.Second))
 			return
 		}
 		over := false
@@ -380,7 +380,7 @@
 			over = true
 			h.settle(l, admission.OutcomeTargetFailed)
 			h.register.MarkLost(account, key)
-			err := failure.New(failure.KindOutcomeUnknown, "no answer").Unknown()
+			err := failure.New(failure.KindOutcomeUnknown, "no answer").WithExecutionUnknown()
 			if w.naive.sayNo {
 				err.Executed = failure.ExecutedNo
 			}
@@ -388,7 +388,7 @@
 		}
 		c := w.dial(h.proc, l.target.proc, lost)
 		if c == nil {
-			notRun(failure.New(failure.KindTargetFailed, "not reached").After(time.Second))
+			notRun(failure.New(failure.KindTargetFailed, "not reached").WithRetryAfter(time.Second))
 			return
 		}
 		if !w.naive.runAnywhere {
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 
 var _ = BeforeSuite(func() {
 	bin = GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+	Expect(fleet.BuildPrograms(bin)).To(Succeed())
 })
 
 // long is more than any step needs on a busy machine; nothing waits for it.
@@ -58,8 +58,8 @@
 func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
 func (w *world) answer(rw http.ResponseWriter, r *http.Request) {
-	rw.Header().Set(standin.RequestID, r.Header.Get(standin.RequestID))
-	rw.Header().Set(standin.Seal, "s-1")
+	rw.Header().Set(standin.HeaderRequestID, r.Header.Get(standin.HeaderRequestID))
+	rw.Header().Set(standin.HeaderSeal, "s-1")
 	if strings.HasSuffix(r.URL.Path, "/held") {
 		w.held <- struct{}{}
 		<-w.hold
@@ -90,8 +90,8 @@
 	}
 	dir := GinkgoT().TempDir()
 	settings := filepath.Join(dir, "boot.conf")
-	text := standin.Settings(standin.Place{
-		Host: h.callers, IP: "127.0.0.1", Callers: h.callers, Ready: h.ready, Peers: h.peers, Store: store,
+	text := standin.SettingsFile(standin.ProcessSettings{
+		Host: h.callers, IP: "127.0.0.1", ListenCallers: h.callers, ListenReady: h.ready, ListenPeers: h.peers, StoreAddress: store,
 		Seeds: append([]string{h.peers}, seeds...),
 	})
 	Expect(os.WriteFile(settings, []byte(text), 0o600)).To(Succeed())
@@ -99,7 +99,7 @@
 	log, err := os.Create(h.out)
 	Expect(err).NotTo(HaveOccurred())
 	h.cmd = exec.Command(filepath.Join(bin, "filbert-gateway"), "--metrics-listen", h.metrics, "--log-format", "json")
-	h.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+settings)
+	h.cmd.Env = append(os.Environ(), platform.SettingsPathVariable+"="+settings)
 	h.cmd.Stdout, h.cmd.Stderr = log, log
 	Expect(h.cmd.Start()).To(Succeed())
 	go func() { h.exited <- h.cmd.Wait(); close(h.exited) }()
@@ -141,8 +141,8 @@
 	Expect(err).NotTo(HaveOccurred())
 	req.Host, req.Close = "a.example", true
 	req.Header.Set("Authorization", "Bearer "+key)
-	req.Header.Set(standin.RequestID, "r-1")
-	req.Header.Set(standin.Deadline, "20000")
+	req.Header.Set(standin.HeaderRequestID, "r-1")
+	req.Header.Set(standin.HeaderDeadline, "20000")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0
@@ -175,7 +175,7 @@
 		Eventually(h.isReady, long).Should(BeTrue())
 		w.store.SetMode(standin.Resetting)
 		w.configure(4, "key-2")
-		w.store.Forget()
+		w.store.DiscardHistory()
 		w.store.SetMode(standin.Serving)
 		Eventually(func() int { return h.call("/b/x", "key-2") }, long).Should(Equal(http.StatusOK))
 	})
@@ -233,7 +233,7 @@
 	// guess that there are no routes or keys.
 	It("is not ready and denies nothing while it knows no configuration", func() {
 		store := standin.New()
-		store.SetMode(standin.Silent)
+		store.SetMode(standin.Unresponsive)
 		DeferCleanup(store.Close)
 		h := startHost(serve(store))
 		Eventually(func() int { return h.call("/b/x", "key-1") }, long).Should(Equal(http.StatusServiceUnavailable))
--- a/test/gateway/incidents_test.go
+++ b/test/gateway/incidents_test.go
@@ -24,10 +24,10 @@
 	t := &countedTarget{}
 	t.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.got.Add(1)
-		w.Header().Set(standin.RequestID, r.Header.Get(standin.RequestID))
-		w.Header().Set(standin.Seal, "s-1")
+		w.Header().Set(standin.HeaderRequestID, r.Header.Get(standin.HeaderRequestID))
+		w.Header().Set(standin.HeaderSeal, "s-1")
 		if rate != "" {
-			w.Header().Set(standin.ServerLimit, rate)
+			w.Header().Set(standin.HeaderServerLimit, rate)
 		}
 		_, _ = io.WriteString(w, "done")
 	}))
--- a/test/limits/limits_test.go
+++ b/test/limits/limits_test.go
@@ -38,14 +38,14 @@
 )
 
 var tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
-	fmt.Sprintf("account,park,1,%d,,,%s,,,,,,\n", maxRunning, fleet.Digest(parkKey)) +
-	"account,clinic,1,,,," + fleet.Digest(clinicKey) + ",,,,,,\n" +
+	fmt.Sprintf("account,park,1,%d,,,%s,,,,,,\n", maxRunning, fleet.KeyDigest(parkKey)) +
+	"account,clinic,1,,,," + fleet.KeyDigest(clinicKey) + ",,,,,,\n" +
 	"service,reports,,,,,,,generation,whole,2000,60000,200\n"
 
 // start starts three hosts and four engines in two data centres.
 func start() *fleet.Fleet {
 	bin := GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+	Expect(fleet.BuildPrograms(bin)).To(Succeed())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	deck, err := fleet.Start(ctx, fleet.Spec{
@@ -63,7 +63,7 @@
 	defer GinkgoRecover()
 	for {
 		body := fmt.Sprintf(`{"model":"reports","prompt":%q}`, prompt)
-		req, err := http.NewRequest(http.MethodPost, "http://"+host.Callers+"/v1/completions", strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://"+host.ClientAddress+"/v1/completions", strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+key)
 		resp, err := http.DefaultClient.Do(req)
--- a/test/process/ctl_test.go
+++ b/test/process/ctl_test.go
@@ -30,7 +30,7 @@
 	BeforeEach(func() {
 		controls = nil
 		for _, h := range deck.Hosts {
-			controls = append(controls, "--control", h.ControlAdmin)
+			controls = append(controls, "--control", h.ControlAdminAddress)
 		}
 	})
 
@@ -41,7 +41,7 @@
 
 	It("show hosts, targets, accounts and the rollout of a running deployment", func() {
 		for command, part := range map[string]string{
-			"hosts": deck.Hosts[0].Control, "targets": deck.Engines[0].Address, "accounts": "school", "table rollout": "table",
+			"hosts": deck.Hosts[0].ControlAddress, "targets": deck.Engines[0].Address, "accounts": "school", "table rollout": "table",
 		} {
 			code, out := ctl(strings.Fields(command)...)
 			Expect(code).To(Equal(0), out)
@@ -65,8 +65,8 @@
 		code, out := run("filbertctl", "table", "check", file)
 		Expect(code).To(Equal(1), out)
 		Expect(out).To(And(ContainSubstring("weight"), ContainSubstring("-1")))
-		DeferCleanup(func() { Expect(deck.Put("table/0001", tableText)).To(Succeed()) })
-		Expect(deck.Put("table/0001", bad)).To(Succeed())
+		DeferCleanup(func() { Expect(deck.PutValue("table/0001", tableText)).To(Succeed()) })
+		Expect(deck.PutValue("table/0001", bad)).To(Succeed())
 		Eventually(func() string { _, out := ctl("table", "rollout"); return out }).
 			WithTimeout(10 * time.Second).Should(ContainSubstring("weight"))
 		status, _, body := send(request{method: "GET", path: "/v1/services/sites/x", key: schoolKey})
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -37,15 +37,15 @@
 )
 
 var tableText = "kind,name,weight,max_running,tokens_per_second,priority,key_sha256,services,type,delivery,max_tokens,max_wait_ms,queue_limit\n" +
-	"account,school,1,,,," + fleet.Digest(schoolKey) + ",,,,,,\n" +
-	"account,clinic,1,,,," + fleet.Digest(clinicKey) + ",sites,,,,,\n" +
+	"account,school,1,,,," + fleet.KeyDigest(schoolKey) + ",,,,,,\n" +
+	"account,clinic,1,,,," + fleet.KeyDigest(clinicKey) + ",sites,,,,,\n" +
 	"service,reports,,,,,,,generation,stream,2000,30000,200\n" +
 	"service,sites,,,,,,,lookup,,,5000,500\n" +
 	"service,orders,,,,,,,once,,,5000,500\n"
 
 var _ = BeforeSuite(func() {
 	bin = GinkgoT().TempDir()
-	Expect(fleet.Build(bin)).To(Succeed())
+	Expect(fleet.BuildPrograms(bin)).To(Succeed())
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var err error
@@ -69,7 +69,7 @@
 }
 
 func send(r request) (int, failure.Problem, string) {
-	req, err := http.NewRequest(r.method, "http://"+deck.Hosts[0].Callers+r.path, strings.NewReader(r.body))
+	req, err := http.NewRequest(r.method, "http://"+deck.Hosts[0].ClientAddress+r.path, strings.NewReader(r.body))
 	Expect(err).NotTo(HaveOccurred())
 	for name, values := range r.header {
 		req.Header[name] = values
@@ -128,9 +128,9 @@
 
 	It("leaves the accounting balanced", func() {
 		var s accounting.Snapshot
-		Expect(deck.GetJSON("http://"+deck.Hosts[0].EntryAdmin+"/accounting", &s)).To(Succeed())
+		Expect(deck.GetJSON("http://"+deck.Hosts[0].EntryAdminAddress+"/accounting", &s)).To(Succeed())
 		Expect(s.Unbalanced).To(BeZero())
-		Expect(s.Lines).NotTo(BeEmpty())
+		Expect(s.Rows).NotTo(BeEmpty())
 	})
 })
 
--- a/test/process/secrets_test.go
+++ b/test/process/secrets_test.go
@@ -32,7 +32,7 @@
 		}
 		Expect(said).To(HaveLen(4))
 		for _, h := range deck.Hosts {
-			said = append(said, h.Entry.Log(), h.ControlProcess.Log())
+			said = append(said, h.EntryProcess.Log(), h.ControlProcess.Log())
 		}
 		for _, text := range said {
 			for _, secret := range []string{schoolKey, clinicKey, fleet.OperatorKey, fleet.MonitorKey, prompt} {
--- a/test/process/tls_test.go
+++ b/test/process/tls_test.go
@@ -39,7 +39,7 @@
 
 	call := func() (*http.Response, error) {
 		body := strings.NewReader(completion("reports", "x [tokens=5]", ""))
-		req, err := http.NewRequest(http.MethodPost, "https://"+secured.Hosts[1].Callers+"/v1/completions", body)
+		req, err := http.NewRequest(http.MethodPost, "https://"+secured.Hosts[1].ClientAddress+"/v1/completions", body)
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+schoolKey)
 		req.Close = true // each call shakes hands anew
@@ -57,7 +57,7 @@
 	// places on targets, or takes the table with its accounts. Without a
 	// certificate of the fleet's authority nobody gets that far.
 	It("lets no process in that shows no certificate", func() {
-		conn, err := rpc.Dial(secured.Hosts[0].Control, rpc.Credentials{})
+		conn, err := rpc.Dial(secured.Hosts[0].ControlAddress, rpc.Credentials{})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = conn.Close() }()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
