--- a/internal/control/admin/admin.go
+++ b/internal/control/admin/admin.go
@@ -77,7 +77,7 @@
 func targetStatus(t admission.TargetSnapshot, waiting int) adminapi.TargetStatus {
 	return adminapi.TargetStatus{
 		Known: true, Running: t.Running, Waiting: waiting, Capacity: t.Report.Capacity,
-		MemoryTokens: t.Report.MemoryTokens, UsedTokens: t.Report.UsedTokens, Preemptions: t.Report.Preemptions,
+		MemoryTokens: t.Report.KVCapacityTokens, UsedTokens: t.Report.KVUsedTokens, Preemptions: t.Report.Preemptions,
 		ReportAgeMS: t.Report.Age.Milliseconds(),
 	}
 }
--- a/internal/control/poolgossip/poolgossip_test.go
+++ b/internal/control/poolgossip/poolgossip_test.go
@@ -84,7 +84,7 @@
 		store, runners, decisions := startTwoPools()
 		r := runners["reports"]
 		r.Report(admission.Report{Target: "127.0.0.1:1", Incarnation: 1, Capacity: 10})
-		r.Ask(admission.Ask{Request: 1, Account: "park", Fingerprint: 7, MaxWait: time.Minute})
+		r.Ask(admission.Ask{RequestID: 1, Account: "park", Fingerprint: 7, MaxWait: time.Minute})
 		var d admission.Decision
 		Eventually(decisions).Should(Receive(&d))
 		Expect(d.Granted()).To(BeTrue())
--- a/internal/control/quota/simulation_test.go
+++ b/internal/control/quota/simulation_test.go
@@ -256,7 +256,7 @@
 	}
 	accounts := p.accountsByParity()
 	for _, d := range p.allocator.Decide(now) {
-		account := accounts[d.Request%2]
+		account := accounts[d.RequestID%2]
 		p.waitingCounts[account]--
 		if !d.Granted() {
 			continue
@@ -277,7 +277,7 @@
 	if account == "free" {
 		request++
 	}
-	p.allocator.Ask(p.sim.now, admission.Ask{Request: request, Account: account, MaxWait: time.Hour})
+	p.allocator.Ask(p.sim.now, admission.Ask{RequestID: request, Account: account, MaxWait: time.Hour})
 }
 
 func (p *simulatedPool) renew(now time.Duration) {
--- a/internal/control/sessions/handle.go
+++ b/internal/control/sessions/handle.go
@@ -30,7 +30,7 @@
 		return
 	}
 	r.Ask(admission.Ask{
-		Holder: sess.holder, Request: a.Request, Account: a.Account, Service: a.Service,
+		Holder: sess.holder, RequestID: a.Request, Account: a.Account, Service: a.Service,
 		PromptTokens: int(a.PromptTokens), MaxTokens: int(a.MaxTokens),
 		Fingerprint: a.Fingerprint, Prefix: a.Prefix,
 		MaxWait: time.Duration(a.WaitMs) * time.Millisecond, Avoid: a.Avoid,
@@ -70,7 +70,7 @@
 	}
 	r.Settle(admission.Settlement{
 		Lease: admission.LeaseID(m.Lease), Outcome: outcomes[m.Outcome], ProducedTokens: int(m.Produced),
-		FirstToken: time.Duration(m.FirstTokenUs) * time.Microsecond,
-		Duration:   time.Duration(m.DurationUs) * time.Microsecond,
+		TimeToFirstToken: time.Duration(m.FirstTokenUs) * time.Microsecond,
+		Duration:         time.Duration(m.DurationUs) * time.Microsecond,
 	})
 }
--- a/internal/control/sessions/sessions.go
+++ b/internal/control/sessions/sessions.go
@@ -72,7 +72,7 @@
 		return failure.New(failure.KindBadRequest, "the first message of a session must be hello")
 	}
 	sess := &session{
-		holder:   admission.Holder{Entry: hello.Entry, Incarnation: hello.Incarnation},
+		holder:   admission.Holder{EntryAddress: hello.Entry, Incarnation: hello.Incarnation},
 		outgoing: make(chan *filbertv1.ControlMessage, sendQueueSize), done: make(chan struct{}),
 	}
 	s.register(sess)
@@ -138,12 +138,12 @@
 		return
 	}
 	if !d.Granted() {
-		sess.send(newRefusal(d.Request, refusalReasons[d.Reason], d.RetryAfter))
+		sess.send(newRefusal(d.RequestID, refusalReasons[d.Reason], d.RetryAfter))
 		return
 	}
 	_, fence, _ := s.pools.Runner(poolName)
 	sess.send(&filbertv1.ControlMessage{Body: &filbertv1.ControlMessage_Grant{Grant: &filbertv1.Grant{
-		Request: d.Request, Lease: uint64(d.Lease), Target: d.Target,
+		Request: d.RequestID, Lease: uint64(d.Lease), Target: d.Target,
 		LeaseMs: uint32(d.LeaseDuration.Milliseconds()), Priority: int32(d.Priority), Fence: fence,
 	}}})
 }
--- a/internal/control/targetpoll/poller.go
+++ b/internal/control/targetpoll/poller.go
@@ -98,7 +98,7 @@
 		return
 	}
 	report := admission.Report{
-		Target: p.Target, Incarnation: load.Incarnation, MemoryTokens: load.MemoryTokens, UsedTokens: load.UsedTokens,
+		Target: p.Target, Incarnation: load.Incarnation, KVCapacityTokens: load.MemoryTokens, KVUsedTokens: load.UsedTokens,
 		Running: load.Running, Waiting: load.Waiting, Preemptions: load.Preemptions, Capacity: load.Bears,
 		StepTime: time.Duration(load.StepUS) * time.Microsecond, Stopping: load.Stopping,
 	}
--- a/internal/decide/admission/allocator.go
+++ b/internal/decide/admission/allocator.go
@@ -280,7 +280,7 @@
 
 func (a *Allocator) grantWaiting(now time.Duration, r *fairqueue.Request[Ask], t *target, restriction poisonRestriction) {
 	ask := r.Value
-	delete(a.waiting, askKey{ask.Holder, ask.Request})
+	delete(a.waiting, askKey{ask.Holder, ask.RequestID})
 	a.poison.releaseReservation(r)
 	a.releaseQuarantine(r)
 	cost := admissionCharge(ask.PromptTokens, t)
@@ -296,19 +296,19 @@
 		a.health.BeginTrial(now, t.address)
 	}
 	a.queue.Recycle(r)
-	a.grant(l, ask.Request, 0)
+	a.grant(l, ask.RequestID, 0)
 }
 
 func (a *Allocator) grant(l *lease, request uint64, attained int) {
 	a.pendingDecisions = append(a.pendingDecisions, Decision{
-		Holder: l.holder, Request: request, Lease: l.id, Target: l.target.address,
+		Holder: l.holder, RequestID: request, Lease: l.id, Target: l.target.address,
 		Priority: priority(a.shares[l.account.Name].Priority, attained), LeaseDuration: a.cfg.LeaseDuration,
 	})
 }
 
 // admissionCharge returns the charge of a request before it produces output.
 func admissionCharge(promptTokens int, t *target) float64 {
-	if t.report.MemoryTokens == 0 {
+	if t.report.KVCapacityTokens == 0 {
 		return callCharge
 	}
 	return PromptTokenCharge * float64(promptTokens)
--- a/internal/decide/admission/allocator_test.go
+++ b/internal/decide/admission/allocator_test.go
@@ -42,7 +42,7 @@
 	lastRequest uint64
 }
 
-var testHolder = Holder{Entry: "10.0.0.1:80", Incarnation: 1}
+var testHolder = Holder{EntryAddress: "10.0.0.1:80", Incarnation: 1}
 
 // newHarness returns an allocator with engines e0, e1, ... that have 10,000
 // tokens of memory and can run 64 requests.
@@ -55,7 +55,7 @@
 	}
 	h.SetTargets(h.now, targets)
 	for _, t := range targets {
-		h.report(t.Address, Report{Capacity: 64, MemoryTokens: 10_000})
+		h.report(t.Address, Report{Capacity: 64, KVCapacityTokens: 10_000})
 	}
 	return h
 }
@@ -71,7 +71,7 @@
 // ask queues a request and returns its number.
 func (h *harness) ask(account string, change func(*Ask)) uint64 {
 	h.lastRequest++
-	ask := Ask{Holder: testHolder, Request: h.lastRequest, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
+	ask := Ask{Holder: testHolder, RequestID: h.lastRequest, Account: account, PromptTokens: 100, MaxTokens: 100, MaxWait: time.Minute}
 	if change != nil {
 		change(&ask)
 	}
@@ -90,9 +90,9 @@
 	for _, d := range h.Decide(h.now) {
 		h.decisions++
 		if d.Granted() {
-			h.granted[d.Request] = d
+			h.granted[d.RequestID] = d
 		} else {
-			h.refused[d.Request] = d
+			h.refused[d.RequestID] = d
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		}
 		Expect(grantsByTarget["e0"]).To(Equal(5))
 		prefix := []uint64{1, 2, 3, 4}
-		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, CachedPrefixes: prefix})
+		r.report("e1", Report{Capacity: 64, KVCapacityTokens: 10_000, CachedPrefixes: prefix})
 		for _, id := range r.askMany(3, "a", func(a *Ask) { a.PromptTokens, a.Prefix = 500, prefix }) {
 			r.decide()
 			Expect(r.granted[id].Target).To(Equal("e1"))
@@ -173,8 +173,8 @@
 			return 2
 		}),
 		Entry("a maximum wait that has passed", RefusedDeadline, func(r *harness) uint64 {
-			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
-			r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 10_000, Running: 1})
+			r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000, KVUsedTokens: 10_000, Running: 1})
+			r.report("e1", Report{Capacity: 64, KVCapacityTokens: 10_000, KVUsedTokens: 10_000, Running: 1})
 			id := r.ask("a", func(a *Ask) { a.MaxWait = sec })
 			r.advance(sec)
 			return id
@@ -201,7 +201,7 @@
 		for range 100 {
 			runningIDs = append(runningIDs, r.askMany(2, "a", func(a *Ask) { a.MaxWait = 5 * sec })...)
 			r.advance(100 * ms)
-			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+			r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000})
 			for _, id := range runningIDs[:1] {
 				r.settle(id, OutcomeDone, 100)
 			}
@@ -229,7 +229,7 @@
 
 	It("defers a head that is blocked by its own constraints", func() {
 		r := newHarness(2, Config{})
-		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, KVCapacityTokens: 10_000, KVUsedTokens: 9_990, Running: 3})
 		r.ask("a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		other := r.ask("b", nil)
 		r.decide()
@@ -242,7 +242,7 @@
 	// which other accounts' requests could start.
 	It("serves other accounts behind several constrained heads", func() {
 		r := newHarness(2, Config{})
-		r.report("e1", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_990, Running: 3})
+		r.report("e1", Report{Capacity: 64, KVCapacityTokens: 10_000, KVUsedTokens: 9_990, Running: 3})
 		r.askMany(3, "a", func(a *Ask) { a.Avoid = []string{"e0"} })
 		r.askMany(3, "b", func(a *Ask) { a.Avoid = []string{"e0"} })
 		others := r.askMany(3, "c", nil)
@@ -304,7 +304,7 @@
 		predecessor, successor := newHarness(1, Config{Seed: 1}), newHarness(1, Config{Seed: 2})
 		predecessor.askMany(64, "a", nil)
 		predecessor.decide()
-		successor.report("e0", Report{Capacity: 64, MemoryTokens: 10_000, UsedTokens: 9_000, Running: len(predecessor.granted)})
+		successor.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000, KVUsedTokens: 9_000, Running: len(predecessor.granted)})
 		successor.askMany(10, "b", nil)
 		successor.decide()
 		Expect(successor.granted).To(BeEmpty())
@@ -343,7 +343,7 @@
 			r.askMany(20, "a", nil)
 			for range 20 {
 				r.ConfirmOwnership(r.now)
-				r.report("cold", Report{Capacity: 3, MemoryTokens: 10_000, Running: running})
+				r.report("cold", Report{Capacity: 3, KVCapacityTokens: 10_000, Running: running})
 				r.advance(500 * ms)
 				running = len(r.granted)
 				for _, d := range r.granted {
@@ -377,7 +377,7 @@
 	}
 	h.targets[target].report.Incarnation++
 	h.now += 500 * ms
-	h.report(target, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: h.targets[target].report.Incarnation})
+	h.report(target, Report{Capacity: 64, KVCapacityTokens: 10_000, Incarnation: h.targets[target].report.Incarnation})
 }
 
 var _ = Describe("a request that crashes its targets", func() {
@@ -396,7 +396,7 @@
 				r.renewAll()
 				for i := range 3 {
 					address := fmt.Sprint("e", i)
-					r.report(address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
+					r.report(address, Report{Capacity: 64, KVCapacityTokens: 10_000, Incarnation: r.targets[address].report.Incarnation})
 				}
 			}
 			if d, ran := r.granted[id]; ran {
@@ -428,11 +428,11 @@
 		for i := range 80 {
 			r.now += 500 * ms
 			full, idle := []string{"e0", "e1"}[i/40%2], []string{"e1", "e0"}[i/40%2]
-			r.report(full, Report{Capacity: 64, MemoryTokens: 10_000, Running: 100, StepTime: 40 * ms})
-			r.report(idle, Report{Capacity: 64, MemoryTokens: 10_000, Running: 4, StepTime: 11 * ms})
+			r.report(full, Report{Capacity: 64, KVCapacityTokens: 10_000, Running: 100, StepTime: 40 * ms})
+			r.report(idle, Report{Capacity: 64, KVCapacityTokens: 10_000, Running: 4, StepTime: 11 * ms})
 			id := r.ask("a", nil)
 			r.decide()
-			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, ProducedTokens: 9, FirstToken: time.Duration(i) * 50 * ms})
+			r.Settle(r.now, Settlement{Lease: r.granted[id].Lease, Outcome: OutcomeDone, ProducedTokens: 9, TimeToFirstToken: time.Duration(i) * 50 * ms})
 			for _, t := range r.targetOrder {
 				Expect(r.health.Status(r.now, t.address)).To(Equal(health.Healthy))
 				Expect(t.slowStart.State(r.now)).To(Equal(slowstart.Warm))
@@ -480,7 +480,7 @@
 		for range 30 {
 			r.now += 500 * ms
 			for _, t := range r.targetOrder {
-				r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000, Incarnation: t.report.Incarnation})
+				r.report(t.address, Report{Capacity: 64, KVCapacityTokens: 10_000, Incarnation: t.report.Incarnation})
 			}
 			r.renewAll()
 			r.decide()
--- a/internal/decide/admission/ask.go
+++ b/internal/decide/admission/ask.go
@@ -43,7 +43,7 @@
 		a.adopt(now, ask)
 		return
 	}
-	key := askKey{ask.Holder, ask.Request}
+	key := askKey{ask.Holder, ask.RequestID}
 	if _, queued := a.waiting[key]; queued {
 		return
 	}
@@ -84,7 +84,7 @@
 // tooLarge reports whether the prompt fits no target, even an empty one.
 func (a *Allocator) tooLarge(ask *Ask) bool {
 	for _, t := range a.targetOrder {
-		m := t.report.MemoryTokens
+		m := t.report.KVCapacityTokens
 		if m == 0 || float64(ask.PromptTokens+1) <= a.cfg.Memory.Watermark*float64(m) {
 			return false
 		}
@@ -159,7 +159,7 @@
 
 // dropWaiting removes a waiting request from the queue without a decision.
 func (a *Allocator) dropWaiting(r *fairqueue.Request[Ask]) {
-	delete(a.waiting, askKey{r.Value.Holder, r.Value.Request})
+	delete(a.waiting, askKey{r.Value.Holder, r.Value.RequestID})
 	a.poison.releaseReservation(r)
 	a.releaseQuarantine(r)
 	a.queue.Remove(r)
@@ -220,7 +220,7 @@
 
 func (a *Allocator) refuse(ask *Ask, reason RefusalReason, retry time.Duration) {
 	a.pendingDecisions = append(a.pendingDecisions, Decision{
-		Holder: ask.Holder, Request: ask.Request, Reason: reason, RetryAfter: retry,
+		Holder: ask.Holder, RequestID: ask.RequestID, Reason: reason, RetryAfter: retry,
 	})
 }
 
@@ -238,7 +238,7 @@
 	a.queue.AddRunning(account, 0)
 	gen := memoryforecast.Generation{Prompt: ask.PromptTokens, Produced: ask.AdoptTokens, Max: ask.MaxTokens}
 	a.addLease(now, l, ask.Holder, account, t, gen)
-	a.grant(l, ask.Request, ask.AdoptTokens)
+	a.grant(l, ask.RequestID, ask.AdoptTokens)
 }
 
 // EstimatedWait estimates the wait of a new request.
--- a/internal/decide/admission/choose.go
+++ b/internal/decide/admission/choose.go
@@ -92,11 +92,11 @@
 // headroom returns the fraction of the target's capacity that remains free if the
 // ask runs there, and whether the ask fits.
 func (a *Allocator) headroom(t *target, ask *Ask, growth *memoryforecast.Forecast) (freeFraction float64, fits bool) {
-	if t.report.MemoryTokens == 0 {
+	if t.report.KVCapacityTokens == 0 {
 		used := len(t.leases) + t.unknownRequests
 		return 1 - float64(used+1)/float64(t.capacity()), true
 	}
-	size := float64(t.report.MemoryTokens)
+	size := float64(t.report.KVCapacityTokens)
 	freeFraction = a.cfg.Memory.Headroom(&t.load, growth, t.unattributedTokens, size)
 	// An empty engine takes any prompt that fits: the memory rule must not
 	// exclude a request for ever because its output could be long.
--- a/internal/decide/admission/fuzz_test.go
+++ b/internal/decide/admission/fuzz_test.go
@@ -46,7 +46,7 @@
 		s.allocator.Report(s.now, Report{
 			Target: fmt.Sprint("t", i), Age: time.Duration(s.rng.IntN(600)) * ms,
 			Incarnation: uint64(1 + s.now/(40*sec)), Capacity: []int{0, 1, 3, 20, 64}[s.rng.IntN(5)],
-			MemoryTokens: 4000 * s.rng.IntN(2), UsedTokens: s.rng.IntN(4000), Running: s.rng.IntN(10),
+			KVCapacityTokens: 4000 * s.rng.IntN(2), KVUsedTokens: s.rng.IntN(4000), Running: s.rng.IntN(10),
 			StepTime: time.Duration(s.rng.IntN(50)) * ms,
 		})
 	}
@@ -56,7 +56,7 @@
 	s.lastRequest++
 	wait := time.Duration(s.rng.IntN(5000)) * ms
 	ask := Ask{
-		Holder: testHolder, Request: s.lastRequest, Account: fmt.Sprint("a", s.rng.IntN(5)),
+		Holder: testHolder, RequestID: s.lastRequest, Account: fmt.Sprint("a", s.rng.IntN(5)),
 		PromptTokens: s.rng.IntN(1500), MaxTokens: 1 + s.rng.IntN(3000), MaxWait: wait,
 		Fingerprint: uint64(s.rng.IntN(50)), Prefix: []uint64{uint64(s.rng.IntN(3)), uint64(s.rng.IntN(9))},
 	}
@@ -118,7 +118,7 @@
 // forgetWithdrawn removes an ask unless its refusal is already pending.
 func (s *randomSchedule) forgetWithdrawn(id uint64) {
 	for _, d := range s.allocator.pendingDecisions {
-		if d.Request == id {
+		if d.RequestID == id {
 			return
 		}
 	}
@@ -129,10 +129,10 @@
 // ID, each refusal with a reason and, where it applies, a retry delay.
 func (s *randomSchedule) decide() {
 	for _, d := range s.allocator.Decide(s.now) {
-		if _, asked := s.pending[d.Request]; !asked {
+		if _, asked := s.pending[d.RequestID]; !asked {
 			s.t.Fatalf("a second decision, or one for an unknown ask: %+v", d)
 		}
-		delete(s.pending, d.Request)
+		delete(s.pending, d.RequestID)
 		if !d.Granted() {
 			if d.RetryAfter == 0 && d.Reason != RefusedTooLarge && d.Reason != RefusedNoTarget {
 				s.t.Fatalf("refused without a retry delay: %+v", d)
@@ -222,7 +222,7 @@
 // engines do every half second.
 func reportAllTargets(r *harness) {
 	for _, t := range r.targetOrder {
-		r.report(t.address, Report{Capacity: 64, MemoryTokens: 10_000})
+		r.report(t.address, Report{Capacity: 64, KVCapacityTokens: 10_000})
 	}
 }
 
@@ -258,7 +258,7 @@
 				if i > 40 {
 					r.Settle(r.now, Settlement{Lease: running[i-40], Outcome: OutcomeDone, ProducedTokens: 20})
 				}
-				r.Ask(r.now, Ask{Holder: testHolder, Request: r.lastRequest + uint64(i) + 1, Account: names[i%accounts],
+				r.Ask(r.now, Ask{Holder: testHolder, RequestID: r.lastRequest + uint64(i) + 1, Account: names[i%accounts],
 					PromptTokens: 100, MaxTokens: 100, MaxWait: time.Hour})
 				r.refresh(r.now)
 				startedAt := time.Now()
--- a/internal/decide/admission/lease.go
+++ b/internal/decide/admission/lease.go
@@ -233,10 +233,10 @@
 // the normalized step time: the first token can be late on a healthy engine
 // too, after a long prompt or among many new requests.
 func (t *target) healthSample(s Settlement) health.Sample {
-	if t.report.MemoryTokens > 0 {
+	if t.report.KVCapacityTokens > 0 {
 		return health.Sample{StepTime: t.normalizedStep}
 	}
-	return health.Sample{FirstToken: s.FirstToken}
+	return health.Sample{FirstToken: s.TimeToFirstToken}
 }
 
 // endLease removes a lease from all counts.
--- a/internal/decide/admission/outputlengths_test.go
+++ b/internal/decide/admission/outputlengths_test.go
@@ -25,7 +25,7 @@
 		for _, s := range workloads {
 			r.now += sec
 			r.SetConfirmedOwner(r.now, true)
-			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+			r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000})
 			id := r.ask("a", service(s.name))
 			r.decide()
 			Expect(r.granted).To(HaveKey(id))
@@ -35,7 +35,7 @@
 	r.now += sec
 	r.SetConfirmedOwner(r.now, true)
 	before := len(r.granted)
-	r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+	r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000})
 	r.askMany(64, "a", service("summaries"))
 	r.decide()
 	return len(r.granted) - before
--- a/internal/decide/admission/quota_test.go
+++ b/internal/decide/admission/quota_test.go
@@ -38,7 +38,7 @@
 			r.Settle(r.now, Settlement{Lease: d.Lease, Outcome: OutcomeDone, ProducedTokens: 10})
 		}
 		r.now += 3 * sec
-		r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+		r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000})
 		r.decide()
 		Expect(r.granted).To(HaveLen(2))
 		r.SetQuotaGrant(r.now, QuotaGrant{Account: "park", MayStart: true, MaxRunning: 1, ExpiresAt: r.now})
@@ -72,7 +72,7 @@
 		r.decide()
 		for i := range 50 {
 			r.now += 100 * ms
-			r.report("e0", Report{Capacity: 64, MemoryTokens: 10_000})
+			r.report("e0", Report{Capacity: 64, KVCapacityTokens: 10_000})
 			r.Renew(r.now, testHolder, []Renewal{{Lease: r.granted[first].Lease, Target: "e0", Account: "clinic", ProducedTokens: i}})
 			r.decide()
 		}
--- a/internal/decide/admission/target.go
+++ b/internal/decide/admission/target.go
@@ -231,7 +231,7 @@
 		}
 	}
 	t.recentlyEndedLeases = kept
-	t.unattributedTokens = float64(max(0, t.report.UsedTokens-usedAtReport))
+	t.unattributedTokens = float64(max(0, t.report.KVUsedTokens-usedAtReport))
 	t.unknownRequests = max(0, t.report.Running+t.report.Waiting-runningAtReport)
 	t.predictUnknownRequests(o)
 }
@@ -254,7 +254,7 @@
 // step since its last progress report.
 func (t *target) extrapolate(l *lease, at time.Duration) memoryforecast.Generation {
 	gen := l.generation
-	if step := t.report.StepTime; step > 0 && t.report.MemoryTokens > 0 {
+	if step := t.report.StepTime; step > 0 && t.report.KVCapacityTokens > 0 {
 		gen.Produced += int((at - l.progressAt) / step)
 	}
 	gen.Produced = max(gen.Produced, 0)
@@ -269,7 +269,7 @@
 	if t.report.Capacity > 0 {
 		return t.report.Capacity
 	}
-	if t.report.MemoryTokens > 0 {
+	if t.report.KVCapacityTokens > 0 {
 		return defaultEngineCapacity
 	}
 	return defaultServiceCapacity
--- a/internal/decide/admission/types.go
+++ b/internal/decide/admission/types.go
@@ -18,15 +18,15 @@
 
 // Holder identifies the entry process that asked, by address and incarnation.
 type Holder struct {
-	Entry       string
-	Incarnation uint64
+	EntryAddress string
+	Incarnation  uint64
 }
 
 // Ask is one request for admission.
 type Ask struct {
-	Holder  Holder
-	Request uint64
-	Account string
+	Holder    Holder
+	RequestID uint64
+	Account   string
 	// Service selects the distribution of output lengths that predicts the
 	// request.
 	Service string
@@ -76,11 +76,11 @@
 
 // Settlement ends a lease.
 type Settlement struct {
-	Lease          LeaseID
-	Outcome        Outcome
-	ProducedTokens int
-	FirstToken     time.Duration
-	Duration       time.Duration
+	Lease            LeaseID
+	Outcome          Outcome
+	ProducedTokens   int
+	TimeToFirstToken time.Duration
+	Duration         time.Duration
 }
 
 // Report is a target's own measurement of its load, taken Age ago.
@@ -89,11 +89,11 @@
 	Age    time.Duration
 	// Incarnation changes when the target restarts, which makes it cold again.
 	Incarnation uint64
-	// MemoryTokens is the size of the key-value cache, in tokens, and
-	// UsedTokens the part in use.
-	MemoryTokens, UsedTokens int
-	Running, Waiting         int
-	Preemptions              uint64
+	// KVCapacityTokens is the size of the key-value cache, in tokens, and
+	// KVUsedTokens the part in use.
+	KVCapacityTokens, KVUsedTokens int
+	Running, Waiting               int
+	Preemptions                    uint64
 	// Capacity is the number of requests that the target can run concurrently at
 	// present; 0 means that it does not report this.
 	Capacity int
@@ -143,7 +143,7 @@
 // Decision answers one ask: Target is set for a grant, Reason for a refusal.
 type Decision struct {
 	Holder        Holder
-	Request       uint64
+	RequestID     uint64
 	Lease         LeaseID
 	Target        string
 	Priority      int
--- a/internal/experiment/policy.go
+++ b/internal/experiment/policy.go
@@ -103,7 +103,7 @@
 }
 
 func holderOf(id requestID) admission.Holder {
-	return admission.Holder{Entry: entryAddresses[id%entryHosts], Incarnation: 1}
+	return admission.Holder{EntryAddress: entryAddresses[id%entryHosts], Incarnation: 1}
 }
 
 var entryAddresses = func() (addresses [entryHosts]string) {
@@ -115,7 +115,7 @@
 
 func (p *allocatorPolicy) Ask(now time.Duration, a Ask) {
 	ask := admission.Ask{
-		Holder: holderOf(a.ID), Request: uint64(a.ID), Account: a.Account, PromptTokens: a.PromptTokens,
+		Holder: holderOf(a.ID), RequestID: uint64(a.ID), Account: a.Account, PromptTokens: a.PromptTokens,
 		MaxTokens: a.MaxTokens, MaxWait: a.MaxWait, Fingerprint: a.Fingerprint, Prefix: a.Prefix,
 	}
 	if p.plain {
@@ -153,17 +153,17 @@
 	if p.plain {
 		producedTokens = 0
 	}
-	p.alloc.Settle(now, admission.Settlement{Lease: req.decision.Lease, Outcome: outcome, ProducedTokens: producedTokens, FirstToken: firstToken})
+	p.alloc.Settle(now, admission.Settlement{Lease: req.decision.Lease, Outcome: outcome, ProducedTokens: producedTokens, TimeToFirstToken: firstToken})
 }
 
 func (p *allocatorPolicy) Report(now time.Duration, engine int, r model.Report) {
 	report := admission.Report{
 		Target: p.targets[engine].Address, Age: r.Age, Incarnation: r.Incarnation,
-		MemoryTokens: r.MemoryTokens, UsedTokens: r.UsedTokens, Running: r.Running, Waiting: r.Waiting,
+		KVCapacityTokens: r.MemoryTokens, KVUsedTokens: r.UsedTokens, Running: r.Running, Waiting: r.Waiting,
 		Preemptions: r.Preemptions, Capacity: r.Bears, StepTime: r.StepTime,
 	}
 	if p.plain {
-		report.MemoryTokens, report.UsedTokens = 0, 0
+		report.KVCapacityTokens, report.KVUsedTokens = 0, 0
 	}
 	p.alloc.Report(now, report)
 }
@@ -182,7 +182,7 @@
 	}
 	p.decisions = p.decisions[:0]
 	for _, d := range p.alloc.Decide(now) {
-		id := requestID(d.Request)
+		id := requestID(d.RequestID)
 		if !d.Granted() {
 			delete(p.requests, id)
 			p.decisions = append(p.decisions, Decision{ID: id, Refused: true, RetryAfter: d.RetryAfter})
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -78,7 +78,7 @@
 	for ctx.Err() == nil {
 		b.runner.Confirm(time.Now())
 		for _, t := range targets {
-			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, MemoryTokens: 1 << 40, Capacity: unlimitedCapacity})
+			b.runner.Report(admission.Report{Target: t.Address, Incarnation: 1, KVCapacityTokens: 1 << 40, Capacity: unlimitedCapacity})
 		}
 		time.Sleep(reportInterval)
 	}
--- a/test/faults/host_test.go
+++ b/test/faults/host_test.go
@@ -250,10 +250,10 @@
 func (h *host) runAllocators() {
 	for _, id := range sorted(h.allocators) {
 		for _, d := range h.allocators[id].Decide(h.sim.now) {
-			holder := h.sim.hostByName(d.Holder.Entry)
+			holder := h.sim.hostByName(d.Holder.EntryAddress)
 			h.sim.sendMessage(h.process, holder.process, func() {
-				if onDecision := holder.pendingAsks[d.Request]; onDecision != nil && holder.incarnation == d.Holder.Incarnation {
-					delete(holder.pendingAsks, d.Request)
+				if onDecision := holder.pendingAsks[d.RequestID]; onDecision != nil && holder.incarnation == d.Holder.Incarnation {
+					delete(holder.pendingAsks, d.RequestID)
 					onDecision(d)
 				}
 			}, nil)
@@ -291,7 +291,7 @@
 }
 
 func (h *host) holder() admission.Holder {
-	return admission.Holder{Entry: h.name, Incarnation: h.incarnation}
+	return admission.Holder{EntryAddress: h.name, Incarnation: h.incarnation}
 }
 
 func (h *host) settle(heldLease *lease, outcome admission.Outcome) {
@@ -366,7 +366,7 @@
 		}
 	}
 	ask := admission.Ask{
-		Holder: h.holder(), Request: request, Account: att.call.account, PromptTokens: 20, MaxTokens: 200,
+		Holder: h.holder(), RequestID: request, Account: att.call.account, PromptTokens: 20, MaxTokens: 200,
 		Fingerprint: att.call.fingerprint, MaxWait: 8 * time.Second, Avoid: avoid,
 	}
 	sim.sendMessage(h.process, owner.process, func() {
@@ -404,11 +404,11 @@
 		return
 	}
 	sim.lastID++
-	d := admission.Decision{Holder: ask.Holder, Request: ask.Request, Lease: admission.LeaseID(sim.lastID << 20), Target: leastLoaded.name, LeaseDuration: leaseDuration}
-	holder := sim.hostByName(ask.Holder.Entry)
+	d := admission.Decision{Holder: ask.Holder, RequestID: ask.RequestID, Lease: admission.LeaseID(sim.lastID << 20), Target: leastLoaded.name, LeaseDuration: leaseDuration}
+	holder := sim.hostByName(ask.Holder.EntryAddress)
 	sim.sendMessage(owner.process, holder.process, func() {
-		if onDecision := holder.pendingAsks[d.Request]; onDecision != nil {
-			delete(holder.pendingAsks, d.Request)
+		if onDecision := holder.pendingAsks[d.RequestID]; onDecision != nil {
+			delete(holder.pendingAsks, d.RequestID)
 			onDecision(d)
 		}
 	}, nil)
--- a/test/faults/targets_test.go
+++ b/test/faults/targets_test.go
@@ -66,7 +66,7 @@
 		Target: e.name, Incarnation: e.incarnation, Running: len(e.running), Capacity: e.capacity(), Stopping: e.stopping,
 	}
 	if e != e.sim.app {
-		r.MemoryTokens, r.UsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenInterval
+		r.KVCapacityTokens, r.KVUsedTokens, r.StepTime = 100_000, 200*len(e.running), tokenInterval
 	}
 	return r
 }
