--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -116,23 +116,23 @@
 			{7, 5, 4, drain.Refusing}, {3000, 5, 1, drain.Refusing}, {3001, 5, 0, drain.Lingering},
 			{3001, 5, 1, drain.Refusing}, {3002, 5, 0, drain.Lingering}, {3003, 5, 0, drain.Done},
 		} {
-			s.NoteArrival(time.Duration(step.arrived) * time.Second)
+			s.RecordArrival(time.Duration(step.arrived) * time.Second)
 			Expect(s.Step(time.Duration(step.second)*time.Second, step.running)).To(Equal(step.want), fmt.Sprint(step))
 			Expect(s.Ready()).To(BeFalse())
 			Expect(s.AcceptsNew()).To(Equal(step.want == drain.Announced))
 		}
-		Expect(s.CutWork()).To(BeFalse())
+		Expect(s.TimedOut()).To(BeFalse())
 	})
 
 	It("refuses requests of a load balancer that ignores readiness, and cuts work only at the configured limit", func() {
 		s := drain.NewShutdown(drain.ShutdownConfig{DrainTimeout: time.Minute})
 		s.Begin(0)
-		s.NoteArrival(14 * time.Second)
+		s.RecordArrival(14 * time.Second)
 		Expect(s.Step(14*time.Second, 1)).To(Equal(drain.Announced))
-		s.NoteArrival(15 * time.Second)
+		s.RecordArrival(15 * time.Second)
 		Expect(s.Step(15*time.Second, 1)).To(Equal(drain.Refusing))
 		Expect(s.Step(time.Minute, 1)).To(Equal(drain.Done))
-		Expect(s.CutWork()).To(BeTrue())
+		Expect(s.TimedOut()).To(BeTrue())
 	})
 
 	// A process that stops listening at once refuses what the load balancer
@@ -158,7 +158,7 @@
 		now := time.Duration(step) * 10 * time.Millisecond
 		running -= endingAt[step]
 		if step < 400 {
-			s.NoteArrival(now)
+			s.RecordArrival(now)
 			if s.AcceptsNew() {
 				running++
 				endingAt[step+1+rnd.IntN(300)]++
--- a/internal/decide/drain/stop.go
+++ b/internal/decide/drain/stop.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// NoteArrival records the arrival of new work, whether it was accepted or refused.
-func (s *Shutdown) NoteArrival(now time.Duration) { s.lastArrival = now }
+// RecordArrival records the arrival of new work, whether it was accepted or refused.
+func (s *Shutdown) RecordArrival(now time.Duration) { s.lastArrival = now }
 
 // Step advances the shutdown and returns the phase. running is the number of
 // requests, streams and leases in progress. Call it whenever running changes
@@ -159,6 +159,6 @@
 // AcceptsNew reports whether new work is accepted.
 func (s *Shutdown) AcceptsNew() bool { return s.phase <= Announced }
 
-// CutWork reports whether the shutdown reached its time limit and ended with work
+// TimedOut reports whether the shutdown reached its time limit and ended with work
 // in progress.
-func (s *Shutdown) CutWork() bool { return s.cutWork }
+func (s *Shutdown) TimedOut() bool { return s.cutWork }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -55,7 +55,7 @@
 func (l *Lifecycle) BeginRequest() (end func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stop.NoteArrival(l.now())
+	l.stop.RecordArrival(l.now())
 	if !l.stop.AcceptsNew() {
 		return nil, failure.New(failure.KindStopping, "the process is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
@@ -116,7 +116,7 @@
 func (l *Lifecycle) interrupted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.stop.CutWork()
+	return l.stop.TimedOut()
 }
 
 // Healthz is the liveness endpoint.
