--- a/internal/decide/fetch/fetch.go
+++ b/internal/decide/fetch/fetch.go
@@ -63,14 +63,14 @@
 
 // The outcomes of a transfer.
 const (
-	// Succeeded means that the peer's document was applied, or was known here by
+	// OutcomeSucceeded means that the peer's document was applied, or was known here by
 	// the time it arrived.
-	Succeeded Outcome = iota + 1
-	// Busy means that the peer's upload limit was reached.
-	Busy
-	// Failed means that the peer did not answer, or that what it sent can't be
+	OutcomeSucceeded Outcome = iota + 1
+	// OutcomeBusy means that the peer's upload limit was reached.
+	OutcomeBusy
+	// OutcomeFailed means that the peer did not answer, or that what it sent can't be
 	// used.
-	Failed
+	OutcomeFailed
 )
 
 // PeerSelector decides from which peer one host fetches.
@@ -186,13 +186,13 @@
 	p.inProgress = false
 	s := p.sources[peer]
 	switch outcome {
-	case Succeeded:
+	case OutcomeSucceeded:
 		p.timeout = p.cfg.InitialTimeout
-	case Busy:
+	case OutcomeBusy:
 		if s != nil {
 			s.retryAt = now + p.cfg.BusyBackoff
 		}
-	case Failed:
+	case OutcomeFailed:
 		p.timeout = min(2*p.timeout, p.cfg.MaxTimeout)
 		if s != nil {
 			s.retryAt = now + p.cfg.FailureBackoff
--- a/internal/decide/fetch/fetch_test.go
+++ b/internal/decide/fetch/fetch_test.go
@@ -108,7 +108,7 @@
 		p := newSelector(1)
 		p.RecordAnnouncement(0, "a", true, 5)
 		first, _, _ := p.StartTransfer(0, 4, 0)
-		p.FinishTransfer(second, first, fetch.Failed)
+		p.FinishTransfer(second, first, fetch.OutcomeFailed)
 		_, _, ok := p.StartTransfer(second, 4, 0)
 		Expect(ok).To(BeFalse())
 		p.RecordAnnouncement(second, "b", true, 5)
@@ -128,7 +128,7 @@
 			Expect(ok).To(BeTrue())
 			Expect(timeout).To(BeNumerically(">=", last))
 			last = timeout
-			p.FinishTransfer(now, peer, fetch.Failed)
+			p.FinishTransfer(now, peer, fetch.OutcomeFailed)
 			now += 10 * second
 		}
 		Expect(last).To(Equal(fetch.DefaultConfig().MaxTimeout))
@@ -184,7 +184,7 @@
 		for i, h := range s.hosts {
 			if h.arrivesAt >= 0 && now >= h.arrivesAt {
 				h.hasDocument, h.arrivesAt = true, -1
-				h.selector.FinishTransfer(now, h.source, fetch.Succeeded)
+				h.selector.FinishTransfer(now, h.source, fetch.OutcomeSucceeded)
 			}
 			if h.hasDocument {
 				continue
@@ -220,7 +220,7 @@
 	}
 	source := byName[peer]
 	if !source.hasDocument {
-		h.selector.FinishTransfer(now, peer, fetch.Busy)
+		h.selector.FinishTransfer(now, peer, fetch.OutcomeBusy)
 		return
 	}
 	others, admitted := source.uploads.Admit(now, h.name, s.documentBytes)
@@ -228,7 +228,7 @@
 		for _, o := range others {
 			h.selector.RecordAnnouncement(now, o, byName[o].dataCentre == h.dataCentre, 1)
 		}
-		h.selector.FinishTransfer(now, peer, fetch.Busy)
+		h.selector.FinishTransfer(now, peer, fetch.OutcomeBusy)
 		return
 	}
 	source.linkFreeAt = max(source.linkFreeAt, now) + time.Duration(s.documentBytes)*second/linkBytesPerSecond
--- a/internal/gatewayhost/fetcher.go
+++ b/internal/gatewayhost/fetcher.go
@@ -95,21 +95,21 @@
 	reply, err := c.FetchConfig(ctx, peer, timeout, &filbertv1.FetchRequest{ConfigRevision: configRevision, Revision: revision})
 	if err != nil {
 		f.log.Info("not fetched", "peer", peer, "config", configRevision, "revision", revision, "timeout", timeout, "error", err)
-		return fetch.Failed
+		return fetch.OutcomeFailed
 	}
 	if reply.GetBusy() {
 		for _, holder := range reply.GetHolders() {
 			f.recordAnnouncement(holder, reply.GetNews().GetRevision())
 		}
-		return fetch.Busy
+		return fetch.OutcomeBusy
 	}
 	f.needsFullCopy, err = f.published.ApplyBundle(peer, recordsync.DeltaBundle{Config: reply.GetDelta(), Records: reply.GetRecords()})
 	if err != nil {
 		f.log.Warn("data fetched from a peer can't be applied", "peer", peer, "error", err)
-		return fetch.Failed
+		return fetch.OutcomeFailed
 	}
 	f.takeNews(peer, reply.GetNews(), requestedAt)
-	return fetch.Succeeded
+	return fetch.OutcomeSucceeded
 }
 
 // serveFetch answers a peer's fetch request.
