--- a/internal/decide/hedge/hedge.go
+++ b/internal/decide/hedge/hedge.go
@@ -82,9 +82,9 @@
 // Refusal is the reason why a call is not hedged.
 type Refusal int
 
-// The reasons not to send a second call. None means that it may be sent.
+// The reasons not to send a second call. NoRefusal means that it may be sent.
 const (
-	None Refusal = iota
+	NoRefusal Refusal = iota
 	NotRepeatable
 	TooFewSamples
 	PoolOverloaded
@@ -142,10 +142,10 @@
 	return delay, delay > 0
 }
 
-// AllowSecond returns None if the second call may be sent now, and takes it from
+// AllowSecondCall returns None if the second call may be sent now, and takes it from
 // the budget; otherwise it returns the reason not to send it. The caller uses the
 // first complete answer and cancels the other call.
-func (h *Hedger) AllowSecond(now time.Duration, conditions Conditions) Refusal {
+func (h *Hedger) AllowSecondCall(now time.Duration, conditions Conditions) Refusal {
 	switch {
 	case !conditions.Repeatable:
 		return NotRepeatable
@@ -158,7 +158,7 @@
 	case !h.budget.Take(now):
 		return BudgetSpent
 	default:
-		return None
+		return NoRefusal
 	}
 }
 
--- a/internal/decide/hedge/hedge_test.go
+++ b/internal/decide/hedge/hedge_test.go
@@ -57,12 +57,12 @@
 	})
 
 	DescribeTable("refuses", func(conditions hedge.Conditions, want hedge.Refusal) {
-		Expect(newWarmHedger().AllowSecond(0, conditions)).To(Equal(want))
+		Expect(newWarmHedger().AllowSecondCall(0, conditions)).To(Equal(want))
 	},
 		Entry(nil, hedge.Conditions{OtherTargets: 1}, hedge.NotRepeatable),
 		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1, Backlog: 30 * ms}, hedge.PoolOverloaded),
 		Entry(nil, hedge.Conditions{Repeatable: true}, hedge.NoOtherTarget),
-		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1}, hedge.None),
+		Entry(nil, hedge.Conditions{Repeatable: true, OtherTargets: 1}, hedge.NoRefusal),
 	)
 
 	// All targets become slow together. Every lookup is then late, and sending
@@ -112,7 +112,7 @@
 			delay, ok = 10*ms, true
 		}
 		late := strategy != withoutHedging && ok && first > delay
-		if late && (strategy == fixedDelay || h.AllowSecond(now, hedge.Conditions{Repeatable: true, OtherTargets: 3}) == hedge.None) {
+		if late && (strategy == fixedDelay || h.AllowSecondCall(now, hedge.Conditions{Repeatable: true, OtherTargets: 3}) == hedge.NoRefusal) {
 			secondCalls++
 			times[i] = min(first, delay+call())
 		}
--- a/internal/entry/servicecall/idempotent.go
+++ b/internal/entry/servicecall/idempotent.go
@@ -152,8 +152,8 @@
 		return "", false
 	}
 	backlog, otherTargets := r.Board.HedgeInputs(call.Service.Name, target)
-	refusal := hedger.AllowSecond(r.now(), hedge.Conditions{Repeatable: true, Backlog: backlog, OtherTargets: otherTargets})
-	return target, refusal == hedge.None
+	refusal := hedger.AllowSecondCall(r.now(), hedge.Conditions{Repeatable: true, Backlog: backlog, OtherTargets: otherTargets})
+	return target, refusal == hedge.NoRefusal
 }
 
 // attempt sends the call to one target and reports which on chosenTarget, if it
