--- a/internal/controller/gossip/controller.go
+++ b/internal/controller/gossip/controller.go
@@ -246,7 +246,7 @@
 		c.peers.setNeighbours(view.Neighbours)
 		c.pruneHeads(view.Neighbours)
 		c.cfg.SetReader(view.IsReader())
-		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.LiveAddresses(""))-1))
+		c.cfg.Store.SetPeerCount(max(knownPeers, len(view.EligibleAddresses(""))-1))
 	}
 	c.cfg.Store.IsReady()
 	c.probeUnsyncedPeer(ctx, view)
--- a/internal/controller/gossip/gossip_test.go
+++ b/internal/controller/gossip/gossip_test.go
@@ -161,7 +161,10 @@
 }
 
 func hasLiveMembers(count int) func(*node) bool {
-	return func(n *node) bool { v := n.board.Members.Get(); return v != nil && len(v.LiveAddresses("")) == count }
+	return func(n *node) bool {
+		v := n.board.Members.Get()
+		return v != nil && len(v.EligibleAddresses("")) == count
+	}
 }
 
 // hangTimeout only stops specs that hang: 32 copies of this package at once,
--- a/internal/controller/gossip/push.go
+++ b/internal/controller/gossip/push.go
@@ -24,7 +24,7 @@
 	if time.Since(c.lastUnsyncedProbe) < unsyncedProbeInterval {
 		return
 	}
-	others := slices.DeleteFunc(view.LiveAddresses(""), func(address string) bool { return address == view.Self.Address })
+	others := slices.DeleteFunc(view.EligibleAddresses(""), func(address string) bool { return address == view.Self.Address })
 	unsynced := c.cfg.Store.UnsyncedPeers(others)
 	if len(unsynced) == 0 {
 		return
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -220,7 +220,7 @@
 			n.SetPublishedPeers(f.now, peers(32))
 		}
 		f.run(10 * time.Second)
-		Expect(f.nodes[0].View().LiveAddresses("")).NotTo(ContainElement(address(5)))
+		Expect(f.nodes[0].View().EligibleAddresses("")).NotTo(ContainElement(address(5)))
 	})
 
 	// A process is suspended for twenty seconds by a snapshot of its host. Its
@@ -251,7 +251,7 @@
 		for t := f.now; t < f.now+20*time.Second; t += tickInterval {
 			isolated.Tick(t)
 		}
-		Expect(len(isolated.View().LiveAddresses(""))).To(BeNumerically("<", 16))
+		Expect(len(isolated.View().EligibleAddresses(""))).To(BeNumerically("<", 16))
 	})
 
 	// Two halves of the fleet are cut off from each other for a while. Each
@@ -268,7 +268,7 @@
 		f.run(time.Minute)
 		total := 0
 		for _, i := range []int{0, 23} {
-			total += len(f.nodes[i].View().LiveAddresses(""))
+			total += len(f.nodes[i].View().EligibleAddresses(""))
 		}
 		Expect(total).To(Equal(24), "each side counts only its own members")
 		f.linkBroken = func(string, string) bool { return false }
--- a/internal/decide/membership/rendezvous.go
+++ b/internal/decide/membership/rendezvous.go
@@ -41,7 +41,7 @@
 // A process that is cut off from its data centre sees only itself and reads,
 // which costs a call a second and does no harm.
 func (v *View) IsReader() bool {
-	ranked := Rank(readerKey, v.LiveAddresses(v.Self.DataCentre))
+	ranked := Rank(readerKey, v.EligibleAddresses(v.Self.DataCentre))
 	return slices.Contains(ranked[:min(ReadersPerDataCentre, len(ranked))], v.Self.Address)
 }
 
--- a/internal/decide/membership/types.go
+++ b/internal/decide/membership/types.go
@@ -182,9 +182,9 @@
 	Neighbours []string
 }
 
-// LiveAddresses returns the members that may take roles in a data centre: those that are
+// EligibleAddresses returns the members that may take roles in a data centre: those that are
 // alive or suspect and not leaving. An empty name selects all data centres.
-func (v *View) LiveAddresses(dataCentre string) []string {
+func (v *View) EligibleAddresses(dataCentre string) []string {
 	var out []string
 	for _, m := range v.Members {
 		if m.State <= Suspect && !v.Leaving[m.Address] && (dataCentre == "" || m.DataCentre == dataCentre) {
--- a/internal/gatewayhost/fleetview.go
+++ b/internal/gatewayhost/fleetview.go
@@ -101,9 +101,9 @@
 }
 
 func rankOwners(view *membership.View, target gateway.TargetRef) []string {
-	live := view.LiveAddresses(target.DataCentre)
+	live := view.EligibleAddresses(target.DataCentre)
 	if len(live) == 0 {
-		live = view.LiveAddresses("")
+		live = view.EligibleAddresses("")
 	}
 	ranked := membership.Rank(target.ID, live)
 	return ranked[:min(len(ranked), ownersPerTarget)]
--- a/internal/gatewayhost/readerroles.go
+++ b/internal/gatewayhost/readerroles.go
@@ -91,7 +91,7 @@
 }
 
 func (r *readerRoles) computeRanking(view *membership.View) hostRanking {
-	hosts := membership.Rank(readerRankKey, view.LiveAddresses(""))
+	hosts := membership.Rank(readerRankKey, view.EligibleAddresses(""))
 	if len(hosts) <= maxSmallFleet {
 		return hostRanking{valid: true, relayGroup: hosts, readerCandidates: hosts, smallFleet: true}
 	}
