--- a/internal/controller/recordsync/controller.go
+++ b/internal/controller/recordsync/controller.go
@@ -238,7 +238,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
-	c.mirror.StoreAnswered(now)
+	c.mirror.RecordStoreAnswer(now)
 	c.confirmCurrent(currentAt)
 	viewChangePending := c.nextViewChange > 0
 	c.replaceConfig(records)
@@ -324,7 +324,7 @@
 	defer c.mu.Unlock()
 	failed := err != nil && failure.KindOf(err) != failure.KindHistoryGone
 	if failed {
-		c.mirror.StoreFailed()
+		c.mirror.RecordStoreFailure()
 		c.failedAt = c.cfg.Now()
 	}
 	if failed == c.storeFailed {
--- a/internal/decide/mirror/mirror.go
+++ b/internal/decide/mirror/mirror.go
@@ -103,12 +103,12 @@
 // Revision returns the store's revision up to which all changes are known here.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// StoreFailed records that the store did not answer.
-func (m *Mirror) StoreFailed() { m.storeDown = true }
+// RecordStoreFailure records that the store did not answer.
+func (m *Mirror) RecordStoreFailure() { m.storeDown = true }
 
-// StoreAnswered records that the store answered. If the store had been down for
+// RecordStoreAnswer records that the store answered. If the store had been down for
 // long enough, it starts the grace period for expired entries.
-func (m *Mirror) StoreAnswered(now time.Duration) {
+func (m *Mirror) RecordStoreAnswer(now time.Duration) {
 	if m.storeDown && now-m.upToDateAt >= m.cfg.MinOutageForExpiry {
 		m.recoveredAt = now
 	}
--- a/internal/decide/mirror/mirror_test.go
+++ b/internal/decide/mirror/mirror_test.go
@@ -81,8 +81,8 @@
 	It("considers targets alive during the grace period if their entries expired while the store was down", func() {
 		m := mirror.New(mirror.Config{})
 		m.ApplyChanges(0, []directory.Record{targetRecord("i-1", 3, nil), targetRecord("i-2", 4, nil)}, 4)
-		m.StoreFailed()
-		m.StoreAnswered(10 * time.Second)
+		m.RecordStoreFailure()
+		m.RecordStoreAnswer(10 * time.Second)
 		m.ApplySnapshot(10*time.Second, nil, 9)
 		Expect(acceptsRequests(m, 11*time.Second, "i-1")).To(BeTrue())
 		m.ApplyChanges(11*time.Second, []directory.Record{targetRecord("i-1", 12, nil)}, 12)
