--- a/internal/decide/targetload/targetload.go
+++ b/internal/decide/targetload/targetload.go
@@ -107,14 +107,14 @@
 
 // SetLocalLoad sets this host's load on a target.
 func (t *Table) SetLocalLoad(now time.Duration, target string, load Load) {
-	c := t.Local(target)
+	c := t.LocalCount(target)
 	c.Load = load
 	t.setLocal(now, c)
 }
 
 // SetLeaving records that a target told this host that it is about to stop.
 func (t *Table) SetLeaving(now time.Duration, target string) {
-	c := t.Local(target)
+	c := t.LocalCount(target)
 	if c.Leaving {
 		return
 	}
@@ -124,7 +124,7 @@
 
 // SetTimePerToken sets this host's estimate of the time per token on a target.
 func (t *Table) SetTimePerToken(now time.Duration, target string, timePerToken time.Duration) {
-	c := t.Local(target)
+	c := t.LocalCount(target)
 	c.TimePerToken = timePerToken
 	t.setLocal(now, c)
 }
@@ -134,20 +134,20 @@
 // does not repeat a number.
 func (t *Table) AddFailure(now time.Duration, target string) {
 	t.failureSeq++
-	c := t.Local(target)
+	c := t.LocalCount(target)
 	c.FailureSeq = t.failureSeq
 	t.setLocal(now, c)
 }
 
 // SetRate sets the rate limit that a target advertised to this host.
 func (t *Table) SetRate(now time.Duration, target string, rate targetrate.Advertisement) {
-	c := t.Local(target)
+	c := t.LocalCount(target)
 	c.AdvertisedRate = &rate
 	t.setLocal(now, c)
 }
 
-// Local returns this host's count of a target, or an empty one.
-func (t *Table) Local(target string) HostLoad {
+// LocalCount returns this host's count of a target, or an empty one.
+func (t *Table) LocalCount(target string) HostLoad {
 	c := t.counts[entryKey{t.self, target}].HostLoad
 	c.Host, c.Target = t.self, target
 	return c
@@ -277,8 +277,8 @@
 
 // Total is the sum of all hosts' counts of one target.
 type Total struct {
-	// Others is the load of the other hosts.
-	Others Load
+	// OtherHostsLoad is the load of the other hosts.
+	OtherHostsLoad Load
 	// Hosts is the number of hosts, including this one, with requests running on
 	// the target.
 	Hosts int
@@ -297,7 +297,7 @@
 		}
 		sum := sums[k.target]
 		if !local {
-			sum.Others = sum.Others.Add(c.Load)
+			sum.OtherHostsLoad = sum.OtherHostsLoad.Add(c.Load)
 		}
 		if c.Running > 0 {
 			sum.Hosts++
--- a/internal/gateway/candidate.go
+++ b/internal/gateway/candidate.go
@@ -136,7 +136,7 @@
 		if !acceptsRequest(view, req, t) || alerts[t.ID].Leaving || !l.withinColdShare(view, t) || !l.withinRate(t.ID) {
 			continue
 		}
-		out = append(out, targetCandidate{l.newCandidate(view, t, req.Locality, totals[t.ID].Others, defaultStep), t})
+		out = append(out, targetCandidate{l.newCandidate(view, t, req.Locality, totals[t.ID].OtherHostsLoad, defaultStep), t})
 	}
 	return out
 }
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -84,7 +84,7 @@
 // counts it returns; false without an answer.
 func (l *TargetLoads) queryOwner(t *directory.ObservedTarget) bool {
 	l.mu.Lock()
-	own := l.hostLoads.Local(t.ID)
+	own := l.hostLoads.LocalCount(t.ID)
 	l.mu.Unlock()
 	counts, answered := l.ownerQuery(TargetRef{t.ID, t.DataCentre}, []targetload.HostLoad{own})
 	if !answered {
@@ -137,7 +137,7 @@
 	defer l.mu.Unlock()
 	others := l.refresh(view, req, slices.DeleteFunc(slices.Clone(sampled), func(candidate targetCandidate) bool { return candidate.target.ID == r.targetID }))
 	totals, defaultStep := l.hostLoads.Totals(l.now()), l.speeds.Median()
-	here := l.newCandidate(view, r.entry, req.Locality, totals[r.targetID].Others.Sub(r.load), defaultStep)
+	here := l.newCandidate(view, r.entry, req.Locality, totals[r.targetID].OtherHostsLoad.Sub(r.load), defaultStep)
 	best := others.choose(l.rng, req)
 	if best == nil || placement.MarginalDelay(best.Candidate, req.work())+minDelaySaving > placement.MarginalDelay(here, req.work()) {
 		return nil
--- a/internal/gateway/placement.go
+++ b/internal/gateway/placement.go
@@ -122,7 +122,7 @@
 	out := make(targetCandidates, 0, len(sampled))
 	for _, candidate := range sampled {
 		if !alerts[candidate.target.ID].Leaving && l.withinColdShare(view, candidate.target) && l.withinRate(candidate.target.ID) {
-			out = append(out, targetCandidate{l.newCandidate(view, candidate.target, req.Locality, totals[candidate.target.ID].Others, defaultStep), candidate.target})
+			out = append(out, targetCandidate{l.newCandidate(view, candidate.target, req.Locality, totals[candidate.target.ID].OtherHostsLoad, defaultStep), candidate.target})
 		}
 	}
 	return out
