--- a/internal/decide/targetrate/targetrate.go
+++ b/internal/decide/targetrate/targetrate.go
@@ -144,8 +144,8 @@
 	return t
 }
 
-// Limited returns the number of targets that advertise a limit.
-func (l *Limiter) Limited() int {
+// LimitedCount returns the number of targets that advertise a limit.
+func (l *Limiter) LimitedCount() int {
 	n := 0
 	for _, t := range l.targets {
 		if t.latest.Limited {
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -52,7 +52,7 @@
 func (l *TargetLoads) rateLimitedCount() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int64(l.rates.Limited())
+	return int64(l.rates.LimitedCount())
 }
 
 // LendRate lends another host one request of a target's rate; false when this
@@ -136,7 +136,7 @@
 func (l *TargetLoads) rateLimitedTargets(view *directory.View, req PlacementRequest, filter func(target string) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.rates.Limited() == 0 {
+	if l.rates.LimitedCount() == 0 {
 		return nil
 	}
 	var out []string
