--- a/cmd/filbert-experiment/main.go
+++ b/cmd/filbert-experiment/main.go
@@ -26,13 +26,13 @@
 	var s settings
 	arg.MustParse(&s)
 	if s.List {
-		for _, name := range experiment.Names() {
+		for _, name := range experiment.ScenarioNames() {
 			fmt.Println(name)
 		}
 		return
 	}
 	if len(s.Names) == 0 {
-		s.Names = experiment.Names()
+		s.Names = experiment.ScenarioNames()
 	}
 	for _, name := range s.Names {
 		if err := experiment.Run(name, s.Seed, os.Stdout); err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -38,7 +38,7 @@
 		Expect(Run("slow-target", 3, &second)).To(Succeed())
 		Expect(first.String()).To(And(Equal(second.String()), ContainSubstring("filbertdeck")))
 		Expect(failure.KindOf(Run("no such", 1, &first))).To(Equal(failure.KindNotFound))
-		Expect(Names()).To(ContainElements("mix-shift", "overload-5", "two-faults"))
+		Expect(ScenarioNames()).To(ContainElements("mix-shift", "overload-5", "two-faults"))
 	})
 
 	DescribeTable("records an outcome for every request sent", func(name string) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,8 +15,8 @@
 // maxParallelPolicies limits the number of policies simulated at the same time.
 const maxParallelPolicies = 4
 
-// Names returns the names of the scenarios.
-func Names() []string {
+// ScenarioNames returns the names of the scenarios.
+func ScenarioNames() []string {
 	var names []string
 	for _, s := range Scenarios() {
 		names = append(names, s.Name)
