--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -38,10 +38,10 @@
 	// one request of another host's share of a rate; nil when none can be
 	// borrowed.
 	rates      *targetrate.Limiter
-	borrowRate BorrowRate
+	borrowRate BorrowRateFunc
 	// ownerQuery queries the host that has the newest counts of a target; nil
 	// for none.
-	ownerQuery QueryOwner
+	ownerQuery OwnerQueryFunc
 	// hostCount returns the number of hosts that choose targets.
 	hostCount func() int
 	// rng breaks ties and draws the sampled targets.
--- a/internal/gateway/owner_query.go
+++ b/internal/gateway/owner_query.go
@@ -15,7 +15,7 @@
 // counts.
 type TargetRef struct{ ID, DataCentre string }
 
-// QueryOwner sends the owner of a target's load counts this host's counts there
+// OwnerQueryFunc sends the owner of a target's load counts this host's counts there
 // and returns the counts that the owner knows; false without an answer.
 //
 // Hundreds of hosts place some fifty prompts a second, and the counts of a
@@ -28,7 +28,7 @@
 // chooses. This only improves placement and no guarantee depends on it: without
 // an answer, or when two hosts both act as owner, targets are chosen by the
 // counts that this host has.
-type QueryOwner func(target TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool)
+type OwnerQueryFunc func(target TargetRef, own []targetload.HostLoad) ([]targetload.HostLoad, bool)
 
 const (
 	// maxOwnerQueries limits the owners queried one after the other for one
@@ -41,7 +41,7 @@
 
 // SetOwnerQuery sets the function that queries owners. Without it no owner is
 // queried.
-func (l *TargetLoads) SetOwnerQuery(query QueryOwner) { l.ownerQuery = query }
+func (l *TargetLoads) SetOwnerQuery(query OwnerQueryFunc) { l.ownerQuery = query }
 
 // AnswerOwnerQuery merges the counts of another host and returns all counts
 // known here for the same targets.
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -12,14 +12,14 @@
 	"filbertdeck/internal/wake"
 )
 
-// BorrowRate borrows one request of a target's rate from another host. The
+// BorrowRateFunc borrows one request of a target's rate from another host. The
 // hosts ranked first for the target, as many as holders says, share the rate;
 // false when none of them lends.
-type BorrowRate func(target string, holders int) bool
+type BorrowRateFunc func(target string, holders int) bool
 
 // SetRateBorrower sets the function that borrows requests. Without it none are
 // borrowed.
-func (l *TargetLoads) SetRateBorrower(borrow BorrowRate) { l.borrowRate = borrow }
+func (l *TargetLoads) SetRateBorrower(borrow BorrowRateFunc) { l.borrowRate = borrow }
 
 // ObserveRate records the rate limit that a target advertised in an answer to
 // this host; nil when it advertised none. It reports whether the limit is new
--- a/internal/gatewayhost/owners.go
+++ b/internal/gatewayhost/owners.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// borrow implements gateway.BorrowRate. It asks one of the hosts that share the
+// borrow implements gateway.BorrowRateFunc. It asks one of the hosts that share the
 // target's rate limit, chosen at random.
 func (o *ownerExchange) borrow(target string, holders int) bool {
 	hosts := o.fleet.rateSharers(target, holders)
