--- a/cmd/filbert-overhead/main.go
+++ b/cmd/filbert-overhead/main.go
@@ -40,7 +40,7 @@
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	cfg := overhead.Config{
-		BinDir: a.BinDir, Requests: a.Requests, Streams: a.Streams, Tokens: a.Tokens, Open: a.Open, Heap: a.Heap, Idle: a.Idle,
+		BinDir: a.BinDir, Requests: a.Requests, Streams: a.Streams, TokensPerStream: a.Tokens, OpenStreams: a.Open, HeapProfilePath: a.Heap, IdleDuration: a.Idle,
 	}
 	if err := overhead.Run(ctx, cfg, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "measurement failed:", err)
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -32,14 +32,14 @@
 	Requests int
 	// Streams is the number of streams in the relay measurement, followed by the
 	// number of tokens per stream.
-	Streams, Tokens int
-	// Open is the number of concurrent streams in the memory measurement.
-	Open int
-	// Heap, if set, is the file to which the entry's heap profile is written while
+	Streams, TokensPerStream int
+	// OpenStreams is the number of concurrent streams in the memory measurement.
+	OpenStreams int
+	// HeapProfilePath, if set, is the file to which the entry's heap profile is written while
 	// the streams are open.
-	Heap string
-	// Idle is the duration of the measurement of an idle control process.
-	Idle time.Duration
+	HeapProfilePath string
+	// IdleDuration is the duration of the measurement of an idle control process.
+	IdleDuration time.Duration
 }
 
 const apiKey = "overhead-key"
@@ -100,7 +100,7 @@
 		return err
 	}
 	select {
-	case <-time.After(m.Idle):
+	case <-time.After(m.IdleDuration):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -108,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	corePercent := float64(after.CPU-before.CPU) / float64(m.Idle) * 100
-	m.printLine("idle control process: %.2f%% of a core over %v, %.1f MB resident", corePercent, m.Idle, megabytes(after.ResidentBytes))
+	corePercent := float64(after.CPU-before.CPU) / float64(m.IdleDuration) * 100
+	m.printLine("idle control process: %.2f%% of a core over %v, %.1f MB resident", corePercent, m.IdleDuration, megabytes(after.ResidentBytes))
 	return nil
 }
 
@@ -262,7 +262,7 @@
 		return err
 	}
 	started := time.Now()
-	events, err := m.runStreams(ctx, m.Streams, m.Tokens, nil)
+	events, err := m.runStreams(ctx, m.Streams, m.TokensPerStream, nil)
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 	}
 	cpu := after.CPU - before.CPU
 	m.printLine("relay: %d streams of %d tokens in %v (%.0f events/s); entry processor time %.2f us per event: %.0f events/s per core",
-		m.Streams, m.Tokens, elapsed.Round(time.Millisecond), float64(events)/elapsed.Seconds(),
+		m.Streams, m.TokensPerStream, elapsed.Round(time.Millisecond), float64(events)/elapsed.Seconds(),
 		float64(cpu.Microseconds())/float64(events), float64(events)/cpu.Seconds())
 	return nil
 }
@@ -287,12 +287,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var streaming sync.WaitGroup
-	streaming.Add(m.Open)
+	streaming.Add(m.OpenStreams)
 	done := make(chan error, 1)
 	go func() {
 		// The number of tokens is large enough for the streams to outlast the
 		// measurement; they are cancelled at its end.
-		_, err := m.runStreams(ctx, m.Open, 90_000, func() { streaming.Done() })
+		_, err := m.runStreams(ctx, m.OpenStreams, 90_000, func() { streaming.Done() })
 		done <- err
 	}()
 	allStreaming := make(chan struct{})
@@ -302,7 +302,7 @@
 	case err := <-done:
 		return err
 	case <-time.After(openTimeout):
-		return failure.New(failure.KindDeadline, "%d streams did not start within %v", m.Open, openTimeout)
+		return failure.New(failure.KindDeadline, "%d streams did not start within %v", m.OpenStreams, openTimeout)
 	}
 	after, err := m.entryUsage()
 	if err != nil {
@@ -316,8 +316,8 @@
 	}
 	cancel()
 	<-done
-	kilobytesPerStream := float64(after.ResidentBytes-before.ResidentBytes) / float64(m.Open) / 1024
-	m.printLine("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB per stream", m.Open, megabytes(before.ResidentBytes), megabytes(after.ResidentBytes), kilobytesPerStream)
+	kilobytesPerStream := float64(after.ResidentBytes-before.ResidentBytes) / float64(m.OpenStreams) / 1024
+	m.printLine("open streams: %d at once; entry memory %.1f MB before, %.1f MB with them: %.1f KB per stream", m.OpenStreams, megabytes(before.ResidentBytes), megabytes(after.ResidentBytes), kilobytesPerStream)
 	return nil
 }
 
@@ -338,7 +338,7 @@
 // saveHeapProfile writes the entry's heap profile to a file, which shows the
 // allocations of a stream.
 func (m *measurement) saveHeapProfile() error {
-	if m.Heap == "" {
+	if m.HeapProfilePath == "" {
 		return nil
 	}
 	resp, err := m.client.Get("http://" + m.fleet.Hosts[0].EntryAdminAddress + "/debug/pprof/heap?gc=1")
@@ -350,7 +350,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.KindInternal, "heap profile can't be read")
 	}
-	if err := os.WriteFile(m.Heap, profile, 0o600); err != nil {
+	if err := os.WriteFile(m.HeapProfilePath, profile, 0o600); err != nil {
 		return failure.Wrap(err, failure.KindSettingInvalid, "--heap")
 	}
 	return nil
