--- a/cmd/filbert-slopes/main.go
+++ b/cmd/filbert-slopes/main.go
@@ -62,15 +62,15 @@
 	r := slopes.Printer{Out: os.Stdout}
 	switch {
 	case a.Plan != nil:
-		r.Plan()
+		r.MeasurePlan()
 	case a.Table != nil:
-		r.Table()
+		r.MeasureTable()
 	case a.Accounting != nil:
-		r.Accounting()
+		r.MeasureAccounting()
 	case a.Admission != nil:
-		return r.Admission(ctx, a.Admission.Over)
+		return r.MeasureAdmission(ctx, a.Admission.Over)
 	case a.Processes != nil:
-		p := slopes.Processes{BinDir: a.Processes.BinDir, Over: a.Processes.Over, EditsPerSecond: a.Processes.Edits}
+		p := slopes.ProcessMeasurement{BinDir: a.Processes.BinDir, MeasurementDuration: a.Processes.Over, EditsPerSecond: a.Processes.Edits}
 		return p.Run(ctx, r, a.Processes.Points)
 	}
 	return nil
--- a/internal/slopes/accounting.go
+++ b/internal/slopes/accounting.go
@@ -10,9 +10,9 @@
 // accountingRounds is the number of snapshots that are averaged.
 const accountingRounds = 5
 
-// Accounting measures an entry's accounting counters: their memory, and the cost
+// MeasureAccounting measures an entry's accounting counters: their memory, and the cost
 // of the snapshot that the entry sends to the control process of its host.
-func (printer Printer) Accounting() {
+func (printer Printer) MeasureAccounting() {
 	for _, rows := range []int{10, 100, 1000, FullScaleAccounts, 3 * FullScaleAccounts} {
 		heapBefore := heapInUse()
 		counters := accounting.New()
--- a/internal/slopes/admission.go
+++ b/internal/slopes/admission.go
@@ -131,10 +131,10 @@
 	return <-done
 }
 
-// Admission measures the session between an entry and an allocator: the bytes at
+// MeasureAdmission measures the session between an entry and an allocator: the bytes at
 // the request rate of one host, with requests of realistic duration, and the
 // processor time of both sides together at rates high enough to measure it.
-func (printer Printer) Admission(ctx context.Context, period time.Duration) error {
+func (printer Printer) MeasureAdmission(ctx context.Context, period time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	b, err := newAdmissionBench(ctx)
--- a/internal/slopes/plan.go
+++ b/internal/slopes/plan.go
@@ -13,10 +13,10 @@
 // planRounds is the number of runs that are averaged.
 const planRounds = 3
 
-// Plan measures the plan of pools that every control process recomputes at each
+// MeasurePlan measures the plan of pools that every control process recomputes at each
 // edit of the table or of the host and target lists, and the list of pools that
 // it sends to the entry of its host.
-func (printer Printer) Plan() {
+func (printer Printer) MeasurePlan() {
 	for _, size := range []struct{ targets, hosts int }{
 		{100, 33}, {1000, 33}, {1000, 330}, {FullScaleTargets, 330}, {FullScaleTargets, FullScaleHosts},
 	} {
--- a/internal/slopes/process.go
+++ b/internal/slopes/process.go
@@ -10,11 +10,11 @@
 	"filbertdeck/internal/fleet"
 )
 
-// Processes configures the measurements with real processes.
-type Processes struct {
+// ProcessMeasurement configures the measurements with real processes.
+type ProcessMeasurement struct {
 	BinDir string
-	// Over is the duration of each measurement.
-	Over time.Duration
+	// MeasurementDuration is the duration of each measurement.
+	MeasurementDuration time.Duration
 	// EditsPerSecond is the rate at which one row is edited during the second
 	// measurement of a point.
 	EditsPerSecond int
@@ -49,7 +49,7 @@
 
 // Run measures the processes at the named points, or at all points if names is
 // empty: first without changes, then while one row is edited.
-func (p Processes) Run(ctx context.Context, printer Printer, names []string) error {
+func (p ProcessMeasurement) Run(ctx context.Context, printer Printer, names []string) error {
 	for _, point := range Points {
 		if len(names) > 0 && !slices.Contains(names, point.Name) {
 			continue
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (p Processes) measurePoint(ctx context.Context, printer Printer, point Point) error {
+func (p ProcessMeasurement) measurePoint(ctx context.Context, printer Printer, point Point) error {
 	hosts := make([]string, point.Hosts)
 	for i := range hosts {
 		hosts[i] = dataCentreName(0)
@@ -83,11 +83,11 @@
 		return err
 	}
 	time.Sleep(settleTime + time.Duration(point.UnreachableTargets)*settleTimePerTarget)
-	idle, err := measureUse(f, targets, func() error { time.Sleep(p.Over); return nil })
+	idle, err := measureUse(f, targets, func() error { time.Sleep(p.MeasurementDuration); return nil })
 	if err != nil {
 		return err
 	}
-	edits := int(p.Over.Seconds()) * p.EditsPerSecond
+	edits := int(p.MeasurementDuration.Seconds()) * p.EditsPerSecond
 	busy, err := measureUse(f, targets, func() error { return applyEdits(f, point, edits, p.EditsPerSecond) })
 	if err != nil {
 		return err
--- a/internal/slopes/table.go
+++ b/internal/slopes/table.go
@@ -13,10 +13,10 @@
 // tableRounds is the number of runs that are averaged.
 const tableRounds = 10
 
-// Table measures the table in force: its memory, the cost of applying a changed
+// MeasureTable measures the table in force: its memory, the cost of applying a changed
 // row, and the cost of sending the whole table to the entry of the host, which
 // currently happens at every change of a row.
-func (printer Printer) Table() {
+func (printer Printer) MeasureTable() {
 	for _, accounts := range []int{10, 100, 1000, FullScaleAccounts} {
 		pages := tablePages(accounts, 0)
 		heapBefore := heapInUse()
